--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -9,10 +9,10 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
-use sandgw::interface::*;
+use sandgw::policy::api::*;
 use sandgw::relay::{Arrival, Attempt, Command, FlowCommand, FlowId, Relay};
 use sandgw_affinity::Record;
-use sandgw_affinity::piece::Kind;
+use sandgw_affinity::codec::Kind;
 
 const RELAYS: u32 = 4;
 const STREAMERS: usize = 14;
--- a/crates/affinity-store/benches/startup.rs
+++ b/crates/affinity-store/benches/startup.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use sandgw_affinity::members::Tag;
+use sandgw_affinity::endpoint_registry::Tag;
 use sandgw_affinity::{Affinity, Changes, Limits, Record};
 use sandgw_affinity_store::{FILE, Store};
 
--- a/crates/affinity-store/src/tool.rs
+++ b/crates/affinity-store/src/commands.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead, Write};
 use std::path::Path;
 
-use sandgw_affinity::members::{Name, Tag};
+use sandgw_affinity::endpoint_registry::{Name, Tag};
 use sandgw_affinity::{Changes, Millis, Record};
 use serde::{Deserialize, Serialize};
 
--- a/crates/affinity-store/src/lib.rs
+++ b/crates/affinity-store/src/lib.rs
@@ -3,15 +3,15 @@
 //! [`Store`] owns one redb file in a folder: it is fed [`Changes`] and gives back [`Record`]s. Each batch is one
 //! transaction, so a process killed at any write leaves the state before it or the one after. Every record has a
 //! checksum of its own beside the file's. A file that is damaged or another program's is set aside under another
-//! name, never deleted and never a reason not to start. One of a later form is neither moved nor read: see [`form`].
+//! name, never deleted and never a reason not to start. One of a later form is neither moved nor read: see [`file_format`].
 //! [`writer`] writes behind, from a thread of its own;
-//! [`tool`] is what operators use. Nothing here is on the way of an answer.
+//! [`commands`] is what operators use. Nothing here is on the way of an answer.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod form;
-pub mod tool;
+pub mod commands;
+pub mod file_format;
 pub mod writer;
 
 use std::collections::HashSet;
@@ -22,8 +22,8 @@
 
 use log::error;
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition};
-use sandgw_affinity::members::{Name, Tag};
-use sandgw_affinity::piece::Kind;
+use sandgw_affinity::codec::Kind;
+use sandgw_affinity::endpoint_registry::{Name, Tag};
 use sandgw_affinity::{Changes, Millis, Record};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -234,7 +234,7 @@
         if tables == 0 {
             drop(read);
             let write = self.db.begin_write().map_err(other)?;
-            write.open_table(META).map_err(other)?.insert(FORMAT_KEY, form::FIRST).map_err(other)?;
+            write.open_table(META).map_err(other)?.insert(FORMAT_KEY, file_format::FIRST).map_err(other)?;
             write.open_table(CLIENTS).map_err(other)?;
             write.open_table(GROUPS).map_err(other)?;
             write.open_table(STREAMERS).map_err(other)?;
@@ -242,9 +242,9 @@
         }
         let meta = read.open_table(META).map_err(other)?;
         match meta.get(FORMAT_KEY).map_err(other)?.map(|v| v.value()) {
-            Some(n) if form::FORMS.contains(&n) => Ok(()),
-            Some(n) if n > *form::FORMS.end() => {
-                Err(StoreError::Future { form: n, newest: *form::FORMS.end() })
+            Some(n) if file_format::FORMS.contains(&n) => Ok(()),
+            Some(n) if n > *file_format::FORMS.end() => {
+                Err(StoreError::Future { form: n, newest: *file_format::FORMS.end() })
             }
             Some(n) => Err(StoreError::Damaged(format!("{n} is no form"))),
             None => Err(StoreError::Damaged("it is no store of affinity tables".into())),
--- a/crates/affinity-store/src/writer.rs
+++ b/crates/affinity-store/src/writer.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 use log::{error, info};
-use sandgw_affinity::members::{Name, Tag};
-use sandgw_affinity::piece::Kind;
+use sandgw_affinity::codec::Kind;
+use sandgw_affinity::endpoint_registry::{Name, Tag};
 use sandgw_affinity::{Changes, Millis, Record};
 
 use crate::{Opened, Store, StoreError, guarded};
--- a/crates/affinity-store/tests/faults.rs
+++ b/crates/affinity-store/tests/faults.rs
@@ -8,11 +8,11 @@
 
 use disk::{Disk, until};
 use proptest::prelude::*;
-use sandgw_affinity::members::{Name, Tag};
-use sandgw_affinity::piece::Kind;
+use sandgw_affinity::codec::Kind;
+use sandgw_affinity::endpoint_registry::{Name, Tag};
 use sandgw_affinity::{Changes, Record};
 use sandgw_affinity_store::writer::Writer;
-use sandgw_affinity_store::{FILE, Store, StoreError, tool};
+use sandgw_affinity_store::{FILE, Store, StoreError, commands};
 
 fn client(key: u64, at: f64) -> Record {
     Record::Session { key, holder: Tag::of("s-1", 0.0), at }
@@ -196,7 +196,7 @@
     let folder = folder();
     let first = Store::open(folder.path()).unwrap().store;
     assert!(matches!(Store::open(folder.path()), Err(StoreError::InUse)));
-    assert!(matches!(tool::verify(folder.path()), Err(StoreError::InUse)));
+    assert!(matches!(commands::verify(folder.path()), Err(StoreError::InUse)));
     drop(first);
     assert!(Store::open(folder.path()).is_ok());
     let file = folder.path().join("file");
@@ -205,7 +205,7 @@
         let refused = Store::open(&bad);
         assert!(matches!(refused, Err(StoreError::Folder(_))), "{bad:?}: {refused:?}");
     }
-    assert!(matches!(tool::verify(&folder.path().join("none")), Err(StoreError::Folder(_))));
+    assert!(matches!(commands::verify(&folder.path().join("none")), Err(StoreError::Folder(_))));
 }
 
 /// The disk is full for a while: batches are kept, the last word of each entry counts, and it is written once there
@@ -289,18 +289,18 @@
     let wanted = contents(&store);
     drop(store);
     let mut text = Vec::new();
-    let lines = tool::export(one.path(), &mut text).unwrap();
+    let lines = commands::export(one.path(), &mut text).unwrap();
     assert_eq!(lines as usize, wanted.len() + 1);
-    assert_eq!(tool::import(other.path(), &text[..]).unwrap(), lines);
+    assert_eq!(commands::import(other.path(), &text[..]).unwrap(), lines);
     let store = Store::open(other.path()).unwrap().store;
     assert_eq!(contents(&store), wanted);
     assert_eq!(store.names().unwrap(), names);
     drop(store);
-    let summary = tool::show(other.path(), 3).unwrap();
+    let summary = commands::show(other.path(), 3).unwrap();
     assert_eq!((summary.clients + summary.groups) as usize, wanted.len());
     assert_eq!((summary.largest.len(), summary.holders[0].streamer.as_str()), (3, "s-1"));
-    let (before, after) = tool::compact(other.path()).unwrap();
-    assert!(after <= before && tool::verify(other.path()).unwrap().records as usize == wanted.len());
+    let (before, after) = commands::compact(other.path()).unwrap();
+    assert!(after <= before && commands::verify(other.path()).unwrap().records as usize == wanted.len());
     let bad = [
         ("{", "line 2"),
         (r#"{"client":{"key":"x","holder":"00000001","at_ms":1.0}}"#, "key"),
@@ -314,7 +314,7 @@
     for (line, reason) in bad {
         let good = r#"{"client":{"key":"1","holder":"00000001","at_ms":1.0}}"#;
         let refused =
-            tool::import(empty.path(), format!("{good}\n{line}\n").as_bytes()).unwrap_err().to_string();
+            commands::import(empty.path(), format!("{good}\n{line}\n").as_bytes()).unwrap_err().to_string();
         assert!(refused.starts_with("line 2: ") && refused.contains(reason), "{refused}");
     }
     assert!(std::fs::read_dir(empty.path()).unwrap().next().is_none(), "nothing was made");
--- a/crates/affinity-store/tests/forms.rs
+++ b/crates/affinity-store/tests/forms.rs
@@ -7,10 +7,10 @@
 use std::sync::atomic::Ordering::SeqCst;
 
 use disk::Disk;
-use sandgw_affinity::members::Tag;
-use sandgw_affinity::piece::Kind;
+use sandgw_affinity::codec::Kind;
+use sandgw_affinity::endpoint_registry::Tag;
 use sandgw_affinity::{Changes, Record};
-use sandgw_affinity_store::form::ShareRow;
+use sandgw_affinity_store::file_format::ShareRow;
 use sandgw_affinity_store::writer::Writer;
 use sandgw_affinity_store::{FILE, Store, StoreError};
 
--- a/crates/affinity/benches/table.rs
+++ b/crates/affinity/benches/table.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use sandgw_affinity::members::State;
+use sandgw_affinity::endpoint_registry::State;
 use sandgw_affinity::{Affinity, Limits};
 
 /// Keys of a full period, spread over the table.
--- a/crates/affinity/src/piece.rs
+++ b/crates/affinity/src/codec.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::members::Tag;
+use crate::endpoint_registry::Tag;
 
 /// Most bytes of a piece as text, its version included.
 pub const MOST_BYTES: usize = 256;
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -1,18 +1,18 @@
 //! What a relay remembers of where clients' connections stand and which streamers hold which groups.
 //!
 //! [`Affinity`] owns both tables within a fixed number of bytes. It is fed placements, the list of streamers,
-//! what other relays tell ([`tier`]) and what a store has kept ([`Record`]), each with the time; it gives
+//! what other relays tell ([`replication`]) and what a store has kept ([`Record`]), each with the time; it gives
 //! holders that are ready now, the groups' estimated sizes, and the changes to be kept. It never does I/O, never
 //! decides where a flow goes, and never names a streamer that the list does not name as ready: entries point at
-//! incarnations, see [`members`].
+//! incarnations, see [`endpoint_registry`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod members;
-pub mod piece;
+pub mod codec;
+pub mod endpoint_registry;
+pub mod replication;
 pub mod table;
-pub mod tier;
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -21,8 +21,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use members::{Holder, Members, Name, State, Tag};
-use piece::{BUCKETS, Client, GroupRow, Held, Kind, Piece};
+use codec::{BUCKETS, Client, GroupRow, Held, Kind, Piece};
+use endpoint_registry::{Holder, Members, Name, State, Tag};
 use table::{Gone, Table};
 
 /// Milliseconds, as a point on the caller's clock or as a span.
@@ -418,7 +418,7 @@
 
     pub(crate) fn told_session(&mut self, now: Millis, key: u64, tag: Tag, age: u8) {
         let tick = self.tick(now);
-        let aged = f64::from(age) * self.limits.max_age / f64::from(piece::AGES) / TICK;
+        let aged = f64::from(age) * self.limits.max_age / f64::from(codec::AGES) / TICK;
         let set = tick.saturating_sub(aged as u32);
         // What is known to be newer stays.
         let newer = self.sessions.peek(key).filter(|(_, at)| *at > set);
@@ -446,10 +446,10 @@
 
     /// Clients to tell of: their holder, age and key.
     pub(crate) fn held(&self, now: Millis) -> impl Iterator<Item = (Tag, u8, u64)> {
-        let (tick, quarter) = (self.at(now), self.limits.max_age / f64::from(piece::AGES) / TICK);
+        let (tick, quarter) = (self.at(now), self.limits.max_age / f64::from(codec::AGES) / TICK);
         self.sessions.iter().filter_map(move |(key, holder, set)| {
             let age = (f64::from(tick.saturating_sub(set)) / quarter) as u8;
-            let told = age < piece::AGES - 1;
+            let told = age < codec::AGES - 1;
             self.members.tag(*holder).filter(|_| told).map(|tag| (tag, age, key))
         })
     }
@@ -487,7 +487,7 @@
         held.sort_unstable();
         held.dedup();
         let news = |rows: Vec<Held>| Piece::News(rows.into_iter().map(|h| (h.tag, h.clients)).collect());
-        piece::held_rows(held.into_iter()).into_iter().map(news).collect()
+        codec::held_rows(held.into_iter()).into_iter().map(news).collect()
     }
 
     // --- what is kept ---
--- a/crates/affinity/src/tier.rs
+++ b/crates/affinity/src/replication.rs
@@ -13,8 +13,8 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::members::Tag;
-use crate::piece::{BUCKETS, Held, Kind, Piece, group_rows, held_rows};
+use crate::codec::{BUCKETS, Held, Kind, Piece, group_rows, held_rows};
+use crate::endpoint_registry::Tag;
 use crate::{Affinity, Millis, by_bucket};
 
 /// Relays asked for their groups, and those asked for clients one after another: a large tier's mean is known
--- a/crates/affinity/tests/common/mod.rs
+++ b/crates/affinity/tests/common/mod.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use sandgw_affinity::members::State;
-use sandgw_affinity::piece::{MOST_BYTES, Piece};
-use sandgw_affinity::tier::Tier;
+use sandgw_affinity::codec::{MOST_BYTES, Piece};
+use sandgw_affinity::endpoint_registry::State;
+use sandgw_affinity::replication::Tier;
 use sandgw_affinity::{Affinity, Limits, Millis};
 
 pub const START: Millis = 1_700_000_000_000.0;
--- a/crates/affinity/tests/form1.rs
+++ b/crates/affinity/tests/form1.rs
@@ -1,10 +1,10 @@
 //! Form 1 of what relays tell, byte for byte as the program of before forms had numbers wrote it: a change here is
 //! a new form, and old processes would read it as nothing.
 
-use sandgw_affinity::members::Tag;
-use sandgw_affinity::piece::{
+use sandgw_affinity::codec::{
     BUCKETS, Client, GroupRow, Held, Kind, LEAVING, MOST_BYTES, Piece, StreamerHash,
 };
+use sandgw_affinity::endpoint_registry::Tag;
 
 #[test]
 fn every_kind_of_piece_is_written_and_read_as_before() {
--- a/crates/affinity/tests/members.rs
+++ b/crates/affinity/tests/members.rs
@@ -8,8 +8,8 @@
 
 use common::*;
 use proptest::prelude::*;
-use sandgw_affinity::members::{State, Tag};
-use sandgw_affinity::tier::Tier;
+use sandgw_affinity::endpoint_registry::{State, Tag};
+use sandgw_affinity::replication::Tier;
 use sandgw_affinity::{Affinity, Record};
 
 #[derive(Clone, Debug)]
--- a/crates/affinity/tests/table.rs
+++ b/crates/affinity/tests/table.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use proptest::prelude::*;
-use sandgw_affinity::members::State;
+use sandgw_affinity::endpoint_registry::State;
 use sandgw_affinity::table::Table;
 use sandgw_affinity::{Affinity, Limits};
 
--- a/crates/affinity/tests/tier.rs
+++ b/crates/affinity/tests/tier.rs
@@ -7,7 +7,7 @@
 use common::*;
 use proptest::prelude::*;
 use sandgw_affinity::Limits;
-use sandgw_affinity::piece::{Held, Piece};
+use sandgw_affinity::codec::{Held, Piece};
 
 const STREAMERS: usize = 14;
 
@@ -188,9 +188,9 @@
 fn held() -> impl Strategy<Value = Vec<Held>> {
     let one = (any::<[u8; 4]>(), any::<u8>(), proptest::collection::vec(any::<[u8; 5]>(), 0..40));
     let one = one.prop_map(|(tag, age, clients)| Held {
-        tag: sandgw_affinity::members::Tag(tag),
+        tag: sandgw_affinity::endpoint_registry::Tag(tag),
         age,
-        clients: clients.into_iter().map(sandgw_affinity::piece::Client).collect(),
+        clients: clients.into_iter().map(sandgw_affinity::codec::Client).collect(),
     });
     proptest::collection::vec(one, 0..6)
 }
@@ -205,7 +205,7 @@
         let pieces = [
             Piece::News(rows.iter().map(|h| (h.tag, h.clients.clone())).collect()),
             Piece::Sessions { round: 9, bucket: 200, number: 60_000, rows },
-            Piece::Plan { round: 1, kind: sandgw_affinity::piece::Kind::Groups, counts: vec![u16::MAX; 40] },
+            Piece::Plan { round: 1, kind: sandgw_affinity::codec::Kind::Groups, counts: vec![u16::MAX; 40] },
         ];
         let mut world = World::new(2, Net::default(), limits());
         for piece in pieces {
--- a/crates/tier/src/pace.rs
+++ b/crates/cluster/src/concurrency_limit.rs
@@ -25,7 +25,7 @@
 /// The window of one relay; see the module's text.
 ///
 /// ```
-/// use sandgw_tier::pace::Pace;
+/// use sandgw_cluster::concurrency_limit::Pace;
 ///
 /// let mut pace = Pace::new(0.0);
 /// assert_eq!(pace.next(0.0, 100, 500.0), 0.0, "an open window");
@@ -97,7 +97,7 @@
     /// A set-up was sent. The seed is the relay's own: pauses of relays that were cut together are not alike.
     ///
     /// ```
-    /// # use sandgw_tier::pace::Pace;
+    /// # use sandgw_cluster::concurrency_limit::Pace;
     /// let mut pace = Pace::new(0.0);
     /// // Late again and again, each long after the latest cut: less than one may be out.
     /// (0..60).for_each(|n| pace.late(f64::from(n) * 600.0, u64::from(n % 2 == 0), 0, 500.0));
--- a/crates/tier/src/leaving.rs
+++ b/crates/cluster/src/drain_gossip.rs
@@ -17,8 +17,8 @@
 
 use std::collections::BTreeMap;
 
-use sandgw_affinity::piece::{LEAVING, Piece, StreamerHash};
-use sandgw_affinity::tier::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::{LEAVING, Piece, StreamerHash};
+use sandgw_affinity::replication::{ALL_TOLD, Sends};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Millis;
@@ -76,8 +76,8 @@
 /// One relay's part; see the module's text.
 ///
 /// ```
-/// use sandgw_affinity::piece::{Piece, StreamerHash};
-/// use sandgw_tier::leaving::{Answer, Leaving, Of};
+/// use sandgw_affinity::codec::{Piece, StreamerHash};
+/// use sandgw_cluster::drain_gossip::{Answer, Leaving, Of};
 ///
 /// let (of, s1) = (Of { me: 7, relays: 300 }, StreamerHash::of("s-1"));
 /// let (mut leaving, mut out) = (Leaving::new(7), Vec::new());
--- a/crates/tier/src/census.rs
+++ b/crates/cluster/src/load_aggregation.rs
@@ -8,8 +8,8 @@
 
 use std::collections::BTreeMap;
 
-use sandgw_affinity::piece::{Piece, STREAMERS};
-use sandgw_affinity::tier::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::{Piece, STREAMERS};
+use sandgw_affinity::replication::{ALL_TOLD, Sends};
 
 use crate::Millis;
 
@@ -38,9 +38,9 @@
 /// One relay's part in the census, as teller and as collector.
 ///
 /// ```
-/// use sandgw_affinity::piece::Piece;
-/// use sandgw_affinity::tier::Sends;
-/// use sandgw_tier::census::Census;
+/// use sandgw_affinity::codec::Piece;
+/// use sandgw_affinity::replication::Sends;
+/// use sandgw_cluster::load_aggregation::Census;
 ///
 /// let (mut collector, mut teller) = (Census::default(), Census::default());
 /// let (one, relays) = ([1, 0], 20);
--- a/crates/tier/src/news.rs
+++ b/crates/cluster/src/location_gossip.rs
@@ -7,8 +7,8 @@
 
 use std::collections::BTreeMap;
 
-use sandgw_affinity::piece::{Client, Piece};
-use sandgw_affinity::tier::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::{Client, Piece};
+use sandgw_affinity::replication::{ALL_TOLD, Sends};
 use sandgw_affinity::{Affinity, Millis};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -26,11 +26,11 @@
 /// News to be told, and questions under way.
 ///
 /// ```
-/// use sandgw_affinity::members::State;
-/// use sandgw_affinity::piece::Piece;
-/// use sandgw_affinity::tier::Sends;
+/// use sandgw_affinity::endpoint_registry::State;
+/// use sandgw_affinity::codec::Piece;
+/// use sandgw_affinity::replication::Sends;
 /// use sandgw_affinity::{Affinity, Limits};
-/// use sandgw_tier::news::{News, keepers};
+/// use sandgw_cluster::location_gossip::{News, keepers};
 ///
 /// let (relays, client) = (40, Affinity::client(b"a viewer"));
 /// let keeper = keepers(client, relays).next().expect("a keeper");
@@ -69,9 +69,9 @@
     /// Notes that a client's new place is to be told.
     ///
     /// ```
-    /// # use sandgw_affinity::tier::Sends;
-    /// # use sandgw_affinity::{Affinity, Limits, members::State};
-    /// # use sandgw_tier::news::News;
+    /// # use sandgw_affinity::replication::Sends;
+    /// # use sandgw_affinity::{Affinity, Limits, endpoint_registry::State};
+    /// # use sandgw_cluster::location_gossip::News;
     /// let mut affinity = Affinity::new(Limits { relays: 4, me: 0, ..Limits::default() }, 0.0);
     /// affinity.list(0.0, true, [(&"s-1".into(), 0.0, State::Ready)].into_iter());
     /// let client = Affinity::client(b"a viewer");
@@ -161,7 +161,7 @@
 /// The relays that are told of a client's place: all of a small tier, else so many that its key names.
 ///
 /// ```
-/// use sandgw_tier::news::keepers;
+/// use sandgw_cluster::location_gossip::keepers;
 ///
 /// assert_eq!(keepers(7, 4).count(), 4);
 /// assert_eq!(keepers(7, 300).count(), 2);
--- a/crates/tier/src/storm.rs
+++ b/crates/cluster/src/overload_gossip.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns what was heard of late set-ups lately and when this relay last told; is fed its own late set-ups and others'
 //! words; gives words to send and whether the fault is common to all. It decides nothing about set-ups: that is
-//! [`crate::pace`].
+//! [`crate::concurrency_limit`].
 //!
 //! A thousand clients that come within two seconds are a handful for each of three hundred relays: all their set-ups
 //! are out before any relay has seen three of them come late. Who sees one come late tells a few others, drawn anew,
@@ -10,12 +10,12 @@
 //! slow, so no relay needs to know how many there are in all: words of several streamers within a second are of a
 //! fault that they share. A word is five bytes.
 
-use sandgw_affinity::piece::Piece;
-use sandgw_affinity::tier::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::Piece;
+use sandgw_affinity::replication::{ALL_TOLD, Sends};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Millis;
-use crate::census::Tag;
+use crate::load_aggregation::Tag;
 
 /// Others that are told of a late set-up, and how long a relay is silent then.
 const TOLD: u64 = 4;
@@ -29,7 +29,7 @@
 /// One relay's part; see the module's text.
 ///
 /// ```
-/// use sandgw_tier::storm::Storm;
+/// use sandgw_cluster::overload_gossip::Storm;
 ///
 /// let mut storm = Storm::new(7);
 /// assert!(!storm.heard(0.0, [1, 1]) && !storm.heard(10.0, [1, 1]), "one streamer may be slow");
--- a/crates/tier/src/asking.rs
+++ b/crates/cluster/src/poll_scheduler.rs
@@ -11,8 +11,8 @@
 //! tells all that each call is to be left more time, and whoever is answered at once that it may be less. All move
 //! what they still have to ask to that rate. `docs/cold-start.md` names the ways weighed.
 
-use sandgw_affinity::piece::Piece;
-use sandgw_affinity::tier::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::Piece;
+use sandgw_affinity::replication::{ALL_TOLD, Sends};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Millis;
@@ -58,7 +58,7 @@
 /// less than a pause after a failure. `draw` is from 0 to 1, drawn anew.
 ///
 /// ```
-/// use sandgw_tier::asking::silent;
+/// use sandgw_cluster::poll_scheduler::silent;
 ///
 /// assert_eq!(silent(4, 0.9), 0.0, "a handful asks at once");
 /// assert!(silent(300, 0.1) < silent(300, 0.9) && silent(300, 1.0) <= 1500.0);
@@ -71,7 +71,7 @@
 /// too, discovery is taken for down or overrun. `draw` as in [`silent`].
 ///
 /// ```
-/// use sandgw_tier::asking::broken;
+/// use sandgw_cluster::poll_scheduler::broken;
 ///
 /// assert_eq!(broken(4, 0.9), 0.0, "a handful asks at once");
 /// assert!(broken(100, 1.0) <= 2000.0 && broken(300, 1.0) <= 3500.0);
@@ -116,7 +116,7 @@
 /// One relay's calls of discovery.
 ///
 /// ```
-/// use sandgw_tier::asking::{Among, Asking};
+/// use sandgw_cluster::poll_scheduler::{Among, Asking};
 ///
 /// let tier = Among { relays: 300, me: 7, step: 200.0, most: 5000.0 };
 /// let (mut asking, mut tell) = (Asking::new(7), Vec::new());
--- a/crates/tier/src/level.rs
+++ b/crates/cluster/src/rebalance.rs
@@ -2,7 +2,7 @@
 //!
 //! Connections are placed once and stand for a minute. What a tier has placed on the streamers that it had while others
 //! were away or cold stays there once those are back, and arrivals alone even it out in minutes. Each relay knows what
-//! all hold ([`crate::census`]) and moves its own share of what is too much, a part of it each time it is told, so
+//! all hold ([`crate::load_aggregation`]) and moves its own share of what is too much, a part of it each time it is told, so
 //! that the sum over all relays is that part as well and nobody has to say who moves whom.
 
 /// How far a streamer's load may lie above its share before it is too much, in roots of that share.
@@ -14,7 +14,7 @@
 /// others; each in any unit that is the same for all.
 ///
 /// ```
-/// use sandgw_tier::level::shares;
+/// use sandgw_cluster::rebalance::shares;
 ///
 /// // Two streamers of one size: one holds 90 connections, the other 10.
 /// let moved = shares(&[(90.0, 1.0), (10.0, 1.0)]);
--- a/crates/tier/tests/asking.rs
+++ b/crates/cluster/tests/asking.rs
@@ -4,8 +4,8 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::piece::Piece;
-use sandgw_tier::asking::{Among, Asking, silent};
+use sandgw_affinity::codec::Piece;
+use sandgw_cluster::poll_scheduler::{Among, Asking, silent};
 
 /// A call that has waited so long fails, and costs its turn all the same.
 const WAITS: f64 = 2000.0;
--- a/crates/tier/tests/census.rs
+++ b/crates/cluster/tests/census.rs
@@ -4,9 +4,9 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::piece::Piece;
-use sandgw_affinity::tier::Sends;
-use sandgw_tier::census::{Census, Tag, View};
+use sandgw_affinity::codec::Piece;
+use sandgw_affinity::replication::Sends;
+use sandgw_cluster::load_aggregation::{Census, Tag, View};
 
 const STREAMERS: u8 = 90;
 
--- a/crates/tier/tests/leaving.rs
+++ b/crates/cluster/tests/leaving.rs
@@ -5,9 +5,9 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::piece::{Piece, StreamerHash};
-use sandgw_tier::asking::{Among, Asking, broken, silent};
-use sandgw_tier::leaving::{Answer, Leaving, Of};
+use sandgw_affinity::codec::{Piece, StreamerHash};
+use sandgw_cluster::drain_gossip::{Answer, Leaving, Of};
+use sandgw_cluster::poll_scheduler::{Among, Asking, broken, silent};
 
 /// Milliseconds from one look to the next, and a datagram's way.
 const STEP: f64 = 5.0;
--- a/crates/tier/tests/level.rs
+++ b/crates/cluster/tests/level.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_tier::level::shares;
+use sandgw_cluster::rebalance::shares;
 
 #[test]
 fn a_streamer_that_came_back_is_filled_by_moves_and_hardly_more_move_than_have_to() {
--- a/crates/tier/tests/news.rs
+++ b/crates/cluster/tests/news.rs
@@ -3,11 +3,11 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::members::State;
-use sandgw_affinity::piece::Piece;
-use sandgw_affinity::tier::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::Piece;
+use sandgw_affinity::endpoint_registry::State;
+use sandgw_affinity::replication::{ALL_TOLD, Sends};
 use sandgw_affinity::{Affinity, Limits};
-use sandgw_tier::news::{KEEPERS, News, keepers};
+use sandgw_cluster::location_gossip::{KEEPERS, News, keepers};
 
 const FLOWS: u64 = 2000;
 
@@ -46,9 +46,13 @@
             let mut answers = Sends::new();
             match &piece {
                 Piece::Where(clients) => news.answer(affinity, from, clients, &mut answers),
-                Piece::News(_) => {
-                    sandgw_affinity::tier::Tier::new(1).told(affinity, self.now, from, piece, &mut answers)
-                }
+                Piece::News(_) => sandgw_affinity::replication::Tier::new(1).told(
+                    affinity,
+                    self.now,
+                    from,
+                    piece,
+                    &mut answers,
+                ),
                 other => panic!("unexpected {other:?}"),
             }
             self.deliver(to, answers);
--- a/crates/tier/tests/pace.rs
+++ b/crates/cluster/tests/pace.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use sandgw_tier::pace::Pace;
+use sandgw_cluster::concurrency_limit::Pace;
 
 /// The wanted time of a set-up, and how long a client waits.
 const AIM: f64 = 500.0;
--- a/crates/tier/tests/storm.rs
+++ b/crates/cluster/tests/storm.rs
@@ -3,9 +3,9 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::piece::Piece;
-use sandgw_tier::pace::Pace;
-use sandgw_tier::storm::Storm;
+use sandgw_affinity::codec::Piece;
+use sandgw_cluster::concurrency_limit::Pace;
+use sandgw_cluster::overload_gossip::Storm;
 
 const RELAYS: u32 = 300;
 const STREAMERS: u32 = 50;
--- a/crates/maintenance/src/piece.rs
+++ b/crates/maintenance/src/codec.rs
@@ -2,7 +2,7 @@
 //!
 //! The first word is no kind that a process before this one reads, so that it ignores the rest.
 
-use crate::node::{Accepted, Answer, Message, Term};
+use crate::replicated_ledger::{Accepted, Answer, Message, Term};
 use crate::{Amount, Entry, MOST, Moment, Refused, Tag, What, Window, WindowId};
 
 /// Most bytes of a datagram.
@@ -35,12 +35,12 @@
 /// Writes a message. No message is made that does not fit.
 ///
 /// ```
-/// use sandgw_maintenance::node::{Message, Term};
-/// use sandgw_maintenance::piece;
+/// use sandgw_maintenance::replicated_ledger::{Message, Term};
+/// use sandgw_maintenance::codec;
 ///
 /// let message = Message::Claim { term: Term { round: 7, relay: 2, life: 40 } };
-/// assert_eq!(piece::text(&message), "m1 c 7.2.14");
-/// assert_eq!(piece::read("m1 c 7.2.14"), Some(message));
+/// assert_eq!(codec::text(&message), "m1 c 7.2.14");
+/// assert_eq!(codec::read("m1 c 7.2.14"), Some(message));
 /// ```
 pub fn text(message: &Message) -> String {
     let body = match message {
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -3,9 +3,9 @@
 //!
 //! Relays keep nothing on a disk and tell each other datagrams of 256 bytes that may be lost, late, doubled and out
 //! of order. A few of them, the voters, keep the ledger of windows granted; one of these, chosen by a majority, writes
-//! it, and a window is granted for a lease once a majority has the ledger that names it ([`node`]). Who has started
+//! it, and a window is granted for a lease once a majority has the ledger that names it ([`replicated_ledger`]). Who has started
 //! abstains for one lease, so that what it has forgotten has lapsed everywhere. [`plan`] says what the list of
-//! streamers can spare, [`queue`] whose turn it is, [`piece`] how it is told, [`call`] how operators ask, [`members`]
+//! streamers can spare, [`queue`] whose turn it is, [`codec`] how it is told, [`call`] how operators ask, [`liveness`]
 //! who is alive; [`Desk`] is all of it for one relay. Nothing here does I/O or reads a clock, and nothing is drained
 //! here: a window is leave to drain. `docs/maintenance.md` names the ways weighed.
 
@@ -13,17 +13,17 @@
 #![warn(missing_docs)]
 
 pub mod call;
-mod desk;
+pub mod codec;
 mod errors;
-pub mod members;
-pub mod node;
-pub mod piece;
+pub mod liveness;
 pub mod plan;
 pub mod queue;
+pub mod replicated_ledger;
+mod service;
 mod window;
 
-pub use desk::{Desk, Event, Row};
 pub use errors::Refused;
+pub use service::{Desk, Event, Row};
 pub use window::{Amount, Entry, Tag, What, Window, WindowId, tag};
 
 /// A time on the relays' clocks, or a span: milliseconds, whole ones since the model's states are compared and hashed.
--- a/crates/maintenance/src/members.rs
+++ b/crates/maintenance/src/liveness.rs
@@ -13,7 +13,7 @@
 /// The relays that were heard of lately.
 ///
 /// ```
-/// use sandgw_maintenance::members::Members;
+/// use sandgw_maintenance::liveness::Members;
 ///
 /// let mut members = Members::default();
 /// assert!(!members.heard(3, Some(100), 1_000));
--- a/crates/maintenance/src/desk.rs
+++ b/crates/maintenance/src/service.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::call::{Call, Named};
-use crate::members::Members;
-use crate::node::{Context, Message, Node, Own, Sends, Standing};
+use crate::liveness::Members;
 use crate::plan::{Floors, Plan};
-use crate::{Entry, Moment, Refused, Tag, Timing, What, Window, WindowId, piece, tag};
+use crate::replicated_ledger::{Context, Message, Node, Own, Sends, Standing};
+use crate::{Entry, Moment, Refused, Tag, Timing, What, Window, WindowId, codec, tag};
 
 /// What operators and the log are to hear without having asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -187,7 +187,7 @@
 
     /// Takes a datagram of another relay.
     pub fn told(&mut self, now: Moment, from: u32, text: &str) {
-        let Some(message) = piece::read(text) else { return };
+        let Some(message) = codec::read(text) else { return };
         let life = match &message {
             Message::Vote { life, .. } | Message::Wrote { life, .. } => Some(*life),
             Message::Claim { term } | Message::Write { term, .. } if term.relay == from => Some(term.life),
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{Moment, piece};
+use crate::{Moment, codec};
 
 /// A hall's or a streamer's short tag: four bytes of a hash of its name. Two of the same are taken for one.
 pub type Tag = u32;
@@ -27,7 +27,7 @@
 
 impl fmt::Display for WindowId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.relay, piece::small(self.asked))
+        write!(f, "{}.{}", self.relay, codec::small(self.asked))
     }
 }
 
@@ -42,7 +42,7 @@
     /// ```
     fn from_str(text: &str) -> Result<Self, ()> {
         let (relay, asked) = text.split_once('.').ok_or(())?;
-        Ok(WindowId { relay: relay.parse().map_err(|_| ())?, asked: piece::large(asked).ok_or(())? })
+        Ok(WindowId { relay: relay.parse().map_err(|_| ())?, asked: codec::large(asked).ok_or(())? })
     }
 }
 
--- a/crates/maintenance/tests/model.rs
+++ b/crates/maintenance/tests/model.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use sandgw_maintenance::node::{Answer, Context, Message, Node, Sends};
 use sandgw_maintenance::plan::{Floors, Plan, Streamer};
+use sandgw_maintenance::replicated_ledger::{Answer, Context, Message, Node, Sends};
 use sandgw_maintenance::{Amount, Moment, Timing, What, Window, WindowId, tag};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
--- a/crates/maintenance/tests/schedules.rs
+++ b/crates/maintenance/tests/schedules.rs
@@ -5,9 +5,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sandgw_maintenance::call::{Call, Named};
-use sandgw_maintenance::node::Standing;
 use sandgw_maintenance::plan::{Floors, Plan, Streamer};
-use sandgw_maintenance::{Amount, Desk, Entry, Moment, Timing, WindowId, piece};
+use sandgw_maintenance::replicated_ledger::Standing;
+use sandgw_maintenance::{Amount, Desk, Entry, Moment, Timing, WindowId, codec};
 
 const RELAYS: u32 = 12;
 const STEP: Moment = 20;
@@ -144,7 +144,7 @@
     fn post(&mut self, from: u32) {
         let _ = self.desks[from as usize].take_events();
         for (to, message) in self.desks[from as usize].take_sends() {
-            let text = piece::text(&message);
+            let text = codec::text(&message);
             (self.datagrams, self.longest) = (self.datagrams + 1, self.longest.max(text.len()));
             let copies = 1 + u32::from(self.rng.random_bool(self.faults.doubled));
             for _ in 0..copies {
@@ -267,7 +267,7 @@
     for seed in 0..200 {
         let (breaks, granted, longest) = storm(seed, Timing::of(LEASE, BOUND));
         assert_eq!(breaks, 0, "seed {seed}");
-        assert!(longest <= piece::MOST_BYTES, "{longest} bytes");
+        assert!(longest <= codec::MOST_BYTES, "{longest} bytes");
         windows += granted;
     }
     println!("{windows} windows granted in 200 schedules");
--- a/crates/shares/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,7 +1,7 @@
 //! What each member (tenant) uses of a whole tier of relays, and who is refused first where places are short.
 //!
-//! [`members`] names the members and their shares; [`told`] is what relays tell each other, in datagrams of at most
-//! 256 bytes; [`ledger`] keeps this relay's own counts, which are exact, and sums them with the others', whose age is
+//! [`tenants`] names the members and their shares; [`usage_gossip`] is what relays tell each other, in datagrams of at most
+//! 256 bytes; [`usage_table`] keeps this relay's own counts, which are exact, and sums them with the others', whose age is
 //! known; [`policy`] says who is refused. [`Shares`] ties them together for the core. All is free of I/O, with the
 //! time passed in: it never sends by itself, never ends a flow that stands and never waits. `docs/shares.md` names
 //! the ways weighed.
@@ -9,16 +9,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod ledger;
-pub mod members;
 pub mod policy;
 pub mod rate;
-pub mod told;
+pub mod tenants;
+pub mod usage_gossip;
+pub mod usage_table;
 
-use crate::ledger::{Kept, Ledger, Place, Sends, View};
-use crate::members::Members;
 use crate::policy::{Policy, Signs, Verdict};
-use crate::told::Told;
+use crate::tenants::Members;
+use crate::usage_gossip::Told;
+use crate::usage_table::{Kept, Ledger, Place, Sends, View};
 
 /// Milliseconds, as a point on the caller's clock or as a span.
 pub type Millis = f64;
@@ -29,7 +29,7 @@
 /// The limit as the core asks it: the ledger and the policy over it.
 ///
 /// ```
-/// use sandgw_shares::{Shares, ledger::Place, members::{Member, Members}, policy::{Signs, Verdict}};
+/// use sandgw_quota::{Shares, usage_table::Place, tenants::{Member, Members}, policy::{Signs, Verdict}};
 ///
 /// let acme = Member { name: "acme".into(), connections: Some(1.0), per_s: None };
 /// let place = Place { me: 0, relays: 1, peers: false };
--- a/crates/shares/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -10,8 +10,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Millis;
-use crate::ledger::View;
 use crate::rate::Rate;
+use crate::usage_table::View;
 
 /// Places count as short for so long after the last sign of it: signs come and go with every flow.
 const HOLD: Millis = 5000.0;
--- a/crates/shares/src/rate.rs
+++ b/crates/quota/src/rate.rs
@@ -21,7 +21,7 @@
     /// Arrivals a second.
     ///
     /// ```
-    /// let mut rate = sandgw_shares::rate::Rate::default();
+    /// let mut rate = sandgw_quota::rate::Rate::default();
     /// (0..600).for_each(|i| rate.add(f64::from(i) * 100.0));
     /// assert!((rate.per_s(60_000.0) - 10.0).abs() < 0.2);
     /// ```
--- a/crates/shares/src/told.rs
+++ b/crates/quota/src/usage_gossip.rs
@@ -7,7 +7,7 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
 
-use crate::members::Tag;
+use crate::tenants::Tag;
 
 /// First letter of the text.
 pub const KIND: char = 'm';
@@ -71,7 +71,7 @@
     /// As text; nothing where it would be too long, which none with at most [`ROWS`] rows is.
     ///
     /// ```
-    /// use sandgw_shares::{members::Tag, told::{Row, Told}};
+    /// use sandgw_quota::{tenants::Tag, usage_gossip::{Row, Told}};
     /// let rows = vec![Row::new(Tag([1, 2]), 3.0, 0.5)];
     /// let told = Told::Own { life: 17, number: 1, rows };
     /// assert_eq!(Told::read(&told.text().unwrap()), Some(told));
--- a/crates/shares/src/ledger.rs
+++ b/crates/quota/src/usage_table.rs
@@ -15,9 +15,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
-use crate::members::{Members, Tag};
 use crate::rate::Rate;
-use crate::told::{ROWS, Row, Told};
+use crate::tenants::{Members, Tag};
+use crate::usage_gossip::{ROWS, Row, Told};
 
 /// What is to be sent, and to which relay.
 pub type Sends = Vec<(u32, Told)>;
@@ -372,7 +372,7 @@
         for row in rows.into_iter().take(ROWS) {
             let new = (f64::from(row.open), row.per_s());
             // Bounded whatever a peer makes up.
-            if teller.rows.len() >= crate::members::MOST && !teller.rows.contains_key(&row.member) {
+            if teller.rows.len() >= crate::tenants::MOST && !teller.rows.contains_key(&row.member) {
                 continue;
             }
             let old = teller.rows.insert(row.member, new).unwrap_or_default();
--- a/crates/shares/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
-use sandgw_shares::Shares;
-use sandgw_shares::ledger::{Place, View};
-use sandgw_shares::members::{Member, Members};
-use sandgw_shares::policy::{Signs, Verdict};
-use sandgw_shares::told::{MOST_BYTES, Told};
+use sandgw_quota::Shares;
+use sandgw_quota::policy::{Signs, Verdict};
+use sandgw_quota::tenants::{Member, Members};
+use sandgw_quota::usage_gossip::{MOST_BYTES, Told};
+use sandgw_quota::usage_table::{Place, View};
 
 /// Least step of the clock.
 pub const STEP: f64 = 20.0;
--- a/crates/shares/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Tier, Watch};
-use sandgw_shares::members::Member;
+use sandgw_quota::tenants::Member;
 
 fn members() -> Vec<Member> {
     let share = [(178.0, 3.0), (172.0, 3.0), (34.0, 1.0)];
@@ -196,12 +196,12 @@
 /// What is doubled, overtaken, or of a relay's life before changes nothing.
 #[test]
 fn what_is_overtaken_or_of_an_earlier_life_is_passed_over() {
-    use sandgw_shares::members::Members;
-    use sandgw_shares::told::{Row, Told};
+    use sandgw_quota::tenants::Members;
+    use sandgw_quota::usage_gossip::{Row, Told};
     let members = Members::new(members()).unwrap();
     let tag = members.tags().next().unwrap();
-    let place = sandgw_shares::ledger::Place { me: 0, relays: 4, peers: true };
-    let mut shares = sandgw_shares::Shares::new(members, place, 0.0);
+    let place = sandgw_quota::usage_table::Place { me: 0, relays: 4, peers: true };
+    let mut shares = sandgw_quota::Shares::new(members, place, 0.0);
     let own = |life, number, open| Told::Own { life, number, rows: vec![Row::new(tag, open, 0.0)] };
     let steps = [(7, 1, 5.0, 5.0), (7, 3, 9.0, 9.0), (7, 2, 7.0, 9.0), (7, 3, 1.0, 9.0), (8, 1, 2.0, 2.0)];
     for (life, number, open, counted) in steps.into_iter().chain([(7, 4, 10.0, 2.0)]) {
--- a/crates/shares/tests/policy.rs
+++ b/crates/quota/tests/policy.rs
@@ -4,8 +4,8 @@
 
 use common::{Tier, member};
 use rand::RngExt;
-use sandgw_shares::members::Member;
-use sandgw_shares::policy::Signs;
+use sandgw_quota::policy::Signs;
+use sandgw_quota::tenants::Member;
 
 /// Places of all streamers together, and what the members are entitled to: all of them.
 const PLACES: f64 = 400.0;
@@ -145,7 +145,7 @@
 
 #[test]
 fn errors_have_their_advice() {
-    use sandgw_shares::members::{MOST, Members, MembersError};
+    use sandgw_quota::tenants::{MOST, Members, MembersError};
     let named = |n: usize, name: fn(usize) -> String| {
         Members::new((0..n).map(|i| Member { name: name(i), ..Member::default() }).collect()).unwrap_err()
     };
--- a/crates/forms/src/rows.rs
+++ b/crates/schema-version/src/compatibility_table.rs
@@ -1,7 +1,7 @@
 //! Rows of the members' shares, as form 2 carries them: a text of whoever sums them, which is not looked into here.
 
 use crate::FormError;
-use crate::envelope::MOST_BYTES;
+use crate::versioned_message::MOST_BYTES;
 
 /// First character of rows.
 pub const ROWS: char = 'm';
@@ -16,10 +16,10 @@
     /// Rows of this text. It fails where a datagram could not carry them.
     ///
     /// ```
-    /// use sandgw_forms::rows::Shares;
+    /// use sandgw_schema_version::compatibility_table::Shares;
     /// assert_eq!(Shares::new("mAAEC")?.text(), "mAAEC");
     /// assert!(Shares::new("2AAEC").is_err() && Shares::new("m|").is_err());
-    /// # Ok::<(), sandgw_forms::FormError>(())
+    /// # Ok::<(), sandgw_schema_version::FormError>(())
     /// ```
     pub fn new(text: &str) -> Result<Shares, FormError> {
         let digit = |c: char| c.is_ascii_alphanumeric() || c == '+' || c == '/';
--- a/crates/forms/src/error.rs
+++ b/crates/schema-version/src/error.rs
@@ -71,7 +71,7 @@
     /// What an operator can do.
     ///
     /// ```
-    /// let error = sandgw_forms::Form::new(99).unwrap_err();
+    /// let error = sandgw_schema_version::Form::new(99).unwrap_err();
     /// assert!(error.advice().contains("forms.most"));
     /// ```
     pub fn advice(&self) -> &'static str {
--- a/crates/forms/src/lib.rs
+++ b/crates/schema-version/src/lib.rs
@@ -1,9 +1,9 @@
 //! Numbered forms of shared state: which of them the relays of a tier write while old and new processes run side by
 //! side, and the steps between neighbouring forms.
 //!
-//! A [`Form`] is a number, a [`Range`] what one process reads. [`ladder`] decides which form is written: the newest
-//! that all alive can read. [`word`] is how a process tells its range, [`envelope`] a datagram of form 2 and the
-//! steps between it and form 1, [`post`] what a relay asks before it sends and when it has received. All is free of
+//! A [`Form`] is a number, a [`Range`] what one process reads. [`version_negotiator`] decides which form is written: the newest
+//! that all alive can read. [`version_advertisement`] is how a process tells its range, [`versioned_message`] a datagram of form 2 and the
+//! steps between it and form 1, [`versioned_channel`] what a relay asks before it sends and when it has received. All is free of
 //! I/O, with the time passed in; it never reads what a form 1 text says, and never decides where a flow goes.
 //! `docs/forms.md` names the ways weighed.
 //!
@@ -12,12 +12,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod envelope;
+pub mod compatibility_table;
 mod error;
-pub mod ladder;
-pub mod post;
-pub mod rows;
-pub mod word;
+pub mod version_advertisement;
+pub mod version_negotiator;
+pub mod versioned_channel;
+pub mod versioned_message;
 
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -44,10 +44,10 @@
     /// The form of this number.
     ///
     /// ```
-    /// use sandgw_forms::Form;
+    /// use sandgw_schema_version::Form;
     /// assert_eq!(Form::new(1)?, Form::FIRST);
     /// assert!(Form::new(0).is_err() && Form::new(36).is_err());
-    /// # Ok::<(), sandgw_forms::FormError>(())
+    /// # Ok::<(), sandgw_schema_version::FormError>(())
     /// ```
     pub fn new(number: u64) -> Result<Form, FormError> {
         let known = u8::try_from(number).ok().filter(|n| (1..=Form::GREATEST.0).contains(n));
@@ -66,7 +66,7 @@
     }
 }
 
-/// The forms that a process reads: all from its oldest to its newest. It writes one of them, as the [`ladder`] says.
+/// The forms that a process reads: all from its oldest to its newest. It writes one of them, as the [`version_negotiator`] says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Range {
     oldest: Form,
@@ -80,11 +80,11 @@
     /// All forms from one to another.
     ///
     /// ```
-    /// use sandgw_forms::{Form, Range};
+    /// use sandgw_schema_version::{Form, Range};
     /// let range = Range::new(Form::FIRST, Form::SECOND)?;
     /// assert!(range.reads(Form::SECOND) && !Range::SILENT.reads(Form::SECOND));
     /// assert!(Range::new(Form::SECOND, Form::FIRST).is_err());
-    /// # Ok::<(), sandgw_forms::FormError>(())
+    /// # Ok::<(), sandgw_schema_version::FormError>(())
     /// ```
     pub fn new(oldest: Form, newest: Form) -> Result<Range, FormError> {
         let range = Range { oldest, newest };
@@ -122,11 +122,11 @@
     /// The newest form that both read, where there is one.
     ///
     /// ```
-    /// use sandgw_forms::{Form, Range};
+    /// use sandgw_schema_version::{Form, Range};
     /// let new = Range::up_to(Form::SECOND)?;
     /// assert_eq!(new.both(Range::SILENT), Some(Form::FIRST));
     /// assert_eq!(new.both(new), Some(Form::SECOND));
-    /// # Ok::<(), sandgw_forms::FormError>(())
+    /// # Ok::<(), sandgw_schema_version::FormError>(())
     /// ```
     pub fn both(self, other: Range) -> Option<Form> {
         let newest = self.newest.min(other.newest);
--- a/crates/forms/src/word.rs
+++ b/crates/schema-version/src/version_advertisement.rs
@@ -31,13 +31,13 @@
     /// The word as text.
     ///
     /// ```
-    /// use sandgw_forms::{Form, Range, word::Word};
+    /// use sandgw_schema_version::{Form, Range, version_advertisement::Word};
     /// let range = Range::up_to(Form::SECOND)?;
     /// let word = Word { range, finalized: Form::FIRST, older: vec![(Form::FIRST, 1500.0)] };
     /// assert_eq!(word.text(), "312110g");
     /// let (read, rest) = Word::read("312110g|more")?;
     /// assert_eq!((read.range, rest), (range, Some("more")));
-    /// # Ok::<(), sandgw_forms::FormError>(())
+    /// # Ok::<(), sandgw_schema_version::FormError>(())
     /// ```
     pub fn text(&self) -> String {
         let mut text = self.short();
--- a/crates/forms/src/ladder.rs
+++ b/crates/schema-version/src/version_negotiator.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::word::Word;
+use crate::version_advertisement::Word;
 use crate::{Form, FormError, Millis, Range};
 
 /// How long no older process may have been heard of before the tier goes up.
@@ -95,13 +95,13 @@
     /// finalized.
     ///
     /// ```
-    /// use sandgw_forms::{Form, Range, ladder::{Ladder, QUIET}};
+    /// use sandgw_schema_version::{Form, Range, version_negotiator::{Ladder, QUIET}};
     /// let range = Range::up_to(Form::SECOND)?;
     /// let ladder = Ladder::new(range, Form::FIRST, (0, 3), 7, 0.0)?;
     /// assert_eq!(ladder.form(QUIET - 1.0), Form::FIRST);
     /// assert_eq!(ladder.form(QUIET), Form::SECOND);
     /// assert!(Ladder::new(Range::SILENT, Form::SECOND, (0, 3), 7, 0.0).is_err());
-    /// # Ok::<(), sandgw_forms::FormError>(())
+    /// # Ok::<(), sandgw_schema_version::FormError>(())
     /// ```
     pub fn new(
         own: Range,
--- a/crates/forms/src/post.rs
+++ b/crates/schema-version/src/versioned_channel.rs
@@ -9,10 +9,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::envelope::{Aside, Envelope, MOST_BYTES, down, up};
-use crate::ladder::{Due, Ladder};
-use crate::rows::{ROWS, Shares};
-use crate::word::MARK;
+use crate::compatibility_table::{ROWS, Shares};
+use crate::version_advertisement::MARK;
+use crate::version_negotiator::{Due, Ladder};
+use crate::versioned_message::{Aside, Envelope, MOST_BYTES, down, up};
 use crate::{Form, FormError, Millis};
 
 /// Rows wait this long for a datagram that they can go with.
@@ -75,13 +75,13 @@
     /// Sends a text of form 1 in the form that the relay reads; one datagram, or up to three where they need be.
     ///
     /// ```
-    /// use sandgw_forms::{Form, Range, ladder::Ladder, post::Post};
+    /// use sandgw_schema_version::{Form, Range, version_negotiator::Ladder, versioned_channel::Post};
     /// let ladder = Ladder::new(Range::up_to(Form::SECOND)?, Form::FIRST, (0, 3), 7, 0.0)?;
     /// let (mut post, mut out) = (Post::new(ladder), Vec::new());
     /// post.send(0.0, 1, "1s a", &mut out);
     /// // Nothing is known of relay 1: it gets the word, which an old process passes over, and form 1.
     /// assert_eq!(out, [(1, "3121".to_owned()), (1, "1s a".to_owned())]);
-    /// # Ok::<(), sandgw_forms::FormError>(())
+    /// # Ok::<(), sandgw_schema_version::FormError>(())
     /// ```
     pub fn send(&mut self, now: Millis, peer: u32, text: &str, out: &mut Datagrams) {
         if self.ladder.form_for(now, peer) >= Form::SECOND {
--- a/crates/forms/src/envelope.rs
+++ b/crates/schema-version/src/versioned_message.rs
@@ -4,8 +4,8 @@
 //! what form 1 can't say; [`up`] puts both together again. Both are pure: what one takes apart the other joins,
 //! character by character.
 
-use crate::rows::{ROWS, Shares};
-use crate::word::Word;
+use crate::compatibility_table::{ROWS, Shares};
+use crate::version_advertisement::Word;
 use crate::{Form, FormError};
 
 /// Most bytes of a datagram.
@@ -41,12 +41,12 @@
 /// The step up: a text of form 1 with what was kept aside.
 ///
 /// ```
-/// use sandgw_forms::{Form, Range, envelope::{Envelope, down, up}, word::Word};
+/// use sandgw_schema_version::{Form, Range, versioned_message::{Envelope, down, up}, version_advertisement::Word};
 /// let word = Word { range: Range::up_to(Form::SECOND)?, finalized: Form::FIRST, older: Vec::new() };
 /// let whole = Envelope { word, text: Some("1s a".into()), shares: None };
 /// let (text, aside) = down(whole.clone());
 /// assert_eq!(up(text, aside), whole);
-/// # Ok::<(), sandgw_forms::FormError>(())
+/// # Ok::<(), sandgw_schema_version::FormError>(())
 /// ```
 pub fn up(text: Option<String>, aside: Aside) -> Envelope {
     Envelope { word: aside.word, text, shares: aside.shares }
--- a/crates/forms/tests/datagrams.rs
+++ b/crates/schema-version/tests/datagrams.rs
@@ -2,12 +2,12 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sandgw_forms::envelope::{Aside, Envelope, MOST_BYTES, down, up};
-use sandgw_forms::ladder::{Ladder, QUIET};
-use sandgw_forms::post::{Post, Received};
-use sandgw_forms::rows::{MOST_ROWS, Shares};
-use sandgw_forms::word::Word;
-use sandgw_forms::{Form, FormError, Range};
+use sandgw_schema_version::compatibility_table::{MOST_ROWS, Shares};
+use sandgw_schema_version::version_advertisement::Word;
+use sandgw_schema_version::version_negotiator::{Ladder, QUIET};
+use sandgw_schema_version::versioned_channel::{Post, Received};
+use sandgw_schema_version::versioned_message::{Aside, Envelope, MOST_BYTES, down, up};
+use sandgw_schema_version::{Form, FormError, Range};
 
 fn word() -> Word {
     let older = vec![(Form::FIRST, 19_900.0)];
--- a/crates/forms/tests/tier.rs
+++ b/crates/schema-version/tests/tier.rs
@@ -6,10 +6,10 @@
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_forms::ladder::{GRACE, KNOWN, Ladder, QUIET};
-use sandgw_forms::post::Post;
-use sandgw_forms::rows::Shares;
-use sandgw_forms::{Form, Range};
+use sandgw_schema_version::compatibility_table::Shares;
+use sandgw_schema_version::version_negotiator::{GRACE, KNOWN, Ladder, QUIET};
+use sandgw_schema_version::versioned_channel::Post;
+use sandgw_schema_version::{Form, Range};
 
 /// All are at the newest that all can read so long after the last change.
 const SETTLED: f64 = 2.0 * QUIET + GRACE;
--- a/crates/passed-socket/tests/take.rs
+++ b/crates/socket-activation/tests/take.rs
@@ -3,7 +3,7 @@
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::os::fd::{AsRawFd, IntoRawFd};
 
-use sandgw_passed_socket::take;
+use sandgw_socket_activation::take;
 
 #[test]
 fn a_listening_socket_is_taken_and_its_number_is_free() {
--- a/crates/rig/examples/cold_start.rs
+++ b/crates/test-cluster/examples/cold_start.rs
@@ -7,10 +7,10 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use sandgw_rig::clients::Plan as Crowd;
-use sandgw_rig::discovery::Service;
-use sandgw_rig::log::{Event, What};
-use sandgw_rig::{Millis, Rig, RigError, Size, span};
+use sandgw_test_cluster::load_clients::Plan as Crowd;
+use sandgw_test_cluster::log::{Event, What};
+use sandgw_test_cluster::stub_discovery::Service;
+use sandgw_test_cluster::{Millis, Rig, RigError, Size, span};
 
 #[derive(Parser)]
 struct Arguments {
--- a/crates/rig/src/rig.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -7,15 +7,15 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::clients::{Clients, Front, Plan as Crowd};
-use crate::discovery::{Discovery, Entry, Service};
-use crate::judge::{Verdict, judge};
-use crate::links::{Fate, Mesh};
+use crate::fault_proxy::{Fate, Mesh};
+use crate::fault_schedule::{Fault, Script};
+use crate::invariants::{Verdict, judge};
+use crate::load_clients::{Clients, Front, Plan as Crowd};
 use crate::log::What;
 use crate::process::{Plan, Relay};
-use crate::script::{Fault, Script};
 use crate::settings::{Rules, settings};
-use crate::streamers::{Fleet, Model};
+use crate::stub_discovery::{Discovery, Entry, Service};
+use crate::stub_endpoints::{Fleet, Model};
 use crate::{Log, Millis, RigError, free_address, raise_descriptors, span, unix_ms};
 
 /// How many of what.
--- a/crates/rig/src/links.rs
+++ b/crates/test-cluster/src/fault_proxy.rs
@@ -77,7 +77,7 @@
 /// What kind of message a datagram is, by its first letters.
 ///
 /// ```
-/// use sandgw_rig::links::kind;
+/// use sandgw_test_cluster::fault_proxy::kind;
 /// assert_eq!(kind(b"1s 1f 3:20"), "1s");
 /// assert_eq!(kind(b"2BwAA"), "2 holds");
 /// ```
--- a/crates/rig/src/script.rs
+++ b/crates/test-cluster/src/fault_schedule.rs
@@ -79,7 +79,7 @@
     /// Draws a script. Every kind of fault comes once before any comes again.
     ///
     /// ```
-    /// use sandgw_rig::script::{Bounds, Script};
+    /// use sandgw_test_cluster::fault_schedule::{Bounds, Script};
     /// let bounds = Bounds { relays: 8, streamers: 4, length_ms: 20_000.0, faults: 10 };
     /// assert_eq!(Script::draw(7, &bounds), Script::draw(7, &bounds));
     /// assert_ne!(Script::draw(7, &bounds), Script::draw(8, &bounds));
--- a/crates/rig/src/judge.rs
+++ b/crates/test-cluster/src/invariants.rs
@@ -1,6 +1,6 @@
 //! Reads the log of a run against the four rules and says which relay broke which, with the lines.
 //!
-//! It is fed events, the figures of the rules and the classes; it gives breaches and who was served, whose floors [`crate::floors`] holds. It owns nothing
+//! It is fed events, the figures of the rules and the classes; it gives breaches and who was served, whose floors [`crate::service_levels`] holds. It owns nothing
 //! and looks at no clock: the verdict rests on the log alone. What the log does not show it does not judge: lines
 //! held back, and what a relay would have done next.
 
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 use crate::Millis;
-use crate::floors::Shares;
 use crate::log::{Answer, Call, End, Event, Relay, What};
+use crate::service_levels::Shares;
 use crate::settings::Rules;
 
 /// Where a request that may have run may be repeated.
--- a/crates/rig/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,24 +1,24 @@
 //! A rig for tests: many relays as real processes, stand-ins for all that is round them, and faults between.
 //!
 //! It owns the processes, their folders and the stand-ins' sockets; it is fed a plan and a script of faults, and
-//! gives a log of what every stand-in saw, which [`judge`] reads against the four rules. It decides nothing for a
+//! gives a log of what every stand-in saw, which [`invariants`] reads against the four rules. It decides nothing for a
 //! relay and knows nothing of its insides: what it can't see on a socket it does not know. Everything runs on one
 //! thread of tokio, on loopback addresses alone; it is for tests and measurements, never for a deployment.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod clients;
-pub mod discovery;
-pub mod floors;
-pub mod judge;
-pub mod links;
+mod cluster;
+pub mod fault_proxy;
+pub mod fault_schedule;
+pub mod invariants;
+pub mod load_clients;
 pub mod log;
 pub mod process;
-mod rig;
-pub mod script;
+pub mod service_levels;
 pub mod settings;
-pub mod streamers;
+pub mod stub_discovery;
+pub mod stub_endpoints;
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -29,8 +29,8 @@
 
 use tokio::net::{TcpListener, TcpStream};
 
+pub use cluster::{Rig, Size};
 pub use log::Log;
-pub use rig::{Rig, Size};
 
 /// Time in milliseconds.
 pub type Millis = f64;
@@ -126,8 +126,8 @@
 /// A loopback address that nobody else in this process is given, and hardly anybody in another.
 ///
 /// ```
-/// assert!(sandgw_rig::host().is_loopback());
-/// assert_ne!(sandgw_rig::host(), sandgw_rig::host());
+/// assert!(sandgw_test_cluster::host().is_loopback());
+/// assert_ne!(sandgw_test_cluster::host(), sandgw_test_cluster::host());
 /// ```
 pub fn host() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
--- a/crates/rig/src/log.rs
+++ b/crates/test-cluster/src/log.rs
@@ -1,6 +1,6 @@
 //! What the stand-ins have seen, in one log with one clock.
 //!
-//! It owns the events and the clock; it is fed by every stand-in and read by [`crate::judge`] and by whoever counts.
+//! It owns the events and the clock; it is fed by every stand-in and read by [`crate::invariants`] and by whoever counts.
 //! It draws no conclusions.
 
 use std::sync::{Arc, Mutex};
--- a/crates/rig/src/floors.rs
+++ b/crates/test-cluster/src/service_levels.rs
@@ -125,7 +125,7 @@
     /// Whether each part was served this share of what it asked at the least.
     ///
     /// ```
-    /// use sandgw_rig::floors::{FloorError, Shares};
+    /// use sandgw_test_cluster::service_levels::{FloorError, Shares};
     /// assert!(matches!(Shares::of(&[]).hold(0.2), Err(FloorError::NotAsked(thirds)) if thirds.len() == 3));
     /// ```
     pub fn hold(&self, floor: f64) -> Result<(), FloorError> {
--- a/crates/rig/src/settings.rs
+++ b/crates/test-cluster/src/settings.rs
@@ -49,7 +49,7 @@
     /// has its part.
     ///
     /// ```
-    /// assert_eq!(sandgw_rig::settings::Rules::budget(100.0), 122.0);
+    /// assert_eq!(sandgw_test_cluster::settings::Rules::budget(100.0), 122.0);
     /// ```
     pub fn budget(n: f64) -> f64 {
         n + 2.0 * n.sqrt() + 2.0
--- a/crates/rig/tests/errors.rs
+++ b/crates/test-cluster/tests/errors.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use sandgw_rig::RigError;
+use sandgw_test_cluster::RigError;
 
 #[test]
 fn every_error_says_what_happened_and_what_to_do() {
--- a/crates/rig/tests/floors.rs
+++ b/crates/test-cluster/tests/floors.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use sandgw_rig::clients::{Clients, Front, Plan};
-use sandgw_rig::floors::{FloorError, Part, Share, Shares};
-use sandgw_rig::judge::judge;
-use sandgw_rig::log::{Event, What};
-use sandgw_rig::settings::Rules;
-use sandgw_rig::{Log, host};
+use sandgw_test_cluster::invariants::judge;
+use sandgw_test_cluster::load_clients::{Clients, Front, Plan};
+use sandgw_test_cluster::log::{Event, What};
+use sandgw_test_cluster::service_levels::{FloorError, Part, Share, Shares};
+use sandgw_test_cluster::settings::Rules;
+use sandgw_test_cluster::{Log, host};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpListener;
 
--- a/crates/rig/tests/judge.rs
+++ b/crates/test-cluster/tests/judge.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use sandgw_rig::judge::{Repeat, Rule, Verdict, Where, judge};
-use sandgw_rig::log::{Answer, Call, End, Event, What};
-use sandgw_rig::settings::Rules;
+use sandgw_test_cluster::invariants::{Repeat, Rule, Verdict, Where, judge};
+use sandgw_test_cluster::log::{Answer, Call, End, Event, What};
+use sandgw_test_cluster::settings::Rules;
 
 /// What the relay of a log does without care.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/rig/tests/script.rs
+++ b/crates/test-cluster/tests/script.rs
@@ -1,6 +1,6 @@
 //! What is drawn to be broken on a run.
 
-use sandgw_rig::script::{Bounds, Fault, Script};
+use sandgw_test_cluster::fault_schedule::{Bounds, Fault, Script};
 
 #[test]
 fn every_fault_ends_and_the_seed_says_all() {
--- a/crates/rig/tests/stand_ins.rs
+++ b/crates/test-cluster/tests/stand_ins.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sandgw_rig::discovery::{Discovery, Entry, Service, Stop, Style};
-use sandgw_rig::links::{Fate, Mesh, Passage, TcpLink};
-use sandgw_rig::log::{Event, What};
-use sandgw_rig::settings::Rules;
-use sandgw_rig::streamers::{Fleet, Model};
-use sandgw_rig::{Log, Rig, Size, host, span};
+use sandgw_test_cluster::fault_proxy::{Fate, Mesh, Passage, TcpLink};
+use sandgw_test_cluster::log::{Event, What};
+use sandgw_test_cluster::settings::Rules;
+use sandgw_test_cluster::stub_discovery::{Discovery, Entry, Service, Stop, Style};
+use sandgw_test_cluster::stub_endpoints::{Fleet, Model};
+use sandgw_test_cluster::{Log, Rig, Size, host, span};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::timeout;
--- a/src/bin/sandgw-adapter.rs
+++ b/src/bin/sandgw-adapter.rs
@@ -5,8 +5,8 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use sandgw::advice::Advice;
-use sandgw::wire::{Adapter, WireError};
+use sandgw::help::Advice;
+use sandgw::simulator::{Adapter, WireError};
 use thiserror::Error;
 
 /// Why the adapter ended before its input did.
--- a/src/config.rs
+++ b/src/config/mod.rs
@@ -7,17 +7,17 @@
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
 
-use sandgw_forms::{Form, Range};
 use sandgw_maintenance::plan::Floors;
 use sandgw_maintenance::{Desk, Timing};
+use sandgw_schema_version::{Form, Range};
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::advice::{Advice, advice};
-use crate::front::rtmp::RtmpSettings;
-use crate::interface::{Millis, ServerEntry, Settings};
-use crate::target_group::{ListError, TargetGroup};
-use crate::wire::{self, SettingFault};
+use crate::discovery::{ListError, TargetGroup};
+use crate::help::{Advice, advice};
+use crate::listener::rtmp::RtmpSettings;
+use crate::policy::api::{Millis, ServerEntry, Settings};
+use crate::simulator::{self, SettingFault};
 
 /// What was wrong with a configuration, or with a folder that it names.
 #[derive(Debug, Error)]
@@ -129,7 +129,7 @@
     NoShare,
     /// No form of shared state has that number.
     #[error("of forms: {0}")]
-    Forms(sandgw_forms::FormError),
+    Forms(sandgw_schema_version::FormError),
     /// Windows are agreed on by messages between relays, and there are none.
     #[error("needs peer_listen, and settings.limits.peerMessages")]
     NoMessages,
@@ -395,8 +395,8 @@
         if app["settings"].is_object() {
             (settings, settings_file) = (&app["settings"], app_file.as_str());
         }
-        let classes = wire::class_names(settings);
-        let mut module = match wire::settings(settings) {
+        let classes = simulator::class_names(settings);
+        let mut module = match simulator::settings(settings) {
             Ok(module) => module,
             Err(wrong) => {
                 let named =
@@ -465,7 +465,7 @@
                 target_group: known.0,
                 settings: module,
                 classes,
-                tenants: wire::tenant_names(settings),
+                tenants: simulator::tenant_names(settings),
                 limits,
                 groups: settings["domain"]["groups"].as_bool().unwrap_or(false),
                 rtmp,
@@ -684,7 +684,7 @@
 }
 
 /// What a new application file says.
-const TEMPLATE: &str = include_str!("application.toml");
+const TEMPLATE: &str = include_str!("../application.toml");
 
 fn fault(file: &str, key: &str, fault: impl Into<Fault>) -> ConfigError {
     ConfigError { file: file.to_owned(), key: key.to_owned(), fault: fault.into() }
--- a/src/target_group.rs
+++ b/src/discovery/mod.rs
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use sandgw_tier::asking;
+use sandgw_cluster::poll_scheduler;
 use serde_json::Value;
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::advice::advice;
-use crate::interface::*;
-use crate::keys::fraction;
+use crate::help::advice;
+use crate::policy::api::*;
+use crate::policy::hashing::fraction;
 
 /// How long discovery may hold a watch, at the least and at the most; each is drawn, so that relays whose watches were
 /// all answered by one change do not go on in step. What a watch that has fallen silent misses counts as told 6 s
@@ -215,7 +215,7 @@
     /// In how long to ask anew after a watch has fallen silent, or was broken otherwise, in a tier of so many relays.
     pub fn anew(&mut self, relays: u32, silent: bool) -> Millis {
         let draw = self.draw();
-        if silent { asking::silent(relays, draw) } else { asking::broken(relays, draw) }
+        if silent { poll_scheduler::silent(relays, draw) } else { poll_scheduler::broken(relays, draw) }
     }
 
     fn draw(&mut self) -> f64 {
--- a/src/advice.rs
+++ b/src/help/mod.rs
@@ -6,7 +6,7 @@
 
 use std::fmt;
 
-/// An error that knows what can be done about it. Implemented by [`advice!`](crate::advice), so that an error
+/// An error that knows what can be done about it. Implemented by [`advice!`](crate::help), so that an error
 /// that gains a case does not build until the case has its words.
 pub trait Advice {
     /// What all cases say, and the advice on each.
@@ -20,8 +20,8 @@
 /// An error in one line, with its advice behind it.
 ///
 /// ```
-/// use sandgw::advice::advised;
-/// use sandgw::target_group::CallError;
+/// use sandgw::help::advised;
+/// use sandgw::discovery::CallError;
 ///
 /// let line = advised(&CallError::Status(503)).to_string();
 /// assert!(line.starts_with("status 503; "), "{line}");
@@ -43,7 +43,7 @@
 /// its own are named behind `of`.
 macro_rules! advice {
     ($error:ident { $($case:ident: $said:literal => $advice:literal,)* } $(of $($whole:ident),*)?) => {
-        impl crate::advice::Advice for $error {
+        impl crate::help::Advice for $error {
             const ALL: &'static [(&'static str, &'static str)] = &[$(($said, $advice)),*];
 
             fn said(&self) -> &'static str {
--- a/src/advice/tests.rs
+++ b/src/help/tests.rs
@@ -5,9 +5,9 @@
 
 use super::Advice;
 use crate::config::{Config, ConfigError, Fault, new_application};
-use crate::net::call::fetch;
-use crate::target_group::{ANSWER_BYTES, CallError, ListError, TargetGroup};
-use crate::wire::{Adapter, SettingFault, WireFault, settings};
+use crate::discovery::{ANSWER_BYTES, CallError, ListError, TargetGroup};
+use crate::net::http_call::fetch;
+use crate::simulator::{Adapter, SettingFault, WireFault, settings};
 
 /// Errors as they come about: all cases of a kind are among them, each says what it is found by, and its row of
 /// the operators' page has that and its advice.
@@ -117,7 +117,7 @@
     let cut = whole.trim_end().rsplit_once('\n').expect("lines").0;
     all.extend(told(load(cut).and_then(|new| running.whole(new))));
     all.extend(["app", "app", "A"].iter().filter_map(|name| new_application(folder.path(), name).err()));
-    let form = sandgw_forms::Form::new(99).expect_err("no form");
+    let form = sandgw_schema_version::Form::new(99).expect_err("no form");
     all.push(ConfigError { file: "f".into(), key: "forms.most".into(), fault: Fault::Forms(form) });
     all.push(ConfigError { file: "f".into(), key: "maintenance.floor".into(), fault: Fault::NoMessages });
     all.push(failed(Fault::Start(std::io::Error::from_raw_os_error(98))));
--- a/src/front/line.rs
+++ b/src/listener/line.rs
@@ -9,8 +9,8 @@
 use bytes::{Buf, BytesMut};
 
 use super::{Answer, Arrive, CarriedFront, Front};
-use crate::interface::*;
-use crate::operations::Operation;
+use crate::policy::api::*;
+use crate::relay::lifecycle::Operation;
 use crate::relay::{Arrival, FixedResponse};
 
 /// Longest line, with its end.
--- a/src/front/mod.rs
+++ b/src/listener/mod.rs
@@ -11,8 +11,8 @@
 use bytes::BytesMut;
 use serde::{Deserialize, Serialize};
 
-use crate::interface::{Millis, Outcome};
-use crate::operations::Operation;
+use crate::policy::api::{Millis, Outcome};
+use crate::relay::lifecycle::Operation;
 use crate::relay::{Arrival, FixedResponse};
 
 /// What has come of a client's bytes before its flow is placed.
--- a/src/front/rtmp/mod.rs
+++ b/src/listener/rtmp/mod.rs
@@ -23,8 +23,8 @@
 
 use self::chunks::{COMMAND, Malformed, Reader, write_command};
 use super::{Answer, Arrive, Front};
-use crate::interface::*;
-use crate::operations::Operation;
+use crate::policy::api::*;
+use crate::relay::lifecycle::Operation;
 use crate::relay::{Arrival, FixedResponse};
 
 /// Most bytes from a client up to the end of its `connect`.
--- a/src/front/tests.rs
+++ b/src/listener/tests.rs
@@ -6,7 +6,7 @@
 
 use super::line::{LineFront, LineRules};
 use super::{Answer, Front};
-use crate::interface::Outcome;
+use crate::policy::api::Outcome;
 
 fn front() -> LineFront {
     LineFront::new(Rc::new(LineRules::default()), 1000.0)
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,10 +7,10 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use sandgw::advice::advised;
 use sandgw::config::{Config, ConfigError, Environment, Fault, new_application};
+use sandgw::help::advised;
 use sandgw::{logger, net};
-use sandgw_affinity_store::{Store, StoreError, tool};
+use sandgw_affinity_store::{Store, StoreError, commands};
 
 /// A relay for long-lived subtitle connections.
 #[derive(Parser)]
@@ -176,12 +176,12 @@
     };
     match command {
         StateCommand::Show { folder, json, groups } => {
-            let summary = tool::show(&folder, groups).map_err(|e| of(&folder, &e))?;
+            let summary = commands::show(&folder, groups).map_err(|e| of(&folder, &e))?;
             let value = serde_json::to_value(&summary).map_err(|e| of(&folder, &e))?;
             say(json, shown(&summary), value);
         }
         StateCommand::Verify { folder, json } => {
-            let loaded = tool::verify(&folder).map_err(|e| of(&folder, &e))?;
+            let loaded = commands::verify(&folder).map_err(|e| of(&folder, &e))?;
             let text = format!("{} records, {} damaged", loaded.records, loaded.damaged);
             say(json, text, serde_json::json!({"records": loaded.records, "damaged": loaded.damaged}));
             if loaded.damaged > 0 {
@@ -195,7 +195,7 @@
                     let part = path.with_extension("part");
                     let file = std::fs::File::create_new(&part).map_err(|e| of(&part, &e))?;
                     let mut out = std::io::BufWriter::new(file);
-                    let done = tool::export(&folder, &mut out).map_err(|e| of(&folder, &e));
+                    let done = commands::export(&folder, &mut out).map_err(|e| of(&folder, &e));
                     let done = done.and_then(|n| out.flush().map(|()| n).map_err(|e| of(&part, &e)));
                     let named = done.and_then(|n| {
                         std::fs::hard_link(&part, &path).map(|()| n).map_err(|e| of(&path, &e))
@@ -205,7 +205,7 @@
                 }
                 None => {
                     let mut out = std::io::stdout().lock();
-                    tool::export(&folder, &mut out).map_err(|e| of(&folder, &e))?
+                    commands::export(&folder, &mut out).map_err(|e| of(&folder, &e))?
                 }
             };
             eprintln!("{lines} lines");
@@ -214,9 +214,9 @@
             let lines = match from {
                 Some(path) => {
                     let file = std::fs::File::open(&path).map_err(|e| of(&path, &e))?;
-                    tool::import(&folder, std::io::BufReader::new(file)).map_err(|e| of(&path, &e))?
+                    commands::import(&folder, std::io::BufReader::new(file)).map_err(|e| of(&path, &e))?
                 }
-                None => tool::import(&folder, std::io::stdin().lock()).map_err(|e| of(&folder, &e))?,
+                None => commands::import(&folder, std::io::stdin().lock()).map_err(|e| of(&folder, &e))?,
             };
             say(json, format!("{lines} lines taken"), serde_json::json!({"lines": lines}));
         }
@@ -228,7 +228,7 @@
             println!("form {form}, finalized {finalized}");
         }
         StateCommand::Compact { folder, json } => {
-            let (before, after) = tool::compact(&folder).map_err(|e| of(&folder, &e))?;
+            let (before, after) = commands::compact(&folder).map_err(|e| of(&folder, &e))?;
             let text = format!("{before} bytes before, {after} after");
             say(json, text, serde_json::json!({"bytes_before": before, "bytes_after": after}));
         }
@@ -237,7 +237,7 @@
 }
 
 /// A summary for reading.
-fn shown(s: &tool::Summary) -> String {
+fn shown(s: &commands::Summary) -> String {
     let age = |at: Option<f64>| {
         at.map_or("none".into(), |at| format!("{:.1} s", (s.newest_ms.unwrap_or(at) - at) / 1000.0))
     };
--- a/src/net/state.rs
+++ b/src/net/affinity_store.rs
@@ -8,10 +8,10 @@
 use sandgw_affinity::Restored;
 use sandgw_affinity_store::writer::Writer;
 use sandgw_affinity_store::{Opened, Store, StoreError};
-use sandgw_forms::Form;
+use sandgw_schema_version::Form;
 
 use super::{Shared, span};
-use crate::interface::Millis;
+use crate::policy::api::Millis;
 use crate::relay::Relay;
 
 /// Entries taken from the core at a time: it is not held up for longer than that takes.
--- a/src/net/flow.rs
+++ b/src/net/connection/mod.rs
@@ -16,13 +16,13 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use super::admission::Seat;
+use super::accept::Seat;
 use super::pool::Pooled;
 use super::{Shared, local_shortage, span};
-use crate::carry::CarriedFlow;
-use crate::front::{Answer, Arrive, Front};
-use crate::handover::Message;
-use crate::interface::{Key, Millis, Outcome};
+use crate::listener::{Answer, Arrive, Front};
+use crate::policy::api::{Key, Millis, Outcome};
+use crate::relay::handover::Message;
+use crate::relay::transfer::CarriedFlow;
 use crate::relay::{Arrival, Attempt, FixedResponse, FlowCommand, FlowId};
 
 /// How long a last word may take to reach a client, and the client to close after it.
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -6,12 +6,12 @@
 use log::{debug, warn};
 use tokio::net::TcpStream;
 
-use super::call::fetch;
+use super::http_call::fetch;
 use super::{Shared, span};
-use crate::advice::Advice;
-use crate::interface::{Discovery, ListKind, Millis, ServerEntry};
+use crate::discovery::{CallError, RETRY};
+use crate::help::Advice;
+use crate::policy::api::{Discovery, ListKind, Millis, ServerEntry};
 use crate::relay::Relay;
-use crate::target_group::{CallError, RETRY};
 
 /// Least time between two watches that are followed by another call without the module's pause. A service that answers
 /// calls and breaks every watch would be asked without end.
--- a/src/net/call.rs
+++ b/src/net/http_call.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-use crate::target_group::{ANSWER_BYTES, CallError};
+use crate::discovery::{ANSWER_BYTES, CallError};
 
 /// Asks once over a new connection; the body of the answer, once it is whole.
 pub(crate) async fn fetch(
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use log::{debug, info, warn};
+use sandgw_cluster::drain_gossip::Answer;
 use sandgw_maintenance::call::Call;
 use sandgw_maintenance::plan::Streamer;
-use sandgw_maintenance::{Desk, Row, WindowId, piece};
-use sandgw_tier::leaving::Answer;
+use sandgw_maintenance::{Desk, Row, WindowId, codec};
 
 use super::{Shared, until};
 use crate::config::Config;
-use crate::interface::{ListKind, Millis, ServerEntry, ServerState};
-use crate::operations::Refusal;
+use crate::policy::api::{ListKind, Millis, ServerEntry, ServerState};
+use crate::relay::lifecycle::Refusal;
 
 /// A caller waits so long at the most for what the office says, and is told meanwhile that it waits.
 const PATIENCE: Millis = 3000.0;
@@ -34,7 +34,7 @@
         let mut desk = self.desk.as_ref()?.borrow_mut();
         let result = f(&mut desk, self.clock.now() as u64);
         for (peer, message) in desk.take_sends() {
-            self.send(peer, piece::text(&message).as_bytes());
+            self.send(peer, codec::text(&message).as_bytes());
         }
         for event in desk.take_events() {
             if event.is_alarm() { warn!("maintenance: {event}") } else { info!("maintenance: {event}") }
@@ -70,7 +70,7 @@
 
     /// Takes a datagram, if it is of windows.
     pub(super) fn told_of_windows(&self, peer: u32, datagram: &[u8]) -> bool {
-        let text = std::str::from_utf8(datagram).ok().filter(|text| text.starts_with(piece::FIRST));
+        let text = std::str::from_utf8(datagram).ok().filter(|text| text.starts_with(codec::FIRST));
         let Some(text) = text.filter(|_| self.desk.is_some()) else { return false };
         debug!("maintenance: relay {peer} tells {text}");
         self.at_desk(|desk, now| desk.told(now, peer, text));
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,18 +3,18 @@
 //! Everything runs on one thread. The core's state is one [`RefCell`], borrowed for the length of one call and
 //! never across an await.
 
-mod admission;
-pub(crate) mod call;
+mod accept;
+mod affinity_store;
+mod connection;
 mod discovery;
-mod flow;
-mod forms;
-mod handover;
+pub(crate) mod http_call;
 mod maintenance;
-mod ops;
+mod operators;
 mod peers;
 mod pool;
+mod schema_version;
 mod snmp;
-mod state;
+mod takeover;
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::HashMap;
@@ -26,21 +26,21 @@
 
 use log::{error, info, warn};
 use sandgw_affinity_store::writer::Writer;
-use sandgw_forms::{Form, Range};
 use sandgw_maintenance::Desk;
+use sandgw_schema_version::{Form, Range};
 use tokio::net::{TcpListener, TcpSocket, UdpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::{LocalSet, spawn_local};
 
-use self::admission::{Admission, HANDOVER, Seat};
-use crate::advice::advised;
+use self::accept::{Admission, HANDOVER, Seat};
 use crate::config::{Config, ConfigError};
-use crate::front::line::{LineFront, LineNames, LineRules};
-use crate::front::rtmp::RtmpFront;
-use crate::interface::{ListKind, Millis};
+use crate::discovery::TargetGroup;
+use crate::help::advised;
+use crate::listener::line::{LineFront, LineNames, LineRules};
+use crate::listener::rtmp::RtmpFront;
+use crate::policy::api::{ListKind, Millis};
 use crate::relay::{Command, FlowCommand, FlowId, Relay};
-use crate::target_group::TargetGroup;
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -78,7 +78,7 @@
 }
 
 /// A standing flow on its way to the next process.
-type Passing = (crate::handover::Message, [OwnedFd; 2]);
+type Passing = (crate::relay::handover::Message, [OwnedFd; 2]);
 
 /// What the drivers share.
 struct Shared {
@@ -93,7 +93,7 @@
     moved: Notify,
     peers: OnceCell<UdpSocket>,
     /// Between messages and datagrams, where forms are on; and what may have changed in it.
-    post: Option<RefCell<sandgw_forms::post::Post>>,
+    post: Option<RefCell<sandgw_schema_version::versioned_channel::Post>>,
     forms: Notify,
     /// The tier was finalized at a form that this process can't read.
     left_behind: Cell<bool>,
@@ -280,7 +280,7 @@
 /// configuration anew.
 pub fn run(config: Config, load: impl Fn() -> Result<Config, Vec<ConfigError>> + 'static) -> io::Result<()> {
     // Before anything opens a descriptor, which could have the same number.
-    let passed = config.passed_socket.map(sandgw_passed_socket::take).transpose();
+    let passed = config.passed_socket.map(sandgw_socket_activation::take).transpose();
     let passed = passed.map_err(|e| io::Error::new(e.kind(), format!("PROXY_PASSED_SOCKET: {e}")))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve(config, passed, load))
@@ -301,14 +301,14 @@
     let kept = config
         .state
         .as_ref()
-        .map(|s| state::open(&s.folder, most))
+        .map(|s| affinity_store::open(&s.folder, most))
         .transpose()
         .map_err(named("state.folder"))?;
     let finalized = kept.as_ref().map_or(Form::FIRST, |kept| kept.finalized);
-    let post = forms::post(&config, finalized, &clock)?;
+    let post = schema_version::post(&config, finalized, &clock)?;
     let own = if config.handover.is_some() { HANDOVER } else { 0 };
     let mut relay = Relay::new(config.settings.clone(), config.classes.clone(), config.seed, clock.now());
-    let keeper = kept.map(|kept| state::restore(kept, &mut relay, clock.now())).transpose()?;
+    let keeper = kept.map(|kept| affinity_store::restore(kept, &mut relay, clock.now())).transpose()?;
     let names = line_names(&relay, &config);
     let desk = maintenance::desk(&config, clock.now()).map(RefCell::new);
     let known = std::mem::take(&mut config.known);
@@ -344,12 +344,12 @@
     let ops = shared.config.borrow().ops.map(listen).transpose().map_err(named("ops"))?;
     if let Some(listener) = ops {
         info!("operators call at {}", listener.local_addr()?);
-        spawn_local(ops::answer(shared.clone(), listener));
+        spawn_local(operators::answer(shared.clone(), listener));
     }
     let folder = shared.config.borrow().handover.clone();
     let mut handed = Vec::new();
     let mut old = match &folder {
-        Some(folder) => handover::ask(&shared, folder, &mut handed).await?,
+        Some(folder) => takeover::ask(&shared, folder, &mut handed).await?,
         None => None,
     };
     // All addresses are taken before anything is served: a relay that lacks one does not start.
@@ -366,25 +366,25 @@
     shared.target_group.borrow_mut().reseed(seed);
     let handed_over = old.is_some();
     while let Some(mut before) = old.take() {
-        match handover::take(&shared, &mut before).await {
-            Ok(()) => drop(spawn_local(handover::follow(shared.clone(), before))),
-            Err(handover::Failed::Refused(e)) => return Err(e),
-            Err(handover::Failed::Broken(e)) => {
+        match takeover::take(&shared, &mut before).await {
+            Ok(()) => drop(spawn_local(takeover::follow(shared.clone(), before))),
+            Err(takeover::Failed::Refused(e)) => return Err(e),
+            Err(takeover::Failed::Broken(e)) => {
                 warn!("hand-over: the running process has broken off: {e}");
                 // Where nobody is there any more, all that there was is here already.
                 let folder = folder.as_deref().unwrap_or(std::path::Path::new(""));
-                old = handover::ask(&shared, folder, &mut Vec::new()).await?;
+                old = takeover::ask(&shared, folder, &mut Vec::new()).await?;
             }
         }
     }
     if !handed_over {
-        forms::enquire(&shared).await?;
+        schema_version::enquire(&shared).await?;
     }
     spawn_local(tick(shared.clone()));
-    spawn_local(forms::tell(shared.clone()));
+    spawn_local(schema_version::tell(shared.clone()));
     spawn_local(discovery::watch(shared.clone()));
     spawn_local(peers::receive(shared.clone()));
-    spawn_local(state::keep(shared.clone()));
+    spawn_local(affinity_store::keep(shared.clone()));
     spawn_local(maintenance::keep(shared.clone()));
     if let Some(socket) = sockets.agent {
         spawn_local(snmp::answer(shared.clone(), socket));
@@ -401,7 +401,7 @@
                 // Read for each flow: all of it but the address may be new.
                 let Some(rtmp) = of.config.borrow().rtmp.clone() else { return };
                 let front = RtmpFront::new(rtmp.settings, from, rtmp.trusted.contains(&from.ip()));
-                spawn_local(flow::serve(of.clone(), client, front, seat));
+                spawn_local(connection::serve(of.clone(), client, front, seat));
             },
         ));
     }
@@ -414,13 +414,13 @@
             listener,
             move |client, _, seat| {
                 let front = LineFront::new(of.rules.clone(), of.config.borrow().limits.first_line);
-                spawn_local(flow::serve(of.clone(), client, front, seat));
+                spawn_local(connection::serve(of.clone(), client, front, seat));
             },
         ));
     }
     shared.gate.send_replace(true);
     if let Some(folder) = folder {
-        spawn_local(handover::offer(shared.clone(), folder));
+        spawn_local(takeover::offer(shared.clone(), folder));
     }
     shared.over.notified().await;
     Ok(())
@@ -437,7 +437,7 @@
 fn open(
     shared: &Rc<Shared>,
     passed: Option<std::net::TcpListener>,
-    mut handed: handover::Handed,
+    mut handed: takeover::Handed,
 ) -> io::Result<Sockets> {
     let config = shared.config.borrow();
     let mut had = |key: &str, address: SocketAddr| {
--- a/src/net/ops.rs
+++ b/src/net/operators.rs
@@ -18,9 +18,9 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::admission::CALLERS;
+use super::accept::CALLERS;
 use super::{ACCEPT_PAUSE, Shared};
-use crate::operations::{self, CALL_BYTES, Call, Caller, Refusal};
+use crate::relay::lifecycle::{self, CALL_BYTES, Call, Caller, Refusal};
 
 /// A caller that has not said what he wants by then is told so, and his seat is free again.
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -124,7 +124,7 @@
         Err(Refusal::Window(_)) if shared.desk.is_none() => Err(Refusal::Unknown),
         call => call.and_then(|call| carry_out(shared, call)),
     };
-    let answer = operations::answer(answer);
+    let answer = lifecycle::answer(answer);
     let last = async {
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await?;
@@ -152,7 +152,7 @@
     }
     let answer = match call {
         None | Some(Ok(Call::Window(_)) | Err(Refusal::Window(_))) => return Ok(()),
-        Some(call) => operations::answer(call.and_then(|call| carry_out(shared, call))),
+        Some(call) => lifecycle::answer(call.and_then(|call| carry_out(shared, call))),
     };
     (&*socket).write_all(answer.as_bytes())?;
     socket.shutdown(Shutdown::Write)?;
@@ -192,8 +192,8 @@
         return Err(Refusal::HandedOver);
     }
     match call {
-        Call::Forms => return super::forms::status(shared),
-        Call::Finalize => return super::forms::finalize(shared),
+        Call::Forms => return super::schema_version::status(shared),
+        Call::Finalize => return super::schema_version::finalize(shared),
         _ => {}
     }
     let ready = || *shared.gate.borrow() && shared.relay.borrow().is_listed();
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -4,9 +4,9 @@
 
 use log::warn;
 
-use super::{Shared, forms, while_open};
-use crate::interface::Message;
+use super::{Shared, schema_version, while_open};
 use crate::peers;
+use crate::policy::api::Message;
 
 impl Shared {
     /// Sends a message in the form that the relay reads.
@@ -50,7 +50,7 @@
                     continue;
                 }
                 if let Some((peer, text)) = peer.zip(std::str::from_utf8(&buffer[..length]).ok())
-                    && let Some(message) = forms::read(&shared, peer as u32, text)
+                    && let Some(message) = schema_version::read(&shared, peer as u32, text)
                 {
                     shared.core(|relay, now| relay.told(now, peer as u32, message));
                 }
--- a/src/net/forms.rs
+++ b/src/net/schema_version.rs
@@ -5,17 +5,17 @@
 use std::rc::Rc;
 
 use log::{debug, error, info, warn};
-use sandgw_forms::ladder::Ladder;
-use sandgw_forms::post::Post;
-use sandgw_forms::word::Word;
-use sandgw_forms::{Form, FormError};
+use sandgw_schema_version::version_advertisement::Word;
+use sandgw_schema_version::version_negotiator::Ladder;
+use sandgw_schema_version::versioned_channel::Post;
+use sandgw_schema_version::{Form, FormError};
 use tokio::time::{Instant, timeout_at};
 
 use super::{Clock, Shared, span};
 use crate::config::Config;
-use crate::interface::{Message, Millis};
-use crate::operations::Refusal;
 use crate::peers;
+use crate::policy::api::{Message, Millis};
+use crate::relay::lifecycle::Refusal;
 
 /// How long a process that starts listens for what is finalized, and how often it asks meanwhile.
 const LISTENS: [Millis; 3] = [100.0, 100.0, 200.0];
@@ -161,7 +161,7 @@
 /// What operators are told of forms.
 pub(super) fn status(shared: &Shared) -> Result<String, Refusal> {
     let post = shared.post.as_ref().ok_or(Refusal::Unknown)?;
-    Ok(crate::forms::status(&post.borrow(), shared.clock.now()))
+    Ok(crate::schema_status::status(&post.borrow(), shared.clock.now()))
 }
 
 /// Ends the possibility to go back.
--- a/src/net/handover.rs
+++ b/src/net/takeover.rs
@@ -15,23 +15,23 @@
     SendFlags, recvmsg, sendmsg,
 };
 use sandgw_affinity::Record;
-use sandgw_tier::leaving::Answer;
+use sandgw_cluster::drain_gossip::Answer;
 use serde_json::Value;
 use tokio::io::{AsyncWriteExt, Interest};
 use tokio::net::{TcpStream, UnixListener, UnixStream};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::{Shared, flow, span};
-use crate::carry::{Carried, CarriedFlow};
-use crate::front::CarriedFront;
-use crate::front::line::LineFront;
-use crate::handover::{
+use super::{Shared, connection, span};
+use crate::discovery::ListError;
+use crate::listener::CarriedFront;
+use crate::listener::line::LineFront;
+use crate::policy::api::ListKind;
+use crate::relay::handover::{
     ANOTHER_FORM, Elder, ElderStep, FLOWS, FORM, Frames, MEMBERS, Message, RECORDS, SOCKETS, Successor,
     SuccessorStep, agreed, encode,
 };
-use crate::interface::ListKind;
-use crate::target_group::ListError;
+use crate::relay::transfer::{Carried, CarriedFlow};
 
 /// The socket's name in the folder.
 const NAME: &str = "sandgw-handover";
@@ -217,7 +217,7 @@
             }
             Message::Forms { form, listened, word } => {
                 info!("hand-over: in form {form}");
-                super::forms::resume(shared, listened, &word).map_err(refused)?;
+                super::schema_version::resume(shared, listened, &word).map_err(refused)?;
             }
             Message::Records(records) => restore(shared, records),
             Message::Sockets(keys) => {
@@ -317,8 +317,8 @@
     };
     let (client, streamer) = (stream(client)?, stream(streamer)?);
     let front = LineFront::adopt(shared.rules.clone(), shared.clock.now(), front);
-    let passed = flow::Passed { flow, front, client, streamer, up, down };
-    tokio::task::spawn_local(flow::adopt(shared.clone(), passed, shared.admission.adopt()));
+    let passed = connection::Passed { flow, front, client, streamer, up, down };
+    tokio::task::spawn_local(connection::adopt(shared.clone(), passed, shared.admission.adopt()));
     Ok(())
 }
 
@@ -459,7 +459,7 @@
             }
             ElderStep::Snapshot => {
                 let form = agreed(&message, newest(shared));
-                if let Some((listened, word)) = super::forms::word(shared).filter(|_| form > FORM) {
+                if let Some((listened, word)) = super::schema_version::word(shared).filter(|_| form > FORM) {
                     link.send(&Message::Forms { form, listened, word }, &[]).await?;
                 }
                 snapshot(shared, &mut link).await?;
--- a/src/interface.rs
+++ b/src/policy/api.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 
 use sandgw_affinity::Limits;
-pub use sandgw_affinity::piece::Piece;
-pub use sandgw_shares::told::Told;
+pub use sandgw_affinity::codec::Piece;
+pub use sandgw_quota::usage_gossip::Told;
 
-pub use crate::shares::ShareSettings;
+pub use crate::relay::quotas::ShareSettings;
 
 /// Milliseconds, as a point on the balancer's clock or as a span.
 pub type Millis = f64;
--- a/src/memory.rs
+++ b/src/policy/cluster_state.rs
@@ -3,17 +3,17 @@
 
 use std::collections::BTreeMap;
 
-use sandgw_affinity::members::State;
-use sandgw_affinity::piece::Piece;
-use sandgw_affinity::tier::{Sends, Tier};
+use sandgw_affinity::codec::Piece;
+use sandgw_affinity::endpoint_registry::State;
+use sandgw_affinity::replication::{Sends, Tier};
 use sandgw_affinity::{Affinity, Changes, Figures, Limits, Record, Restored};
-use sandgw_tier::asking::{Among, Asking};
-use sandgw_tier::census::{Census, Tag, View};
-use sandgw_tier::news::News;
-use sandgw_tier::storm::Storm;
+use sandgw_cluster::load_aggregation::{Census, Tag, View};
+use sandgw_cluster::location_gossip::News;
+use sandgw_cluster::overload_gossip::Storm;
+use sandgw_cluster::poll_scheduler::{Among, Asking};
 
-use crate::interface::*;
-use crate::state::Sample;
+use crate::policy::api::*;
+use crate::policy::state::Sample;
 
 /// Groups whose sizes a plan starts from: those beyond them are small.
 const MOST_SIZES: usize = 512;
@@ -101,7 +101,7 @@
     /// A set-up has come late at a server.
     pub fn late(&mut self, now: Millis, server: &ServerId) {
         let of = (self.among.me, self.among.relays);
-        self.storm.late(now, crate::keys::tag(&server.0), of, &mut self.sends);
+        self.storm.late(now, crate::policy::hashing::tag(&server.0), of, &mut self.sends);
     }
 
     /// Another balancer's set-up has come late; whether that is common to all servers.
@@ -121,7 +121,7 @@
     /// the start are told to who asks only: all at once they would be many messages.
     pub fn stands(&mut self, now: Millis, request: &Request, load: f64, server: &ServerId) -> bool {
         if let Some(group) = &request.group {
-            self.affinity.place(now, crate::keys::hash(group.0.as_bytes()), &server.0, load);
+            self.affinity.place(now, crate::policy::hashing::hash(group.0.as_bytes()), &server.0, load);
         }
         self.passes && self.affinity.note(now, Affinity::client(&request.client_key()), &server.0)
     }
@@ -206,7 +206,7 @@
         let sum = self.affinity.counted(now).min(most);
         let mut sample = Sample::default();
         for (group, n) in sizes {
-            *sample.0.entry(crate::keys::place(group)).or_default() += n / all * sum;
+            *sample.0.entry(crate::policy::hashing::place(group)).or_default() += n / all * sum;
         }
         (all > 0.0).then_some(sample)
     }
--- a/src/rules.rs
+++ b/src/policy/load_balancer.rs
@@ -11,15 +11,15 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use sandgw_affinity::tier::ALL_TOLD;
-use sandgw_tier::level;
-use sandgw_tier::pace::Pace;
+use sandgw_affinity::replication::ALL_TOLD;
+use sandgw_cluster::concurrency_limit::Pace;
+use sandgw_cluster::rebalance;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::interface::*;
-use crate::keys::*;
-use crate::memory::Memory;
-use crate::state::{Conn, Ledger, Mean, Pool, Recent, Sample, Server, Stage, spread};
+use crate::policy::api::*;
+use crate::policy::cluster_state::Memory;
+use crate::policy::hashing::*;
+use crate::policy::state::{Conn, Ledger, Mean, Pool, Recent, Sample, Server, Stage, spread};
 
 /// A server may carry this multiple of its fair share before its keys overflow along the table.
 const BOUND: f64 = 1.25;
@@ -234,7 +234,8 @@
         }
         let each = self.ring.iter().map(|id| &self.ledger.servers[id]);
         let each: Vec<_> = each.map(|s| (s.told, s.weight * self.warmth(now, s))).collect();
-        for (at, share) in level::shares(&each).into_iter().enumerate().filter(|(_, share)| *share > 0.0) {
+        for (at, share) in rebalance::shares(&each).into_iter().enumerate().filter(|(_, share)| *share > 0.0)
+        {
             let since = now - SETTLED;
             let own = self.ledger.clients(&self.ring[at], |c| c.stage == Stage::Open && c.sent < since);
             out.extend(own.into_iter().filter(|_| self.random() < share).map(Action::Move));
--- a/src/state.rs
+++ b/src/policy/state.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use sandgw_tier::census::{Tag, View};
+use sandgw_cluster::load_aggregation::{Tag, View};
 
-use crate::interface::*;
-use crate::keys::{fraction, tag};
+use crate::policy::api::*;
+use crate::policy::hashing::{fraction, tag};
 
 /// Slow messages are reported once a second; a server unmentioned for longer than this is calm.
 const SLOW_FOR: Millis = 1500.0;
--- a/src/properties.rs
+++ b/src/properties.rs
@@ -14,9 +14,9 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 
-use crate::interface::*;
+use crate::discovery::{ListError, TargetGroup};
+use crate::policy::api::*;
 use crate::relay::{Arrival, Command, FixedResponse, FlowCommand, FlowId, Relay};
-use crate::target_group::{ListError, TargetGroup};
 use crate::tests::{START, entry, server, settings};
 
 const RUNS: u64 = 48;
--- a/src/classes.rs
+++ b/src/relay/classes.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::interface::{Class, ClassId, Millis, Repeat};
+use crate::policy::api::{Class, ClassId, Millis, Repeat};
 
 /// New flows may name a dropped class for so long: clients learn of new settings up to 1.2 s later, and some take
 /// their time to write.
--- a/src/handover.rs
+++ b/src/relay/handover.rs
@@ -11,9 +11,9 @@
 use sandgw_affinity::Record;
 use serde::{Deserialize, Serialize};
 
-use crate::carry::{Carried, CarriedFlow};
-use crate::front::CarriedFront;
-use crate::interface::Millis;
+use crate::listener::CarriedFront;
+use crate::policy::api::Millis;
+use crate::relay::transfer::{Carried, CarriedFlow};
 
 /// The first form of the messages, which every process speaks. Two processes hand over in the newest that both read.
 pub const FORM: u32 = 1;
--- a/src/operations.rs
+++ b/src/relay/lifecycle.rs
@@ -3,10 +3,10 @@
 
 use std::fmt;
 
-use sandgw_forms::FormError;
 use sandgw_maintenance::{Refused, call};
+use sandgw_schema_version::FormError;
 
-use crate::interface::Millis;
+use crate::policy::api::Millis;
 
 /// Longest call, with its end.
 pub const CALL_BYTES: usize = 64;
--- a/src/relay.rs
+++ b/src/relay/mod.rs
@@ -4,21 +4,27 @@
 //! It knows no socket and no wire; time is passed in. For every front it makes sure that a flow gets exactly
 //! one final answer and has at most one forward out.
 
+mod classes;
+pub mod handover;
+pub mod lifecycle;
+pub mod quotas;
+pub mod transfer;
+
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use log::{debug, error, warn};
-use sandgw_affinity::piece::StreamerHash;
-use sandgw_affinity::tier::Sends;
+use sandgw_affinity::codec::StreamerHash;
+use sandgw_affinity::replication::Sends;
 use sandgw_affinity::{Changes, Figures, Record, Restored};
-use sandgw_shares::policy::Signs;
-use sandgw_tier::leaving::{Answer, Leaving, Of};
+use sandgw_cluster::drain_gossip::{Answer, Leaving, Of};
+use sandgw_quota::policy::Signs;
 
 use crate::Balancer;
-use crate::carry::{Carried, CarriedFlow};
-use crate::classes::Classes;
-use crate::interface::*;
-use crate::operations::{MOVE_STEP, Operation, moves_now};
-use crate::shares::Counted;
+use crate::policy::api::*;
+use crate::relay::classes::Classes;
+use crate::relay::lifecycle::{MOVE_STEP, Operation, moves_now};
+use crate::relay::quotas::Counted;
+use crate::relay::transfer::{Carried, CarriedFlow};
 
 /// A flow: one connection of a client that asks to be placed. It is a request of the module.
 pub type FlowId = RequestId;
@@ -305,7 +311,7 @@
         self.commands.extend(after.map(|after| Command::Timer { after, token: SHARES }));
     }
 
-    fn tell(&mut self, out: sandgw_shares::ledger::Sends) {
+    fn tell(&mut self, out: sandgw_quota::usage_table::Sends) {
         let message = |told| Message { shares: Some(told), ..Message::default() };
         self.commands.extend(out.into_iter().map(|(peer, t)| Command::Tell { peer, message: message(t) }));
     }
@@ -568,7 +574,7 @@
     fn entries(&self, streamers: &[StreamerHash], state: ServerState) -> Vec<ServerEntry> {
         let known = self.balancer.ledger.servers.iter();
         let known = known.filter(|(id, _)| streamers.contains(&StreamerHash::of(&id.0)));
-        let entry = |(id, s): (&ServerId, &crate::state::Server)| ServerEntry {
+        let entry = |(id, s): (&ServerId, &crate::policy::state::Server)| ServerEntry {
             id: id.clone(),
             state,
             weight: s.weight,
--- a/src/shares.rs
+++ b/src/relay/quotas.rs
@@ -1,13 +1,13 @@
 //! Members' shares, as the core asks about them: what the settings say, which signs of shortage the module gives, and
 //! the flows that are counted. The counting and the decision are in the crate `sandgw-shares`.
 
-use sandgw_shares::Shares;
-use sandgw_shares::ledger::{Place, Sends};
-use sandgw_shares::members::Members;
-use sandgw_shares::policy::{Signs, Verdict};
+use sandgw_quota::Shares;
+use sandgw_quota::policy::{Signs, Verdict};
+use sandgw_quota::tenants::Members;
+use sandgw_quota::usage_table::{Place, Sends};
 
 use crate::Balancer;
-use crate::interface::*;
+use crate::policy::api::*;
 
 /// Whether shares are kept to where no file of an operator says so. Nothing is counted or told where they are not.
 const ENFORCED: bool = false;
--- a/src/carry.rs
+++ b/src/relay/transfer.rs
@@ -7,8 +7,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::interface::*;
-use crate::rules::Balancer;
+use crate::policy::api::*;
+use crate::policy::load_balancer::Balancer;
 
 /// Streamers and groups in one piece at the most.
 const PIECE: usize = 256;
--- a/src/forms.rs
+++ b/src/schema_status.rs
@@ -1,7 +1,7 @@
 //! How a relay names forms of shared state to its operators: texts only, the decisions are in `sandgw-forms`.
 
-use sandgw_forms::Millis;
-use sandgw_forms::post::Post;
+use sandgw_schema_version::Millis;
+use sandgw_schema_version::versioned_channel::Post;
 
 /// Relays that a line names at the most.
 const NAMED: usize = 8;
--- a/src/wire.rs
+++ b/src/simulator/mod.rs
@@ -7,15 +7,15 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-use sandgw_affinity::piece::VERSION;
-use sandgw_shares::members::{Member, Members};
-use sandgw_shares::told::KIND;
+use sandgw_affinity::codec::VERSION;
+use sandgw_quota::tenants::{Member, Members};
+use sandgw_quota::usage_gossip::KIND;
 use serde_json::{Value, json};
 use thiserror::Error;
 
 use crate::Balancer;
-use crate::advice::advice;
-use crate::interface::*;
+use crate::help::advice;
+use crate::policy::api::*;
 
 /// What was wrong with the input, and in which batch.
 #[derive(Debug, Error)]
@@ -508,7 +508,7 @@
     NoWindow,
     /// Members that can't be told apart.
     #[error("members: {0}")]
-    Members(sandgw_shares::members::MembersError),
+    Members(sandgw_quota::tenants::MembersError),
 }
 
 advice!(SettingFault {
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -9,7 +9,7 @@
 
 use sandgw_affinity_store::writer::Written;
 
-use crate::interface::ServerState;
+use crate::policy::api::ServerState;
 use crate::relay::Relay;
 
 /// iso.org.dod.internet.private.enterprises.32473.1: the example enterprise of RFC 5612.
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -6,11 +6,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-use crate::interface::*;
-use crate::keys::SLOTS;
+use crate::policy::api::*;
+use crate::policy::hashing::SLOTS;
+use crate::policy::load_balancer::{Balancer, fill};
+use crate::policy::state::Server;
 use crate::relay::{Arrival, Command, FixedResponse, FlowCommand, FlowId, Relay};
-use crate::rules::{Balancer, fill};
-use crate::state::Server;
 
 // --- the table ---
 
@@ -1288,7 +1288,7 @@
     balancer.handle(START + took, Event::Established { request, attempt, elapsed: took }, &mut out);
     balancer.handle(START + 5000.0, full(third), &mut out);
     out.clear();
-    let tag = |i: usize| crate::keys::tag(&server(i).0);
+    let tag = |i: usize| crate::policy::hashing::tag(&server(i).0);
     let rows = (0..4).map(|i| (tag(i), if i == 0 { told } else { told / 5 })).collect();
     let piece = Piece::Loads { total: u32::from(told) * 8 / 5, rows };
     let message = Message { memory: Some(piece), ..Message::default() };
@@ -1314,7 +1314,7 @@
 
 #[test]
 fn the_module_stays_within_its_length() {
-    let text = include_str!("rules.rs");
+    let text = include_str!("policy/load_balancer.rs");
     let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
     assert!(lines < 710, "{lines} lines");
     assert!(text.lines().all(|l| l.chars().count() <= 110));
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use sandgw::handover::{FORM, Frames, Message, encode};
+use sandgw::relay::handover::{FORM, Frames, Message, encode};
 use socket2::SockRef;
 
 /// A relay whose one streamer is the test itself.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,11 +1,11 @@
 //! The cold budget with 20 and 30 processes of the program: streamers start again cold and new ones join under load,
 //! while relays are killed, end as planned and start again. What counts is what all processes together send.
 
-use sandgw_rig::clients::Plan;
-use sandgw_rig::judge::Rule;
-use sandgw_rig::log::What;
-use sandgw_rig::script::{Fault, Script};
-use sandgw_rig::{Rig, Size};
+use sandgw_test_cluster::fault_schedule::{Fault, Script};
+use sandgw_test_cluster::invariants::Rule;
+use sandgw_test_cluster::load_clients::Plan;
+use sandgw_test_cluster::log::What;
+use sandgw_test_cluster::{Rig, Size};
 use tokio::sync::Mutex;
 
 /// Streamers at the start, all of them warm.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,10 +3,10 @@
 
 use std::time::Duration;
 
-use sandgw_rig::clients::Plan;
-use sandgw_rig::log::{Event, What};
-use sandgw_rig::script::{Bounds, Fault, Script};
-use sandgw_rig::{Rig, Size};
+use sandgw_test_cluster::fault_schedule::{Bounds, Fault, Script};
+use sandgw_test_cluster::load_clients::Plan;
+use sandgw_test_cluster::log::{Event, What};
+use sandgw_test_cluster::{Rig, Size};
 
 /// What a busy machine may be late by, in milliseconds.
 const GRACE: f64 = 1500.0;
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use sandgw::forms::status;
-use sandgw_forms::ladder::{Ladder, QUIET};
-use sandgw_forms::post::Post;
-use sandgw_forms::word::Word;
-use sandgw_forms::{Form, Range};
+use sandgw::schema_status::status;
+use sandgw_schema_version::version_advertisement::Word;
+use sandgw_schema_version::version_negotiator::{Ladder, QUIET};
+use sandgw_schema_version::versioned_channel::Post;
+use sandgw_schema_version::{Form, Range};
 
 const RELAYS: usize = 5;
 /// News of two clients' places, as the program of before forms had numbers wrote it.
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -16,7 +16,7 @@
 use command_fds::{CommandFdExt, FdMapping};
 use common::*;
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
-use sandgw::handover::{ANOTHER_FORM, FORM, Frames, Message, encode};
+use sandgw::relay::handover::{ANOTHER_FORM, FORM, Frames, Message, encode};
 
 struct Fleet {
     _streamer: Streamer,
--- a/tests/handover_messages.rs
+++ b/tests/handover_messages.rs
@@ -1,6 +1,6 @@
 //! The messages of a hand-over and the two sides of it, without any socket.
 
-use sandgw::handover::*;
+use sandgw::relay::handover::*;
 
 fn hello() -> Message {
     Message::Hello { form: FORM, name: "n0".into() }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use sandgw::interface::{
+use sandgw::policy::api::{
     Class, Discovery, Key, Message, Millis, Piece, Repeat, ServerEntry, ServerId, ServerState, Settings, Zone,
 };
 use sandgw::relay::{Arrival, Attempt, Command, FlowCommand, Relay};
-use sandgw_affinity::piece::StreamerHash;
-use sandgw_rig::log::{Event, What};
-use sandgw_rig::script::Fault;
-use sandgw_rig::{Rig, Size};
-use sandgw_tier::leaving::Answer;
+use sandgw_affinity::codec::StreamerHash;
+use sandgw_cluster::drain_gossip::Answer;
+use sandgw_test_cluster::fault_schedule::Fault;
+use sandgw_test_cluster::log::{Event, What};
+use sandgw_test_cluster::{Rig, Size};
 
 const START: Millis = 1000.0;
 
@@ -310,8 +310,12 @@
     let (since, answered) = (rig.log.now(), told(&rig.log.events(), 5));
     eprintln!("first answer {:.0} ms after the return, {answered} answered by then", first - back);
     assert!(answered * 2 < RELAYS, "{answered} of {RELAYS} were answered: that proves nothing");
-    let plan =
-        sandgw_rig::clients::Plan { count: 200, over_ms: 2000.0, stay_ms: 300.0, ..Default::default() };
+    let plan = sandgw_test_cluster::load_clients::Plan {
+        count: 200,
+        over_ms: 2000.0,
+        stay_ms: 300.0,
+        ..Default::default()
+    };
     let results = rig.clients(plan).end(20_000.0).await;
     assert!(results.all.served * 10 >= results.all.all() * 9, "{results:?}");
     let events = rig.log.events();
--- a/tests/narrow.rs
+++ b/tests/narrow.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use sandgw_rig::discovery::Service;
-use sandgw_rig::{Rig, Size, free_address};
+use sandgw_test_cluster::stub_discovery::Service;
+use sandgw_test_cluster::{Rig, Size, free_address};
 
 /// What a busy machine may be late by.
 const SLACK: Duration = Duration::from_secs(3);
