--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -1,6 +1,6 @@
-//! How far groups scatter over the streamers when relays restart: with the table lost, from the folder, from the
-//! other relays. Four cores of relays in virtual time, 14 streamers, group sizes by Zipf, packets passing through:
-//! a dead relay's flows go on through the others. `cargo bench --bench spread`
+//! How far groups scatter over the endpoints when relays restart: with the table lost, from the folder, from the
+//! other relays. Four cores of relays in virtual time, 14 endpoints, group sizes by Zipf, packets passing through:
+//! a dead relay's connections go on through the others. `cargo bench --bench spread`
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -9,15 +9,16 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
+use sandgw::policy::api::RequestId;
 use sandgw::policy::api::*;
-use sandgw::relay::{Arrival, Attempt, Command, FlowCommand, FlowId, Relay};
+use sandgw::relay::{Attempt, Command, ConnectionCommand, IncomingRequest, Relay};
 use sandgw_affinity::Record;
 use sandgw_affinity::codec::Kind;
 
 const RELAYS: u32 = 4;
-const STREAMERS: usize = 14;
+const ENDPOINTS: usize = 14;
 const GROUPS: u64 = 120;
-/// New flows a second, and their mean life in seconds.
+/// New connections a second, and their mean life in seconds.
 const RATE: f64 = 12.0;
 const LIFE: f64 = 55.0;
 /// Unix time of the start, in milliseconds, and the time before anything restarts.
@@ -37,9 +38,9 @@
 
 #[derive(Debug)]
 enum Due {
-    Arrival,
+    IncomingRequest,
     Timer(usize, u64, u32),
-    Stands(usize, FlowId, u32),
+    Stands(usize, RequestId, u32),
     Ends(u64),
     Message(usize, u32, Message),
     Kill(usize),
@@ -50,9 +51,9 @@
 struct Held {
     client: u64,
     group: u64,
-    streamer: ServerId,
+    endpoint: EndpointId,
     relay: usize,
-    flow: FlowId,
+    request: RequestId,
 }
 
 struct Day {
@@ -69,44 +70,49 @@
     due: HashMap<u64, Due>,
     number: u64,
     held: BTreeMap<u64, Held>,
-    asked: HashMap<(usize, FlowId), (u64, u64, bool)>,
+    asked: HashMap<(usize, RequestId), (u64, u64, bool)>,
     connections: u64,
-    /// Flows placed since the first restart, and those that brought their group to a streamer without it.
+    /// Connections placed since the first restart, and those that brought their group to an endpoint without it.
     placed: u64,
     copies: u64,
     refused: u64,
     counts: bool,
 }
 
-fn settings(me: u32, from: From) -> Settings {
+fn settings(local_index: u32, from: From) -> Settings {
     Settings {
-        classes: vec![Class { repeat: Repeat::Safe, aim: 500.0, message_aim: Some(150.0), worth: 1.0 }],
+        classes: vec![Class {
+            repeat: Idempotency::Safe,
+            latency_objective: 500.0,
+            message_latency_objective: Some(150.0),
+            priority_weight: 1.0,
+        }],
         discovery: Discovery::OnRequest,
-        balancers: RELAYS,
-        me,
+        relay_count: RELAYS,
+        local_index,
         peers: from == From::Peers || from == From::Calm,
-        passes: true,
+        packet_passthrough: true,
         max_attempts: 5,
         connect_timeout: 200.0,
         resolution: 2.0,
         max_retry_after: Some(1500.0),
-        cold_from: 0.31,
-        warm_within: 8600.0,
-        fall_multiple: 3.0,
+        cold_capacity_fraction: 0.31,
+        warm_up_time: 8600.0,
+        overload_multiple: 3.0,
         ..Settings::default()
     }
 }
 
-fn fleet() -> Vec<ServerEntry> {
-    let entry = |i| ServerEntry {
-        id: ServerId(Arc::from(format!("10.0.0.{i}:8443"))),
-        state: ServerState::Ready,
+fn fleet() -> Vec<EndpointEntry> {
+    let entry = |i| EndpointEntry {
+        id: EndpointId(Arc::from(format!("10.0.0.{i}:8443"))),
+        state: EndpointState::Ready,
         weight: 1.0,
         started: 0.0,
         zone: Zone::default(),
         cell: 0,
     };
-    (0..STREAMERS).map(entry).collect()
+    (0..ENDPOINTS).map(entry).collect()
 }
 
 impl Day {
@@ -131,7 +137,7 @@
             counts: false,
         };
         (0..RELAYS as usize).for_each(|at| day.start(at));
-        day.after(0.0, Due::Arrival);
+        day.after(0.0, Due::IncomingRequest);
         day
     }
 
@@ -157,7 +163,7 @@
         self.settle(at);
     }
 
-    /// Its flows go on: their packets arrive at the others.
+    /// Its connections go on: their packets arrive at the others.
     fn kill(&mut self, at: usize) {
         self.relays[at] = None;
         let orphans: Vec<u64> = self.held.iter().filter(|(_, h)| h.relay == at).map(|(c, _)| *c).collect();
@@ -171,28 +177,28 @@
     fn ask(&mut self, client: u64, group: u64, mid_flow: bool, connection: u64) {
         let up: Vec<usize> = (0..self.relays.len()).filter(|at| self.relays[*at].is_some()).collect();
         let at = up[self.other.random_range(0..up.len())];
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             class: "c".into(),
             client: Some(Key(Arc::from(format!("client-{client}")))),
             group: Some(Key(Arc::from(format!("video-{group}/track")))),
             deadline: self.now + 3000.0,
             mid_flow,
-            ..Arrival::default()
+            ..IncomingRequest::default()
         };
         let now = self.now;
         let Some(relay) = &mut self.relays[at] else { return };
-        let flow = relay.arrive(now, arrival);
-        self.asked.insert((at, flow), (client, group, mid_flow));
+        let request = relay.arrive(now, arrival);
+        self.asked.insert((at, request), (client, group, mid_flow));
         // The connection's number outlives its relays: its end is set once.
         self.connections = self.connections.max(connection + 1);
-        self.asked.entry((at, flow)).and_modify(|a| a.0 = client);
-        self.flows_by_connection(at, flow, connection);
+        self.asked.entry((at, request)).and_modify(|a| a.0 = client);
+        self.connections_by_connection(at, request, connection);
         self.settle(at);
     }
 
-    fn flows_by_connection(&mut self, relay: usize, flow: FlowId, connection: u64) {
-        let (client, group, _) = self.asked[&(relay, flow)];
-        let held = Held { client, group, streamer: ServerId(Arc::from("")), relay, flow };
+    fn connections_by_connection(&mut self, relay: usize, request: RequestId, connection: u64) {
+        let (client, group, _) = self.asked[&(relay, request)];
+        let held = Held { client, group, endpoint: EndpointId(Arc::from("")), relay, request };
         self.held.insert(connection, held);
     }
 
@@ -200,20 +206,23 @@
         let Some(relay) = &mut self.relays[at] else { return };
         for command in relay.take_commands() {
             match command {
-                Command::Flow(flow, FlowCommand::Forward(Attempt { target, .. })) => {
-                    if let Some(h) = self.held.values_mut().find(|h| h.relay == at && h.flow == flow) {
-                        h.streamer = target;
+                Command::Connection(request, ConnectionCommand::StartAttempt(Attempt { endpoint, .. })) => {
+                    if let Some(h) = self.held.values_mut().find(|h| h.relay == at && h.request == request) {
+                        h.endpoint = endpoint;
                     }
                     let life = self.lives[at];
-                    self.after(20.0, Due::Stands(at, flow, life));
+                    self.after(20.0, Due::Stands(at, request, life));
                 }
-                Command::Flow(flow, FlowCommand::Answer(_)) => {
+                Command::Connection(request, ConnectionCommand::Reply(_)) => {
                     self.refused += 1;
-                    self.held.retain(|_, h| !(h.relay == at && h.flow == flow));
+                    self.held.retain(|_, h| !(h.relay == at && h.request == request));
                 }
-                Command::Flow(_, FlowCommand::Move | FlowCommand::Pass) | Command::Watch => {}
-                Command::Timer { after, token } => self.after(after, Due::Timer(at, token, self.lives[at])),
-                Command::Tell { peer, message } => {
+                Command::Connection(_, ConnectionCommand::Migrate | ConnectionCommand::Transfer)
+                | Command::Subscribe => {}
+                Command::SetTimer { after, token } => {
+                    self.after(after, Due::Timer(at, token, self.lives[at]))
+                }
+                Command::SendToPeer { peer, message } => {
                     let delay = self.other.random_range(1.6..32.0);
                     self.after(delay, Due::Message(peer as usize, at as u32, message));
                 }
@@ -231,7 +240,7 @@
             self.now = START + at as f64 / 1000.0;
             let now = self.now;
             match self.due.remove(&number) {
-                Some(Due::Arrival) => {
+                Some(Due::IncomingRequest) => {
                     let (client, group) = (self.dice.random(), zipf.sample(&mut self.dice) as u64);
                     let connection = self.connections;
                     self.connections += 1;
@@ -239,7 +248,7 @@
                     self.after(life, Due::Ends(connection));
                     self.ask(client, group, false, connection);
                     let pause = Exp::new(RATE).expect("a valid rate").sample(&mut self.dice) * 1000.0;
-                    self.after(pause, Due::Arrival);
+                    self.after(pause, Due::IncomingRequest);
                 }
                 Some(Due::Timer(at, token, life)) if self.lives[at] == life => {
                     if let Some(relay) = &mut self.relays[at] {
@@ -247,11 +256,11 @@
                     }
                     self.settle(at);
                 }
-                Some(Due::Stands(at, flow, life)) if self.lives[at] == life => self.stands(at, flow),
+                Some(Due::Stands(at, request, life)) if self.lives[at] == life => self.stands(at, request),
                 Some(Due::Ends(connection)) => {
                     if let Some(h) = self.held.remove(&connection) {
                         if let Some(relay) = &mut self.relays[h.relay] {
-                            relay.ended(now, h.flow, Outcome::Ok);
+                            relay.ended(now, h.request, Outcome::Ok);
                         }
                         self.settle(h.relay);
                     }
@@ -270,39 +279,39 @@
         self.now = until;
     }
 
-    fn stands(&mut self, at: usize, flow: FlowId) {
+    fn stands(&mut self, at: usize, request: RequestId) {
         let now = self.now;
         let Some(relay) = &mut self.relays[at] else { return };
-        relay.established(now, flow, 20.0);
+        relay.established(now, request, 20.0);
         // As the writer does, but at once.
         let changes = relay.changes(now, usize::MAX);
         let store = &mut self.stores[at];
         changes.gone.iter().for_each(|key| drop(store.remove(key)));
         store.extend(changes.set.into_iter().map(|r| (r.key(), r)));
         self.settle(at);
-        let Some((_, _, mid_flow)) = self.asked.remove(&(at, flow)) else { return };
-        let Some(own) = self.held.values().find(|h| h.relay == at && h.flow == flow) else { return };
+        let Some((_, _, mid_flow)) = self.asked.remove(&(at, request)) else { return };
+        let Some(own) = self.held.values().find(|h| h.relay == at && h.request == request) else { return };
         if self.counts && !mid_flow {
-            let same = |h: &&Held| h.group == own.group && h.streamer == own.streamer;
+            let same = |h: &&Held| h.group == own.group && h.endpoint == own.endpoint;
             self.placed += 1;
             self.copies += u64::from(self.held.values().filter(same).count() == 1);
         }
     }
 
-    /// Streamers a group, weighted by the group's flows.
+    /// Endpoints a group, weighted by the group's connections.
     fn spread(&self) -> f64 {
-        let mut groups: HashMap<u64, (f64, HashSet<&ServerId>)> = HashMap::new();
+        let mut groups: HashMap<u64, (f64, HashSet<&EndpointId>)> = HashMap::new();
         for h in self.held.values() {
-            let (flows, at) = groups.entry(h.group).or_default();
-            *flows += 1.0;
-            at.insert(&h.streamer);
+            let (connections, at) = groups.entry(h.group).or_default();
+            *connections += 1.0;
+            at.insert(&h.endpoint);
         }
-        let all: f64 = groups.values().map(|(flows, _)| flows).sum();
-        groups.values().map(|(flows, at)| flows * at.len() as f64).sum::<f64>() / all
+        let all: f64 = groups.values().map(|(connections, _)| connections).sum();
+        groups.values().map(|(connections, at)| connections * at.len() as f64).sum::<f64>() / all
     }
 }
 
-/// Spread before, 5 s and 30 s after the last start; new copies for 100 flows placed until then; flows refused.
+/// Spread before, 5 s and 30 s after the last start; new copies for 100 connections placed until then; connections refused.
 fn day(seed: u64, from: From, rolling: bool) -> [f64; 5] {
     let mut day = Day::new(seed, from);
     let end_of_warm_up = START + WARM_UP;
@@ -331,7 +340,7 @@
 fn main() {
     const SEEDS: u64 = 9;
     println!(
-        "{RELAYS} relays, {STREAMERS} streamers, {GROUPS} groups by Zipf 0.9, {RATE}/s, median of {SEEDS} seeds (least to most)"
+        "{RELAYS} relays, {ENDPOINTS} streamers, {GROUPS} groups by Zipf 0.9, {RATE}/s, median of {SEEDS} seeds (least to most)"
     );
     println!(
         "{:<34}{:>20}{:>24}{:>24}{:>20}{:>9}",
--- a/crates/affinity-store/benches/startup.rs
+++ b/crates/affinity-store/benches/startup.rs
@@ -3,17 +3,17 @@
 
 use std::time::Instant;
 
-use sandgw_affinity::endpoint_registry::Tag;
+use sandgw_affinity::endpoint_registry::EndpointTag;
 use sandgw_affinity::{Affinity, Changes, Limits, Record};
 use sandgw_affinity_store::{FILE, Store};
 
 const NOW: f64 = 1.7e12;
 
 fn record(n: u64) -> Record {
-    let holder = Tag::of(&format!("10.0.0.{}:8443", n % 14), 0.0);
+    let holder = EndpointTag::of(&format!("10.0.0.{}:8443", n % 14), 0.0);
     let key = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     if n.is_multiple_of(10) {
-        Record::Group { key, holders: vec![(holder, 3.5), (Tag::of("other", 0.0), 0.5)], at: NOW }
+        Record::Group { key, holders: vec![(holder, 3.5), (EndpointTag::of("other", 0.0), 0.5)], at: NOW }
     } else {
         Record::Session { key: key >> 24, holder, at: NOW }
     }
@@ -29,7 +29,7 @@
         store.write(&whole).expect("written");
         let mut batches = Vec::new();
         for run in 0..RUNS as u64 {
-            // A second's worth at twelve flows a second, and a hundred times that.
+            // A second's worth at twelve connections a second, and a hundred times that.
             let set = (0..1200).map(|n| record((run * 7919 + n * 31) % entries)).collect();
             let start = Instant::now();
             store.write(&Changes { set, ..Changes::default() }).expect("written");
--- a/crates/affinity-store/src/commands.rs
+++ b/crates/affinity-store/src/commands.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead, Write};
 use std::path::Path;
 
-use sandgw_affinity::endpoint_registry::{Name, Tag};
+use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
 use sandgw_affinity::{Changes, Millis, Record};
 use serde::{Deserialize, Serialize};
 
@@ -34,24 +34,25 @@
         at_ms: Millis,
     },
     /// What a tag stands for.
-    Streamer {
+    #[serde(rename = "streamer")]
+    Endpoint {
         /// The tag.
         tag: String,
-        /// The streamer's id.
+        /// The endpoint's id.
         id: String,
         /// When it started, in milliseconds; 0 for long past.
         started_ms: Millis,
     },
 }
 
-fn hex(tag: Tag) -> String {
+fn hex(tag: EndpointTag) -> String {
     format!("{:08x}", u32::from_le_bytes(tag.0))
 }
 
-fn tag(text: &str) -> Result<Tag, String> {
+fn tag(text: &str) -> Result<EndpointTag, String> {
     let n = u32::from_str_radix(text, 16)
         .map_err(|_| format!("{text:?} is no tag of eight hexadecimal digits"))?;
-    Ok(Tag(n.to_le_bytes()))
+    Ok(EndpointTag(n.to_le_bytes()))
 }
 
 fn key(text: &str) -> Result<u64, String> {
@@ -91,12 +92,12 @@
                 let holders = holders.collect::<Result<_, _>>()?;
                 changes.set.push(Record::Group { key: key(&k)?, holders, at: time(at_ms)? });
             }
-            Line::Streamer { tag: t, id, started_ms } => {
+            Line::Endpoint { tag: t, id, started_ms } => {
                 let tag = tag(&t)?;
-                if Tag::of(&id, started_ms) != tag {
+                if EndpointTag::of(&id, started_ms) != tag {
                     return Err(format!("streamer: {t} is not the tag of {id} started at {started_ms}"));
                 }
-                changes.names.push(Name { tag, id, started: started_ms });
+                changes.names.push(EndpointName { tag, id, started: started_ms });
             }
         }
         Ok(())
@@ -118,17 +119,18 @@
     pub oldest_ms: Option<Millis>,
     /// See above.
     pub newest_ms: Option<Millis>,
-    /// Streamers by what they hold, the heaviest first.
+    /// Endpoints by what they hold, the heaviest first.
     pub holders: Vec<HolderRow>,
     /// The largest groups.
     pub largest: Vec<GroupRow>,
 }
 
-/// What a streamer holds.
+/// What an endpoint holds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct HolderRow {
     /// Its id, or its tag where the store has no name for it.
-    pub streamer: String,
+    #[serde(rename = "streamer")]
+    pub endpoint: String,
     /// Clients.
     pub clients: u64,
     /// Groups.
@@ -151,13 +153,13 @@
 /// Sums a store up, with so many of the largest groups.
 pub fn show(folder: &Path, most: usize) -> Result<Summary, StoreError> {
     let store = Store::existing(folder)?;
-    let names: HashMap<Tag, String> = store.names()?.into_iter().map(|n| (n.tag, n.id)).collect();
-    let name = |tag: &Tag| names.get(tag).cloned().unwrap_or_else(|| format!("tag {}", hex(*tag)));
+    let names: HashMap<EndpointTag, String> = store.names()?.into_iter().map(|n| (n.tag, n.id)).collect();
+    let name = |tag: &EndpointTag| names.get(tag).cloned().unwrap_or_else(|| format!("tag {}", hex(*tag)));
     let mut summary = Summary::default();
-    let mut holders: BTreeMap<Tag, HolderRow> = BTreeMap::new();
-    let mut sizes: Vec<(f64, u64, Vec<Tag>)> = Vec::new();
-    let mut row = |tag: &Tag, add: &dyn Fn(&mut HolderRow)| {
-        add(holders.entry(*tag).or_insert_with(|| HolderRow { streamer: name(tag), ..HolderRow::default() }));
+    let mut holders: BTreeMap<EndpointTag, HolderRow> = BTreeMap::new();
+    let mut sizes: Vec<(f64, u64, Vec<EndpointTag>)> = Vec::new();
+    let mut row = |tag: &EndpointTag, add: &dyn Fn(&mut HolderRow)| {
+        add(holders.entry(*tag).or_insert_with(|| HolderRow { endpoint: name(tag), ..HolderRow::default() }));
     };
     let loaded = store.load(|record| {
         let at = record.at();
@@ -184,7 +186,7 @@
     summary.damaged = loaded.damaged;
     summary.file_bytes = std::fs::metadata(folder.join(FILE)).map_or(0, |m| m.len());
     summary.holders = holders.into_values().collect();
-    summary.holders.sort_by(|a, b| b.load.total_cmp(&a.load).then_with(|| a.streamer.cmp(&b.streamer)));
+    summary.holders.sort_by(|a, b| b.load.total_cmp(&a.load).then_with(|| a.endpoint.cmp(&b.endpoint)));
     sizes.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
     let largest = sizes.into_iter().take(most);
     summary.largest = largest
@@ -202,7 +204,7 @@
     Store::existing(folder)?.load(|_| {})
 }
 
-/// Writes everything as lines of JSON: streamers, groups, clients. Says how many lines.
+/// Writes everything as lines of JSON: endpoints, groups, clients. Says how many lines.
 pub fn export(folder: &Path, out: &mut impl Write) -> Result<u64, StoreError> {
     let store = Store::existing(folder)?;
     let (mut lines, mut failed) = (0, None);
@@ -214,7 +216,7 @@
         }
     };
     for n in store.names()? {
-        put(&Line::Streamer { tag: hex(n.tag), id: n.id, started_ms: n.started });
+        put(&Line::Endpoint { tag: hex(n.tag), id: n.id, started_ms: n.started });
     }
     store.load(|record| put(&Line::of(&record)))?;
     match failed {
--- a/crates/affinity-store/src/file_format.rs
+++ b/crates/affinity-store/src/file_format.rs
@@ -2,7 +2,7 @@
 //!
 //! | form | what the file holds |
 //! | --- | --- |
-//! | 1 | clients, groups, streamers; what form 1 can't say lies in a table that its programs never open |
+//! | 1 | clients, groups, endpoints; what form 1 can't say lies in a table that its programs never open |
 //! | 2 | the same, rows of the members' shares, and the finalized form |
 //!
 //! A step is one transaction, and so is finalizing: a process killed in it leaves the form before or the one after.
--- a/crates/affinity-store/src/lib.rs
+++ b/crates/affinity-store/src/lib.rs
@@ -23,7 +23,7 @@
 use log::error;
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition};
 use sandgw_affinity::codec::Kind;
-use sandgw_affinity::endpoint_registry::{Name, Tag};
+use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
 use sandgw_affinity::{Changes, Millis, Record};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -38,7 +38,7 @@
 const GROUPS: TableDefinition<u64, &[u8]> = TableDefinition::new("groups");
 /// Groups before clients: they are few, and a plan starts from them.
 const TABLES: [(TableDefinition<u64, &[u8]>, Kind); 2] = [(GROUPS, Kind::Groups), (CLIENTS, Kind::Sessions)];
-const STREAMERS: TableDefinition<u32, &[u8]> = TableDefinition::new("streamers");
+const ENDPOINTS: TableDefinition<u32, &[u8]> = TableDefinition::new("streamers");
 
 /// Why a store could not be opened or used.
 #[derive(Debug)]
@@ -91,7 +91,7 @@
 
 impl StoreError {
     /// What an operator can do.
-    pub fn advice(&self) -> &'static str {
+    pub fn help(&self) -> &'static str {
         match self {
             StoreError::InUse => "stop the process that has it, or give each its own folder",
             StoreError::Folder(_) => "make the folder's parent, and let the process's user write there",
@@ -237,7 +237,7 @@
             write.open_table(META).map_err(other)?.insert(FORMAT_KEY, file_format::FIRST).map_err(other)?;
             write.open_table(CLIENTS).map_err(other)?;
             write.open_table(GROUPS).map_err(other)?;
-            write.open_table(STREAMERS).map_err(other)?;
+            write.open_table(ENDPOINTS).map_err(other)?;
             return write.commit().map_err(other);
         }
         let meta = read.open_table(META).map_err(other)?;
@@ -271,9 +271,9 @@
     }
 
     /// What the tags in the records stand for.
-    pub fn names(&self) -> Result<Vec<Name>, StoreError> {
+    pub fn names(&self) -> Result<Vec<EndpointName>, StoreError> {
         let read = self.db.begin_read().map_err(other)?;
-        let table = read.open_table(STREAMERS).map_err(other)?;
+        let table = read.open_table(ENDPOINTS).map_err(other)?;
         let rows = table.iter().map_err(other)?;
         rows.map(|row| Ok(decode(row.map_err(other)?.1.value()))).filter_map(Result::transpose).collect()
     }
@@ -293,9 +293,9 @@
                 let table = if kind == Kind::Groups { &mut groups } else { &mut clients };
                 table.insert(key, encode(record)?.as_slice()).map_err(other)?;
             }
-            let mut streamers = write.open_table(STREAMERS).map_err(other)?;
+            let mut endpoints = write.open_table(ENDPOINTS).map_err(other)?;
             for name in &changes.names {
-                streamers.insert(u32::from_le_bytes(name.tag.0), encode(name)?.as_slice()).map_err(other)?;
+                endpoints.insert(u32::from_le_bytes(name.tag.0), encode(name)?.as_slice()).map_err(other)?;
             }
         }
         write.commit().map_err(other)
@@ -304,7 +304,7 @@
     /// Drops records set before then, damaged ones, and names that no record uses; says how many records.
     pub fn prune(&self, oldest: Millis) -> Result<u64, StoreError> {
         let write = self.db.begin_write().map_err(other)?;
-        let (mut dropped, mut used) = (0, HashSet::<Tag>::new());
+        let (mut dropped, mut used) = (0, HashSet::<EndpointTag>::new());
         for (table, _) in TABLES {
             let mut table = write.open_table(table).map_err(other)?;
             let keep = |_: u64, value: &[u8]| {
@@ -319,8 +319,8 @@
             table.retain(keep).map_err(other)?;
         }
         {
-            let mut streamers = write.open_table(STREAMERS).map_err(other)?;
-            streamers.retain(|tag, _| used.contains(&Tag(tag.to_le_bytes()))).map_err(other)?;
+            let mut endpoints = write.open_table(ENDPOINTS).map_err(other)?;
+            endpoints.retain(|tag, _| used.contains(&EndpointTag(tag.to_le_bytes()))).map_err(other)?;
         }
         write.commit().map_err(other)?;
         Ok(dropped)
--- a/crates/affinity-store/src/writer.rs
+++ b/crates/affinity-store/src/writer.rs
@@ -1,5 +1,5 @@
 //! Writing behind: a thread of its own takes batches and writes them, so that a slow or full disk never holds a
-//! flow up.
+//! connection up.
 //!
 //! [`Writer`] owns the store and what a failed disk has not taken yet. It is fed batches over a short queue; who
 //! finds it full keeps its changes and comes again. It gives figures. After a failure it opens the store anew,
@@ -14,7 +14,7 @@
 
 use log::{error, info};
 use sandgw_affinity::codec::Kind;
-use sandgw_affinity::endpoint_registry::{Name, Tag};
+use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
 use sandgw_affinity::{Changes, Millis, Record};
 
 use crate::{Opened, Store, StoreError, guarded};
@@ -55,7 +55,7 @@
 enum Order {
     Write(Changes),
     Prune(Millis),
-    Form { form: u64, finalized: u64 },
+    SchemaVersion { form: u64, finalized: u64 },
 }
 
 /// The handle of the writing thread; it ends once this is dropped and all is written that the disk takes.
@@ -100,7 +100,7 @@
 
     /// Has the file moved to a form, and finalized at another or the same; whether the queue took the order.
     pub fn move_to(&self, form: u64, finalized: u64) -> bool {
-        self.order(Order::Form { form, finalized }).is_ok()
+        self.order(Order::SchemaVersion { form, finalized }).is_ok()
     }
 
     fn order(&self, order: Order) -> Result<(), Order> {
@@ -140,7 +140,7 @@
 #[derive(Default)]
 struct Pending {
     entries: BTreeMap<(Kind, u64), Option<Record>>,
-    names: HashMap<Tag, Name>,
+    names: HashMap<EndpointTag, EndpointName>,
 }
 
 impl Pending {
@@ -205,7 +205,7 @@
                     }
                 }
                 Ok(Order::Prune(oldest)) => self.prune(oldest),
-                Ok(Order::Form { form, finalized }) => {
+                Ok(Order::SchemaVersion { form, finalized }) => {
                     self.wanted = Some((form, finalized));
                     self.move_to();
                 }
@@ -265,7 +265,7 @@
             }
             Err(e @ (StoreError::Future { .. } | StoreError::Finalized { .. })) => {
                 self.wanted = None;
-                error!("state.folder: {e}; {}", e.advice());
+                error!("state.folder: {e}; {}", e.help());
             }
             Err(e) => self.failed(&e),
         }
--- a/crates/affinity-store/tests/faults.rs
+++ b/crates/affinity-store/tests/faults.rs
@@ -9,17 +9,21 @@
 use disk::{Disk, until};
 use proptest::prelude::*;
 use sandgw_affinity::codec::Kind;
-use sandgw_affinity::endpoint_registry::{Name, Tag};
+use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
 use sandgw_affinity::{Changes, Record};
 use sandgw_affinity_store::writer::Writer;
 use sandgw_affinity_store::{FILE, Store, StoreError, commands};
 
 fn client(key: u64, at: f64) -> Record {
-    Record::Session { key, holder: Tag::of("s-1", 0.0), at }
+    Record::Session { key, holder: EndpointTag::of("s-1", 0.0), at }
 }
 
 fn group(key: u64, load: f32) -> Record {
-    Record::Group { key, holders: vec![(Tag::of("s-1", 0.0), load), (Tag::of("s-2", 5.0), 0.5)], at: 7.0 }
+    Record::Group {
+        key,
+        holders: vec![(EndpointTag::of("s-1", 0.0), load), (EndpointTag::of("s-2", 5.0), 0.5)],
+        at: 7.0,
+    }
 }
 
 fn set(records: impl IntoIterator<Item = Record>) -> Changes {
@@ -180,8 +184,8 @@
     drop(db);
     let store = Store::open(folder.path()).unwrap().store;
     let names = vec![
-        Name { tag: Tag::of("s-1", 0.0), id: "s-1".into(), started: 0.0 },
-        Name { tag: Tag::of("s-9", 0.0), id: "s-9".into(), started: 0.0 },
+        EndpointName { tag: EndpointTag::of("s-1", 0.0), id: "s-1".into(), started: 0.0 },
+        EndpointName { tag: EndpointTag::of("s-9", 0.0), id: "s-9".into(), started: 0.0 },
     ];
     store.write(&Changes { names, ..set([client(4, 100.0), client(5, 10.0)]) }).unwrap();
     let loaded = store.load(|_| {}).unwrap();
@@ -284,7 +288,7 @@
     let (one, other) = (folder(), folder());
     written(one.path());
     let store = Store::open(one.path()).unwrap().store;
-    let names = vec![Name { tag: Tag::of("s-1", 0.0), id: "s-1".into(), started: 0.0 }];
+    let names = vec![EndpointName { tag: EndpointTag::of("s-1", 0.0), id: "s-1".into(), started: 0.0 }];
     store.write(&Changes { names: names.clone(), ..Changes::default() }).unwrap();
     let wanted = contents(&store);
     drop(store);
@@ -298,7 +302,7 @@
     drop(store);
     let summary = commands::show(other.path(), 3).unwrap();
     assert_eq!((summary.clients + summary.groups) as usize, wanted.len());
-    assert_eq!((summary.largest.len(), summary.holders[0].streamer.as_str()), (3, "s-1"));
+    assert_eq!((summary.largest.len(), summary.holders[0].endpoint.as_str()), (3, "s-1"));
     let (before, after) = commands::compact(other.path()).unwrap();
     assert!(after <= before && commands::verify(other.path()).unwrap().records as usize == wanted.len());
     let bad = [
--- a/crates/affinity-store/tests/forms.rs
+++ b/crates/affinity-store/tests/forms.rs
@@ -8,13 +8,13 @@
 
 use disk::Disk;
 use sandgw_affinity::codec::Kind;
-use sandgw_affinity::endpoint_registry::Tag;
+use sandgw_affinity::endpoint_registry::EndpointTag;
 use sandgw_affinity::{Changes, Record};
 use sandgw_affinity_store::file_format::ShareRow;
 use sandgw_affinity_store::writer::Writer;
 use sandgw_affinity_store::{FILE, Store, StoreError};
 
-/// A file as the program of before forms had numbers wrote it: three clients, a group, two streamers.
+/// A file as the program of before forms had numbers wrote it: three clients, a group, two endpoints.
 const FORM_1: &[u8] = include_bytes!("fixtures/form-1.redb");
 
 fn contents(store: &Store) -> Vec<((Kind, u64), Record)> {
@@ -47,7 +47,7 @@
     assert_eq!((store.form().unwrap(), store.names().unwrap().len()), (1, 2));
     let before = contents(&store);
     assert_eq!(before.len(), 4);
-    let holder = Tag::of("10.0.0.1:8003", 0.0);
+    let holder = EndpointTag::of("10.0.0.1:8003", 0.0);
     let client = Record::Session { key: 0xab_cdef_0123, holder, at: 3000.5 };
     assert!(before.iter().any(|(_, r)| *r == client));
     for n in [0, 3, 2] {
@@ -101,7 +101,7 @@
 }
 
 fn client(key: u64) -> Record {
-    Record::Session { key, holder: Tag::of("s-1", 0.0), at: 5.0 }
+    Record::Session { key, holder: EndpointTag::of("s-1", 0.0), at: 5.0 }
 }
 
 #[test]
@@ -123,7 +123,7 @@
     drop(db);
     let before = std::fs::read_dir(folder.path()).unwrap().count();
     let refused = Store::open(folder.path()).unwrap_err();
-    assert!(refused.to_string().contains("form 7") && refused.advice().contains("version that wrote it"));
+    assert!(refused.to_string().contains("form 7") && refused.help().contains("version that wrote it"));
     assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), before, "nothing is set aside");
 }
 
--- a/crates/affinity/src/codec.rs
+++ b/crates/affinity/src/codec.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::endpoint_registry::Tag;
+use crate::endpoint_registry::EndpointTag;
 
 /// Most bytes of a piece as text, its version included.
 pub const MOST_BYTES: usize = 256;
@@ -18,10 +18,10 @@
 pub const BUCKETS: usize = 32;
 /// Bytes that rows may fill of what 256 bytes of text hold, less the piece's own head.
 pub(crate) const ROOM: usize = (MOST_BYTES - 1) / 4 * 3 - 16;
-/// Streamers that a piece names with their load: two bytes for a tag, two for a load.
-pub const STREAMERS: usize = ROOM / 4;
-/// Streamers that a piece names as leaving, beside ten bytes for the list's version.
-pub const LEAVING: usize = (ROOM - 10) / size_of::<StreamerHash>();
+/// Endpoints that a piece names with their load: two bytes for a tag, two for a load.
+pub const ENDPOINTS: usize = ROOM / 4;
+/// Endpoints that a piece names as leaving, beside ten bytes for the list's version.
+pub const LEAVING: usize = (ROOM - 10) / size_of::<EndpointHash>();
 /// Parts of the greatest age that told ages are rounded up to; what is in the last one is not told.
 pub(crate) const AGES: u8 = 4;
 
@@ -46,23 +46,23 @@
     }
 }
 
-/// A streamer's id, hashed: among a thousand, one pair in half a billion is alike.
+/// An endpoint's id, hashed: among a thousand, one pair in half a billion is alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct StreamerHash(pub [u8; 6]);
+pub struct EndpointHash(pub [u8; 6]);
 
-impl StreamerHash {
+impl EndpointHash {
     /// Of an id.
-    pub fn of(id: &str) -> StreamerHash {
+    pub fn of(id: &str) -> EndpointHash {
         let [a, b, c, d, e, f, ..] = xxh3_64_with_seed(id.as_bytes(), 0).to_le_bytes();
-        StreamerHash([a, b, c, d, e, f])
+        EndpointHash([a, b, c, d, e, f])
     }
 }
 
 /// Clients that one incarnation holds, of about one age.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct StickyClients {
     /// The incarnation.
-    pub tag: Tag,
+    pub tag: EndpointTag,
     /// Their age in quarters of the greatest, rounded down.
     pub age: u8,
     /// Their keys.
@@ -75,7 +75,7 @@
     /// The group's key.
     pub key: [u8; 8],
     /// Its holders.
-    pub holders: Vec<(Tag, u16)>,
+    pub holders: Vec<(EndpointTag, u16)>,
 }
 
 /// Which table is meant.
@@ -89,11 +89,11 @@
 
 /// A piece; `round` is a number that its asker drew, so that what was meant for an earlier life of it shows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Piece {
+pub enum ClusterMessage {
     /// New places of clients, unasked: an incarnation and those it holds now.
-    News(Vec<(Tag, Vec<Client>)>),
+    LocationUpdate(Vec<(EndpointTag, Vec<Client>)>),
     /// Asks for all that differs from what these digests tell, one for each bucket.
-    Ask {
+    SyncRequest {
         /// The asker's number.
         round: u32,
         /// Which table.
@@ -102,7 +102,7 @@
         digests: Vec<[u8; 4]>,
     },
     /// How many pieces will come of each bucket; none of one that does not differ.
-    Plan {
+    SyncPlan {
         /// The asker's number.
         round: u32,
         /// Which table.
@@ -119,7 +119,7 @@
         /// Number of the piece in it.
         number: u16,
         /// The rows.
-        rows: Vec<Held>,
+        rows: Vec<StickyClients>,
     },
     /// Groups.
     Groups {
@@ -133,7 +133,7 @@
         rows: Vec<GroupRow>,
     },
     /// Asks again for pieces that did not come.
-    Again {
+    Resend {
         /// The asker's number.
         round: u32,
         /// Which table.
@@ -144,38 +144,38 @@
         numbers: Vec<u16>,
     },
     /// Asks where clients stand; the answer is news of those that are known.
-    Where(Vec<Client>),
-    /// What the teller holds: short tags of streamers, and load in mean connections.
-    Holds(Vec<([u8; 2], u8)>),
+    LocationQuery(Vec<Client>),
+    /// What the teller holds: short tags of endpoints, and load in mean connections.
+    LoadReport(Vec<([u8; 2], u8)>),
     /// What the tier holds, as far as the teller has heard.
-    Loads {
-        /// At all streamers, in mean connections.
+    ClusterLoads {
+        /// At all endpoints, in mean connections.
         total: u32,
-        /// Tags of streamers and their load, of those that carry most for their size.
+        /// Tags of endpoints and their load, of those that carry most for their size.
         rows: Vec<([u8; 2], u16)>,
     },
     /// How much time each of the tier's calls of discovery is to be left. A relay of a version before it reads none.
-    Calls {
+    PollRate {
         /// Milliseconds for each call.
         each: u16,
         /// What the call took that this rests on, in milliseconds.
         took: u16,
     },
-    /// A set-up of the teller's has come late at this streamer. A relay of a version before it reads none.
-    Late([u8; 2]),
-    /// Streamers that drain or are gone, as of a version of discovery's list. A relay of a version before it reads none.
-    Leaving {
+    /// A set-up of the teller's has come late at this endpoint. A relay of a version before it reads none.
+    OverloadNotice([u8; 2]),
+    /// Endpoints that drain or are gone, as of a version of discovery's list. A relay of a version before it reads none.
+    Draining {
         /// The list's version.
         revision: u64,
         /// At most [`LEAVING`] of them.
-        streamers: Vec<StreamerHash>,
+        endpoints: Vec<EndpointHash>,
     },
-    /// Asks for streamers that have left since the asker's version of the list, 0 where it has none. A relay of a
+    /// Asks for endpoints that have left since the asker's version of the list, 0 where it has none. A relay of a
     /// version before it reads none.
-    Left(u64),
+    DrainQuery(u64),
 }
 
-impl Piece {
+impl ClusterMessage {
     /// The piece as text; nothing where it would be too long, which no piece made here is.
     pub fn text(&self) -> Option<String> {
         let bytes = postcard::to_allocvec(self).ok()?;
@@ -185,10 +185,10 @@
     }
 
     /// Reads a piece; nothing of what is none.
-    pub fn read(text: &str) -> Option<Piece> {
+    pub fn read(text: &str) -> Option<ClusterMessage> {
         let rest = text.strip_prefix(VERSION).filter(|_| text.len() <= MOST_BYTES)?;
         let bytes = STANDARD_NO_PAD.decode(rest).ok()?;
-        match postcard::take_from_bytes::<Piece>(&bytes).ok()? {
+        match postcard::take_from_bytes::<ClusterMessage>(&bytes).ok()? {
             (piece, []) => Some(piece),
             _ => None,
         }
@@ -196,9 +196,9 @@
 }
 
 /// Cuts clients into rows that fit a piece each. They are to be sorted by tag and age.
-pub(crate) fn held_rows(clients: impl Iterator<Item = (Tag, u8, u64)>) -> Vec<Vec<Held>> {
-    const HEAD: usize = size_of::<Tag>() + 2;
-    let (mut pieces, mut rows, mut used): (Vec<_>, Vec<Held>, usize) = (Vec::new(), Vec::new(), 0);
+pub(crate) fn held_rows(clients: impl Iterator<Item = (EndpointTag, u8, u64)>) -> Vec<Vec<StickyClients>> {
+    const HEAD: usize = size_of::<EndpointTag>() + 2;
+    let (mut pieces, mut rows, mut used): (Vec<_>, Vec<StickyClients>, usize) = (Vec::new(), Vec::new(), 0);
     for (tag, age, key) in clients {
         let same = rows.last().is_some_and(|h| (h.tag, h.age) == (tag, age));
         let needs = size_of::<Client>() + if same { 0 } else { HEAD };
@@ -208,7 +208,7 @@
             used = 0;
         }
         if fresh || !same {
-            rows.push(Held { tag, age, clients: Vec::new() });
+            rows.push(StickyClients { tag, age, clients: Vec::new() });
             used += HEAD;
         }
         used += size_of::<Client>();
@@ -223,7 +223,7 @@
     let (mut pieces, mut rows, mut used) = (Vec::new(), Vec::new(), 0);
     for row in groups {
         // A load takes up to three bytes.
-        let needs = size_of_val(&row.key) + 1 + row.holders.len() * (size_of::<Tag>() + 3);
+        let needs = size_of_val(&row.key) + 1 + row.holders.len() * (size_of::<EndpointTag>() + 3);
         if used + needs > ROOM && !rows.is_empty() {
             pieces.push(std::mem::take(&mut rows));
             used = 0;
--- a/crates/affinity/src/endpoint_registry.rs
+++ b/crates/affinity/src/endpoint_registry.rs
@@ -1,9 +1,9 @@
-//! Which incarnations of streamers there are, and which of them may be handed out.
+//! Which incarnations of endpoints there are, and which of them may be handed out.
 //!
-//! An incarnation is a streamer's id and the time of its start. Entries of the tables name one by a small
-//! number ([`Holder`]) that is worth nothing once the incarnation has gone: so one look tells whether an entry
-//! still counts, and a streamer's end costs the same however many entries name it. Fed lists and tags; gives
-//! numbers and names. It never hands out a streamer that the list does not name as ready.
+//! An incarnation is an endpoint's id and the time of its start. Entries of the tables name one by a small
+//! number ([`StickyEndpoint`]) that is worth nothing once the incarnation has gone: so one look tells whether an entry
+//! still counts, and an endpoint's end costs the same however many entries name it. Fed lists and tags; gives
+//! numbers and names. It never hands out an endpoint that the list does not name as ready.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 /// How long one of them may wait for a list to name it. Lists come seconds late.
 const WAITS: Millis = 60_000.0;
 
-/// What the list says of a streamer.
+/// What the list says of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// It takes work.
@@ -25,28 +25,28 @@
     /// It completes work and takes nothing new.
     Draining,
     /// It is not there any more.
-    Gone,
+    Removed,
 }
 
 /// An incarnation as other relays and the store name it: a hash of id and start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Tag(pub [u8; 4]);
+pub struct EndpointTag(pub [u8; 4]);
 
-impl Tag {
-    /// The tag of a streamer that started then, in milliseconds; 0 for long past.
-    pub fn of(id: &str, started: Millis) -> Tag {
+impl EndpointTag {
+    /// The tag of an endpoint that started then, in milliseconds; 0 for long past.
+    pub fn of(id: &str, started: Millis) -> EndpointTag {
         // Whole milliseconds: the same however the list's number was read.
         let start = started.max(0.0).round() as u64;
-        Tag((xxh3_64_with_seed(id.as_bytes(), start) as u32).to_le_bytes())
+        EndpointTag((xxh3_64_with_seed(id.as_bytes(), start) as u32).to_le_bytes())
     }
 }
 
 /// What a tag stands for.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Name {
+pub struct EndpointName {
     /// The tag.
-    pub tag: Tag,
-    /// The streamer's id.
+    pub tag: EndpointTag,
+    /// The endpoint's id.
     pub id: String,
     /// When it started, in milliseconds; 0 for long past.
     pub started: Millis,
@@ -54,35 +54,35 @@
 
 /// An incarnation as entries name it: the number of its place, and how often that was given away before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holder {
+pub struct StickyEndpoint {
     slot: u16,
     generation: u16,
 }
 
 struct Slot {
     generation: u16,
-    tag: Tag,
+    tag: EndpointTag,
     /// Nothing while no list has named it, and the time when it was first heard of.
     id: Option<Arc<str>>,
     since: Millis,
     started: Millis,
     state: State,
-    /// Its name has been given out by [`Members::names`].
+    /// Its name has been given out by [`EndpointRegistry::names`].
     named: bool,
 }
 
-/// The members; see the module's text.
+/// The members; see the load balancer's text.
 #[derive(Default)]
-pub struct Members {
+pub struct EndpointRegistry {
     slots: Vec<Slot>,
     free: Vec<u16>,
-    tags: HashMap<Tag, u16>,
+    tags: HashMap<EndpointTag, u16>,
     ids: HashMap<Arc<str>, u16>,
     unlisted: usize,
 }
 
-impl Members {
-    /// Takes a list, whole or changes to it: each streamer's id, start and state.
+impl EndpointRegistry {
+    /// Takes a list, whole or changes to it: each endpoint's id, start and state.
     pub fn list<'a>(
         &mut self,
         now: Millis,
@@ -91,7 +91,7 @@
     ) {
         let mut named = vec![false; if whole { self.slots.len() } else { 0 }];
         for (id, started, state) in entries {
-            let tag = Tag::of(id, started);
+            let tag = EndpointTag::of(id, started);
             if let Some(old) = self.ids.get(id).copied() {
                 let slot = &self.slots[usize::from(old)];
                 if slot.tag != tag && started < slot.started {
@@ -99,11 +99,11 @@
                     named.get_mut(usize::from(old)).into_iter().for_each(|n| *n = true);
                     continue;
                 }
-                if slot.tag != tag || state == State::Gone {
+                if slot.tag != tag || state == State::Removed {
                     self.retire(old);
                 }
             }
-            if state == State::Gone {
+            if state == State::Removed {
                 continue;
             }
             let Some(at) = self.slot(now, tag) else { continue };
@@ -120,36 +120,36 @@
         for at in 0..self.slots.len() {
             let slot = &self.slots[at];
             let missing = slot.id.is_some() && named.get(at) == Some(&false);
-            let waited = slot.id.is_none() && slot.state != State::Gone && now - slot.since > WAITS;
+            let waited = slot.id.is_none() && slot.state != State::Removed && now - slot.since > WAITS;
             if missing || waited {
                 self.retire(at as u16);
             }
         }
     }
 
-    /// The name for entries of a listed streamer.
-    pub fn of(&self, id: &str) -> Option<Holder> {
+    /// The name for entries of a listed endpoint.
+    pub fn of(&self, id: &str) -> Option<StickyEndpoint> {
         self.ids.get(id).map(|at| self.holder(*at))
     }
 
     /// The name for entries of an incarnation that was told of or loaded. It counts once a list names it.
-    pub fn tagged(&mut self, now: Millis, tag: Tag) -> Option<Holder> {
+    pub fn tagged(&mut self, now: Millis, tag: EndpointTag) -> Option<StickyEndpoint> {
         let at = self.slot(now, tag)?;
         Some(self.holder(at))
     }
 
-    /// The streamer, if it is the incarnation meant and ready.
-    pub fn live(&self, holder: Holder) -> Option<&Arc<str>> {
+    /// The endpoint, if it is the incarnation meant and ready.
+    pub fn live(&self, holder: StickyEndpoint) -> Option<&Arc<str>> {
         let slot = self.current(holder)?;
         slot.id.as_ref().filter(|_| slot.state == State::Ready)
     }
 
     /// Names of incarnations that a list has named since the last call.
-    pub fn names(&mut self) -> impl Iterator<Item = Name> {
+    pub fn names(&mut self) -> impl Iterator<Item = EndpointName> {
         self.slots.iter_mut().filter_map(|s| {
             let id = s.id.as_ref()?.to_string();
             let fresh = !std::mem::replace(&mut s.named, true);
-            fresh.then_some(Name { tag: s.tag, id, started: s.started })
+            fresh.then_some(EndpointName { tag: s.tag, id, started: s.started })
         })
     }
 
@@ -159,26 +159,26 @@
     }
 
     /// Whether nothing will ever come of it.
-    pub fn dead(&self, holder: Holder) -> bool {
+    pub fn dead(&self, holder: StickyEndpoint) -> bool {
         self.current(holder).is_none()
     }
 
     /// How others are told of it; nothing of one that has gone.
-    pub fn tag(&self, holder: Holder) -> Option<Tag> {
+    pub fn tag(&self, holder: StickyEndpoint) -> Option<EndpointTag> {
         self.current(holder).map(|s| s.tag)
     }
 
-    fn current(&self, holder: Holder) -> Option<&Slot> {
+    fn current(&self, holder: StickyEndpoint) -> Option<&Slot> {
         let slot = self.slots.get(usize::from(holder.slot))?;
-        (slot.generation == holder.generation && slot.state != State::Gone).then_some(slot)
+        (slot.generation == holder.generation && slot.state != State::Removed).then_some(slot)
     }
 
-    fn holder(&self, at: u16) -> Holder {
-        Holder { slot: at, generation: self.slots[usize::from(at)].generation }
+    fn holder(&self, at: u16) -> StickyEndpoint {
+        StickyEndpoint { slot: at, generation: self.slots[usize::from(at)].generation }
     }
 
     /// The place of an incarnation, a new one where it has none.
-    fn slot(&mut self, now: Millis, tag: Tag) -> Option<u16> {
+    fn slot(&mut self, now: Millis, tag: EndpointTag) -> Option<u16> {
         if let Some(at) = self.tags.get(&tag) {
             return Some(*at);
         }
@@ -214,7 +214,7 @@
     /// Voids all entries that name it.
     fn retire(&mut self, at: u16) {
         let slot = &mut self.slots[usize::from(at)];
-        slot.state = State::Gone;
+        slot.state = State::Removed;
         self.tags.remove(&slot.tag);
         match slot.id.take() {
             Some(id) => drop(self.ids.remove(&id)),
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a relay remembers of where clients' connections stand and which streamers hold which groups.
+//! What a relay remembers of where clients' connections stand and which endpoints hold which groups.
 //!
-//! [`Affinity`] owns both tables within a fixed number of bytes. It is fed placements, the list of streamers,
+//! [`Affinity`] owns both tables within a fixed number of bytes. It is fed placements, the list of endpoints,
 //! what other relays tell ([`replication`]) and what a store has kept ([`Record`]), each with the time; it gives
 //! holders that are ready now, the groups' estimated sizes, and the changes to be kept. It never does I/O, never
-//! decides where a flow goes, and never names a streamer that the list does not name as ready: entries point at
+//! decides where a connection goes, and never names an endpoint that the list does not name as ready: entries point at
 //! incarnations, see [`endpoint_registry`].
 
 #![forbid(unsafe_code)]
@@ -21,9 +21,9 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use codec::{BUCKETS, Client, GroupRow, Held, Kind, Piece};
-use endpoint_registry::{Holder, Members, Name, State, Tag};
-use table::{Gone, Table};
+use codec::{BUCKETS, Client, ClusterMessage, GroupRow, Kind, StickyClients};
+use endpoint_registry::{EndpointName, EndpointRegistry, EndpointTag, State, StickyEndpoint};
+use table::{Evicted, Table};
 
 /// Milliseconds, as a point on the caller's clock or as a span.
 pub type Millis = f64;
@@ -50,7 +50,7 @@
     /// Relays of the tier, this one included.
     pub relays: u32,
     /// Number of this one.
-    pub me: u32,
+    pub local_index: u32,
     /// Bytes that are told to other relays, in any second at the most, but for news.
     pub rate: f64,
 }
@@ -59,14 +59,14 @@
     /// A table for some ten thousand clients, for connections of the usual length.
     fn default() -> Self {
         let (bytes, rate) = (1 << 20, 65_536.0);
-        Limits { bytes, max_age: 900_000.0, life: 55_000.0, relays: 1, me: 0, rate }
+        Limits { bytes, max_age: 900_000.0, life: 55_000.0, relays: 1, local_index: 0, rate }
     }
 }
 
-/// A streamer's part of a group.
+/// An endpoint's part of a group.
 #[derive(Clone, Copy, Default)]
 struct Share {
-    holder: Holder,
+    holder: StickyEndpoint,
     /// Load that this relay placed there, and load that the others told of, as of the tick.
     own: f32,
     told: f32,
@@ -94,7 +94,7 @@
         /// The client's key.
         key: u64,
         /// Its holder.
-        holder: Tag,
+        holder: EndpointTag,
         /// When it was placed.
         at: Millis,
     },
@@ -103,7 +103,7 @@
         /// The group's key.
         key: u64,
         /// Holders and loads, in mean connections.
-        holders: Vec<(Tag, f32)>,
+        holders: Vec<(EndpointTag, f32)>,
         /// When it was last changed.
         at: Millis,
     },
@@ -134,7 +134,7 @@
     /// Keys that are no longer there.
     pub gone: Vec<(Kind, u64)>,
     /// What their holders' tags stand for, where that has not been said before.
-    pub names: Vec<Name>,
+    pub names: Vec<EndpointName>,
 }
 
 impl Changes {
@@ -190,8 +190,8 @@
 /// Where clients and groups are held; see the crate's text.
 pub struct Affinity {
     limits: Limits,
-    members: Members,
-    sessions: Table<Holder>,
+    members: EndpointRegistry,
+    sessions: Table<StickyEndpoint>,
     groups: Table<Group>,
     /// Time of tick 0, and the latest time: time never goes back here.
     base: Millis,
@@ -217,7 +217,7 @@
         let tables = limits.bytes / 4 * 3;
         Affinity {
             limits,
-            members: Members::default(),
+            members: EndpointRegistry::default(),
             sessions: Table::within(tables / 2),
             groups: Table::within(tables / 2),
             base: now - limits.max_age,
@@ -239,8 +239,8 @@
     }
 
     /// There are now so many relays, of which this one has that number.
-    pub fn renumber(&mut self, relays: u32, me: u32) {
-        (self.limits.relays, self.limits.me) = (relays, me);
+    pub fn renumber(&mut self, relays: u32, local_index: u32) {
+        (self.limits.relays, self.limits.local_index) = (relays, local_index);
     }
 
     /// The key of a client in the table of sessions.
@@ -248,7 +248,7 @@
         xxh3_64(key) & ((1 << Client::BITS) - 1)
     }
 
-    /// Takes a list of streamers, whole or changes to it.
+    /// Takes a list of endpoints, whole or changes to it.
     pub fn list<'a>(
         &mut self,
         now: Millis,
@@ -260,15 +260,15 @@
     }
 
     /// Notes where a client's connection stands; whether that is news.
-    pub fn note(&mut self, now: Millis, client: u64, streamer: &str) -> bool {
+    pub fn note(&mut self, now: Millis, client: u64, endpoint: &str) -> bool {
         let tick = self.tick(now);
-        let Some(holder) = self.members.of(streamer) else { return false };
+        let Some(holder) = self.members.of(endpoint) else { return false };
         let before = self.sessions.peek(client).map(|(holder, _)| holder);
         self.set_session(tick, client, holder);
         before != Some(holder)
     }
 
-    /// The streamer that a client's connection stands at, if that is known and it is ready.
+    /// The endpoint that a client's connection stands at, if that is known and it is ready.
     pub fn session(&self, client: u64) -> Option<Arc<str>> {
         // Not a use that keeps the client: each is placed once, and what is older goes first.
         let (holder, _) = self.sessions.peek(client).filter(|(_, set)| *set >= self.oldest())?;
@@ -278,9 +278,9 @@
     }
 
     /// Notes a connection of a group, with its load in mean connections.
-    pub fn place(&mut self, now: Millis, group: u64, streamer: &str, load: f64) {
+    pub fn place(&mut self, now: Millis, group: u64, endpoint: &str, load: f64) {
         let tick = self.tick(now);
-        let Some(holder) = self.members.of(streamer) else { return };
+        let Some(holder) = self.members.of(endpoint) else { return };
         self.count(load);
         // Asked for: one more connection is what keeps a group.
         let known = self.groups.get(group).map(|(group, _)| group).unwrap_or_default();
@@ -288,7 +288,7 @@
         self.set_group(tick, group, self.with(known, tick, placed));
     }
 
-    /// The streamers that hold a group and are ready, the heaviest first, with their load in mean connections as
+    /// The endpoints that hold a group and are ready, the heaviest first, with their load in mean connections as
     /// far as it is known here.
     pub fn holders(&self, now: Millis, group: u64) -> Vec<(Arc<str>, f64)> {
         let tick = self.at(now.max(self.now));
@@ -387,12 +387,12 @@
         entry
     }
 
-    fn set_session(&mut self, tick: u32, key: u64, holder: Holder) {
+    fn set_session(&mut self, tick: u32, key: u64, holder: StickyEndpoint) {
         let gone = self.sessions.set(tick, key, holder);
         self.lost(Kind::Sessions, gone.map(|g| g.key));
         let (oldest, members, mut gone) = (self.oldest(), &self.members, Vec::new());
         self.sessions.sweep(SWEEP, oldest, |h| members.dead(*h), &mut gone);
-        self.lost(Kind::Sessions, gone.iter().map(|g: &Gone<_>| g.key));
+        self.lost(Kind::Sessions, gone.iter().map(|g: &Evicted<_>| g.key));
     }
 
     fn set_group(&mut self, tick: u32, key: u64, group: Group) {
@@ -401,7 +401,7 @@
         let (oldest, members, mut gone) = (self.oldest(), &self.members, Vec::new());
         let dead = |g: &Group| g.shares().iter().all(|s| members.dead(s.holder));
         self.groups.sweep(SWEEP, oldest, dead, &mut gone);
-        self.lost(Kind::Groups, gone.iter().map(|g: &Gone<_>| g.key));
+        self.lost(Kind::Groups, gone.iter().map(|g: &Evicted<_>| g.key));
     }
 
     /// Remembers keys that the store is to drop. It is asked for its changes far more often than they fill the
@@ -416,7 +416,7 @@
 
     // --- what is told to and by other relays, see `tier` ---
 
-    pub(crate) fn told_session(&mut self, now: Millis, key: u64, tag: Tag, age: u8) {
+    pub(crate) fn told_session(&mut self, now: Millis, key: u64, tag: EndpointTag, age: u8) {
         let tick = self.tick(now);
         let aged = f64::from(age) * self.limits.max_age / f64::from(codec::AGES) / TICK;
         let set = tick.saturating_sub(aged as u32);
@@ -445,7 +445,7 @@
     }
 
     /// Clients to tell of: their holder, age and key.
-    pub(crate) fn held(&self, now: Millis) -> impl Iterator<Item = (Tag, u8, u64)> {
+    pub(crate) fn held(&self, now: Millis) -> impl Iterator<Item = (EndpointTag, u8, u64)> {
         let (tick, quarter) = (self.at(now), self.limits.max_age / f64::from(codec::AGES) / TICK);
         self.sessions.iter().filter_map(move |(key, holder, set)| {
             let age = (f64::from(tick.saturating_sub(set)) / quarter) as u8;
@@ -460,7 +460,7 @@
         self.groups.iter().filter_map(move |(key, group, _)| {
             let shares = group.shares().iter().map(|s| self.faded(s, tick)).filter(|s| s.own > NOTHING);
             let told = |s: Share| Some((self.members.tag(s.holder)?, (s.own * 16.0).round() as u16));
-            let mut holders: Vec<(Tag, u16)> = shares.filter_map(told).collect();
+            let mut holders: Vec<(EndpointTag, u16)> = shares.filter_map(told).collect();
             holders.sort_unstable();
             (!holders.is_empty()).then(|| GroupRow { key: key.to_le_bytes(), holders })
         })
@@ -478,7 +478,7 @@
 
     /// Places of clients as others are told them, cut into pieces that fit a datagram; of clients that are not
     /// known, or stand where the list names nobody ready, nothing.
-    pub fn news(&self, clients: &[u64]) -> Vec<Piece> {
+    pub fn news(&self, clients: &[u64]) -> Vec<ClusterMessage> {
         let held = clients.iter().filter_map(|key| {
             let (holder, _) = self.sessions.peek(*key)?;
             Some((self.members.tag(holder)?, 0, *key))
@@ -486,7 +486,9 @@
         let mut held: Vec<_> = held.collect();
         held.sort_unstable();
         held.dedup();
-        let news = |rows: Vec<Held>| Piece::News(rows.into_iter().map(|h| (h.tag, h.clients)).collect());
+        let news = |rows: Vec<StickyClients>| {
+            ClusterMessage::LocationUpdate(rows.into_iter().map(|h| (h.tag, h.clients)).collect())
+        };
         codec::held_rows(held.into_iter()).into_iter().map(news).collect()
     }
 
@@ -588,7 +590,10 @@
 
     /// Most bytes that the tables take, by table.
     pub fn most_bytes(&self) -> (usize, usize) {
-        (Table::<Holder>::bytes_for(self.sessions.most()), Table::<Group>::bytes_for(self.groups.most()))
+        (
+            Table::<StickyEndpoint>::bytes_for(self.sessions.most()),
+            Table::<Group>::bytes_for(self.groups.most()),
+        )
     }
 
     fn tick(&mut self, now: Millis) -> u32 {
--- a/crates/affinity/src/replication.rs
+++ b/crates/affinity/src/replication.rs
@@ -1,6 +1,6 @@
 //! How a relay that starts gets its tables back from the others, and how they tell each other what is new.
 //!
-//! [`Tier`] owns what is under way: what this relay asks others for and what it is answering. It is fed pieces
+//! [`Replication`] owns what is under way: what this relay asks others for and what it is answering. It is fed pieces
 //! and the time; it gives pieces to send and when it wants to be called again. It never sends unasked, and
 //! never more than the stated rate allows. News of clients' places is told by another crate, `sandgw-tier`.
 //!
@@ -13,18 +13,18 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::codec::{BUCKETS, Held, Kind, Piece, group_rows, held_rows};
-use crate::endpoint_registry::Tag;
+use crate::codec::{BUCKETS, ClusterMessage, Kind, StickyClients, group_rows, held_rows};
+use crate::endpoint_registry::EndpointTag;
 use crate::{Affinity, Millis, by_bucket};
 
 /// Relays asked for their groups, and those asked for clients one after another: a large tier's mean is known
 /// from few.
 const MOST_ASKED: usize = 8;
 const MOST_COMPARED: usize = 3;
-/// Up to so many relays each is told of all that is placed: a flow then costs no more datagrams than a question
+/// Up to so many relays each is told of all that is placed: a connection then costs no more datagrams than a question
 /// would. In larger tiers nobody knows all clients, and who starts asks for a few relays' groups only: with more
 /// questions than each relay answers at a time, most would be asked again and again.
-pub const ALL_TOLD: u32 = 8;
+pub const FULL_MESH_RELAYS: u32 = 8;
 const FEW_ASKED: usize = 2;
 /// No piece for this long: what is missing is asked for again, so often without any progress.
 const WAIT: Millis = 300.0;
@@ -42,7 +42,7 @@
 /// Pieces wait for each other this long at the least, so that timers are few.
 const STEP: Millis = 10.0;
 /// What is to be sent, and to which relay.
-pub type Sends = Vec<(u32, Piece)>;
+pub type Sends = Vec<(u32, ClusterMessage)>;
 
 /// What this relay has asked another for.
 struct Asking {
@@ -52,7 +52,7 @@
     /// What has come, by bucket and number, once the plan is known.
     plan: Option<Vec<Vec<bool>>>,
     /// Pieces that overtook their plan.
-    early: Vec<Piece>,
+    early: Vec<ClusterMessage>,
     missing: usize,
     total: usize,
     /// Last progress, and tries since.
@@ -65,15 +65,15 @@
     peer: u32,
     round: u32,
     kind: Kind,
-    plan: Piece,
+    plan: ClusterMessage,
     /// Pieces by bucket, and those to be sent yet.
-    pieces: Vec<Vec<Piece>>,
+    pieces: Vec<Vec<ClusterMessage>>,
     queue: VecDeque<(u8, u16)>,
     touched: Millis,
 }
 
-/// The exchange with the other relays; see the module's text.
-pub struct Tier {
+/// The exchange with the other relays; see the load balancer's text.
+pub struct Replication {
     seed: u64,
     asking: Vec<Asking>,
     /// Relays still to be asked for clients.
@@ -88,10 +88,10 @@
     repeated: u64,
 }
 
-impl Tier {
+impl Replication {
     /// Nothing is under way yet. The seed is a new one with every start.
     pub fn new(seed: u64) -> Self {
-        Tier {
+        Replication {
             seed,
             asking: Vec::new(),
             compare: VecDeque::new(),
@@ -122,10 +122,11 @@
 
     /// Asks the other relays for what they know.
     pub fn recover(&mut self, affinity: &Affinity, now: Millis, out: &mut Sends) {
-        let (me, relays) = (affinity.limits().me, affinity.limits().relays);
+        let (local_index, relays) = (affinity.limits().local_index, affinity.limits().relays);
         // From the next in number on, so that many that start ask different ones first.
-        let mut others = (1..relays).map(|i| (me + i) % relays);
-        let (compared, asked) = if relays > ALL_TOLD { (0, FEW_ASKED) } else { (MOST_COMPARED, MOST_ASKED) };
+        let mut others = (1..relays).map(|i| (local_index + i) % relays);
+        let (compared, asked) =
+            if relays > FULL_MESH_RELAYS { (0, FEW_ASKED) } else { (MOST_COMPARED, MOST_ASKED) };
         self.compare = others.clone().take(compared).collect();
         self.asking.clear();
         let groups: Vec<u32> = others.by_ref().take(asked).collect();
@@ -150,17 +151,24 @@
     }
 
     /// Takes another relay's piece.
-    pub fn told(&mut self, affinity: &mut Affinity, now: Millis, peer: u32, piece: Piece, out: &mut Sends) {
+    pub fn told(
+        &mut self,
+        affinity: &mut Affinity,
+        now: Millis,
+        peer: u32,
+        piece: ClusterMessage,
+        out: &mut Sends,
+    ) {
         self.refill(affinity, now);
         match piece {
-            Piece::News(rows) => {
+            ClusterMessage::LocationUpdate(rows) => {
                 let all = rows.iter().flat_map(|(tag, clients)| clients.iter().map(|c| (*tag, c.key())));
                 all.for_each(|(tag, client)| affinity.told_session(now, client, tag, 0));
             }
-            Piece::Ask { round, kind, digests } => {
+            ClusterMessage::SyncRequest { round, kind, digests } => {
                 self.serve(affinity, now, peer, (round, kind), &digests, out)
             }
-            Piece::Plan { round, kind, counts } => {
+            ClusterMessage::SyncPlan { round, kind, counts } => {
                 let plan =
                     |a: &&mut Asking| (a.peer, a.round, a.kind) == (peer, round, kind) && a.plan.is_none();
                 let Some(asking) = self.asking.iter_mut().find(plan) else { return };
@@ -179,7 +187,7 @@
                 }
                 early.into_iter().for_each(|piece| self.told(affinity, now, peer, piece, out));
             }
-            Piece::Sessions { round, .. } | Piece::Groups { round, .. }
+            ClusterMessage::Sessions { round, .. } | ClusterMessage::Groups { round, .. }
                 if self.asking.iter().any(|a| (a.peer, a.round) == (peer, round) && a.plan.is_none()) =>
             {
                 let asking = self.asking.iter_mut().find(|a| a.round == round);
@@ -188,19 +196,19 @@
                     .into_iter()
                     .for_each(|a| a.early.push(piece.clone()));
             }
-            Piece::Sessions { round, bucket, number, rows } => {
+            ClusterMessage::Sessions { round, bucket, number, rows } => {
                 if self.first(affinity, now, peer, (round, Kind::Sessions), (bucket, number)) {
                     take_held(affinity, now, &rows);
                     self.done(affinity, now, round, out);
                 }
             }
-            Piece::Groups { round, bucket, number, rows } => {
+            ClusterMessage::Groups { round, bucket, number, rows } => {
                 if self.first(affinity, now, peer, (round, Kind::Groups), (bucket, number)) {
                     rows.iter().for_each(|row| affinity.told_group(now, row));
                     self.done(affinity, now, round, out);
                 }
             }
-            Piece::Again { round, kind, bucket, numbers } => {
+            ClusterMessage::Resend { round, kind, bucket, numbers } => {
                 let this = |s: &&mut Serving| (s.peer, s.round, s.kind) == (peer, round, kind);
                 let Some(serving) = self.serving.iter_mut().find(this) else { return };
                 serving.touched = now;
@@ -214,13 +222,13 @@
                 self.pump(now, out);
             }
             // For who tells the news, for the census, and for those who ask discovery.
-            Piece::Where(_)
-            | Piece::Holds(_)
-            | Piece::Loads { .. }
-            | Piece::Calls { .. }
-            | Piece::Late(_)
-            | Piece::Leaving { .. }
-            | Piece::Left(_) => {}
+            ClusterMessage::LocationQuery(_)
+            | ClusterMessage::LoadReport(_)
+            | ClusterMessage::ClusterLoads { .. }
+            | ClusterMessage::PollRate { .. }
+            | ClusterMessage::OverloadNotice(_)
+            | ClusterMessage::Draining { .. }
+            | ClusterMessage::DrainQuery(_) => {}
         }
     }
 
@@ -300,11 +308,15 @@
             Kind::Sessions => {
                 let mut buckets = by_bucket(kind, affinity.held(now).map(|row| (row.2, row)));
                 for (bucket, rows) in (0..BUCKETS).filter_map(|b| Some((b, buckets.remove(&b)?))) {
-                    let mut rows: Vec<(Tag, u8, u64)> = rows;
+                    let mut rows: Vec<(EndpointTag, u8, u64)> = rows;
                     rows.sort_unstable();
                     let cut = held_rows(rows.into_iter()).into_iter().zip(0..);
-                    let piece =
-                        |(rows, number)| Piece::Sessions { round, bucket: bucket as u8, number, rows };
+                    let piece = |(rows, number)| ClusterMessage::Sessions {
+                        round,
+                        bucket: bucket as u8,
+                        number,
+                        rows,
+                    };
                     pieces[bucket] = cut.map(piece).collect();
                 }
             }
@@ -317,7 +329,8 @@
                         (std::cmp::Reverse(r.holders.iter().map(|h| u32::from(h.1)).sum::<u32>()), r.key)
                     });
                     let cut = group_rows(rows.into_iter()).into_iter().zip(0..);
-                    let piece = |(rows, number)| Piece::Groups { round, bucket: bucket as u8, number, rows };
+                    let piece =
+                        |(rows, number)| ClusterMessage::Groups { round, bucket: bucket as u8, number, rows };
                     pieces[bucket] = cut.map(piece).collect();
                 }
             }
@@ -327,7 +340,7 @@
         }
         let mut counts: Vec<u16> = pieces.iter().map(|p| p.len() as u16).collect();
         counts.truncate(counts.iter().rposition(|n| *n > 0).map_or(0, |last| last + 1));
-        let plan = Piece::Plan { round, kind, counts };
+        let plan = ClusterMessage::SyncPlan { round, kind, counts };
         self.send(peer, plan.clone(), out);
         let longest = pieces.iter().map(Vec::len).max().unwrap_or(0);
         let each = (0..longest).flat_map(|n| (0..BUCKETS).map(move |b| (b, n)));
@@ -369,7 +382,7 @@
             if !numbers.is_empty() {
                 room -= numbers.len();
                 self.repeated += numbers.len() as u64;
-                asked.push(Piece::Again { round, kind, bucket: bucket as u8, numbers });
+                asked.push(ClusterMessage::Resend { round, kind, bucket: bucket as u8, numbers });
             }
         }
         asked.into_iter().for_each(|piece| self.send(peer, piece, out));
@@ -418,20 +431,20 @@
     }
 
     /// Sends a piece. Questions and plans are few and not held back; they count all the same.
-    fn send(&mut self, peer: u32, piece: Piece, out: &mut Sends) {
+    fn send(&mut self, peer: u32, piece: ClusterMessage, out: &mut Sends) {
         self.allowed -= piece.text().map_or(0, |text| text.len()) as f64;
         out.push((peer, piece));
     }
 }
 
 /// What is asked. The groups' loads are each relay's own, so there is nothing to compare: all are wanted.
-fn question(affinity: &Affinity, now: Millis, round: u32, kind: Kind) -> Piece {
+fn question(affinity: &Affinity, now: Millis, round: u32, kind: Kind) -> ClusterMessage {
     let compare = kind == Kind::Sessions && affinity.figures().sessions > 0;
     let digests = if compare { affinity.digests(now) } else { Vec::new() };
-    Piece::Ask { round, kind, digests }
+    ClusterMessage::SyncRequest { round, kind, digests }
 }
 
-fn take_held(affinity: &mut Affinity, now: Millis, rows: &[Held]) {
+fn take_held(affinity: &mut Affinity, now: Millis, rows: &[StickyClients]) {
     for row in rows {
         row.clients.iter().for_each(|client| affinity.told_session(now, client.key(), row.tag, row.age));
     }
--- a/crates/affinity/src/table.rs
+++ b/crates/affinity/src/table.rs
@@ -66,14 +66,14 @@
 
 /// An entry that is no longer there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone<V> {
+pub struct Evicted<V> {
     /// Its key.
     pub key: u64,
     /// Its value.
     pub value: V,
 }
 
-/// The table; see the module's text.
+/// The table; see the load balancer's text.
 pub struct Table<V> {
     entries: Vec<Entry<V>>,
     most: usize,
@@ -170,7 +170,7 @@
     }
 
     /// Sets a key's value; gives the entry that had to make room for it.
-    pub fn set(&mut self, now: u32, key: u64, value: V) -> Option<Gone<V>> {
+    pub fn set(&mut self, now: u32, key: u64, value: V) -> Option<Evicted<V>> {
         if let Some(at) = self.find(key) {
             let entry = &mut self.entries[at as usize];
             (entry.value, entry.set) = (value, now);
@@ -215,7 +215,7 @@
 
     /// Looks at the next few entries and takes out those that are not wanted any more: old ones and, as the
     /// caller sees it, dead ones. Called now and then it passes them all, at a cost settled by `few`.
-    pub fn sweep(&mut self, few: usize, oldest: u32, dead: impl Fn(&V) -> bool, gone: &mut Vec<Gone<V>>) {
+    pub fn sweep(&mut self, few: usize, oldest: u32, dead: impl Fn(&V) -> bool, gone: &mut Vec<Evicted<V>>) {
         for _ in 0..few.min(self.entries.len()) {
             self.hand = if self.hand + 1 < self.entries.len() { self.hand + 1 } else { 0 };
             let entry = &self.entries[self.hand];
@@ -319,11 +319,11 @@
     }
 
     /// Takes an entry out of its queue and the index.
-    fn drop_entry(&mut self, at: u32) -> Gone<V> {
+    fn drop_entry(&mut self, at: u32) -> Evicted<V> {
         self.dequeue(at);
         let entry = &mut self.entries[at as usize];
         entry.queue = Queue::Free;
-        let gone = Gone { key: entry.key, value: entry.value };
+        let gone = Evicted { key: entry.key, value: entry.value };
         if let Some(place) = self.place(gone.key) {
             self.close_gap(place);
         }
@@ -353,7 +353,7 @@
 
     /// Makes room for one. Each step lets one go, or takes a use from one in the long queue, of which every
     /// lookup gave one: over time no more steps than lookups and inserts.
-    fn evict(&mut self) -> Gone<V> {
+    fn evict(&mut self) -> Evicted<V> {
         loop {
             let small = self.small.len > self.most / SMALL || self.main.len == 0;
             let at = if small { self.small.oldest } else { self.main.oldest };
--- a/crates/affinity/tests/common/mod.rs
+++ b/crates/affinity/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! What the tests of this crate share: streamers, and a tier of relays' tables on a lossy network in virtual time.
+//! What the tests of this crate share: endpoints, and a tier of relays' tables on a lossy network in virtual time.
 
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use sandgw_affinity::codec::{MOST_BYTES, Piece};
+use sandgw_affinity::codec::{ClusterMessage, MOST_BYTES};
 use sandgw_affinity::endpoint_registry::State;
-use sandgw_affinity::replication::Tier;
+use sandgw_affinity::replication::Replication;
 use sandgw_affinity::{Affinity, Limits, Millis};
 
 pub const START: Millis = 1_700_000_000_000.0;
@@ -16,8 +16,8 @@
     Limits { relays: 4, ..Limits::default() }
 }
 
-/// Streamers s-0, s-1, ... that started then.
-pub fn streamers(n: usize, started: Millis) -> Vec<(Arc<str>, Millis, State)> {
+/// Endpoints s-0, s-1, ... that started then.
+pub fn endpoints(n: usize, started: Millis) -> Vec<(Arc<str>, Millis, State)> {
     (0..n).map(|i| (Arc::from(format!("s-{i}")), started, State::Ready)).collect()
 }
 
@@ -58,7 +58,7 @@
 /// Relays' tables and what is under way between them.
 pub struct World {
     pub now: Millis,
-    pub nodes: Vec<(Affinity, Tier)>,
+    pub nodes: Vec<(Affinity, Replication)>,
     net: Net,
     dice: Dice,
     /// By the time of arrival and a number: receiver, sender, text.
@@ -81,9 +81,9 @@
             count: 0,
             sent: Vec::new(),
         };
-        for me in 0..n {
-            let limits = Limits { relays: n as u32, me: me as u32, ..limits };
-            world.nodes.push((Affinity::new(limits, START), Tier::new(me as u64)));
+        for local_index in 0..n {
+            let limits = Limits { relays: n as u32, local_index: local_index as u32, ..limits };
+            world.nodes.push((Affinity::new(limits, START), Replication::new(local_index as u64)));
         }
         world
     }
@@ -91,14 +91,14 @@
     /// The relay starts again from nothing; what is on its way to it arrives all the same.
     pub fn restart(&mut self, at: usize, seed: u64) {
         let limits = *self.nodes[at].0.limits();
-        self.nodes[at] = (Affinity::new(limits, self.now), Tier::new(seed));
+        self.nodes[at] = (Affinity::new(limits, self.now), Replication::new(seed));
     }
 
     /// Calls a relay's exchange and carries out what it gives.
     pub fn call<T>(
         &mut self,
         at: usize,
-        call: impl FnOnce(&mut Affinity, &mut Tier, Millis, &mut Vec<(u32, Piece)>) -> T,
+        call: impl FnOnce(&mut Affinity, &mut Replication, Millis, &mut Vec<(u32, ClusterMessage)>) -> T,
     ) -> T {
         let mut out = Vec::new();
         let (affinity, tier) = &mut self.nodes[at];
@@ -139,7 +139,7 @@
             self.now = self.now.max(next as f64);
             if mail == Some(next) {
                 let ((_, _), (to, from, text)) = self.mail.pop_first().unwrap();
-                if let Some(piece) = Piece::read(&text) {
+                if let Some(piece) = ClusterMessage::read(&text) {
                     self.call(to, |a, t, now, out| t.told(a, now, from, piece, out));
                 }
             } else {
--- a/crates/affinity/tests/members.rs
+++ b/crates/affinity/tests/members.rs
@@ -1,4 +1,4 @@
-//! Incarnations: a lookup never gives a streamer that is gone, draining or another process by now, wherever the
+//! Incarnations: a lookup never gives an endpoint that is gone, draining or another process by now, wherever the
 //! entry came from.
 
 mod common;
@@ -8,31 +8,31 @@
 
 use common::*;
 use proptest::prelude::*;
-use sandgw_affinity::endpoint_registry::{State, Tag};
-use sandgw_affinity::replication::Tier;
+use sandgw_affinity::endpoint_registry::{EndpointTag, State};
+use sandgw_affinity::replication::Replication;
 use sandgw_affinity::{Affinity, Record};
 
 #[derive(Clone, Debug)]
 enum Op {
-    /// A change of the list: streamer, start, state.
+    /// A change of the list: endpoint, start, state.
     Change(u8, u8, u8),
-    /// A whole list: for each streamer its state, or that it is missing, and its start.
+    /// A whole list: for each endpoint its state, or that it is missing, and its start.
     Whole(Vec<(u8, u8)>),
-    Note(u64, u8),
+    Measurement(u64, u8),
     Place(u64, u8),
-    /// Loaded, or told by a relay that knows another list: client or group, streamer, start.
+    /// Loaded, or told by a relay that knows another list: client or group, endpoint, start.
     Loaded(u64, u8, u8),
     Told(u64, u8, u8),
 }
 
-const STREAMERS: u8 = 5;
+const ENDPOINTS: u8 = 5;
 
 fn op() -> impl Strategy<Value = Op> {
-    let (s, start, key) = (0..STREAMERS, 0u8..4, 0u64..12);
+    let (s, start, key) = (0..ENDPOINTS, 0u8..4, 0u64..12);
     prop_oneof![
         2 => (s.clone(), start.clone(), 0u8..3).prop_map(|(s, at, st)| Op::Change(s, at, st)),
-        1 => proptest::collection::vec((0u8..4, 0u8..4), STREAMERS as usize).prop_map(Op::Whole),
-        3 => (key.clone(), s.clone()).prop_map(|(k, s)| Op::Note(k, s)),
+        1 => proptest::collection::vec((0u8..4, 0u8..4), ENDPOINTS as usize).prop_map(Op::Whole),
+        3 => (key.clone(), s.clone()).prop_map(|(k, s)| Op::Measurement(k, s)),
         3 => (key.clone(), s.clone()).prop_map(|(k, s)| Op::Place(k, s)),
         2 => (key.clone(), s.clone(), start.clone()).prop_map(|(k, s, at)| Op::Loaded(k, s, at)),
         2 => (key, s, start).prop_map(|(k, s, at)| Op::Told(k, s, at)),
@@ -44,7 +44,7 @@
 }
 
 fn state(n: u8) -> State {
-    [State::Ready, State::Draining, State::Gone][usize::from(n)]
+    [State::Ready, State::Draining, State::Removed][usize::from(n)]
 }
 
 fn start(n: u8) -> f64 {
@@ -57,7 +57,7 @@
     #[test]
     fn only_the_incarnation_meant_is_given_and_only_while_it_is_ready(ops in proptest::collection::vec(op(), 1..200)) {
         let mut affinity = Affinity::new(limits(), START);
-        let mut tier = Tier::new(1);
+        let mut tier = Replication::new(1);
         // What the list says: start and state. And which incarnations each key may have been placed at.
         let mut listed: HashMap<u8, (u8, State)> = HashMap::new();
         let mut clients: HashMap<u64, Vec<(u8, u8)>> = HashMap::new();
@@ -69,7 +69,7 @@
                 // A start only moves forward.
                 if listed.get(&s).is_none_or(|(was, _)| at >= *was) {
                     match st {
-                        State::Gone => drop(listed.remove(&s)),
+                        State::Removed => drop(listed.remove(&s)),
                         st => drop(listed.insert(s, (at, st))),
                     }
                 }
@@ -86,7 +86,7 @@
                     listed.retain(|s, _| all[usize::from(*s)].0 < 3);
                     named.for_each(|((st, at), s)| change(&mut listed, s, *at, state(*st)));
                 }
-                Op::Note(key, s) => {
+                Op::Measurement(key, s) => {
                     affinity.note(now, key, &id(s));
                     clients.entry(key).or_default().extend(listed.get(&s).map(|(at, _)| (s, *at)));
                 }
@@ -95,7 +95,7 @@
                     groups.entry(key).or_default().extend(listed.get(&s).map(|(at, _)| (s, *at)));
                 }
                 Op::Loaded(key, s, at) => {
-                    let holder = Tag::of(&id(s), start(at));
+                    let holder = EndpointTag::of(&id(s), start(at));
                     let records = [
                         Record::Session { key, holder, at: now },
                         Record::Group { key, holders: vec![(holder, 1.0)], at: now },
@@ -130,14 +130,14 @@
     }
 }
 
-/// A rolling deploy replaces 95% of the streamers within 24 s. From the notice on, entries of those that leave
+/// A rolling deploy replaces 95% of the endpoints within 24 s. From the notice on, entries of those that leave
 /// give nothing, whether placed here, loaded, or told by a relay later; what stays is found.
 #[test]
 fn entries_of_replaced_streamers_stop_at_the_notice() {
     let mut affinity = Affinity::new(limits(), START);
-    let mut fleet = streamers(20, 0.0);
+    let mut fleet = endpoints(20, 0.0);
     list(&mut affinity, START, true, &fleet);
-    let tag = |i: usize| Tag::of(&format!("s-{i}"), 0.0);
+    let tag = |i: usize| EndpointTag::of(&format!("s-{i}"), 0.0);
     for key in 0..1000u64 {
         let at = (key % 20) as usize;
         affinity.note(START, key, &fleet[at].0.clone());
@@ -177,12 +177,15 @@
 #[test]
 fn loaded_entries_wait_for_the_first_list() {
     let mut affinity = Affinity::new(limits(), START);
-    let record =
-        |key, id: &str, started| Record::Session { key, holder: Tag::of(id, started), at: START - 5000.0 };
+    let record = |key, id: &str, started| Record::Session {
+        key,
+        holder: EndpointTag::of(id, started),
+        at: START - 5000.0,
+    };
     let records = [record(1, "s-0", 0.0), record(2, "s-1", 500.0), record(3, "other", 0.0)];
     assert_eq!(affinity.restore(START, records.into_iter()).taken, 3);
     assert_eq!((affinity.session(1), affinity.session(2)), (None, None));
-    list(&mut affinity, START, true, &streamers(2, 0.0));
+    list(&mut affinity, START, true, &endpoints(2, 0.0));
     assert_eq!(affinity.session(1).as_deref(), Some("s-0"));
     assert_eq!(affinity.session(2), None, "s-1 has started again since");
     assert_eq!(affinity.session(3), None, "of another fleet");
@@ -193,8 +196,8 @@
 #[test]
 fn a_clock_stepped_back_makes_no_entry_that_never_ages() {
     let mut affinity = Affinity::new(limits(), START);
-    list(&mut affinity, START, true, &streamers(1, 0.0));
-    let holder = Tag::of("s-0", 0.0);
+    list(&mut affinity, START, true, &endpoints(1, 0.0));
+    let holder = EndpointTag::of("s-0", 0.0);
     let times = [START + 86_400_000.0, f64::INFINITY, f64::NAN, f64::NEG_INFINITY, -1.0, START - 1000.0];
     let records = times.iter().zip(0..).map(|(at, key)| Record::Session { key, holder, at: *at });
     let done = affinity.restore(START, records);
--- a/crates/affinity/tests/table.rs
+++ b/crates/affinity/tests/table.rs
@@ -158,7 +158,7 @@
     let bytes = 256 << 10;
     let tables = || {
         let mut affinity = Affinity::new(Limits { bytes, max_age: 1e9, ..limits() }, START);
-        list(&mut affinity, START, true, &streamers(14, 0.0));
+        list(&mut affinity, START, true, &endpoints(14, 0.0));
         affinity.keep();
         affinity
     };
@@ -174,7 +174,7 @@
     assert!(calm - flooded <= 0.02, "hit ratio {calm:.3} without the flood, {flooded:.3} with it");
     assert!(calm > 0.95, "{calm}");
     assert!(figures.refused > 800_000, "{figures:?}");
-    // Beside the tables there is the directory of 14 streamers.
+    // Beside the tables there is the directory of 14 endpoints.
     assert!(most <= bytes + 16_384, "{most} bytes for a bound of {bytes}");
 }
 
@@ -185,7 +185,7 @@
         let most = most_held(|| {
             let mut affinity = Affinity::new(Limits { bytes, ..limits() }, START);
             affinity.keep();
-            list(&mut affinity, START, true, &streamers(14, 0.0));
+            list(&mut affinity, START, true, &endpoints(14, 0.0));
             let mut dice = Dice(3);
             for i in 0..200_000u64 {
                 let now = START + i as f64;
@@ -200,7 +200,7 @@
 #[test]
 fn entries_age_out_and_are_counted() {
     let mut affinity = Affinity::new(Limits { max_age: 10_000.0, ..limits() }, START);
-    list(&mut affinity, START, true, &streamers(2, 0.0));
+    list(&mut affinity, START, true, &endpoints(2, 0.0));
     affinity.note(START, 1, "s-0");
     affinity.place(START, 7, "s-0", 1.0);
     let later = START + 10_200.0;
--- a/crates/affinity/tests/tier.rs
+++ b/crates/affinity/tests/tier.rs
@@ -7,15 +7,15 @@
 use common::*;
 use proptest::prelude::*;
 use sandgw_affinity::Limits;
-use sandgw_affinity::codec::{Held, Piece};
+use sandgw_affinity::codec::{ClusterMessage, StickyClients};
 
-const STREAMERS: usize = 14;
+const ENDPOINTS: usize = 14;
 
 /// Four relays that know the same clients and have each placed a quarter of the groups' connections.
 fn world(net: Net, clients: u64, limits: Limits) -> World {
     let mut world = World::new(4, net, limits);
     for at in 0..4 {
-        let fleet = streamers(STREAMERS, 0.0);
+        let fleet = endpoints(ENDPOINTS, 0.0);
         world.call(at, |a, _, now, _| {
             list(a, now, true, &fleet);
             for key in 0..clients {
@@ -23,7 +23,7 @@
                 a.note(
                     now,
                     key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24,
-                    &fleet[key as usize % STREAMERS].0,
+                    &fleet[key as usize % ENDPOINTS].0,
                 );
             }
         });
@@ -35,7 +35,7 @@
             world.call(at, |a, _, now, _| {
                 for n in 0..3 {
                     let group = (step * 7 + n) % 40;
-                    a.place(now, group << 50 | group, &format!("s-{}", group as usize % STREAMERS), 1.0);
+                    a.place(now, group << 50 | group, &format!("s-{}", group as usize % ENDPOINTS), 1.0);
                 }
             });
         }
@@ -47,7 +47,7 @@
 fn known(world: &mut World, at: usize, clients: u64) -> usize {
     let affinity = &mut world.nodes[at].0;
     let right = |key: &u64| {
-        let wanted = format!("s-{}", *key as usize % STREAMERS);
+        let wanted = format!("s-{}", *key as usize % ENDPOINTS);
         affinity.session(key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24).is_some_and(|id| *id == *wanted)
     };
     (0..clients).filter(right).count()
@@ -61,7 +61,7 @@
 fn recovered(net: Net, clients: u64, span: f64) -> World {
     let mut world = world(net, clients, limits());
     world.restart(0, 99);
-    let fleet = streamers(STREAMERS, 0.0);
+    let fleet = endpoints(ENDPOINTS, 0.0);
     world.call(0, |a, _, now, _| list(a, now, true, &fleet));
     world.recover(0);
     world.pass(span);
@@ -119,7 +119,7 @@
     let limits = Limits { rate: 4096.0, bytes: 8 << 20, ..limits() };
     let mut world = world(Net { lost: 0.1, doubled: 0.0, delay: 20 }, 4000, limits);
     world.restart(0, 5);
-    let fleet = streamers(STREAMERS, 0.0);
+    let fleet = endpoints(ENDPOINTS, 0.0);
     world.call(0, |a, _, now, _| list(a, now, true, &fleet));
     world.recover(0);
     world.pass(60_000.0);
@@ -143,7 +143,7 @@
     world.recover(0);
     world.pass(300.0);
     world.restart(0, 2);
-    let fleet = streamers(STREAMERS, 0.0);
+    let fleet = endpoints(ENDPOINTS, 0.0);
     world.call(0, |a, _, now, _| list(a, now, true, &fleet));
     world.recover(0);
     world.pass(8000.0);
@@ -158,7 +158,7 @@
 #[test]
 fn a_start_with_the_same_seed_is_a_new_one() {
     let mut world = world(Net::default(), 0, limits());
-    let fleet = streamers(STREAMERS, 0.0);
+    let fleet = endpoints(ENDPOINTS, 0.0);
     let start = |world: &mut World| {
         world.restart(0, 1);
         world.call(0, |a, _, now, _| list(a, now, true, &fleet));
@@ -185,10 +185,10 @@
     assert!(world.nodes.iter().all(|(_, tier)| !tier.asks()));
 }
 
-fn held() -> impl Strategy<Value = Vec<Held>> {
+fn held() -> impl Strategy<Value = Vec<StickyClients>> {
     let one = (any::<[u8; 4]>(), any::<u8>(), proptest::collection::vec(any::<[u8; 5]>(), 0..40));
-    let one = one.prop_map(|(tag, age, clients)| Held {
-        tag: sandgw_affinity::endpoint_registry::Tag(tag),
+    let one = one.prop_map(|(tag, age, clients)| StickyClients {
+        tag: sandgw_affinity::endpoint_registry::EndpointTag(tag),
         age,
         clients: clients.into_iter().map(sandgw_affinity::codec::Client).collect(),
     });
@@ -201,22 +201,22 @@
     /// Whatever a datagram holds, it is read as a piece or as none, and a piece survives its text.
     #[test]
     fn any_text_is_read_or_passed_over(rows in held(), flips in proptest::collection::vec((any::<usize>(), any::<u8>()), 0..8), other in ".{0,80}") {
-        let _ = Piece::read(&other);
+        let _ = ClusterMessage::read(&other);
         let pieces = [
-            Piece::News(rows.iter().map(|h| (h.tag, h.clients.clone())).collect()),
-            Piece::Sessions { round: 9, bucket: 200, number: 60_000, rows },
-            Piece::Plan { round: 1, kind: sandgw_affinity::codec::Kind::Groups, counts: vec![u16::MAX; 40] },
+            ClusterMessage::LocationUpdate(rows.iter().map(|h| (h.tag, h.clients.clone())).collect()),
+            ClusterMessage::Sessions { round: 9, bucket: 200, number: 60_000, rows },
+            ClusterMessage::SyncPlan { round: 1, kind: sandgw_affinity::codec::Kind::Groups, counts: vec![u16::MAX; 40] },
         ];
         let mut world = World::new(2, Net::default(), limits());
         for piece in pieces {
             let Some(text) = piece.text() else { continue };
-            prop_assert_eq!(Piece::read(&text), Some(piece));
+            prop_assert_eq!(ClusterMessage::read(&text), Some(piece));
             let mut bytes = text.into_bytes();
             for (at, by) in &flips {
                 let at = at % bytes.len();
                 bytes[at] ^= by & 0x7f;
             }
-            if let Some(piece) = String::from_utf8(bytes).ok().and_then(|t| Piece::read(&t)) {
+            if let Some(piece) = String::from_utf8(bytes).ok().and_then(|t| ClusterMessage::read(&t)) {
                 world.call(0, |a, t, now, out| t.told(a, now, 1, piece, out));
             }
         }
--- a/crates/cluster/src/concurrency_limit.rs
+++ b/crates/cluster/src/concurrency_limit.rs
@@ -1,16 +1,16 @@
-//! How many set-ups may be out at once, while something that all streamers depend on is slow.
+//! How many set-ups may be out at once, while something that all endpoints depend on is slow.
 //!
 //! A shared store takes calls in turn. Once more are out than it answers within the wanted time, all wait, run
 //! into their limit and are tried again: it works at full speed and serves hardly anybody. Every relay therefore
 //! keeps its own part of what is out small, as TCP does with a window, by what it sees itself: set-ups that come late
-//! at several streamers. In a tier of hundreds one set-up a relay is too much already, so a window may lie below
+//! at several endpoints. In a tier of hundreds one set-up a relay is too much already, so a window may lie below
 //! one: it is then a pause between set-ups, and the sum over all relays still finds what the store can bear.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Millis;
 
-/// Above this share of late set-ups and errors the fault is common to all streamers.
+/// Above this share of late set-ups and errors the fault is common to all endpoints.
 const COMMON: f64 = 0.5;
 /// The least window: a relay that sees nothing but lateness goes on trying this often.
 const LEAST: f64 = 1.0 / 16.0;
@@ -22,15 +22,15 @@
 /// A set-up that takes less than this share of the wanted time has met no queue.
 const QUICK: f64 = 0.25;
 
-/// The window of one relay; see the module's text.
+/// The window of one relay; see the load balancer's text.
 ///
 /// ```
-/// use sandgw_cluster::concurrency_limit::Pace;
+/// use sandgw_cluster::concurrency_limit::ConcurrencyLimit;
 ///
-/// let mut pace = Pace::new(0.0);
+/// let mut pace = ConcurrencyLimit::new(0.0);
 /// assert_eq!(pace.next(0.0, 100, 500.0), 0.0, "an open window");
-/// // Set-ups come late at one streamer after another: the fault is not theirs.
-/// (1..=3).for_each(|streamer| pace.late(1000.0, streamer, 8, 500.0));
+/// // Set-ups come late at one endpoint after another: the fault is not theirs.
+/// (1..=3).for_each(|endpoint| pace.late(1000.0, endpoint, 8, 500.0));
 /// assert!(pace.common(0.0) && pace.queued());
 /// assert_eq!(pace.next(1000.0, 4, 500.0), f64::INFINITY, "when one of the four has ended");
 /// // Who waits behind others is told a time to come again.
@@ -40,8 +40,8 @@
 /// assert!(!pace.queued());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Pace {
-    /// Share of set-ups that come late or fail, and the streamer of the latest: a common fault shows at several.
+pub struct ConcurrencyLimit {
+    /// Share of set-ups that come late or fail, and the endpoint of the latest: a common fault shows at several.
     late_share: f64,
     late_at: Option<u64>,
     /// Whether the latest set-up has met a queue.
@@ -57,27 +57,27 @@
     jitter: f64,
 }
 
-impl Default for Pace {
+impl Default for ConcurrencyLimit {
     fn default() -> Self {
-        Pace::new(0.0)
+        ConcurrencyLimit::new(0.0)
     }
 }
 
-impl Pace {
+impl ConcurrencyLimit {
     /// An open window.
     pub fn new(now: Millis) -> Self {
         let (late_share, late_at, queued) = (0.0, None, false);
         let (window, cut_at, sent_at, jitter) = (f64::INFINITY, now, f64::NEG_INFINITY, 1.0);
         let warned_at = f64::NEG_INFINITY;
-        Pace { late_share, late_at, queued, window, cut_at, warned_at, sent_at, jitter }
+        ConcurrencyLimit { late_share, late_at, queued, window, cut_at, warned_at, sent_at, jitter }
     }
 
-    /// Whether set-ups come late at several streamers, so that the fault is not theirs.
+    /// Whether set-ups come late at several endpoints, so that the fault is not theirs.
     pub fn common(&self, now: Millis) -> bool {
         self.late_share > COMMON || now - self.warned_at < WARNED
     }
 
-    /// Others tell that set-ups come late at several streamers; `trying` are out here, `within` is the time in which
+    /// Others tell that set-ups come late at several endpoints; `trying` are out here, `within` is the time in which
     /// the latest cut is still to show. Who has seen nothing of it himself goes down to a quarter, no further: of a
     /// queue that is longer than that he soon sees something.
     pub fn warned(&mut self, now: Millis, trying: u32, within: Millis) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether the latest set-up has met a queue, here or behind all streamers.
+    /// Whether the latest set-up has met a queue, here or behind all endpoints.
     pub fn queued(&self) -> bool {
         self.queued
     }
@@ -97,8 +97,8 @@
     /// A set-up was sent. The seed is the relay's own: pauses of relays that were cut together are not alike.
     ///
     /// ```
-    /// # use sandgw_cluster::concurrency_limit::Pace;
-    /// let mut pace = Pace::new(0.0);
+    /// # use sandgw_cluster::concurrency_limit::ConcurrencyLimit;
+    /// let mut pace = ConcurrencyLimit::new(0.0);
     /// // Late again and again, each long after the latest cut: less than one may be out.
     /// (0..60).for_each(|n| pace.late(f64::from(n) * 600.0, u64::from(n % 2 == 0), 0, 500.0));
     /// pace.sent(36_000.0, 7);
@@ -124,14 +124,14 @@
         self.window * ((now - self.cut_at).max(0.0) / REOPEN).exp2()
     }
 
-    /// A set-up came late, not at all, or as an error. Seen at one streamer it is that streamer's fault; seen at
+    /// A set-up came late, not at all, or as an error. Seen at one endpoint it is that endpoint's fault; seen at
     /// several without one in time between it is common to all. `trying` are out besides; `within` is the time
     /// in which the latest cut is still to show.
-    pub fn late(&mut self, now: Millis, streamer: u64, trying: u32, within: Millis) {
+    pub fn late(&mut self, now: Millis, endpoint: u64, trying: u32, within: Millis) {
         self.queued = true;
-        if self.late_at != Some(streamer) {
+        if self.late_at != Some(endpoint) {
             self.late_share += (1.0 - self.late_share) / 4.0;
-            self.late_at = Some(streamer);
+            self.late_at = Some(endpoint);
         }
         if self.common(now) && now - self.cut_at > within {
             self.window = (self.window(now).min(f64::from(trying.max(1))) / 2.0).max(LEAST);
@@ -149,7 +149,7 @@
         (self.sent_at + self.jitter * each / window - now).max(0.0)
     }
 
-    /// In how long a flow may expect its turn when so many wait before it.
+    /// In how long a connection may expect its turn when so many wait before it.
     pub fn expected(&self, now: Millis, trying: u32, waiting: usize, each: Millis) -> Millis {
         let next = self.next(now, trying, each);
         let window = self.window(now);
--- a/crates/cluster/src/drain_gossip.rs
+++ b/crates/cluster/src/drain_gossip.rs
@@ -1,11 +1,11 @@
-//! How a relay of a large tier learns which streamers drain or are gone while discovery can't answer it in time.
+//! How a relay of a large tier learns which endpoints drain or are gone while discovery can't answer it in time.
 //!
-//! Owns what this relay knows of streamers that left lately and of whom it has that; is fed its own lists and others'
-//! words; gives words to send, and which streamers are to be held for draining or be taken back. It sends nothing and
+//! Owns what this relay knows of endpoints that left lately and of whom it has that; is fed its own lists and others'
+//! words; gives words to send, and which endpoints are to be held for draining or be taken back. It sends nothing and
 //! knows no address.
 //!
 //! Discovery takes calls in turn: after an outage, hundreds can't all be answered within the 6 s after which a change
-//! counts as told. Not sending to a streamer on another relay's word is always allowed, sending on it never is; so
+//! counts as told. Not sending to an endpoint on another relay's word is always allowed, sending on it never is; so
 //! what is told is leaving, and nothing else. Whose list has come by a call made anew tells a few others what has left
 //! since its list before, and who learns something by a word passes it on once: words multiply as long as most do not
 //! know. Whose call is still to be made knows that too: it asks one other from time to time, and is told by that one
@@ -17,8 +17,8 @@
 
 use std::collections::BTreeMap;
 
-use sandgw_affinity::codec::{LEAVING, Piece, StreamerHash};
-use sandgw_affinity::replication::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::{ClusterMessage, EndpointHash, LEAVING};
+use sandgw_affinity::replication::{FULL_MESH_RELAYS, Sends};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Millis;
@@ -32,22 +32,22 @@
 const EVERY: Millis = 2000.0;
 const TOLD_FOR: Millis = 8000.0;
 const ASKERS: usize = 16;
-/// How long what has left is told to those who ask, and so many streamers of it at the most.
+/// How long what has left is told to those who ask, and so many endpoints of it at the most.
 const KEPT: Millis = 60_000.0;
 const MOST: usize = 256;
 
 /// The relays of the tier, and this one's number among them.
 #[derive(Clone, Copy, Debug)]
-pub struct Of {
+pub struct ClusterSize {
     /// Its number, from 0.
-    pub me: u32,
+    pub local_index: u32,
     /// How many there are; none where they may not tell each other, or have no need to.
     pub relays: u32,
 }
 
-impl Of {
+impl ClusterSize {
     fn many(&self) -> bool {
-        self.relays > ALL_TOLD
+        self.relays > FULL_MESH_RELAYS
     }
 }
 
@@ -63,7 +63,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Left {
+struct DrainRecord {
     /// The list's version that told of it, or that a word named.
     revision: u64,
     at: Millis,
@@ -73,16 +73,16 @@
     stands: bool,
 }
 
-/// One relay's part; see the module's text.
+/// One relay's part; see the load balancer's text.
 ///
 /// ```
-/// use sandgw_affinity::codec::{Piece, StreamerHash};
-/// use sandgw_cluster::drain_gossip::{Answer, Leaving, Of};
+/// use sandgw_affinity::codec::{ClusterMessage, EndpointHash};
+/// use sandgw_cluster::drain_gossip::{Answer, DrainGossip, ClusterSize};
 ///
-/// let (of, s1) = (Of { me: 7, relays: 300 }, StreamerHash::of("s-1"));
-/// let (mut leaving, mut out) = (Leaving::new(7), Vec::new());
+/// let (of, s1) = (ClusterSize { local_index: 7, relays: 300 }, EndpointHash::of("s-1"));
+/// let (mut leaving, mut out) = (DrainGossip::new(7), Vec::new());
 /// leaving.listed(0.0, of, Answer { revision: 40, asked: 0.0, whole: true }, &[], &[], &mut out);
-/// let word = || Piece::Leaving { revision: 41, streamers: vec![s1] };
+/// let word = || ClusterMessage::Draining { revision: 41, endpoints: vec![s1] };
 /// assert_eq!(leaving.told(10.0, of, 3, word(), |_| true, &mut out), [s1], "it is to be held for draining");
 /// assert_eq!(out.len(), 4, "and some others are told");
 /// let answer = Answer { revision: 41, asked: 5.0, whole: false };
@@ -90,10 +90,10 @@
 /// assert!(leaving.told(30.0, of, 4, word(), |_| true, &mut out).is_empty(), "the word is not taken twice");
 /// ```
 #[derive(Debug, Default)]
-pub struct Leaving {
+pub struct DrainGossip {
     /// The version of the own list; nothing before the first, or where another service is asked.
     revision: Option<u64>,
-    left: BTreeMap<StreamerHash, Left>,
+    left: BTreeMap<EndpointHash, DrainRecord>,
     /// Who has asked lately, and when.
     askers: Vec<(Millis, u32)>,
     /// When another is asked next, while a call is still to be answered.
@@ -103,10 +103,10 @@
     seed: u64,
 }
 
-impl Leaving {
+impl DrainGossip {
     /// Nothing is known. The seed is the relay's own.
     pub fn new(seed: u64) -> Self {
-        Leaving { seed, ..Leaving::default() }
+        DrainGossip { seed, ..DrainGossip::default() }
     }
 
     /// The list as held is of this version, if that is known.
@@ -114,52 +114,55 @@
         self.revision = revision;
     }
 
-    /// Whether a streamer is held for draining by a word.
-    pub fn holds(&self, streamer: StreamerHash) -> bool {
-        self.left.get(&streamer).is_some_and(|left| left.word)
+    /// Whether an endpoint is held for draining by a word.
+    pub fn holds(&self, endpoint: EndpointHash) -> bool {
+        self.left.get(&endpoint).is_some_and(|left| left.word)
     }
 
     /// The first call is still to be made, one has failed, or a watch was broken off: what changes is not heard of
     /// until another is answered.
-    pub fn failed(&mut self, now: Millis, of: Of) {
+    pub fn failed(&mut self, now: Millis, of: ClusterSize) {
         if of.many() && self.next.is_none() {
             (self.next, self.asked) = (Some(now + SOON * (0.5 + self.draw())), false);
         }
     }
 
     /// Another service is asked from now on: versions are each service's own.
-    pub fn moved(&mut self, now: Millis, of: Of) {
+    pub fn moved(&mut self, now: Millis, of: ClusterSize) {
         self.revision = None;
         // What is held by a word goes with the first answer.
         self.left.retain(|_, left| left.word);
         self.failed(now, of);
     }
 
-    /// Discovery has answered: with streamers that drain or are gone, and were ready in the list before or are held for
+    /// Discovery has answered: with endpoints that drain or are gone, and were ready in the list before or are held for
     /// draining by a word; and those that it names as ready. Gives those that are held no more and have not left.
     pub fn listed(
         &mut self,
         now: Millis,
-        of: Of,
+        of: ClusterSize,
         answer: Answer,
-        left: &[StreamerHash],
-        ready: &[StreamerHash],
+        left: &[EndpointHash],
+        ready: &[EndpointHash],
         out: &mut Sends,
-    ) -> Vec<StreamerHash> {
+    ) -> Vec<EndpointHash> {
         self.revision = Some(answer.revision);
         self.forget(now);
-        for streamer in ready {
-            self.left.entry(*streamer).and_modify(|l| (l.word, l.stands) = (false, false));
+        for endpoint in ready {
+            self.left.entry(*endpoint).and_modify(|l| (l.word, l.stands) = (false, false));
         }
         let fresh: Vec<_> = left.iter().copied().filter(|s| !self.holds(*s)).collect();
-        for streamer in left {
-            self.keep(*streamer, Left { revision: answer.revision, at: now, word: false, stands: true });
+        for endpoint in left {
+            self.keep(
+                *endpoint,
+                DrainRecord { revision: answer.revision, at: now, word: false, stands: true },
+            );
         }
-        let settles = |l: &Left| answer.revision >= l.revision || answer.asked >= l.at || answer.whole;
+        let settles = |l: &DrainRecord| answer.revision >= l.revision || answer.asked >= l.at || answer.whole;
         let mut back = Vec::new();
-        for (streamer, held) in self.left.iter_mut().filter(|(_, l)| l.word && settles(l)) {
+        for (endpoint, held) in self.left.iter_mut().filter(|(_, l)| l.word && settles(l)) {
             (held.word, held.stands) = (false, false);
-            back.push(*streamer);
+            back.push(*endpoint);
         }
         // Of a watch that goes on all others hear too, but for those who ask.
         let others = if self.next.take().is_some() { TOLD } else { 0 };
@@ -167,20 +170,20 @@
         back
     }
 
-    /// Takes another relay's word, or answers what it asks. `ready` says whether this relay's list has a streamer as
+    /// Takes another relay's word, or answers what it asks. `ready` says whether this relay's list has an endpoint as
     /// ready. Gives those that are to be held for draining from now on.
     pub fn told(
         &mut self,
         now: Millis,
-        of: Of,
+        of: ClusterSize,
         peer: u32,
-        piece: Piece,
-        ready: impl Fn(StreamerHash) -> bool,
+        piece: ClusterMessage,
+        ready: impl Fn(EndpointHash) -> bool,
         out: &mut Sends,
-    ) -> Vec<StreamerHash> {
-        let (revision, streamers) = match piece {
-            Piece::Leaving { revision, streamers } => (revision, streamers),
-            Piece::Left(since) if of.many() => {
+    ) -> Vec<EndpointHash> {
+        let (revision, endpoints) = match piece {
+            ClusterMessage::Draining { revision, endpoints } => (revision, endpoints),
+            ClusterMessage::DrainQuery(since) if of.many() => {
                 self.askers.retain(|(_, asker)| *asker != peer);
                 self.askers.truncate(ASKERS - 1);
                 self.askers.insert(0, (now, peer));
@@ -193,18 +196,18 @@
             return Vec::new();
         }
         self.forget(now);
-        let known = |s: &StreamerHash| self.left.get(s).is_some_and(|l| l.revision >= revision);
-        let mut fresh: Vec<_> = streamers.into_iter().filter(|s| ready(*s) && !known(s)).collect();
+        let known = |s: &EndpointHash| self.left.get(s).is_some_and(|l| l.revision >= revision);
+        let mut fresh: Vec<_> = endpoints.into_iter().filter(|s| ready(*s) && !known(s)).collect();
         fresh.sort_unstable();
         fresh.dedup();
         // What can't be kept could not be taken back.
-        fresh.retain(|s| self.keep(*s, Left { revision, at: now, word: true, stands: true }));
+        fresh.retain(|s| self.keep(*s, DrainRecord { revision, at: now, word: true, stands: true }));
         self.pass(now, of, revision, &fresh, TOLD, out);
         fresh
     }
 
     /// Asks another relay, where that is due.
-    pub fn due(&mut self, now: Millis, of: Of, out: &mut Sends) {
+    pub fn due(&mut self, now: Millis, of: ClusterSize, out: &mut Sends) {
         if !of.many() {
             self.next = None;
         }
@@ -212,12 +215,12 @@
             self.next = Some(now + EVERY);
             // Of the list's own version: a word may have told of a part only.
             let peers = if std::mem::replace(&mut self.asked, true) { 1 } else { FIRST };
-            let question = Piece::Left(self.revision.unwrap_or(0));
+            let question = ClusterMessage::DrainQuery(self.revision.unwrap_or(0));
             out.extend((0..peers).map(|_| (self.other(of), question.clone())));
         }
     }
 
-    /// In how long to ask [`Leaving::due`], if that was not said before.
+    /// In how long to ask [`DrainGossip::due`], if that was not said before.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
         let next = self.next.filter(|next| self.armed <= now || *next + 1.0 < self.armed)?;
         self.armed = next.max(now);
@@ -225,15 +228,15 @@
     }
 
     fn answer(&self, now: Millis, peer: u32, since: u64, out: &mut Sends) {
-        let newer = |l: &Left| l.stands && l.revision > since && now - l.at < KEPT;
-        let mut words: BTreeMap<u64, Vec<StreamerHash>> = BTreeMap::new();
-        for (streamer, left) in self.left.iter().filter(|(_, l)| newer(l)) {
+        let newer = |l: &DrainRecord| l.stands && l.revision > since && now - l.at < KEPT;
+        let mut words: BTreeMap<u64, Vec<EndpointHash>> = BTreeMap::new();
+        for (endpoint, left) in self.left.iter().filter(|(_, l)| newer(l)) {
             // What the own list told of holds as of its present version.
             let own = self.revision.filter(|_| !left.word).unwrap_or(left.revision);
-            words.entry(own).or_default().push(*streamer);
+            words.entry(own).or_default().push(*endpoint);
         }
-        for (revision, streamers) in words {
-            out.extend(pieces(revision, &streamers).map(|piece| (peer, piece)));
+        for (revision, endpoints) in words {
+            out.extend(pieces(revision, &endpoints).map(|piece| (peer, piece)));
         }
     }
 
@@ -241,13 +244,13 @@
     fn pass(
         &mut self,
         now: Millis,
-        of: Of,
+        of: ClusterSize,
         revision: u64,
-        streamers: &[StreamerHash],
+        endpoints: &[EndpointHash],
         others: usize,
         out: &mut Sends,
     ) {
-        if !of.many() || streamers.is_empty() {
+        if !of.many() || endpoints.is_empty() {
             return;
         }
         self.askers.retain(|(at, _)| now - at < TOLD_FOR);
@@ -256,15 +259,15 @@
             peers.push(self.other(of));
         }
         for peer in peers {
-            out.extend(pieces(revision, streamers).map(|piece| (peer, piece)));
+            out.extend(pieces(revision, endpoints).map(|piece| (peer, piece)));
         }
     }
 
     /// Whether there was room for it.
-    fn keep(&mut self, streamer: StreamerHash, left: Left) -> bool {
-        let room = self.left.len() < MOST || self.left.contains_key(&streamer);
+    fn keep(&mut self, endpoint: EndpointHash, left: DrainRecord) -> bool {
+        let room = self.left.len() < MOST || self.left.contains_key(&endpoint);
         if room {
-            self.left.insert(streamer, left);
+            self.left.insert(endpoint, left);
         }
         room
     }
@@ -273,9 +276,9 @@
         self.left.retain(|_, left| left.word || now - left.at < KEPT);
     }
 
-    fn other(&mut self, of: Of) -> u32 {
+    fn other(&mut self, of: ClusterSize) -> u32 {
         let drawn = (self.draw() * f64::from(of.relays - 1)) as u32;
-        if drawn >= of.me { drawn + 1 } else { drawn }
+        if drawn >= of.local_index { drawn + 1 } else { drawn }
     }
 
     fn draw(&mut self) -> f64 {
@@ -284,6 +287,6 @@
     }
 }
 
-fn pieces(revision: u64, streamers: &[StreamerHash]) -> impl Iterator<Item = Piece> {
-    streamers.chunks(LEAVING).map(move |part| Piece::Leaving { revision, streamers: part.to_vec() })
+fn pieces(revision: u64, endpoints: &[EndpointHash]) -> impl Iterator<Item = ClusterMessage> {
+    endpoints.chunks(LEAVING).map(move |part| ClusterMessage::Draining { revision, endpoints: part.to_vec() })
 }
--- a/crates/cluster/src/load_aggregation.rs
+++ b/crates/cluster/src/load_aggregation.rs
@@ -1,19 +1,19 @@
-//! What the tier's relays hold together at each streamer, from what each tells of its own.
+//! What the tier's relays hold together at each endpoint, from what each tells of its own.
 //!
-//! In a tier of hundreds a relay holds a dozen connections and knows nothing of the load of most streamers. Each
-//! tells one relay, the collector, what it holds; the collector answers with the sums of the streamers that carry
-//! most for their size. Both are one datagram. A relay tells when flows have come since, and now and then anyway;
+//! In a tier of hundreds a relay holds a dozen connections and knows nothing of the load of most endpoints. Each
+//! tells one relay, the collector, what it holds; the collector answers with the sums of the endpoints that carry
+//! most for their size. Both are one datagram. A relay tells when connections have come since, and now and then anyway;
 //! more often at first, when all is new. Any relay can collect: who gets no answer asks the next in number, and a
 //! collector that has just started has a part of the tier, which tells the same shares with more chance in them.
 
 use std::collections::BTreeMap;
 
-use sandgw_affinity::codec::{Piece, STREAMERS};
-use sandgw_affinity::replication::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::{ClusterMessage, ENDPOINTS};
+use sandgw_affinity::replication::{FULL_MESH_RELAYS, Sends};
 
 use crate::Millis;
 
-/// A streamer's short tag: two bytes of a hash of its name. Two of the same are taken for one.
+/// An endpoint's short tag: two bytes of a hash of its name. Two of the same are taken for one.
 pub type Tag = [u8; 2];
 /// Pause between what a relay tells: at first, how much longer each next is, and at the most.
 const FIRST: Millis = 400.0;
@@ -26,35 +26,35 @@
 const MISSED: u32 = 2;
 const BACK_AFTER: u32 = 8;
 
-/// What the tier holds, by streamer.
+/// What the tier holds, by endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
-    /// Load of all streamers, in mean connections, at the relays that it rests on.
+pub struct ClusterLoad {
+    /// Load of all endpoints, in mean connections, at the relays that it rests on.
     pub total: f64,
-    /// Tags of streamers and their load, of those that carry most for their size.
+    /// Tags of endpoints and their load, of those that carry most for their size.
     pub loads: BTreeMap<Tag, f64>,
 }
 
 /// One relay's part in the census, as teller and as collector.
 ///
 /// ```
-/// use sandgw_affinity::codec::Piece;
+/// use sandgw_affinity::codec::ClusterMessage;
 /// use sandgw_affinity::replication::Sends;
-/// use sandgw_cluster::load_aggregation::Census;
+/// use sandgw_cluster::load_aggregation::LoadAggregation;
 ///
-/// let (mut collector, mut teller) = (Census::default(), Census::default());
+/// let (mut collector, mut teller) = (LoadAggregation::default(), LoadAggregation::default());
 /// let (one, relays) = ([1, 0], 20);
-/// assert!(Census::holds(relays) && !Census::holds(4));
+/// assert!(LoadAggregation::holds(relays) && !LoadAggregation::holds(4));
 ///
-/// // A flow has come to relay 5, which tells relay 0 what it holds, in one datagram.
+/// // A connection has come to relay 5, which tells relay 0 what it holds, in one datagram.
 /// let mut out = Sends::new();
 /// teller.came();
 /// teller.tell(1000.0, (5, relays), || vec![(one, 12.0)], &mut out);
-/// let Some((0, Piece::Holds(rows))) = out.pop() else { panic!("not told") };
+/// let Some((0, ClusterMessage::LoadReport(rows))) = out.pop() else { panic!("not told") };
 ///
-/// // Relay 0 answers with the sums; streamers' sizes are asked for by their tags.
+/// // Relay 0 answers with the sums; endpoints' sizes are asked for by their tags.
 /// collector.answer(1010.0, 5, relays, rows, |_| 1.0, &mut out);
-/// let Some((5, Piece::Loads { total, rows })) = out.pop() else { panic!("not answered") };
+/// let Some((5, ClusterMessage::ClusterLoads { total, rows })) = out.pop() else { panic!("not answered") };
 /// teller.answered(0, total, &rows);
 /// let view = teller.take().expect("the sums");
 /// assert_eq!((view.total, view.loads[&one]), (12.0, 12.0));
@@ -62,7 +62,7 @@
 /// assert!(teller.timer(1010.0).is_some(), "and it tells again");
 /// ```
 #[derive(Default)]
-pub struct Census {
+pub struct LoadAggregation {
     /// What others have told, and when; and the sums of it.
     told: BTreeMap<u32, (Millis, Vec<(Tag, u8)>)>,
     sums: BTreeMap<Tag, f64>,
@@ -70,28 +70,28 @@
     collector: u32,
     missed: u32,
     asked: u32,
-    /// When this relay last told, the pause after it, and flows that have come since.
+    /// When this relay last told, the pause after it, and connections that have come since.
     told_at: Option<Millis>,
     pause: Millis,
     since: u32,
     armed: Millis,
-    view: Option<View>,
+    view: Option<ClusterLoad>,
 }
 
-impl Census {
+impl LoadAggregation {
     /// Whether there is one in a tier of so many relays: where all are told of all there is no need.
     pub fn holds(relays: u32) -> bool {
-        relays > ALL_TOLD
+        relays > FULL_MESH_RELAYS
     }
 
-    /// A flow has come.
+    /// A connection has come.
     pub fn came(&mut self) {
         self.since = self.since.saturating_add(1);
     }
 
     /// In how long it is to be asked again whether to tell, if that was not said before.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
-        // A flow that comes may bring it forward.
+        // A connection that comes may bring it forward.
         let next = self.next().filter(|next| self.armed <= now || *next + 1.0 < self.armed)?;
         self.armed = next.max(now + 1.0);
         Some(self.armed - now)
@@ -102,11 +102,11 @@
         self.told_at.map(|at| at + if self.since > 0 { self.pause } else { ANYWAY })
     }
 
-    /// Tells what this relay holds, where that is due: load by the tags of streamers.
+    /// Tells what this relay holds, where that is due: load by the tags of endpoints.
     pub fn tell(
         &mut self,
         now: Millis,
-        (me, relays): (u32, u32),
+        (local_index, relays): (u32, u32),
         holds: impl FnOnce() -> Vec<(Tag, f64)>,
         out: &mut Sends,
     ) {
@@ -125,17 +125,17 @@
         let mut rows = holds();
         rows.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         let part = |(tag, load): (Tag, f64)| (tag, load.ceil().clamp(0.0, 255.0) as u8);
-        let rows: Vec<_> = rows.into_iter().take(STREAMERS).map(part).collect();
-        if self.collector == me {
-            self.add(now, me, rows);
+        let rows: Vec<_> = rows.into_iter().take(ENDPOINTS).map(part).collect();
+        if self.collector == local_index {
+            self.add(now, local_index, rows);
             self.view = Some(self.sum(|_| 1.0));
         } else {
             self.missed += 1;
-            out.push((self.collector, Piece::Holds(rows)));
+            out.push((self.collector, ClusterMessage::LoadReport(rows)));
         }
     }
 
-    /// Takes what another relay holds, and answers it. A streamer's size is asked for by its tag.
+    /// Takes what another relay holds, and answers it. An endpoint's size is asked for by its tag.
     pub fn answer(
         &mut self,
         now: Millis,
@@ -151,7 +151,7 @@
         self.add(now, peer, rows);
         let view = self.sum(size);
         let rows = view.loads.iter().map(|(tag, load)| (*tag, load.round() as u16)).collect();
-        out.push((peer, Piece::Loads { total: view.total.round() as u32, rows }));
+        out.push((peer, ClusterMessage::ClusterLoads { total: view.total.round() as u32, rows }));
     }
 
     /// Takes the collector's answer.
@@ -159,12 +159,12 @@
         if peer == self.collector {
             self.missed = 0;
             let loads = rows.iter().map(|(tag, load)| (*tag, f64::from(*load))).collect();
-            self.view = Some(View { total: f64::from(total), loads });
+            self.view = Some(ClusterLoad { total: f64::from(total), loads });
         }
     }
 
     /// What has come in since the last call.
-    pub fn take(&mut self) -> Option<View> {
+    pub fn take(&mut self) -> Option<ClusterLoad> {
         self.view.take()
     }
 
@@ -182,14 +182,14 @@
         self.told.insert(peer, (now, rows));
     }
 
-    /// The sums of the streamers that carry most for their size, as many as a datagram holds.
-    fn sum(&self, size: impl Fn(Tag) -> f64) -> View {
+    /// The sums of the endpoints that carry most for their size, as many as a datagram holds.
+    fn sum(&self, size: impl Fn(Tag) -> f64) -> ClusterLoad {
         let mut rows: Vec<(Tag, f64)> = self.sums.iter().map(|(tag, load)| (*tag, *load)).collect();
         let total = rows.iter().map(|(_, load)| load).sum();
         rows.sort_by_cached_key(|(tag, load)| {
             (std::cmp::Reverse((load / size(*tag).max(f64::MIN_POSITIVE) * 1000.0) as u64), *tag)
         });
-        rows.truncate(STREAMERS);
-        View { total, loads: rows.into_iter().collect() }
+        rows.truncate(ENDPOINTS);
+        ClusterLoad { total, loads: rows.into_iter().collect() }
     }
 }
--- a/crates/cluster/src/location_gossip.rs
+++ b/crates/cluster/src/location_gossip.rs
@@ -1,61 +1,61 @@
 //! News of clients' places: who is told of them, and who is asked on a miss.
 //!
-//! In a small tier every relay is told, and a flow that arrives mid-stream is found without a question. In a large
-//! one that would cost a datagram a relay for each flow. There every client has a few *keepers*, the same by
-//! every relay's reckoning: its place is told to them, and a relay that meets it mid-flow and does not know
-//! it asks them. The cost is a fixed number of datagrams a flow, whatever the number of relays.
+//! In a small tier every relay is told, and a connection that arrives mid-stream is found without a question. In a large
+//! one that would cost a datagram a relay for each connection. There every client has a few *keepers*, the same by
+//! every relay's reckoning: its place is told to them, and a relay that meets it mid-connection and does not know
+//! it asks them. The cost is a fixed number of datagrams a connection, whatever the number of relays.
 
 use std::collections::BTreeMap;
 
-use sandgw_affinity::codec::{Client, Piece};
-use sandgw_affinity::replication::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::{Client, ClusterMessage};
+use sandgw_affinity::replication::{FULL_MESH_RELAYS, Sends};
 use sandgw_affinity::{Affinity, Millis};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Keepers of a client in a larger tier: one may be down or the datagram lost, both seldom are.
-pub const KEEPERS: u32 = 2;
+pub const LOCATION_REPLICAS: u32 = 2;
 /// How long news is gathered before it is told. Who is killed takes that much with it.
 const NEWS_AFTER: Millis = 500.0;
 /// A keeper's answer is waited for this long: four of the longest ways of a datagram.
 const ANSWER_WITHIN: Millis = 160.0;
 /// How often it is looked for meanwhile.
 const LOOK_AGAIN: Millis = 16.0;
-/// Questions under way at the most; a flow beyond them does without.
+/// Questions under way at the most; a connection beyond them does without.
 const MOST_ASKED: usize = 1024;
 
 /// News to be told, and questions under way.
 ///
 /// ```
 /// use sandgw_affinity::endpoint_registry::State;
-/// use sandgw_affinity::codec::Piece;
+/// use sandgw_affinity::codec::ClusterMessage;
 /// use sandgw_affinity::replication::Sends;
 /// use sandgw_affinity::{Affinity, Limits};
-/// use sandgw_cluster::location_gossip::{News, keepers};
+/// use sandgw_cluster::location_gossip::{LocationGossip, location_replicas};
 ///
 /// let (relays, client) = (40, Affinity::client(b"a viewer"));
-/// let keeper = keepers(client, relays).next().expect("a keeper");
-/// let relay = |me| {
-///     let mut affinity = Affinity::new(Limits { relays, me, ..Limits::default() }, 0.0);
+/// let keeper = location_replicas(client, relays).next().expect("a keeper");
+/// let relay = |local_index| {
+///     let mut affinity = Affinity::new(Limits { relays, local_index, ..Limits::default() }, 0.0);
 ///     affinity.list(0.0, true, [(&"s-1".into(), 0.0, State::Ready)].into_iter());
 ///     affinity
 /// };
 ///
-/// // A relay that is no keeper of it meets the client mid-flow: it asks both keepers, and is to look again soon.
-/// let me = (0..relays).find(|me| !keepers(client, relays).any(|k| k == *me)).expect("another");
-/// let (mut news, affinity, mut out) = (News::default(), relay(me), Sends::new());
+/// // A relay that is no keeper of it meets the client mid-connection: it asks both location_replicas, and is to look again soon.
+/// let local_index = (0..relays).find(|local_index| !location_replicas(client, relays).any(|k| k == *local_index)).expect("another");
+/// let (mut news, affinity, mut out) = (LocationGossip::default(), relay(local_index), Sends::new());
 /// assert!(news.ask(&affinity, 1000.0, client, &mut out).is_some());
 /// let asked = out.iter().find(|(to, _)| *to == keeper).expect("a question").1.clone();
-/// let Piece::Where(clients) = asked else { panic!("no question") };
+/// let ClusterMessage::LocationQuery(clients) = asked else { panic!("no question") };
 ///
 /// // The keeper knows the place and answers.
 /// let mut kept = relay(keeper);
 /// kept.note(900.0, client, "s-1");
 /// let mut answer = Sends::new();
-/// News::default().answer(&kept, me, &clients, &mut answer);
-/// assert!(matches!(&answer[..], [(to, Piece::News(_))] if *to == me));
+/// LocationGossip::default().answer(&kept, local_index, &clients, &mut answer);
+/// assert!(matches!(&answer[..], [(to, ClusterMessage::LocationUpdate(_))] if *to == local_index));
 /// ```
 #[derive(Default)]
-pub struct News {
+pub struct LocationGossip {
     /// Clients placed here that nobody was told of yet, and since when.
     untold: Vec<u64>,
     untold_since: Millis,
@@ -65,19 +65,19 @@
     armed: Option<Millis>,
 }
 
-impl News {
+impl LocationGossip {
     /// Notes that a client's new place is to be told.
     ///
     /// ```
     /// # use sandgw_affinity::replication::Sends;
     /// # use sandgw_affinity::{Affinity, Limits, endpoint_registry::State};
-    /// # use sandgw_cluster::location_gossip::News;
-    /// let mut affinity = Affinity::new(Limits { relays: 4, me: 0, ..Limits::default() }, 0.0);
+    /// # use sandgw_cluster::location_gossip::LocationGossip;
+    /// let mut affinity = Affinity::new(Limits { relays: 4, local_index: 0, ..Limits::default() }, 0.0);
     /// affinity.list(0.0, true, [(&"s-1".into(), 0.0, State::Ready)].into_iter());
     /// let client = Affinity::client(b"a viewer");
     /// affinity.note(1000.0, client, "s-1");
     ///
-    /// let (mut news, mut out) = (News::default(), Sends::new());
+    /// let (mut news, mut out) = (LocationGossip::default(), Sends::new());
     /// news.tell(1000.0, client);
     /// let after = news.timer(1000.0).expect("a call is due");
     /// news.due(&affinity, 1000.0 + after, &mut out);
@@ -98,17 +98,17 @@
         if self.untold.is_empty() || now - self.untold_since < NEWS_AFTER {
             return;
         }
-        let (me, relays) = (affinity.limits().me, affinity.limits().relays);
+        let (local_index, relays) = (affinity.limits().local_index, affinity.limits().relays);
         let mut to: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
         for client in self.untold.drain(..) {
-            keepers(client, relays).for_each(|peer| to.entry(peer).or_default().push(client));
+            location_replicas(client, relays).for_each(|peer| to.entry(peer).or_default().push(client));
         }
-        for (peer, clients) in to.into_iter().filter(|(peer, _)| *peer != me) {
+        for (peer, clients) in to.into_iter().filter(|(peer, _)| *peer != local_index) {
             out.extend(affinity.news(&clients).into_iter().map(|news| (peer, news)));
         }
     }
 
-    /// In how long [`News::due`] is to be called, if nothing earlier was asked for already.
+    /// In how long [`LocationGossip::due`] is to be called, if nothing earlier was asked for already.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
         let next = (!self.untold.is_empty()).then_some(self.untold_since + NEWS_AFTER)?;
         if self.armed.is_some_and(|armed| armed <= next + 1.0 && armed >= now - NEWS_AFTER) {
@@ -118,11 +118,11 @@
         Some((next - now).max(1.0))
     }
 
-    /// A client has arrived mid-flow: in how long to look again for its place, which its keepers are asked for.
+    /// A client has arrived mid-connection: in how long to look again for its place, which its keepers are asked for.
     /// Nothing where it is known, where nobody else would know it, or where the answer has taken too long.
     pub fn ask(&mut self, affinity: &Affinity, now: Millis, client: u64, out: &mut Sends) -> Option<Millis> {
-        let (me, relays) = (affinity.limits().me, affinity.limits().relays);
-        if relays <= ALL_TOLD || affinity.session(client).is_some() {
+        let (local_index, relays) = (affinity.limits().local_index, affinity.limits().relays);
+        if relays <= FULL_MESH_RELAYS || affinity.session(client).is_some() {
             self.asked.remove(&client);
             return None;
         }
@@ -143,8 +143,8 @@
         // Once more halfway: the question or the answer may be lost.
         if now - since >= f64::from(asks) * ANSWER_WITHIN / 2.0 {
             self.asked.insert(client, (since, asks + 1));
-            let others = keepers(client, relays).filter(|peer| *peer != me);
-            out.extend(others.map(|peer| (peer, Piece::Where(vec![Client::of(client)]))));
+            let others = location_replicas(client, relays).filter(|peer| *peer != local_index);
+            out.extend(others.map(|peer| (peer, ClusterMessage::LocationQuery(vec![Client::of(client)]))));
         }
         Some(LOOK_AGAIN)
     }
@@ -161,17 +161,17 @@
 /// The relays that are told of a client's place: all of a small tier, else so many that its key names.
 ///
 /// ```
-/// use sandgw_cluster::location_gossip::keepers;
+/// use sandgw_cluster::location_gossip::location_replicas;
 ///
-/// assert_eq!(keepers(7, 4).count(), 4);
-/// assert_eq!(keepers(7, 300).count(), 2);
+/// assert_eq!(location_replicas(7, 4).count(), 4);
+/// assert_eq!(location_replicas(7, 300).count(), 2);
 /// ```
-pub fn keepers(client: u64, relays: u32) -> impl Iterator<Item = u32> {
-    let few = relays > ALL_TOLD;
+pub fn location_replicas(client: u64, relays: u32) -> impl Iterator<Item = u32> {
+    let few = relays > FULL_MESH_RELAYS;
     let each = move |n: u32| {
         let drawn = (xxh3_64_with_seed(&client.to_le_bytes(), 0) % u64::from(relays.max(1))) as u32;
         // The keepers lie half a tier apart: relays next in number are often restarted together.
-        if few { (drawn + n * (relays / KEEPERS)) % relays } else { n }
+        if few { (drawn + n * (relays / LOCATION_REPLICAS)) % relays } else { n }
     };
-    (0..if few { KEEPERS } else { relays }).map(each)
+    (0..if few { LOCATION_REPLICAS } else { relays }).map(each)
 }
--- a/crates/cluster/src/poll_scheduler.rs
+++ b/crates/cluster/src/poll_scheduler.rs
@@ -11,8 +11,8 @@
 //! tells all that each call is to be left more time, and whoever is answered at once that it may be less. All move
 //! what they still have to ask to that rate. `docs/cold-start.md` names the ways weighed.
 
-use sandgw_affinity::codec::Piece;
-use sandgw_affinity::replication::{ALL_TOLD, Sends};
+use sandgw_affinity::codec::ClusterMessage;
+use sandgw_affinity::replication::{FULL_MESH_RELAYS, Sends};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Millis;
@@ -81,26 +81,26 @@
 }
 
 fn spread(relays: u32, draw: f64, most: Millis) -> Millis {
-    if relays > ALL_TOLD { draw * (SPREAD_EACH * f64::from(relays)).min(most) } else { 0.0 }
+    if relays > FULL_MESH_RELAYS { draw * (SPREAD_EACH * f64::from(relays)).min(most) } else { 0.0 }
 }
 
 /// Among whom a relay asks, and what the settings say of it.
 #[derive(Clone, Copy, Debug)]
-pub struct Among {
+pub struct ClusterView {
     /// Relays of the tier, and this one's number.
     pub relays: u32,
     /// Its number, from 0.
-    pub me: u32,
+    pub local_index: u32,
     /// A first failure is worth a pause of so long.
     pub step: Millis,
     /// How long the list may go without a call.
     pub most: Millis,
 }
 
-impl Among {
+impl ClusterView {
     /// As many as tell each other everything are few enough for discovery too.
     fn many(&self) -> bool {
-        self.relays > ALL_TOLD
+        self.relays > FULL_MESH_RELAYS
     }
 
     /// Time for each call while nothing is known of the service, and at the most.
@@ -116,10 +116,10 @@
 /// One relay's calls of discovery.
 ///
 /// ```
-/// use sandgw_cluster::poll_scheduler::{Among, Asking};
+/// use sandgw_cluster::poll_scheduler::{ClusterView, PollScheduler};
 ///
-/// let tier = Among { relays: 300, me: 7, step: 200.0, most: 5000.0 };
-/// let (mut asking, mut tell) = (Asking::new(7), Vec::new());
+/// let tier = ClusterView { relays: 300, local_index: 7, step: 200.0, most: 5000.0 };
+/// let (mut asking, mut tell) = (PollScheduler::new(7), Vec::new());
 /// asking.start(0.0, &tier);
 /// let at = asking.timer(0.0).expect("the first call is to be made");
 /// assert!(asking.due(at) && !asking.due(at), "it is made once");
@@ -127,7 +127,7 @@
 /// assert_eq!(tell.len(), 299, "it took long: all are told to leave each call more time");
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asking {
+pub struct PollScheduler {
     /// Calls that have failed in a row.
     failed: i32,
     /// When the next call is to be made, and when the one that is out was.
@@ -143,21 +143,21 @@
     seed: u64,
 }
 
-impl Asking {
+impl PollScheduler {
     /// Nothing is known of the service. The seed is the relay's own.
     pub fn new(seed: u64) -> Self {
-        Asking { seed, ..Asking::default() }
+        PollScheduler { seed, ..PollScheduler::default() }
     }
 
     /// The first call is to be made.
-    pub fn start(&mut self, now: Millis, tier: &Among) {
+    pub fn start(&mut self, now: Millis, tier: &ClusterView) {
         let all = self.each(now, tier) * f64::from(tier.relays);
         (self.started, self.next) = (now, Some(now + if tier.many() { self.draw() * all } else { 0.0 }));
     }
 
     /// A call has failed, or a watch was broken off. Jittered, so that relays turned away together do not come back
     /// together.
-    pub fn failed(&mut self, now: Millis, tier: &Among, out: &mut Sends) {
+    pub fn failed(&mut self, now: Millis, tier: &ClusterView, out: &mut Sends) {
         let own = (tier.step * 2_f64.powi(self.failed)).min(LONGEST / 2.0) * (1.0 + self.draw());
         self.failed = self.failed.saturating_add(1);
         if let Some(called) = self.called.take() {
@@ -170,7 +170,7 @@
     }
 
     /// Discovery has answered.
-    pub fn answered(&mut self, now: Millis, tier: &Among, out: &mut Sends) {
+    pub fn answered(&mut self, now: Millis, tier: &ClusterView, out: &mut Sends) {
         (self.failed, self.next) = (0, None);
         if let Some(called) = self.called.take() {
             self.learn(now, called, now - called, tier, out);
@@ -178,7 +178,7 @@
     }
 
     /// Takes another relay's word on what each call is to be left, and what its own took.
-    pub fn told(&mut self, now: Millis, each: Millis, took: Millis, tier: &Among) {
+    pub fn told(&mut self, now: Millis, each: Millis, took: Millis, tier: &ClusterView) {
         let each = each.clamp(tier.usual(), tier.slowest());
         // Who has missed a word may tell too little: a queue is never a reason to call more often.
         let known = if took >= SLOW { self.each(now, tier) } else { 0.0 };
@@ -192,7 +192,7 @@
         due.is_some()
     }
 
-    /// In how long to ask [`Asking::due`], if that was not said before.
+    /// In how long to ask [`PollScheduler::due`], if that was not said before.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
         let next = self.next.filter(|next| self.armed <= now || *next + 1.0 < self.armed)?;
         self.armed = next.max(now);
@@ -200,13 +200,13 @@
     }
 
     /// Time for each of the tier's calls.
-    fn each(&self, now: Millis, tier: &Among) -> Millis {
+    fn each(&self, now: Millis, tier: &ClusterView) -> Millis {
         let known = self.each.filter(|(_, at)| now - at < COUNTS);
         known.map_or(tier.usual(), |(each, _)| each.clamp(tier.usual(), tier.slowest()))
     }
 
     /// What a call took says how much time each is to be left, unless it was made before the latest change.
-    fn learn(&mut self, now: Millis, called: Millis, took: Millis, tier: &Among, out: &mut Sends) {
+    fn learn(&mut self, now: Millis, called: Millis, took: Millis, tier: &ClusterView, out: &mut Sends) {
         let changed = self.each.map_or(f64::NEG_INFINITY, |(_, at)| at);
         if !tier.many() || called < changed {
             return;
@@ -227,14 +227,14 @@
         if each != before || missed {
             self.set(now, each, took, tier);
             let whole = |span: Millis| span.round().clamp(0.0, f64::from(u16::MAX)) as u16;
-            let told = Piece::Calls { each: whole(each), took: whole(took) };
-            let others = (0..tier.relays).filter(|peer| *peer != tier.me);
+            let told = ClusterMessage::PollRate { each: whole(each), took: whole(took) };
+            let others = (0..tier.relays).filter(|peer| *peer != tier.local_index);
             out.extend(others.map(|peer| (peer, told.clone())));
         }
     }
 
     /// Moves what is still to be asked to another rate.
-    fn set(&mut self, now: Millis, each: Millis, took: Millis, tier: &Among) {
+    fn set(&mut self, now: Millis, each: Millis, took: Millis, tier: &ClusterView) {
         let times = each / self.each(now, tier);
         self.repeats = if times == 1.0 { self.repeats + 1 } else { 0 };
         (self.each, self.took) = (Some((each, now)), took);
--- a/crates/cluster/tests/asking.rs
+++ b/crates/cluster/tests/asking.rs
@@ -4,8 +4,8 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::codec::Piece;
-use sandgw_cluster::poll_scheduler::{Among, Asking, silent};
+use sandgw_affinity::codec::ClusterMessage;
+use sandgw_cluster::poll_scheduler::{ClusterView, PollScheduler, silent};
 
 /// A call that has waited so long fails, and costs its turn all the same.
 const WAITS: f64 = 2000.0;
@@ -39,21 +39,23 @@
 /// Relays that start within a second, all but so many; the rest start together later. `tells`: they tell each other.
 fn play(relays: u32, (later, at): (u32, f64), service: Service, tells: bool, seed: u64) -> Played {
     let mut dice = StdRng::seed_from_u64(seed);
-    let tier = |me| Among { relays, me, step: 200.0, most: 5_000.0 };
-    let mut asking: Vec<Asking> = (0..relays).map(|me| Asking::new(seed * 1000 + u64::from(me))).collect();
-    let starts = (0..relays).map(|me| if me < later { at } else { dice.random_range(0.0..1000.0) });
+    let tier = |local_index| ClusterView { relays, local_index, step: 200.0, most: 5_000.0 };
+    let mut asking: Vec<PollScheduler> =
+        (0..relays).map(|local_index| PollScheduler::new(seed * 1000 + u64::from(local_index))).collect();
+    let starts =
+        (0..relays).map(|local_index| if local_index < later { at } else { dice.random_range(0.0..1000.0) });
     let mut starts: Vec<Option<f64>> = starts.map(Some).collect();
     let (mut turn, mut busy): (VecDeque<(u32, f64)>, f64) = (VecDeque::new(), 0.0);
     let mut datagrams: VecDeque<(f64, u32, f64, f64)> = VecDeque::new();
     let (mut had, mut out, mut played) = (vec![None; relays as usize], Vec::new(), Played::default());
     for ms in 0..60_000_u32 {
         let now = f64::from(ms);
-        for me in 0..relays {
-            let one = &mut asking[me as usize];
-            if starts[me as usize].take_if(|start| *start <= now).is_some() {
-                *one = Asking::new(seed * 1000 + 500 + u64::from(me));
-                had[me as usize] = None;
-                one.start(now, &tier(me));
+        for local_index in 0..relays {
+            let one = &mut asking[local_index as usize];
+            if starts[local_index as usize].take_if(|start| *start <= now).is_some() {
+                *one = PollScheduler::new(seed * 1000 + 500 + u64::from(local_index));
+                had[local_index as usize] = None;
+                one.start(now, &tier(local_index));
             }
             if !one.due(now) {
                 continue;
@@ -62,26 +64,26 @@
             *played.by_second.entry(u64::from(ms) / 1000).or_default() += 1;
             if now < service.down {
                 played.failed += 1;
-                one.failed(now, &tier(me), &mut out);
+                one.failed(now, &tier(local_index), &mut out);
             } else {
-                turn.push_back((me, now));
+                turn.push_back((local_index, now));
             }
         }
         busy = (busy - 1.0).max(-1.0);
         while busy <= 0.0
-            && let Some((me, since)) = turn.pop_front()
+            && let Some((local_index, since)) = turn.pop_front()
         {
             busy += service.cost;
             if now - since > WAITS {
                 played.failed += 1;
-                asking[me as usize].failed(now, &tier(me), &mut out);
+                asking[local_index as usize].failed(now, &tier(local_index), &mut out);
             } else {
-                asking[me as usize].answered(now, &tier(me), &mut out);
-                had[me as usize].get_or_insert(now);
+                asking[local_index as usize].answered(now, &tier(local_index), &mut out);
+                had[local_index as usize].get_or_insert(now);
             }
         }
         for (peer, piece) in out.drain(..).filter(|_| tells) {
-            let Piece::Calls { each, took } = piece else { panic!("{piece:?}") };
+            let ClusterMessage::PollRate { each, took } = piece else { panic!("{piece:?}") };
             played.told += 1;
             if !dice.random_bool(LOST) {
                 datagrams.push_back((now + 10.0, peer, f64::from(each), f64::from(took)));
@@ -161,8 +163,8 @@
 #[test]
 fn one_that_starts_alone_waits_no_longer_than_before() {
     for seed in 0..20 {
-        let tier = Among { relays: 312, me: 3, step: 200.0, most: 5_000.0 };
-        let mut asking = Asking::new(seed);
+        let tier = ClusterView { relays: 312, local_index: 3, step: 200.0, most: 5_000.0 };
+        let mut asking = PollScheduler::new(seed);
         asking.start(0.0, &tier);
         assert!(asking.timer(0.0).is_some_and(|after| after <= 5_000.0));
     }
@@ -170,8 +172,8 @@
 
 #[test]
 fn few_relays_ask_at_once_and_soon_again() {
-    let (tier, mut out) = (Among { relays: 4, me: 1, step: 200.0, most: 5_000.0 }, Vec::new());
-    let mut asking = Asking::new(1);
+    let (tier, mut out) = (ClusterView { relays: 4, local_index: 1, step: 200.0, most: 5_000.0 }, Vec::new());
+    let mut asking = PollScheduler::new(1);
     asking.start(0.0, &tier);
     assert!(asking.due(0.0) && !asking.due(10_000.0));
     let mut now = 0.0;
--- a/crates/cluster/tests/census.rs
+++ b/crates/cluster/tests/census.rs
@@ -4,16 +4,16 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::codec::Piece;
+use sandgw_affinity::codec::ClusterMessage;
 use sandgw_affinity::replication::Sends;
-use sandgw_cluster::load_aggregation::{Census, Tag, View};
+use sandgw_cluster::load_aggregation::{ClusterLoad, LoadAggregation, Tag};
 
-const STREAMERS: u8 = 90;
+const ENDPOINTS: u8 = 90;
 
 struct Relay {
-    census: Census,
+    census: LoadAggregation,
     holds: BTreeMap<Tag, f64>,
-    view: Option<View>,
+    view: Option<ClusterLoad>,
     up: bool,
 }
 
@@ -27,21 +27,22 @@
 
 impl World {
     fn new(relays: u32, lost: f64) -> World {
-        let relay = |_| Relay { census: Census::default(), holds: BTreeMap::new(), view: None, up: true };
+        let relay =
+            |_| Relay { census: LoadAggregation::default(), holds: BTreeMap::new(), view: None, up: true };
         let dice = StdRng::seed_from_u64(11);
         World { relays: (0..relays).map(relay).collect(), dice, lost, now: 0.0, datagrams: 0 }
     }
 
-    /// Flows come for a while, most to the first streamers; every relay is asked every 20 ms whether to tell.
-    fn run(&mut self, span: f64, flows_a_second: f64) {
+    /// Connections come for a while, most to the first endpoints; every relay is asked every 20 ms whether to tell.
+    fn run(&mut self, span: f64, connections_a_second: f64) {
         let end = self.now + span;
         while self.now < end {
             self.now += 20.0;
-            let mut flows = flows_a_second / 50.0;
-            while flows > 0.0 && self.dice.random_bool(flows.min(1.0)) {
-                flows -= 1.0;
+            let mut connections = connections_a_second / 50.0;
+            while connections > 0.0 && self.dice.random_bool(connections.min(1.0)) {
+                connections -= 1.0;
                 let drawn: f64 = self.dice.random();
-                let tag = [(drawn * drawn * f64::from(STREAMERS)) as u8, 0];
+                let tag = [(drawn * drawn * f64::from(ENDPOINTS)) as u8, 0];
                 let at = self.dice.random_range(0..self.relays.len());
                 let relay = &mut self.relays[at];
                 if relay.up {
@@ -49,15 +50,15 @@
                     relay.census.came();
                 }
             }
-            for me in 0..self.relays.len() {
-                self.turn(me);
+            for local_index in 0..self.relays.len() {
+                self.turn(local_index);
             }
         }
     }
 
-    fn turn(&mut self, me: usize) {
-        let of = (me as u32, self.relays.len() as u32);
-        let relay = &mut self.relays[me];
+    fn turn(&mut self, local_index: usize) {
+        let of = (local_index as u32, self.relays.len() as u32);
+        let relay = &mut self.relays[local_index];
         if !relay.up {
             return;
         }
@@ -65,7 +66,7 @@
         let holds = || relay.holds.iter().map(|(tag, load)| (*tag, *load)).collect();
         relay.census.tell(self.now, of, holds, &mut out);
         self.deliver(of.0, out);
-        let relay = &mut self.relays[me];
+        let relay = &mut self.relays[local_index];
         relay.view = relay.census.take().or(relay.view.take());
     }
 
@@ -75,21 +76,21 @@
             if self.dice.random_bool(self.lost) || !self.relays[to as usize].up {
                 continue;
             }
-            let piece = piece.text().and_then(|text| Piece::read(&text)).expect("a piece that fits");
+            let piece = piece.text().and_then(|text| ClusterMessage::read(&text)).expect("a piece that fits");
             let (relays, relay) = (self.relays.len() as u32, &mut self.relays[to as usize]);
             let mut answers = Sends::new();
             match piece {
-                Piece::Holds(rows) => {
+                ClusterMessage::LoadReport(rows) => {
                     relay.census.answer(self.now, from, relays, rows, |_| 1.0, &mut answers)
                 }
-                Piece::Loads { total, rows } => relay.census.answered(from, total, &rows),
+                ClusterMessage::ClusterLoads { total, rows } => relay.census.answered(from, total, &rows),
                 other => panic!("unexpected {other:?}"),
             }
             self.deliver(to, answers);
         }
     }
 
-    /// Share of the load of the ten busiest streamers by which relays' views are off, over all that have one; and
+    /// Share of the load of the ten busiest endpoints by which relays' views are off, over all that have one; and
     /// the share that has.
     fn off(&self) -> (f64, f64) {
         let mut truth: BTreeMap<Tag, f64> = BTreeMap::new();
@@ -98,8 +99,8 @@
         let all: f64 = truth.values().sum();
         let mut busiest: Vec<_> = truth.iter().collect();
         busiest.sort_by(|a, b| b.1.total_cmp(a.1));
-        let views: Vec<&View> = up().filter_map(|r| r.view.as_ref()).collect();
-        let each = |view: &View, (tag, load): &(&Tag, &f64)| {
+        let views: Vec<&ClusterLoad> = up().filter_map(|r| r.view.as_ref()).collect();
+        let each = |view: &ClusterLoad, (tag, load): &(&Tag, &f64)| {
             let told = view.loads.get(*tag).copied().unwrap_or(0.0) / view.total.max(1.0);
             (told / (**load / all) - 1.0).abs()
         };
@@ -118,8 +119,8 @@
         world.run(3000.0, 1000.0);
         let early = world.off();
         world.run(20_000.0, 60.0);
-        let (late, flows) = (world.off(), 3000.0 + 20.0 * 60.0);
-        let each = world.datagrams as f64 / flows;
+        let (late, connections) = (world.off(), 3000.0 + 20.0 * 60.0);
+        let each = world.datagrams as f64 / connections;
         println!(
             "{relays} relays, {lost} lost: off by {early:.2?} after 3 s, {late:.2?} after 23 s, {each:.2} a flow"
         );
@@ -139,7 +140,7 @@
     println!("without the first 220: off by {off:.2}, known at {have:.2}");
     assert!(off < 0.4 && have > 0.9, "off by {off}, known at {have}");
     for relay in world.relays.iter_mut().take(220) {
-        *relay = Relay { census: Census::default(), holds: BTreeMap::new(), view: None, up: true };
+        *relay = Relay { census: LoadAggregation::default(), holds: BTreeMap::new(), view: None, up: true };
     }
     let before = world.datagrams;
     world.run(1000.0, 500.0);
@@ -157,13 +158,13 @@
     let mut world = World::new(100, 0.0);
     world.run(60_000.0, 0.0);
     assert_eq!(world.datagrams, 0);
-    assert!(!Census::holds(4) && !Census::holds(6) && Census::holds(32));
+    assert!(!LoadAggregation::holds(4) && !LoadAggregation::holds(6) && LoadAggregation::holds(32));
 }
 
-/// A flow that comes long before the relay would tell anyway brings the call forward.
+/// A connection that comes long before the relay would tell anyway brings the call forward.
 #[test]
 fn a_flow_brings_the_next_telling_forward() {
-    let (mut census, mut out) = (Census::default(), Sends::new());
+    let (mut census, mut out) = (LoadAggregation::default(), Sends::new());
     census.came();
     census.tell(0.0, (1, 100), Vec::new, &mut out);
     assert!(census.timer(0.0).is_some_and(|after| after > 5000.0));
--- a/crates/cluster/tests/leaving.rs
+++ b/crates/cluster/tests/leaving.rs
@@ -5,9 +5,9 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::codec::{Piece, StreamerHash};
-use sandgw_cluster::drain_gossip::{Answer, Leaving, Of};
-use sandgw_cluster::poll_scheduler::{Among, Asking, broken, silent};
+use sandgw_affinity::codec::{ClusterMessage, EndpointHash};
+use sandgw_cluster::drain_gossip::{Answer, ClusterSize, DrainGossip};
+use sandgw_cluster::poll_scheduler::{ClusterView, PollScheduler, broken, silent};
 
 /// Milliseconds from one look to the next, and a datagram's way.
 const STEP: f64 = 5.0;
@@ -51,16 +51,16 @@
     /// What a call costs the service that begins.
     cost: f64,
     loss: f64,
-    /// Whether relays may tell each other of streamers that leave.
+    /// Whether relays may tell each other of endpoints that leave.
     words: bool,
     seed: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// The next call is the module's.
+    /// The next call is the load balancer's.
     Waits,
-    /// A call is made then, without the module's pause.
+    /// A call is made then, without the load balancer's pause.
     Anew(f64),
     /// A call is out since then; nobody will answer it where it is lost.
     Out { since: f64, lost: bool },
@@ -69,12 +69,12 @@
 }
 
 struct Relay {
-    asking: Asking,
-    leaving: Leaving,
+    asking: PollScheduler,
+    leaving: DrainGossip,
     stage: Stage,
     revision: u64,
-    /// Streamers that it sends nothing to.
-    avoids: BTreeSet<StreamerHash>,
+    /// Endpoints that it sends nothing to.
+    avoids: BTreeSet<EndpointHash>,
     /// When it was told of each change.
     told: Vec<Option<f64>>,
 }
@@ -92,48 +92,48 @@
 
 /// Datagrams on their way: when each arrives, from whom, at whom.
 #[derive(Default)]
-struct Post {
-    on_their_way: VecDeque<(f64, u32, u32, Piece)>,
+struct VersionedChannel {
+    on_their_way: VecDeque<(f64, u32, u32, ClusterMessage)>,
     loss: f64,
     words: usize,
     bytes: usize,
 }
 
-impl Post {
-    fn send(&mut self, now: f64, me: u32, out: &mut Vec<(u32, Piece)>, dice: &mut StdRng) {
+impl VersionedChannel {
+    fn send(&mut self, now: f64, local_index: u32, out: &mut Vec<(u32, ClusterMessage)>, dice: &mut StdRng) {
         for (peer, piece) in out.drain(..) {
-            assert_ne!(peer, me, "it tells itself");
-            if matches!(piece, Piece::Leaving { .. } | Piece::Left(_)) {
+            assert_ne!(peer, local_index, "it tells itself");
+            if matches!(piece, ClusterMessage::Draining { .. } | ClusterMessage::DrainQuery(_)) {
                 self.words += 1;
                 self.bytes += piece.text().expect("it fits").len();
             }
             if !dice.random_bool(self.loss) {
-                self.on_their_way.push_back((now + WAY, me, peer, piece));
+                self.on_their_way.push_back((now + WAY, local_index, peer, piece));
             }
         }
     }
 }
 
-fn streamer(n: u64) -> StreamerHash {
-    StreamerHash::of(&format!("s{n}"))
+fn endpoint(n: u64) -> EndpointHash {
+    EndpointHash::of(&format!("s{n}"))
 }
 
-/// Each change is one streamer that leaves; the list's version counts them.
+/// Each change is one endpoint that leaves; the list's version counts them.
 fn play(plan: Plan, changes: &[f64]) -> Played {
     let Plan { relays, fault, cost, loss, words, seed } = plan;
     let mut dice = StdRng::seed_from_u64(seed);
-    let tier = |me| Among { relays, me, step: 200.0, most: 5_000.0 };
-    let of = |me| Of { me, relays: if words { relays } else { 0 } };
-    let fresh = |me: u32, life: u64| {
-        let seed = seed * 1000 + u64::from(me) + life * 500_000;
-        let mut leaving = Leaving::new(seed);
+    let tier = |local_index| ClusterView { relays, local_index, step: 200.0, most: 5_000.0 };
+    let of = |local_index| ClusterSize { local_index, relays: if words { relays } else { 0 } };
+    let fresh = |local_index: u32, life: u64| {
+        let seed = seed * 1000 + u64::from(local_index) + life * 500_000;
+        let mut leaving = DrainGossip::new(seed);
         leaving.known(Some(0));
         let (stage, told) = (Stage::Watches { noticed: None }, vec![None; changes.len()]);
-        Relay { asking: Asking::new(seed), leaving, stage, revision: 0, avoids: BTreeSet::new(), told }
+        Relay { asking: PollScheduler::new(seed), leaving, stage, revision: 0, avoids: BTreeSet::new(), told }
     };
-    let mut all: Vec<Relay> = (0..relays).map(|me| fresh(me, 0)).collect();
+    let mut all: Vec<Relay> = (0..relays).map(|local_index| fresh(local_index, 0)).collect();
     let (mut turn, mut busy): (VecDeque<(u32, f64)>, f64) = (VecDeque::new(), 0.0);
-    let mut post = Post { loss, ..Post::default() };
+    let mut post = VersionedChannel { loss, ..VersionedChannel::default() };
     let (mut played, mut begun) = (Played::default(), false);
     let mut now = 0.0;
     while now < LONG {
@@ -142,23 +142,23 @@
         let down = now >= FAULT && now < fault.back();
         if now >= FAULT && !std::mem::replace(&mut begun, true) {
             turn.clear();
-            for me in 0..relays {
-                let one = &mut all[me as usize];
+            for local_index in 0..relays {
+                let one = &mut all[local_index as usize];
                 let broken_off = |dice: &mut StdRng| Stage::Anew(now + broken(relays, dice.random()));
                 match fault {
                     Fault::Refuses(_) | Fault::Resets => {
                         one.stage = broken_off(&mut dice);
-                        one.leaving.failed(now, of(me));
+                        one.leaving.failed(now, of(local_index));
                     }
                     Fault::Silent(_) | Fault::WatchesSilent => {
                         one.stage =
                             Stage::Watches { noticed: Some(now + NOTICED * dice.random_range(0.6..1.0)) };
                     }
                     Fault::Restarts if dice.random_bool(0.7) => {
-                        *one = fresh(me, 1);
+                        *one = fresh(local_index, 1);
                         one.stage = Stage::Waits;
-                        one.asking.start(now, &tier(me));
-                        one.leaving.failed(now, of(me));
+                        one.asking.start(now, &tier(local_index));
+                        one.leaving.failed(now, of(local_index));
                     }
                     Fault::Restarts => {}
                 }
@@ -166,27 +166,27 @@
         }
         let mut out = Vec::new();
         let mut answered = Vec::new();
-        for me in 0..relays {
-            let one = &mut all[me as usize];
-            one.leaving.due(now, of(me), &mut out);
+        for local_index in 0..relays {
+            let one = &mut all[local_index as usize];
+            one.leaving.due(now, of(local_index), &mut out);
             let calls = match one.stage {
                 Stage::Anew(at) => at <= now,
                 Stage::Waits => one.asking.due(now),
                 Stage::Out { since, .. } => {
                     if now - since > GIVES_UP {
                         one.stage = Stage::Waits;
-                        one.asking.failed(now, &tier(me), &mut out);
-                        one.leaving.failed(now, of(me));
+                        one.asking.failed(now, &tier(local_index), &mut out);
+                        one.leaving.failed(now, of(local_index));
                     }
                     false
                 }
                 Stage::Watches { noticed: Some(at) } if at <= now => {
                     one.stage = Stage::Anew(now + silent(relays, dice.random()));
-                    one.leaving.failed(now, of(me));
+                    one.leaving.failed(now, of(local_index));
                     false
                 }
                 Stage::Watches { noticed: None } if !down && one.revision < revision => {
-                    answered.push((me, now - 1000.0));
+                    answered.push((local_index, now - 1000.0));
                     false
                 }
                 Stage::Watches { .. } => false,
@@ -196,70 +196,71 @@
                 match fault {
                     Fault::Refuses(_) if down => {
                         one.stage = Stage::Waits;
-                        one.asking.failed(now, &tier(me), &mut out);
-                        one.leaving.failed(now, of(me));
+                        one.asking.failed(now, &tier(local_index), &mut out);
+                        one.leaving.failed(now, of(local_index));
                     }
                     Fault::Silent(_) if down => one.stage = Stage::Out { since: now, lost: true },
                     _ => {
                         one.stage = Stage::Out { since: now, lost: false };
-                        turn.push_back((me, now));
+                        turn.push_back((local_index, now));
                     }
                 }
             }
-            post.send(now, me, &mut out, &mut dice);
+            post.send(now, local_index, &mut out, &mut dice);
         }
         busy = (busy - STEP).max(-STEP);
         while busy <= 0.0
-            && let Some((me, since)) = turn.pop_front()
+            && let Some((local_index, since)) = turn.pop_front()
         {
-            if all[me as usize].stage != (Stage::Out { since, lost: false }) {
+            if all[local_index as usize].stage != (Stage::Out { since, lost: false }) {
                 // Its caller has left; it costs its turn.
                 busy += cost;
                 continue;
             }
             busy += cost;
             if now - since > PATIENCE {
-                let one = &mut all[me as usize];
+                let one = &mut all[local_index as usize];
                 one.stage = Stage::Waits;
-                one.asking.failed(now, &tier(me), &mut out);
-                one.leaving.failed(now, of(me));
-                post.send(now, me, &mut out, &mut dice);
+                one.asking.failed(now, &tier(local_index), &mut out);
+                one.leaving.failed(now, of(local_index));
+                post.send(now, local_index, &mut out, &mut dice);
             } else {
-                answered.push((me, since));
+                answered.push((local_index, since));
             }
         }
-        for (me, asked) in answered {
-            let one = &mut all[me as usize];
-            let left: Vec<_> = (one.revision..revision).map(streamer).collect();
+        for (local_index, asked) in answered {
+            let one = &mut all[local_index as usize];
+            let left: Vec<_> = (one.revision..revision).map(endpoint).collect();
             one.stage = Stage::Watches { noticed: None };
-            one.asking.answered(now, &tier(me), &mut out);
+            one.asking.answered(now, &tier(local_index), &mut out);
             let answer = Answer { revision, asked, whole: false };
-            let back = one.leaving.listed(now, of(me), answer, &left, &[], &mut out);
-            assert!(back.is_empty(), "relay {me} takes back what has left: {back:?}");
+            let back = one.leaving.listed(now, of(local_index), answer, &left, &[], &mut out);
+            assert!(back.is_empty(), "relay {local_index} takes back what has left: {back:?}");
             one.revision = revision;
             one.avoids.extend(left);
             for told in &mut one.told[..revision as usize] {
                 told.get_or_insert(now);
             }
-            post.send(now, me, &mut out, &mut dice);
+            post.send(now, local_index, &mut out, &mut dice);
         }
         while post.on_their_way.front().is_some_and(|d| d.0 <= now)
-            && let Some((_, from, me, piece)) = post.on_their_way.pop_front()
+            && let Some((_, from, local_index, piece)) = post.on_their_way.pop_front()
         {
-            let one = &mut all[me as usize];
-            if let Piece::Calls { each, took } = piece {
-                one.asking.told(now, f64::from(each), f64::from(took), &tier(me));
+            let one = &mut all[local_index as usize];
+            if let ClusterMessage::PollRate { each, took } = piece {
+                one.asking.told(now, f64::from(each), f64::from(took), &tier(local_index));
                 continue;
             }
             let avoids = &one.avoids;
-            let fresh = one.leaving.told(now, of(me), from, piece, |s| !avoids.contains(&s), &mut out);
+            let fresh =
+                one.leaving.told(now, of(local_index), from, piece, |s| !avoids.contains(&s), &mut out);
             for s in &fresh {
-                let n = (0..changes.len()).find(|n| streamer(*n as u64) == *s).expect("one that left");
+                let n = (0..changes.len()).find(|n| endpoint(*n as u64) == *s).expect("one that left");
                 assert!(changes[n] <= now, "a word of what has not happened");
                 one.told[n].get_or_insert(now);
             }
             one.avoids.extend(fresh);
-            post.send(now, me, &mut out, &mut dice);
+            post.send(now, local_index, &mut out, &mut dice);
         }
     }
     for one in &all {
--- a/crates/cluster/tests/level.rs
+++ b/crates/cluster/tests/level.rs
@@ -8,22 +8,22 @@
 fn a_streamer_that_came_back_is_filled_by_moves_and_hardly_more_move_than_have_to() {
     for seed in 0..20 {
         let mut dice = StdRng::seed_from_u64(seed);
-        // Where the connections of a hundred relays stand: nine streamers full, three just back.
-        let mut flows: Vec<(u32, usize)> = (0..540).map(|n| (n as u32 % 100, n % 9)).collect();
+        // Where the connections of a hundred relays stand: nine endpoints full, three just back.
+        let mut connections: Vec<(u32, usize)> = (0..540).map(|n| (n as u32 % 100, n % 9)).collect();
         let mut moved = 0;
         for _ in 0..8 {
-            let held = |at| flows.iter().filter(|(_, on)| *on == at).count() as f64;
+            let held = |at| connections.iter().filter(|(_, on)| *on == at).count() as f64;
             let told: Vec<(f64, f64)> = (0..12).map(|at| (held(at), 8.0)).collect();
             let share = shares(&told);
             // Each relay draws for its own; who moves goes to the emptiest.
-            for (_, on) in &mut flows {
+            for (_, on) in &mut connections {
                 if dice.random::<f64>() < share[*on] {
                     *on = 9 + dice.random_range(0..3);
                     moved += 1;
                 }
             }
         }
-        let most = (0..12).map(|at| flows.iter().filter(|(_, on)| *on == at).count()).max();
+        let most = (0..12).map(|at| connections.iter().filter(|(_, on)| *on == at).count()).max();
         assert!(most.is_some_and(|most| most <= 58), "seed {seed}: {most:?}");
         // 135 are too much on the nine.
         assert!((90..190).contains(&moved), "seed {seed}: {moved}");
--- a/crates/cluster/tests/news.rs
+++ b/crates/cluster/tests/news.rs
@@ -1,19 +1,19 @@
-//! What telling of clients' places costs a flow by the number of relays, and whether a relay that meets a client
-//! mid-flow finds its streamer.
+//! What telling of clients' places costs a connection by the number of relays, and whether a relay that meets a client
+//! mid-connection finds its endpoint.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::codec::Piece;
+use sandgw_affinity::codec::ClusterMessage;
 use sandgw_affinity::endpoint_registry::State;
-use sandgw_affinity::replication::{ALL_TOLD, Sends};
+use sandgw_affinity::replication::{FULL_MESH_RELAYS, Sends};
 use sandgw_affinity::{Affinity, Limits};
-use sandgw_cluster::location_gossip::{KEEPERS, News, keepers};
+use sandgw_cluster::location_gossip::{LOCATION_REPLICAS, LocationGossip, location_replicas};
 
-const FLOWS: u64 = 2000;
+const CONNECTIONS: u64 = 2000;
 
 /// Relays that hear each other but for a share of the datagrams, which is lost.
 struct World {
-    relays: Vec<(Affinity, News)>,
+    relays: Vec<(Affinity, LocationGossip)>,
     lost: f64,
     dice: StdRng,
     now: f64,
@@ -24,15 +24,15 @@
     fn new(relays: u32, lost: f64) -> World {
         let mut world =
             World { relays: Vec::new(), lost, dice: StdRng::seed_from_u64(7), now: 1000.0, datagrams: 0 };
-        (0..relays).for_each(|me| world.relays.push(World::start(relays, me)));
+        (0..relays).for_each(|local_index| world.relays.push(World::start(relays, local_index)));
         world
     }
 
-    fn start(relays: u32, me: u32) -> (Affinity, News) {
-        let mut affinity = Affinity::new(Limits { relays, me, ..Limits::default() }, 1000.0);
+    fn start(relays: u32, local_index: u32) -> (Affinity, LocationGossip) {
+        let mut affinity = Affinity::new(Limits { relays, local_index, ..Limits::default() }, 1000.0);
         let ids: Vec<_> = (0..50).map(|n| format!("s-{n}").into()).collect();
         affinity.list(1000.0, true, ids.iter().map(|id| (id, 0.0, State::Ready)));
-        (affinity, News::default())
+        (affinity, LocationGossip::default())
     }
 
     fn deliver(&mut self, from: u32, mut out: Sends) {
@@ -41,12 +41,12 @@
             if self.dice.random_bool(self.lost) {
                 continue;
             }
-            let piece = piece.text().and_then(|text| Piece::read(&text)).expect("a piece that fits");
+            let piece = piece.text().and_then(|text| ClusterMessage::read(&text)).expect("a piece that fits");
             let (affinity, news) = &mut self.relays[to as usize];
             let mut answers = Sends::new();
             match &piece {
-                Piece::Where(clients) => news.answer(affinity, from, clients, &mut answers),
-                Piece::News(_) => sandgw_affinity::replication::Tier::new(1).told(
+                ClusterMessage::LocationQuery(clients) => news.answer(affinity, from, clients, &mut answers),
+                ClusterMessage::LocationUpdate(_) => sandgw_affinity::replication::Replication::new(1).told(
                     affinity,
                     self.now,
                     from,
@@ -59,14 +59,14 @@
         }
     }
 
-    /// Flows one after another at relays drawn at random, each told of.
+    /// Connections one after another at relays drawn at random, each told of.
     fn place(&mut self) {
-        for flow in 0..FLOWS {
+        for connection in 0..CONNECTIONS {
             self.now += 5.0;
             let at = self.dice.random_range(0..self.relays.len());
             let (affinity, news) = &mut self.relays[at];
-            let client = Affinity::client(&flow.to_le_bytes());
-            assert!(affinity.note(self.now, client, &format!("s-{}", flow % 50)));
+            let client = Affinity::client(&connection.to_le_bytes());
+            assert!(affinity.note(self.now, client, &format!("s-{}", connection % 50)));
             news.tell(self.now, client);
             for at in 0..self.relays.len() {
                 let mut out = Sends::new();
@@ -88,9 +88,9 @@
     fn found(&mut self) -> (u64, usize) {
         let (relays, before) = (self.relays.len() as u32, self.datagrams);
         let mut found = 0;
-        for flow in 0..FLOWS {
+        for connection in 0..CONNECTIONS {
             let at = self.dice.random_range(0..relays);
-            let client = Affinity::client(&flow.to_le_bytes());
+            let client = Affinity::client(&connection.to_le_bytes());
             let fresh = World::start(relays, at);
             let old = std::mem::replace(&mut self.relays[at as usize], fresh);
             for _ in 0..20 {
@@ -102,20 +102,20 @@
                 self.now += after;
             }
             let holder = self.relays[at as usize].0.session(client);
-            found += u64::from(holder.is_some_and(|id| *id == *format!("s-{}", flow % 50)));
+            found += u64::from(holder.is_some_and(|id| *id == *format!("s-{}", connection % 50)));
             self.relays[at as usize] = old;
         }
         (found, self.datagrams - before)
     }
 }
 
-/// Whatever the number of relays, a flow costs as many datagrams as its client has keepers.
+/// Whatever the number of relays, a connection costs as many datagrams as its client has keepers.
 #[test]
 fn a_flow_costs_as_many_datagrams_in_a_large_tier_as_in_one_of_ten() {
     for (relays, most) in [(4, 3.0), (32, 2.0), (100, 2.0), (312, 2.0)] {
         let mut world = World::new(relays, 0.2);
         world.place();
-        let each = world.datagrams as f64 / FLOWS as f64;
+        let each = world.datagrams as f64 / CONNECTIONS as f64;
         println!("{relays} relays: {each:.2} datagrams a flow");
         assert!(each <= most, "{relays} relays: {each} datagrams a flow");
     }
@@ -127,21 +127,23 @@
         let mut world = World::new(100, lost);
         world.place();
         let (found, datagrams) = world.found();
-        let (share, each) = (found as f64 / FLOWS as f64, datagrams as f64 / FLOWS as f64);
+        let (share, each) = (found as f64 / CONNECTIONS as f64, datagrams as f64 / CONNECTIONS as f64);
         println!("{lost} lost: {share} found, {each:.2} datagrams a question");
         assert!(share >= least, "{lost} lost: {share} found");
-        assert!(each <= 2.5 * f64::from(KEEPERS), "{each} datagrams a question");
+        assert!(each <= 2.5 * f64::from(LOCATION_REPLICAS), "{each} datagrams a question");
     }
 }
 
-/// Nobody answers: the flow is held no longer than an answer may take, then goes where the table says.
+/// Nobody answers: the connection is held no longer than an answer may take, then goes where the table says.
 #[test]
 fn a_question_without_an_answer_ends() {
     let mut world = World::new(312, 1.0);
     world.place();
     let started = world.now;
     let client = Affinity::client(&3u64.to_le_bytes());
-    let at = (0..312).find(|at| keepers(client, 312).all(|keeper| keeper != *at)).expect("not all keep it");
+    let at = (0..312)
+        .find(|at| location_replicas(client, 312).all(|keeper| keeper != *at))
+        .expect("not all keep it");
     world.relays[at as usize] = World::start(312, at);
     let (affinity, news) = &mut world.relays[at as usize];
     while let Some(after) = news.ask(affinity, world.now, client, &mut Sends::new()) {
@@ -152,11 +154,11 @@
 
 #[test]
 fn keepers_are_others_and_spread_evenly() {
-    for relays in [ALL_TOLD + 1, 100, 312] {
+    for relays in [FULL_MESH_RELAYS + 1, 100, 312] {
         let mut kept = vec![0; relays as usize];
         for client in 0..10_000u64 {
-            let of: Vec<u32> = keepers(client, relays).collect();
-            assert_eq!(of.len(), KEEPERS as usize);
+            let of: Vec<u32> = location_replicas(client, relays).collect();
+            assert_eq!(of.len(), LOCATION_REPLICAS as usize);
             assert_ne!(of[0], of[1]);
             of.iter().for_each(|k| kept[*k as usize] += 1);
         }
--- a/crates/cluster/tests/pace.rs
+++ b/crates/cluster/tests/pace.rs
@@ -3,15 +3,15 @@
 
 use std::collections::VecDeque;
 
-use sandgw_cluster::concurrency_limit::Pace;
+use sandgw_cluster::concurrency_limit::ConcurrencyLimit;
 
 /// The wanted time of a set-up, and how long a client waits.
 const AIM: f64 = 500.0;
 const GIVE_UP: f64 = 3000.0;
 const STEP: f64 = 5.0;
 
-/// A flow that waits at its relay, is out, or whose client comes again later.
-struct Flow {
+/// A connection that waits at its relay, is out, or whose client comes again later.
+struct Connection {
     relay: usize,
     came: f64,
     sent: Option<f64>,
@@ -21,12 +21,12 @@
 /// Clients of so many relays, each of which comes again until it is served; how many are served in time or late by
 /// each second. The store answers `rate` calls a second, those of clients that have left too.
 fn play(relays: usize, clients: usize, rate: impl Fn(f64) -> f64, paced: bool) -> Vec<usize> {
-    let mut paces: Vec<Pace> = (0..relays).map(|_| Pace::new(0.0)).collect();
+    let mut paces: Vec<ConcurrencyLimit> = (0..relays).map(|_| ConcurrencyLimit::new(0.0)).collect();
     let come = |n: usize| n as f64 * 6000.0 / clients as f64;
-    let mut flows: Vec<Option<Flow>> = (0..clients)
-        .map(|n| Some(Flow { relay: n % relays, came: come(n), sent: None, again: come(n) }))
+    let mut connections: Vec<Option<Connection>> = (0..clients)
+        .map(|n| Some(Connection { relay: n % relays, came: come(n), sent: None, again: come(n) }))
         .collect();
-    // The store's turn: a flow, and when it was sent.
+    // The store's turn: a connection, and when it was sent.
     let mut store: VecDeque<(usize, f64)> = VecDeque::new();
     let (mut served, mut credit, mut now) = (Vec::new(), 0.0, 0.0);
     let mut trying = vec![0u32; relays];
@@ -36,44 +36,44 @@
         while credit >= 1.0 && !store.is_empty() {
             credit -= 1.0;
             let Some((n, sent)) = store.pop_front() else { break };
-            let Some(flow) = flows[n].as_ref().filter(|f| f.sent == Some(sent)) else { continue };
-            let (relay, took) = (flow.relay, now - sent);
+            let Some(connection) = connections[n].as_ref().filter(|f| f.sent == Some(sent)) else { continue };
+            let (relay, took) = (connection.relay, now - sent);
             trying[relay] -= 1;
             if took <= AIM {
                 paces[relay].in_time(now, took / AIM);
             } else {
                 paces[relay].late(now, n as u64, trying[relay], 200.0);
             }
-            flows[n] = None;
+            connections[n] = None;
             served.push(now);
         }
-        for (n, flow) in flows.iter_mut().enumerate() {
-            let Some(flow) = flow.as_mut().filter(|f| f.again <= now) else { continue };
-            let pace = &mut paces[flow.relay];
-            match flow.sent {
-                // Alone taken for the streamer's fault, and given up after the wanted time.
+        for (n, connection) in connections.iter_mut().enumerate() {
+            let Some(connection) = connection.as_mut().filter(|f| f.again <= now) else { continue };
+            let pace = &mut paces[connection.relay];
+            match connection.sent {
+                // Alone taken for the endpoint's fault, and given up after the wanted time.
                 Some(sent) if now - sent > AIM && !pace.common(now) => {
-                    trying[flow.relay] -= 1;
-                    pace.late(now, n as u64, trying[flow.relay], 200.0);
-                    flow.sent = None;
+                    trying[connection.relay] -= 1;
+                    pace.late(now, n as u64, trying[connection.relay], 200.0);
+                    connection.sent = None;
                 }
-                Some(sent) if now - flow.came > GIVE_UP => {
-                    trying[flow.relay] -= 1;
-                    pace.late(now, n as u64, trying[flow.relay], 200.0);
+                Some(sent) if now - connection.came > GIVE_UP => {
+                    trying[connection.relay] -= 1;
+                    pace.late(now, n as u64, trying[connection.relay], 200.0);
                     let again = sent.max(now) + 500.0;
-                    (flow.sent, flow.came, flow.again) = (None, again, again);
+                    (connection.sent, connection.came, connection.again) = (None, again, again);
                 }
                 Some(_) => {}
-                None if paced && pace.next(now, trying[flow.relay], AIM) > 0.0 => {
-                    let wait = pace.expected(now, trying[flow.relay], 0, AIM);
-                    if now + wait + AIM > flow.came + GIVE_UP {
-                        (flow.came, flow.again) = (now + 1000.0, now + 1000.0);
+                None if paced && pace.next(now, trying[connection.relay], AIM) > 0.0 => {
+                    let wait = pace.expected(now, trying[connection.relay], 0, AIM);
+                    if now + wait + AIM > connection.came + GIVE_UP {
+                        (connection.came, connection.again) = (now + 1000.0, now + 1000.0);
                     }
                 }
                 None => {
-                    flow.sent = Some(now);
-                    trying[flow.relay] += 1;
-                    pace.sent(now, flow.relay as u64);
+                    connection.sent = Some(now);
+                    trying[connection.relay] += 1;
+                    pace.sent(now, connection.relay as u64);
                     store.push_back((n, now));
                 }
             }
@@ -108,10 +108,10 @@
     }
 }
 
-/// Lateness at a single streamer is that streamer's: nothing is held for it.
+/// Lateness at a single endpoint is that endpoint's: nothing is held for it.
 #[test]
 fn one_late_streamer_closes_no_window() {
-    let mut pace = Pace::new(0.0);
+    let mut pace = ConcurrencyLimit::new(0.0);
     for n in 0..50 {
         pace.late(f64::from(n) * 300.0, 1, 5, 200.0);
     }
@@ -122,7 +122,7 @@
 /// A window that was closed as far as it goes opens by itself where nothing more is heard.
 #[test]
 fn a_closed_window_opens_again() {
-    let mut pace = Pace::new(0.0);
+    let mut pace = ConcurrencyLimit::new(0.0);
     (0..50u32).for_each(|n| pace.late(f64::from(n) * 300.0, u64::from(n), 1, 200.0));
     pace.sent(15_000.0, 1);
     assert!(pace.next(15_100.0, 0, AIM) > 1000.0);
--- a/crates/cluster/tests/storm.rs
+++ b/crates/cluster/tests/storm.rs
@@ -1,14 +1,14 @@
 //! Words of late set-ups in a tier of hundreds: how soon all relays know of a slow store, and how few are misled by
-//! streamers that are slow alone.
+//! endpoints that are slow alone.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_affinity::codec::Piece;
-use sandgw_cluster::concurrency_limit::Pace;
-use sandgw_cluster::overload_gossip::Storm;
+use sandgw_affinity::codec::ClusterMessage;
+use sandgw_cluster::concurrency_limit::ConcurrencyLimit;
+use sandgw_cluster::overload_gossip::OverloadGossip;
 
 const RELAYS: u32 = 300;
-const STREAMERS: u32 = 50;
+const ENDPOINTS: u32 = 50;
 
 struct Played {
     /// Relays that were warned of a common fault, and words sent.
@@ -16,19 +16,20 @@
     words: usize,
 }
 
-/// So many set-ups a second for two seconds, of which a share, drawn or by streamer, comes late half a second after.
+/// So many set-ups a second for two seconds, of which a share, drawn or by endpoint, comes late half a second after.
 fn play(rate: u32, late: impl Fn(u32, &mut StdRng) -> bool, loss: f64, seed: u64) -> Played {
     let mut dice = StdRng::seed_from_u64(seed);
-    let mut storms: Vec<Storm> = (0..RELAYS).map(|me| Storm::new(seed * 1000 + u64::from(me))).collect();
+    let mut storms: Vec<OverloadGossip> =
+        (0..RELAYS).map(|local_index| OverloadGossip::new(seed * 1000 + u64::from(local_index))).collect();
     let (mut warned, mut words, mut out) = (vec![false; RELAYS as usize], 0, Vec::new());
     for n in 0..2 * rate {
         let now = f64::from(n) * 1000.0 / f64::from(rate);
-        let (relay, streamer) = (dice.random_range(0..RELAYS), dice.random_range(0..STREAMERS));
-        if late(streamer, &mut dice) {
-            storms[relay as usize].late(now, [streamer as u8, 0], (relay, RELAYS), &mut out);
+        let (relay, endpoint) = (dice.random_range(0..RELAYS), dice.random_range(0..ENDPOINTS));
+        if late(endpoint, &mut dice) {
+            storms[relay as usize].late(now, [endpoint as u8, 0], (relay, RELAYS), &mut out);
         }
         for (peer, piece) in out.drain(..) {
-            let Piece::Late(tag) = piece else { panic!("{piece:?}") };
+            let ClusterMessage::OverloadNotice(tag) = piece else { panic!("{piece:?}") };
             words += 1;
             assert!(piece_is_short(tag), "a word is short");
             if !dice.random_bool(loss) {
@@ -40,7 +41,7 @@
 }
 
 fn piece_is_short(tag: [u8; 2]) -> bool {
-    Piece::Late(tag).text().is_some_and(|text| text.len() <= 8)
+    ClusterMessage::OverloadNotice(tag).text().is_some_and(|text| text.len() <= 8)
 }
 
 #[test]
@@ -57,14 +58,14 @@
 fn streamers_that_are_slow_alone_mislead_hardly_anybody() {
     for seed in 0..5 {
         // One of eight, as many set-ups as in a release.
-        let played = play(400, |streamer, _| streamer % 8 == 0, 0.0, seed);
+        let played = play(400, |endpoint, _| endpoint % 8 == 0, 0.0, seed);
         assert!(played.warned * 5 <= RELAYS as usize, "seed {seed}: {} of {RELAYS}", played.warned);
     }
 }
 
 #[test]
 fn who_is_warned_sends_at_a_quarter_of_a_window_and_no_less_and_opens_by_what_it_sees() {
-    let mut pace = Pace::new(0.0);
+    let mut pace = ConcurrencyLimit::new(0.0);
     assert_eq!(pace.next(1_000.0, 5, 500.0), 0.0);
     for warning in 0..10 {
         pace.warned(1_000.0 + 300.0 * f64::from(warning), 0, 200.0);
--- a/crates/maintenance/src/call.rs
+++ b/crates/maintenance/src/call.rs
@@ -1,14 +1,14 @@
 //! Operators' calls about windows: one line in.
 
-use crate::{Amount, Moment, Refused, WindowId};
+use crate::{CapacityShare, Moment, Refused, WindowId};
 
 /// What is to be drained, by its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Named {
-    /// A hall, or a part of it.
-    Hall(String, Amount),
-    /// A streamer.
-    Streamer(String),
+    /// A zone, or a part of it.
+    Zone(String, CapacityShare),
+    /// An endpoint.
+    Endpoint(String),
     /// A relay.
     Relay(u32),
 }
@@ -44,7 +44,7 @@
 ///
 /// assert_eq!(read("windows"), Some(Ok(Call::Windows)));
 /// assert_eq!(read("status"), None);
-/// let what = Named::Streamer("s-1".into());
+/// let what = Named::Endpoint("s-1".into());
 /// let call = Call::Window { what, length: 600_000, after: 5_000, by: None };
 /// assert_eq!(read("window streamer s-1 600 in 5"), Some(Ok(call)));
 /// ```
@@ -57,19 +57,21 @@
         ["done", id] => of(id).map(Call::Done),
         ["extend", id, by] => of(id).and_then(|id| Ok(Call::Extend(id, seconds(by)?))),
         ["window", rest @ ..] => window(rest),
-        ["windows" | "cancel" | "done" | "extend", ..] => Err(Refused::Form),
+        ["windows" | "cancel" | "done" | "extend", ..] => Err(Refused::SchemaVersion),
         _ => return None,
     })
 }
 
 fn window(words: &[&str]) -> Result<Call, Refused> {
     let (what, rest) = match words {
-        ["hall", name, amount, rest @ ..] => (Named::Hall((*name).into(), size(amount)?), rest),
-        ["streamer", name, rest @ ..] => (Named::Streamer((*name).into()), rest),
-        ["relay", relay, rest @ ..] => (Named::Relay(relay.parse().map_err(|_| Refused::Form)?), rest),
-        _ => return Err(Refused::Form),
+        ["hall", name, amount, rest @ ..] => (Named::Zone((*name).into(), size(amount)?), rest),
+        ["streamer", name, rest @ ..] => (Named::Endpoint((*name).into()), rest),
+        ["relay", relay, rest @ ..] => {
+            (Named::Relay(relay.parse().map_err(|_| Refused::SchemaVersion)?), rest)
+        }
+        _ => return Err(Refused::SchemaVersion),
     };
-    let (length, rest) = rest.split_first().ok_or(Refused::Form)?;
+    let (length, rest) = rest.split_first().ok_or(Refused::SchemaVersion)?;
     let (after, rest) = match rest {
         ["in", after, rest @ ..] => (seconds(after)?, rest),
         rest => (0, rest),
@@ -77,21 +79,21 @@
     let by = match rest {
         [] => None,
         ["by", name] => Some((*name).to_owned()),
-        _ => return Err(Refused::Form),
+        _ => return Err(Refused::SchemaVersion),
     };
     Ok(Call::Window { what, length: seconds(length)?, after, by })
 }
 
-/// Sizes of streamers are counted in thousandths.
-fn size(text: &str) -> Result<Amount, Refused> {
+/// Sizes of endpoints are counted in thousandths.
+fn size(text: &str) -> Result<CapacityShare, Refused> {
     if text == "all" {
-        return Ok(Amount::All);
+        return Ok(CapacityShare::All);
     }
     let size = text.parse::<f64>().ok().filter(|n| (0.001..=4e6).contains(n));
-    size.map(|n| Amount::Part((n * 1000.0).ceil() as u32)).ok_or(Refused::Form)
+    size.map(|n| CapacityShare::Part((n * 1000.0).ceil() as u32)).ok_or(Refused::SchemaVersion)
 }
 
 fn seconds(text: &str) -> Result<Moment, Refused> {
     let seconds = text.parse::<f64>().ok().filter(|n| (0.0..=604_800.0).contains(n));
-    seconds.map(|n| (n * 1000.0) as Moment).ok_or(Refused::Form)
+    seconds.map(|n| (n * 1000.0) as Moment).ok_or(Refused::SchemaVersion)
 }
--- a/crates/maintenance/src/codec.rs
+++ b/crates/maintenance/src/codec.rs
@@ -3,7 +3,7 @@
 //! The first word is no kind that a process before this one reads, so that it ignores the rest.
 
 use crate::replicated_ledger::{Accepted, Answer, Message, Term};
-use crate::{Amount, Entry, MOST, Moment, Refused, Tag, What, Window, WindowId};
+use crate::{CapacityShare, Entry, MOST, Moment, Refused, Scope, Tag, Window, WindowId};
 
 /// Most bytes of a datagram.
 pub const MOST_BYTES: usize = 256;
@@ -75,13 +75,13 @@
     format!("{}.{}.{}", small(term.round), small(u64::from(term.relay)), small(term.life))
 }
 
-fn what_text(what: What) -> String {
+fn what_text(what: Scope) -> String {
     let tag = |tag: Tag| small(u64::from(tag));
     match what {
-        What::Hall(hall, Amount::All) => format!("h{}", tag(hall)),
-        What::Hall(hall, Amount::Part(part)) => format!("p{}/{}", tag(hall), tag(part)),
-        What::Streamer(id) => format!("s{}", tag(id)),
-        What::Relay(relay) => format!("r{}", tag(relay)),
+        Scope::Zone(zone, CapacityShare::All) => format!("h{}", tag(zone)),
+        Scope::Zone(zone, CapacityShare::Part(part)) => format!("p{}/{}", tag(zone), tag(part)),
+        Scope::Endpoint(id) => format!("s{}", tag(id)),
+        Scope::Relay(relay) => format!("r{}", tag(relay)),
     }
 }
 
@@ -147,16 +147,16 @@
     parts.next().is_none().then_some(term)
 }
 
-fn read_what(text: &str) -> Option<What> {
+fn read_what(text: &str) -> Option<Scope> {
     let rest = text.get(1..)?;
     Some(match text.get(..1)? {
-        "h" => What::Hall(small_enough(rest)?, Amount::All),
+        "h" => Scope::Zone(small_enough(rest)?, CapacityShare::All),
         "p" => {
-            let (hall, part) = rest.split_once('/')?;
-            What::Hall(small_enough(hall)?, Amount::Part(small_enough(part)?))
+            let (zone, part) = rest.split_once('/')?;
+            Scope::Zone(small_enough(zone)?, CapacityShare::Part(small_enough(part)?))
         }
-        "s" => What::Streamer(small_enough(rest)?),
-        "r" => What::Relay(small_enough(rest)?),
+        "s" => Scope::Endpoint(small_enough(rest)?),
+        "r" => Scope::Relay(small_enough(rest)?),
         _ => return None,
     })
 }
--- a/crates/maintenance/src/errors.rs
+++ b/crates/maintenance/src/errors.rs
@@ -9,19 +9,19 @@
 pub enum Refused {
     /// The call is not of a known form.
     #[error("a window is asked for as: window hall NAME all|SIZE SECONDS, window streamer NAME SECONDS")]
-    Form,
+    SchemaVersion,
     /// It would last longer than is allowed.
     #[error("longer than the longest window")]
     TooLong,
     /// It would break the floor though nothing else were drained or down.
     #[error("the floor could not be kept even with nothing else drained")]
     Never,
-    /// The list has no such hall.
+    /// The list has no such zone.
     #[error("no such hall in the list")]
-    NoHall,
-    /// The list has no such streamer.
+    NoZone,
+    /// The list has no such endpoint.
     #[error("no such streamer in the list")]
-    NoStreamer,
+    NoEndpoint,
     /// The tier has no such relay.
     #[error("no such relay in the tier")]
     NoRelay,
@@ -48,11 +48,11 @@
 impl Refused {
     /// One of each.
     pub const ALL: [Refused; 12] = [
-        Refused::Form,
+        Refused::SchemaVersion,
         Refused::TooLong,
         Refused::Never,
-        Refused::NoHall,
-        Refused::NoStreamer,
+        Refused::NoZone,
+        Refused::NoEndpoint,
         Refused::NoRelay,
         Refused::MayNot,
         Refused::NoWindow,
@@ -66,17 +66,17 @@
     ///
     /// ```
     /// use sandgw_maintenance::Refused;
-    /// assert!(Refused::ALL.iter().all(|refused| !refused.advice().is_empty()));
+    /// assert!(Refused::ALL.iter().all(|refused| !refused.help().is_empty()));
     /// ```
-    pub fn advice(self) -> &'static str {
+    pub fn help(self) -> &'static str {
         match self {
-            Refused::Form => "or window relay N SECONDS; then [in SECONDS] [by NAME]",
+            Refused::SchemaVersion => "or window relay N SECONDS; then [in SECONDS] [by NAME]",
             Refused::TooLong => "ask for less, or raise maintenance.longest_s at every relay",
             Refused::Never => "ask for a part of it, or lower maintenance.floor at every relay",
-            Refused::NoHall => {
+            Refused::NoZone => {
                 "halls are named as in the list's locality; look for a slip, or wait for the list"
             }
-            Refused::NoStreamer => {
+            Refused::NoEndpoint => {
                 "streamers are named by the list's id; look for a slip, or wait for the list"
             }
             Refused::NoRelay => "relays are numbered from 0, as in peers",
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,12 +1,12 @@
-//! Maintenance windows over halls: who may drain what, from when until when, so that what is left is never less
+//! Maintenance windows over zones: who may drain what, from when until when, so that what is left is never less
 //! than an agreed floor.
 //!
 //! Relays keep nothing on a disk and tell each other datagrams of 256 bytes that may be lost, late, doubled and out
 //! of order. A few of them, the voters, keep the ledger of windows granted; one of these, chosen by a majority, writes
 //! it, and a window is granted for a lease once a majority has the ledger that names it ([`replicated_ledger`]). Who has started
 //! abstains for one lease, so that what it has forgotten has lapsed everywhere. [`plan`] says what the list of
-//! streamers can spare, [`queue`] whose turn it is, [`codec`] how it is told, [`call`] how operators ask, [`liveness`]
-//! who is alive; [`Desk`] is all of it for one relay. Nothing here does I/O or reads a clock, and nothing is drained
+//! endpoints can spare, [`queue`] whose turn it is, [`codec`] how it is told, [`call`] how operators ask, [`liveness`]
+//! who is alive; [`MaintenanceService`] is all of it for one relay. Nothing here does I/O or reads a clock, and nothing is drained
 //! here: a window is leave to drain. `docs/maintenance.md` names the ways weighed.
 
 #![forbid(unsafe_code)]
@@ -23,8 +23,8 @@
 mod window;
 
 pub use errors::Refused;
-pub use service::{Desk, Event, Row};
-pub use window::{Amount, Entry, Tag, What, Window, WindowId, tag};
+pub use service::{Event, MaintenanceService, Row};
+pub use window::{CapacityShare, Entry, Scope, Tag, Window, WindowId, tag};
 
 /// A time on the relays' clocks, or a span: milliseconds, whole ones since the model's states are compared and hashed.
 pub type Moment = u64;
@@ -59,7 +59,7 @@
     pub give_up: Moment,
     /// An office grants nothing new for so long: who waits is to be heard first.
     pub settle: Moment,
-    /// The list of streamers is too old to grant by after this long.
+    /// The list of endpoints is too old to grant by after this long.
     pub list: Moment,
 }
 
--- a/crates/maintenance/src/liveness.rs
+++ b/crates/maintenance/src/liveness.rs
@@ -13,19 +13,19 @@
 /// The relays that were heard of lately.
 ///
 /// ```
-/// use sandgw_maintenance::liveness::Members;
+/// use sandgw_maintenance::liveness::Liveness;
 ///
-/// let mut members = Members::default();
+/// let mut members = Liveness::default();
 /// assert!(!members.heard(3, Some(100), 1_000));
 /// assert!(members.heard(3, Some(900), 2_000), "a new life");
 /// assert_eq!((members.is_alive(3, 16_000), members.is_alive(3, 18_000)), (true, false));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Members {
+pub struct Liveness {
     heard: BTreeMap<u32, (Moment, Option<u64>)>,
 }
 
-impl Members {
+impl Liveness {
     /// A relay was heard of, in a life where it said which. Whether that is another life than before.
     pub fn heard(&mut self, relay: u32, life: Option<u64>, now: Moment) -> bool {
         let (at, known) = self.heard.entry(relay).or_default();
