--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -1,19 +1,19 @@
-//! What the list of streamers can spare.
+//! What the list of endpoints can spare.
 //!
 //! It is fed the list and holds the floors. It says what would be left if everything granted were drained, beside what is
 //! down or cold by the list; it knows nothing of who asks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Amount, Entry, Moment, Refused, Tag, Timing, What, tag};
+use crate::{CapacityShare, Entry, Moment, Refused, Scope, Tag, Timing, tag};
 
-/// A streamer as the list has it.
+/// An endpoint as the list has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Streamer {
+pub struct Endpoint {
     /// Its name in the list.
     pub id: String,
-    /// Its hall.
-    pub hall: String,
+    /// Its zone.
+    pub zone: String,
     /// Its size, in thousandths of the list's unit.
     pub size: u64,
     /// Whether it takes work; it drains where it does not.
@@ -27,15 +27,15 @@
 pub struct Floors {
     /// Thousandths of capacity that must be left in all.
     pub all: u64,
-    /// The same by halls, of those that have a floor.
-    pub halls: BTreeMap<String, u64>,
+    /// The same by zones, of those that have a floor.
+    pub zones: BTreeMap<String, u64>,
     /// Relays that must be left.
     pub relays: u32,
     /// Most windows at once.
     pub most: usize,
     /// The longest window.
     pub longest: Moment,
-    /// Share of its size that a streamer is worth when it has just started, in thousandths, and when it is worth all.
+    /// Share of its size that an endpoint is worth when it has just started, in thousandths, and when it is worth all.
     pub cold: (u64, Moment),
 }
 
@@ -44,13 +44,13 @@
 pub struct Left {
     /// In all.
     pub all: u64,
-    /// By hall.
-    pub halls: BTreeMap<Tag, u64>,
+    /// By zone.
+    pub zones: BTreeMap<Tag, u64>,
 }
 
 #[derive(Clone, Debug)]
 struct Known {
-    hall: Tag,
+    zone: Tag,
     size: u64,
     ready: bool,
     started: Moment,
@@ -58,22 +58,22 @@
 
 /// The list, and what must be left of it.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct CapacityPlan {
     /// What must be left.
     pub floors: Floors,
     floor_of: BTreeMap<Tag, u64>,
     relays: u32,
-    streamers: BTreeMap<Tag, Known>,
+    endpoints: BTreeMap<Tag, Known>,
     names: BTreeMap<Tag, String>,
     told: Option<Moment>,
 }
 
-impl Plan {
+impl CapacityPlan {
     /// A plan for a tier of so many relays, without a list yet.
-    pub fn new(floors: Floors, relays: u32) -> Plan {
-        let floor_of = floors.halls.iter().map(|(hall, floor)| (tag(hall), *floor)).collect();
-        let names = floors.halls.keys().map(|hall| (tag(hall), hall.clone())).collect();
-        Plan { floors, floor_of, relays, streamers: BTreeMap::new(), names, told: None }
+    pub fn new(floors: Floors, relays: u32) -> CapacityPlan {
+        let floor_of = floors.zones.iter().map(|(zone, floor)| (tag(zone), *floor)).collect();
+        let names = floors.zones.keys().map(|zone| (tag(zone), zone.clone())).collect();
+        CapacityPlan { floors, floor_of, relays, endpoints: BTreeMap::new(), names, told: None }
     }
 
     /// Discovery has answered: the list is true as of now.
@@ -83,21 +83,21 @@
 
     /// Forgets the list, before a whole one.
     pub fn clear(&mut self) {
-        self.streamers.clear();
+        self.endpoints.clear();
     }
 
     /// Takes an entry of the list.
-    pub fn put(&mut self, streamer: &Streamer) {
-        let (id, hall) = (tag(&streamer.id), tag(&streamer.hall));
-        self.names.insert(id, streamer.id.clone());
-        self.names.entry(hall).or_insert_with(|| streamer.hall.clone());
-        let Streamer { size, ready, started, .. } = *streamer;
-        self.streamers.insert(id, Known { hall, size, ready, started });
+    pub fn put(&mut self, endpoint: &Endpoint) {
+        let (id, zone) = (tag(&endpoint.id), tag(&endpoint.zone));
+        self.names.insert(id, endpoint.id.clone());
+        self.names.entry(zone).or_insert_with(|| endpoint.zone.clone());
+        let Endpoint { size, ready, started, .. } = *endpoint;
+        self.endpoints.insert(id, Known { zone, size, ready, started });
     }
 
-    /// A streamer is no longer in the list.
+    /// An endpoint is no longer in the list.
     pub fn gone(&mut self, id: &str) {
-        self.streamers.remove(&tag(id));
+        self.endpoints.remove(&tag(id));
         self.names.remove(&tag(id));
     }
 
@@ -112,14 +112,14 @@
     }
 
     /// What is to be drained, in words.
-    pub fn says(&self, what: What) -> String {
+    pub fn says(&self, what: Scope) -> String {
         match what {
-            What::Hall(hall, Amount::All) => format!("hall {} all", self.name(hall)),
-            What::Hall(hall, Amount::Part(part)) => {
-                format!("hall {} {}", self.name(hall), f64::from(part) / 1000.0)
+            Scope::Zone(zone, CapacityShare::All) => format!("hall {} all", self.name(zone)),
+            Scope::Zone(zone, CapacityShare::Part(part)) => {
+                format!("hall {} {}", self.name(zone), f64::from(part) / 1000.0)
             }
-            What::Streamer(id) => format!("streamer {}", self.name(id)),
-            What::Relay(relay) => format!("relay {relay}"),
+            Scope::Endpoint(id) => format!("streamer {}", self.name(id)),
+            Scope::Relay(relay) => format!("relay {relay}"),
         }
     }
 
@@ -130,30 +130,30 @@
     }
 
     /// What would be left of the list if all of it were up and warm.
-    fn at_best(&self, what: What) -> Left {
+    fn at_best(&self, what: Scope) -> Left {
         let mut drained = Drained::default();
         drained.add(what);
         self.sum(|known| known.size, &drained, false)
     }
 
     fn sum(&self, worth: impl Fn(&Known) -> u64, drained: &Drained, heeds: bool) -> Left {
-        let mut halls: BTreeMap<Tag, u64> = self.streamers.values().map(|k| (k.hall, 0)).collect();
-        let open = self.streamers.iter().filter(|(id, known)| !drained.covers(**id, known.hall));
+        let mut zones: BTreeMap<Tag, u64> = self.endpoints.values().map(|k| (k.zone, 0)).collect();
+        let open = self.endpoints.iter().filter(|(id, known)| !drained.covers(**id, known.zone));
         for (_, known) in open {
-            *halls.entry(known.hall).or_default() += worth(known);
+            *zones.entry(known.zone).or_default() += worth(known);
         }
-        for (hall, part) in &drained.parts {
+        for (zone, part) in &drained.parts {
             // What drains there already is a part of what was granted.
-            let begun = if heeds { self.draining(drained, *hall) } else { 0 };
-            let left = halls.entry(*hall).or_default();
+            let begun = if heeds { self.draining(drained, *zone) } else { 0 };
+            let left = zones.entry(*zone).or_default();
             *left = left.saturating_sub(part.saturating_sub(begun));
         }
-        Left { all: halls.values().sum(), halls }
+        Left { all: zones.values().sum(), zones }
     }
 
-    fn draining(&self, drained: &Drained, hall: Tag) -> u64 {
-        let draining = self.streamers.iter().filter(|(_, k)| !k.ready && k.hall == hall);
-        draining.filter(|(id, _)| !drained.covers(**id, hall)).map(|(_, k)| k.size).sum()
+    fn draining(&self, drained: &Drained, zone: Tag) -> u64 {
+        let draining = self.endpoints.iter().filter(|(_, k)| !k.ready && k.zone == zone);
+        draining.filter(|(id, _)| !drained.covers(**id, zone)).map(|(_, k)| k.size).sum()
     }
 
     fn warm(&self, now: Moment, known: &Known) -> u64 {
@@ -167,8 +167,8 @@
 
     /// Whether what is left is enough.
     pub fn holds(&self, left: &Left) -> bool {
-        let hall = |(hall, floor): (&Tag, &u64)| left.halls.get(hall).copied().unwrap_or(0) >= *floor;
-        left.all >= self.floors.all && self.floor_of.iter().all(hall)
+        let zone = |(zone, floor): (&Tag, &u64)| left.zones.get(zone).copied().unwrap_or(0) >= *floor;
+        left.all >= self.floors.all && self.floor_of.iter().all(zone)
     }
 
     /// Whether all these may be granted together.
@@ -182,52 +182,52 @@
     }
 
     /// Why a window could never be granted.
-    pub fn never(&self, what: What, length: Moment, forced: bool) -> Option<Refused> {
-        let hall = |of: Tag| self.streamers.values().any(|k| k.hall == of);
+    pub fn never(&self, what: Scope, length: Moment, forced: bool) -> Option<Refused> {
+        let zone = |of: Tag| self.endpoints.values().any(|k| k.zone == of);
         Some(match what {
             _ if length > self.floors.longest || length == 0 => Refused::TooLong,
-            What::Hall(of, _) if !hall(of) => Refused::NoHall,
-            What::Streamer(of) if !self.streamers.contains_key(&of) => Refused::NoStreamer,
-            What::Relay(of) if of >= self.relays => Refused::NoRelay,
+            Scope::Zone(of, _) if !zone(of) => Refused::NoZone,
+            Scope::Endpoint(of) if !self.endpoints.contains_key(&of) => Refused::NoEndpoint,
+            Scope::Relay(of) if of >= self.relays => Refused::NoRelay,
             _ if forced => return None,
-            What::Relay(_) if self.relays.saturating_sub(1) < self.floors.relays => Refused::Never,
-            What::Hall(..) | What::Streamer(_) if !self.holds(&self.at_best(what)) => Refused::Never,
+            Scope::Relay(_) if self.relays.saturating_sub(1) < self.floors.relays => Refused::Never,
+            Scope::Zone(..) | Scope::Endpoint(_) if !self.holds(&self.at_best(what)) => Refused::Never,
             _ => return None,
         })
     }
 
-    /// What drains by the list and nobody has asked for, by hall.
+    /// What drains by the list and nobody has asked for, by zone.
     pub fn unasked(&self, granted: &[Entry]) -> BTreeMap<Tag, u64> {
         let drained = Drained::of(granted);
-        let halls: BTreeSet<Tag> = self.streamers.values().map(|k| k.hall).collect();
-        let part = |hall: Tag| drained.parts.get(&hall).copied().unwrap_or(0);
+        let zones: BTreeSet<Tag> = self.endpoints.values().map(|k| k.zone).collect();
+        let part = |zone: Tag| drained.parts.get(&zone).copied().unwrap_or(0);
         let rows =
-            halls.into_iter().map(|hall| (hall, self.draining(&drained, hall).saturating_sub(part(hall))));
+            zones.into_iter().map(|zone| (zone, self.draining(&drained, zone).saturating_sub(part(zone))));
         rows.filter(|(_, size)| *size > 0).collect()
     }
 
     /// Whether the list shows any of this draining.
-    pub fn drains(&self, what: What) -> bool {
-        self.streamers.iter().any(|(id, known)| {
+    pub fn drains(&self, what: Scope) -> bool {
+        self.endpoints.iter().any(|(id, known)| {
             !known.ready
                 && match what {
-                    What::Hall(hall, _) => known.hall == hall,
-                    What::Streamer(of) => *id == of,
-                    What::Relay(_) => false,
+                    Scope::Zone(zone, _) => known.zone == zone,
+                    Scope::Endpoint(of) => *id == of,
+                    Scope::Relay(_) => false,
                 }
         })
     }
 }
 
-fn relay(what: What) -> Option<u32> {
-    if let What::Relay(relay) = what { Some(relay) } else { None }
+fn relay(what: Scope) -> Option<u32> {
+    if let Scope::Relay(relay) = what { Some(relay) } else { None }
 }
 
 /// What is granted, taken together.
 #[derive(Default)]
 struct Drained {
-    halls: BTreeSet<Tag>,
-    streamers: BTreeSet<Tag>,
+    zones: BTreeSet<Tag>,
+    endpoints: BTreeSet<Tag>,
     parts: BTreeMap<Tag, u64>,
 }
 
@@ -238,16 +238,18 @@
         drained
     }
 
-    fn add(&mut self, what: What) {
+    fn add(&mut self, what: Scope) {
         match what {
-            What::Hall(hall, Amount::All) => drop(self.halls.insert(hall)),
-            What::Hall(hall, Amount::Part(part)) => *self.parts.entry(hall).or_default() += u64::from(part),
-            What::Streamer(id) => drop(self.streamers.insert(id)),
-            What::Relay(_) => {}
+            Scope::Zone(zone, CapacityShare::All) => drop(self.zones.insert(zone)),
+            Scope::Zone(zone, CapacityShare::Part(part)) => {
+                *self.parts.entry(zone).or_default() += u64::from(part)
+            }
+            Scope::Endpoint(id) => drop(self.endpoints.insert(id)),
+            Scope::Relay(_) => {}
         }
     }
 
-    fn covers(&self, id: Tag, hall: Tag) -> bool {
-        self.halls.contains(&hall) || self.streamers.contains(&id)
+    fn covers(&self, id: Tag, zone: Tag) -> bool {
+        self.zones.contains(&zone) || self.endpoints.contains(&id)
     }
 }
--- a/crates/maintenance/src/queue.rs
+++ b/crates/maintenance/src/queue.rs
@@ -3,7 +3,7 @@
 //! Who waits longest is first. One that does not fit keeps others back, as far as they would keep it back: who comes later
 //! is let through before it only if its window ends by the time at which the first one's turn comes anyway.
 
-use crate::plan::Plan;
+use crate::plan::CapacityPlan;
 use crate::{Entry, Moment, Timing, Window, WindowId};
 
 /// What may be granted now.
@@ -19,7 +19,7 @@
 pub fn turn(
     now: Moment,
     timing: &Timing,
-    plan: &Plan,
+    plan: &CapacityPlan,
     held: &[Entry],
     waiting: impl Iterator<Item = Window>,
 ) -> Turn {
@@ -50,7 +50,7 @@
 }
 
 /// When a window fits, if all that are granted end on time; nothing where it is not they that keep it back.
-fn opens(now: Moment, timing: &Timing, plan: &Plan, held: &[Entry], entry: Entry) -> Option<Moment> {
+fn opens(now: Moment, timing: &Timing, plan: &CapacityPlan, held: &[Entry], entry: Entry) -> Option<Moment> {
     let mut held = held.to_vec();
     held.sort_by_key(|e| std::cmp::Reverse(e.end));
     while let Some(ends) = held.pop() {
--- a/crates/maintenance/src/replicated_ledger.rs
+++ b/crates/maintenance/src/replicated_ledger.rs
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::plan::Plan;
+use crate::plan::CapacityPlan;
 use crate::queue::{Turn, turn};
 use crate::{Entry, MOST_OWN, MOST_WAITING, Moment, Refused, Timing, Window, WindowId};
 
@@ -111,7 +111,7 @@
 
 /// Where a window stands, at the relay where it was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum WindowStatus {
     /// Nobody has answered yet.
     Asked,
     /// It waits.
@@ -141,10 +141,10 @@
     Closed,
 }
 
-impl Standing {
+impl WindowStatus {
     /// Whether nothing more comes of it.
     pub fn is_over(self) -> bool {
-        matches!(self, Standing::Refused(_) | Standing::Ended | Standing::Closed)
+        matches!(self, WindowStatus::Refused(_) | WindowStatus::Ended | WindowStatus::Closed)
     }
 }
 
@@ -154,7 +154,7 @@
     /// The window, with the end wished for last.
     pub window: Window,
     /// Where it stands.
-    pub standing: Standing,
+    pub standing: WindowStatus,
     /// Why it is not extended, where it was to be.
     pub not_extended: Option<Refused>,
     /// When to ask again, and when it came to where it stands.
@@ -170,7 +170,7 @@
     /// How long things last.
     pub timing: &'a Timing,
     /// What may be drained.
-    pub plan: &'a Plan,
+    pub plan: &'a CapacityPlan,
     /// The relays that vote.
     pub voters: &'a [u32],
 }
@@ -206,7 +206,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Office {
+struct Leadership {
     term: Term,
     /// Who elected, in which life. Nobody else's acceptance counts.
     voters: BTreeMap<u32, u64>,
@@ -224,7 +224,7 @@
 enum Role {
     Voter,
     Candidate(Candidate),
-    Office(Office),
+    Leadership(Leadership),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -235,8 +235,8 @@
 
 /// One relay's part in the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Node {
-    me: u32,
+pub struct ReplicatedLedger {
+    local_index: u32,
     life: u64,
     promised: Option<Term>,
     accepted: Accepted,
@@ -254,11 +254,11 @@
 /// How long a window that is over is still shown, in leases.
 const SHOWN: Moment = 20;
 
-impl Node {
+impl ReplicatedLedger {
     /// A relay that starts now: the time is its life.
-    pub fn new(me: u32, now: Moment) -> Node {
-        Node {
-            me,
+    pub fn new(local_index: u32, now: Moment) -> ReplicatedLedger {
+        ReplicatedLedger {
+            local_index,
             life: now,
             promised: None,
             accepted: Accepted::default(),
@@ -284,7 +284,7 @@
     pub fn awaits(&self, message: &Message) -> bool {
         match (&self.role, message) {
             (Role::Candidate(candidate), Message::Vote { term, .. }) => candidate.term == *term,
-            (Role::Office(office), Message::Wrote { term, seq, .. }) => {
+            (Role::Leadership(office), Message::Wrote { term, seq, .. }) => {
                 (office.term, office.seq) == (*term, *seq) && office.pending.is_some()
             }
             _ => false,
@@ -302,7 +302,7 @@
         match &mut self.role {
             Role::Voter => {}
             Role::Candidate(candidate) => (candidate.since, candidate.sent) = (0, 0),
-            Role::Office(office) => {
+            Role::Leadership(office) => {
                 office.since = 0;
                 office.pending.iter_mut().for_each(|pending| pending.sent = 0);
             }
@@ -311,7 +311,7 @@
 
     /// Whether this relay believes itself in office. Others need not agree.
     pub fn is_in_office(&self) -> bool {
-        matches!(self.role, Role::Office(_))
+        matches!(self.role, Role::Leadership(_))
     }
 
     /// The windows that were asked for here.
@@ -321,7 +321,7 @@
 
     /// The windows granted as far as this relay was told.
     pub fn ledger(&self) -> &[Entry] {
-        if let Role::Office(office) = &self.role { &office.written } else { &self.accepted.entries }
+        if let Role::Leadership(office) = &self.role { &office.written } else { &self.accepted.entries }
     }
 
     /// The windows that wait as far as this relay was told.
@@ -332,7 +332,7 @@
     /// Whether a window that was asked for here may drain now.
     pub fn may_drain(&self, id: WindowId, now: Moment) -> bool {
         let standing = self.own.get(&id).map(|own| own.standing);
-        matches!(standing, Some(Standing::Granted { until, .. }) if now < until)
+        matches!(standing, Some(WindowStatus::Granted { until, .. }) if now < until)
     }
 
     // --- at the relay where a window is asked for ---
@@ -344,8 +344,10 @@
             return Err(Refused::TooMany);
         }
         let (next, since) = (cx.now, cx.now);
-        self.own
-            .insert(window.id, Own { window, standing: Standing::Asked, not_extended: None, next, since });
+        self.own.insert(
+            window.id,
+            Own { window, standing: WindowStatus::Asked, not_extended: None, next, since },
+        );
         self.press(cx, out);
         Ok(())
     }
@@ -359,7 +361,7 @@
         out: &mut Sends,
     ) -> Result<(), Refused> {
         let own = self.own.get_mut(&id).filter(|own| !own.standing.is_over()).ok_or(Refused::NoWindow)?;
-        let Standing::Granted { end, .. } = own.standing else { return Err(Refused::NotGranted) };
+        let WindowStatus::Granted { end, .. } = own.standing else { return Err(Refused::NotGranted) };
         if by > cx.plan.floors.longest || end.saturating_sub(cx.now) + by > cx.plan.floors.longest {
             return Err(Refused::TooLong);
         }
@@ -371,18 +373,18 @@
     /// A window is done with, or not wanted any more. It may be another relay's, which is then told.
     pub fn close(&mut self, cx: Context<'_>, id: WindowId, out: &mut Sends) -> Result<(), Refused> {
         let known = self.own.get(&id).is_some_and(|own| !own.standing.is_over());
-        if !known && (id.relay == self.me || !self.ledger().iter().any(|e| e.id == id)) {
+        if !known && (id.relay == self.local_index || !self.ledger().iter().any(|e| e.id == id)) {
             return Err(Refused::NoWindow);
         }
-        self.over(cx.now, id, Standing::Closed);
-        if id.relay != self.me {
+        self.over(cx.now, id, WindowStatus::Closed);
+        if id.relay != self.local_index {
             out.push((id.relay, Message::Close(id)));
         }
         self.press(cx, out);
         Ok(())
     }
 
-    fn over(&mut self, now: Moment, id: WindowId, standing: Standing) {
+    fn over(&mut self, now: Moment, id: WindowId, standing: WindowStatus) {
         if let Some(own) = self.own.get_mut(&id) {
             (own.standing, own.since) = (standing, now);
         }
@@ -404,11 +406,11 @@
         self.closing.retain(|_, (left, _)| *left > 0);
         let messages: Vec<Message> = due.into_iter().chain(closed.into_iter().map(Message::Close)).collect();
         for message in messages {
-            for voter in cx.voters.iter().filter(|v| **v != self.me) {
+            for voter in cx.voters.iter().filter(|v| **v != self.local_index) {
                 out.push((*voter, message.clone()));
             }
-            if cx.voters.contains(&self.me) {
-                self.told(cx, self.me, message, out);
+            if cx.voters.contains(&self.local_index) {
+                self.told(cx, self.local_index, message, out);
             }
         }
     }
@@ -416,8 +418,8 @@
     /// Own windows to be asked for now: those not granted, and those to be extended.
     fn asks(&mut self, cx: Context<'_>) -> Vec<Window> {
         let wants = |own: &Own| match own.standing {
-            Standing::Asked | Standing::Waits { .. } | Standing::Lapsed { .. } => true,
-            Standing::Granted { end, .. } => own.window.end.is_some_and(|wish| wish > end),
+            WindowStatus::Asked | WindowStatus::Waits { .. } | WindowStatus::Lapsed { .. } => true,
+            WindowStatus::Granted { end, .. } => own.window.end.is_some_and(|wish| wish > end),
             _ => false,
         };
         let due = self.own.values_mut().filter(|own| own.next <= cx.now && wants(own));
@@ -434,15 +436,17 @@
         let mut ended = Vec::new();
         for (id, own) in &mut self.own {
             match own.standing {
-                Standing::Granted { end, .. } | Standing::Lapsed { end } if now >= end => ended.push(*id),
-                Standing::Granted { until, end } if now >= until => {
-                    (own.standing, own.since, own.next) = (Standing::Lapsed { end }, now, now);
+                WindowStatus::Granted { end, .. } | WindowStatus::Lapsed { end } if now >= end => {
+                    ended.push(*id)
+                }
+                WindowStatus::Granted { until, end } if now >= until => {
+                    (own.standing, own.since, own.next) = (WindowStatus::Lapsed { end }, now, now);
                     own.window.end = Some(end);
                 }
                 _ => {}
             }
         }
-        ended.into_iter().for_each(|id| self.over(now, id, Standing::Ended));
+        ended.into_iter().for_each(|id| self.over(now, id, WindowStatus::Ended));
         let shown = SHOWN * cx.timing.lease;
         self.own.retain(|_, own| !own.standing.is_over() || now < own.since + shown);
     }
@@ -450,26 +454,26 @@
     fn hear(&mut self, cx: Context<'_>, id: WindowId, answer: Answer) {
         let Some(own) = self.own.get_mut(&id).filter(|own| !own.standing.is_over()) else {
             // Forgotten in an earlier life, or over: the office is told so, lest it renew it to its end.
-            if id.relay == self.me && self.closing.len() < MOST_WAITING {
+            if id.relay == self.local_index && self.closing.len() < MOST_WAITING {
                 self.closing.entry(id).or_insert((1, cx.now));
             }
             return;
         };
         let standing = match (answer, own.standing) {
             // What comes late says less than what is known.
-            (Answer::Granted { until, end }, Standing::Granted { until: u, end: e }) => {
-                Standing::Granted { until: until.max(u), end: end.max(e) }
+            (Answer::Granted { until, end }, WindowStatus::Granted { until: u, end: e }) => {
+                WindowStatus::Granted { until: until.max(u), end: end.max(e) }
             }
-            (Answer::Granted { until, end }, _) => Standing::Granted { until, end },
-            (Answer::Refused(refused), Standing::Granted { .. }) => {
+            (Answer::Granted { until, end }, _) => WindowStatus::Granted { until, end },
+            (Answer::Refused(refused), WindowStatus::Granted { .. }) => {
                 own.not_extended = Some(refused);
                 own.window.end = None;
                 own.standing
             }
-            (_, Standing::Granted { .. }) => own.standing,
-            (Answer::Waits { .. }, Standing::Lapsed { .. }) => own.standing,
-            (Answer::Waits { ahead, first }, _) => Standing::Waits { ahead, first },
-            (Answer::Refused(refused), _) => Standing::Refused(refused),
+            (_, WindowStatus::Granted { .. }) => own.standing,
+            (Answer::Waits { .. }, WindowStatus::Lapsed { .. }) => own.standing,
+            (Answer::Waits { ahead, first }, _) => WindowStatus::Waits { ahead, first },
+            (Answer::Refused(refused), _) => WindowStatus::Refused(refused),
         };
         if standing != own.standing {
             (own.standing, own.since) = (standing, cx.now);
@@ -480,7 +484,7 @@
     // --- at a voter ---
 
     fn votes(&self, cx: Context<'_>) -> bool {
-        cx.voters.contains(&self.me) && cx.now >= self.life + cx.timing.abstain
+        cx.voters.contains(&self.local_index) && cx.now >= self.life + cx.timing.abstain
     }
 
     /// Takes what another relay tells.
@@ -540,7 +544,7 @@
     fn asked(&mut self, cx: Context<'_>, window: Window, out: &mut Sends) {
         let known = self.waiting.contains_key(&window.id);
         let full = !known && self.waiting.len() >= MOST_WAITING;
-        if let Role::Office(_) = self.role {
+        if let Role::Leadership(_) = self.role {
             return self.decide(cx, window, full, out);
         }
         if !full {
@@ -550,10 +554,10 @@
 
     fn closed(&mut self, cx: Context<'_>, id: WindowId) {
         self.waiting.remove(&id);
-        if id.relay == self.me && self.own.get(&id).is_some_and(|own| !own.standing.is_over()) {
-            self.over(cx.now, id, Standing::Closed);
+        if id.relay == self.local_index && self.own.get(&id).is_some_and(|own| !own.standing.is_over()) {
+            self.over(cx.now, id, WindowStatus::Closed);
         }
-        if let Role::Office(office) = &mut self.role {
+        if let Role::Leadership(office) = &mut self.role {
             office.next.retain(|entry| entry.id != id);
         }
     }
@@ -570,14 +574,14 @@
             Role::Voter if self.votes(cx) => self.claim(cx, out),
             Role::Voter => {}
             Role::Candidate(_) => self.canvass(cx, out),
-            Role::Office(_) => self.renew(cx, out),
+            Role::Leadership(_) => self.renew(cx, out),
         }
     }
 
     /// Claims the office where somebody needs it and nobody is heard of.
     fn claim(&mut self, cx: Context<'_>, out: &mut Sends) {
         let open = self.accepted.entries.iter().any(|e| cx.now < e.end + cx.timing.bound);
-        let rank = cx.voters.iter().position(|v| *v == self.me).unwrap_or(0) as Moment;
+        let rank = cx.voters.iter().position(|v| *v == self.local_index).unwrap_or(0) as Moment;
         let quiet = cx.timing.patience + rank * cx.timing.step;
         if self.waiting.is_empty() && !open {
             return;
@@ -588,12 +592,12 @@
             return;
         }
         let round = self.promised.map_or(0, |t| t.round + 1).max(cx.now);
-        let term = Term { round, relay: self.me, life: self.life };
+        let term = Term { round, relay: self.local_index, life: self.life };
         (self.promised, self.heard) = (Some(term), Some(cx.now));
         let own = (self.life, self.accepted.clone());
-        let votes = BTreeMap::from([(self.me, own)]);
+        let votes = BTreeMap::from([(self.local_index, own)]);
         self.role = Role::Candidate(Candidate { term, votes, since: cx.now, sent: cx.now });
-        tell_others(cx, self.me, &Message::Claim { term }, |_| true, out);
+        tell_others(cx, self.local_index, &Message::Claim { term }, |_| true, out);
         self.canvass(cx, out);
     }
 
@@ -609,7 +613,7 @@
         } else if cx.now >= candidate.sent + cx.timing.again {
             candidate.sent = cx.now;
             let (term, has) = (candidate.term, &candidate.votes);
-            tell_others(cx, self.me, &Message::Claim { term }, |v| !has.contains_key(&v), out);
+            tell_others(cx, self.local_index, &Message::Claim { term }, |v| !has.contains_key(&v), out);
         }
     }
 
@@ -634,8 +638,8 @@
         let next = newest.map(|a| a.entries).unwrap_or_default();
         let (term, since) = (candidate.term, cx.now);
         let (written, pending) = (Vec::new(), None);
-        let office = Office { term, voters, since, seq: 0, written, next, pending, good: None };
-        self.role = Role::Office(office);
+        let office = Leadership { term, voters, since, seq: 0, written, next, pending, good: None };
+        self.role = Role::Leadership(office);
         self.renew(cx, out);
     }
 
@@ -643,7 +647,7 @@
 
     fn renew(&mut self, cx: Context<'_>, out: &mut Sends) {
         let (now, timing) = (cx.now, cx.timing);
-        let Role::Office(office) = &mut self.role else { return };
+        let Role::Leadership(office) = &mut self.role else { return };
         if office.good.unwrap_or(office.since) + timing.give_up * 2 <= now {
             // A majority does not hear, or has elected another, or has restarted.
             (self.role, self.heard) = (Role::Voter, Some(now));
@@ -658,7 +662,7 @@
         }
         office.next.retain(|entry| now < entry.end + timing.bound);
         self.grant(cx);
-        let Role::Office(office) = &mut self.role else { return };
+        let Role::Leadership(office) = &mut self.role else { return };
         let due = office.good.is_none_or(|good| now >= good + timing.renew);
         let idle = office.next.is_empty() && office.written.is_empty() && self.waiting.is_empty();
         if idle && office.good.is_some() {
@@ -674,7 +678,7 @@
 
     /// Grants those whose turn it is, which counts once a majority has accepted it.
     fn grant(&mut self, cx: Context<'_>) {
-        let Role::Office(office) = &mut self.role else { return };
+        let Role::Leadership(office) = &mut self.role else { return };
         let settled = cx.now >= office.since + cx.timing.settle;
         if !settled || !cx.plan.is_fresh(cx.now, cx.timing) {
             return;
@@ -691,18 +695,18 @@
 
     /// Writes the ledger that is pending to those who have not accepted it, this relay first.
     fn spread(&mut self, cx: Context<'_>, out: &mut Sends) {
-        let Role::Office(office) = &mut self.role else { return };
+        let Role::Leadership(office) = &mut self.role else { return };
         let Some(pending) = &office.pending else { return };
         let (term, seq) = (office.term, office.seq);
         let message = Message::Write { term, seq, entries: office.written.clone() };
         let (voters, by) = (&office.voters, &pending.by);
-        tell_others(cx, self.me, &message, |v| voters.contains_key(&v) && !by.contains(&v), out);
+        tell_others(cx, self.local_index, &message, |v| voters.contains_key(&v) && !by.contains(&v), out);
         self.accepted = Accepted { term: Some(term), seq, entries: office.written.clone() };
-        self.wrote(cx, self.me, (term, seq, self.life), out);
+        self.wrote(cx, self.local_index, (term, seq, self.life), out);
     }
 
     fn wrote(&mut self, cx: Context<'_>, from: u32, (term, seq, life): (Term, u64, u64), out: &mut Sends) {
-        let Role::Office(office) = &mut self.role else { return };
+        let Role::Leadership(office) = &mut self.role else { return };
         if (office.term, office.seq) != (term, seq) || office.voters.get(&from) != Some(&life) {
             return;
         }
@@ -723,7 +727,7 @@
 
     /// Tells the relay of a window that is in force until when that is.
     fn say(&mut self, cx: Context<'_>, id: WindowId, out: &mut Sends) {
-        let Role::Office(office) = &self.role else { return };
+        let Role::Leadership(office) = &self.role else { return };
         let (Some(good), None) = (office.good, &office.pending) else { return };
         let Some(entry) = office.written.iter().find(|entry| entry.id == id) else { return };
         let until = (good + cx.timing.lease.saturating_sub(cx.timing.bound)).min(entry.end);
@@ -731,7 +735,7 @@
     }
 
     fn answer(&mut self, cx: Context<'_>, id: WindowId, answer: Answer, out: &mut Sends) {
-        if id.relay == self.me {
+        if id.relay == self.local_index {
             self.hear(cx, id, answer);
         } else {
             out.push((id.relay, Message::Told { id, answer }));
@@ -740,7 +744,7 @@
 
     /// Takes a window that is asked for: extends it, refuses it or has it wait, and says which.
     fn decide(&mut self, cx: Context<'_>, window: Window, full: bool, out: &mut Sends) {
-        let Role::Office(office) = &mut self.role else { return };
+        let Role::Leadership(office) = &mut self.role else { return };
         let id = window.id;
         if let Some(at) = office.next.iter().position(|entry| entry.id == id) {
             let waiting = self.waiting.values().map(|w| w.window);
@@ -786,7 +790,13 @@
     }
 }
 
-fn tell_others(cx: Context<'_>, me: u32, message: &Message, who: impl Fn(u32) -> bool, out: &mut Sends) {
-    let others = cx.voters.iter().filter(|v| **v != me && who(**v));
+fn tell_others(
+    cx: Context<'_>,
+    local_index: u32,
+    message: &Message,
+    who: impl Fn(u32) -> bool,
+    out: &mut Sends,
+) {
+    let others = cx.voters.iter().filter(|v| **v != local_index && who(**v));
     out.extend(others.map(|v| (*v, message.clone())));
 }
--- a/crates/maintenance/src/service.rs
+++ b/crates/maintenance/src/service.rs
@@ -5,33 +5,33 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::call::{Call, Named};
-use crate::liveness::Members;
-use crate::plan::{Floors, Plan};
-use crate::replicated_ledger::{Context, Message, Node, Own, Sends, Standing};
-use crate::{Entry, Moment, Refused, Tag, Timing, What, Window, WindowId, codec, tag};
+use crate::liveness::Liveness;
+use crate::plan::{CapacityPlan, Floors};
+use crate::replicated_ledger::{Context, Message, Own, ReplicatedLedger, Sends, WindowStatus};
+use crate::{Entry, Moment, Refused, Scope, Tag, Timing, Window, WindowId, codec, tag};
 
 /// What operators and the log are to hear without having asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A window that was asked for here stands otherwise.
-    Stands(WindowId, Standing),
+    Stands(WindowId, WindowStatus),
     /// A window has ended, and what it was of still drains by the list.
     PastEnd(WindowId),
-    /// So many thousandths drain in a hall and nobody has asked for it.
+    /// So many thousandths drain in a zone and nobody has asked for it.
     Unasked(String, u64),
     /// What is left is less than the floor: thousandths left in all.
     BelowFloor(u64),
     /// This relay has taken the office, or left it.
-    Office(bool),
+    Leadership(bool),
 }
 
 impl Event {
     /// Whether somebody ought to look at it.
     pub fn is_alarm(&self) -> bool {
-        let standing = |s: &Standing| matches!(s, Standing::Lapsed { .. } | Standing::Refused(_));
+        let standing = |s: &WindowStatus| matches!(s, WindowStatus::Lapsed { .. } | WindowStatus::Refused(_));
         match self {
             Event::Stands(_, s) => standing(s),
-            Event::Office(_) => false,
+            Event::Leadership(_) => false,
             _ => true,
         }
     }
@@ -42,16 +42,16 @@
         let size = |n: &u64| *n as f64 / 1000.0;
         match self {
             Event::Stands(id, standing) => match standing {
-                Standing::Lapsed { .. } => {
+                WindowStatus::Lapsed { .. } => {
                     write!(f, "window {id} has lapsed: end its drain; it is asked for again")
                 }
-                Standing::Refused(refused) => {
-                    write!(f, "window {id} refused: {refused}; {}", refused.advice())
+                WindowStatus::Refused(refused) => {
+                    write!(f, "window {id} refused: {refused}; {}", refused.help())
                 }
-                Standing::Granted { end, .. } => write!(f, "window {id} granted, ends at {}", end / 1000),
-                Standing::Ended => write!(f, "window {id} has ended"),
-                Standing::Closed => write!(f, "window {id} is closed"),
-                Standing::Waits { .. } | Standing::Asked => write!(f, "window {id} waits"),
+                WindowStatus::Granted { end, .. } => write!(f, "window {id} granted, ends at {}", end / 1000),
+                WindowStatus::Ended => write!(f, "window {id} has ended"),
+                WindowStatus::Closed => write!(f, "window {id} is closed"),
+                WindowStatus::Waits { .. } | WindowStatus::Asked => write!(f, "window {id} waits"),
             },
             Event::PastEnd(id) => {
                 write!(
@@ -59,14 +59,14 @@
                     "window {id} has ended, and it still drains: end the drain, or ask for a new window"
                 )
             }
-            Event::Unasked(hall, amount) => {
-                write!(f, "{} of hall {hall} drain and nobody has asked for it", size(amount))
+            Event::Unasked(zone, amount) => {
+                write!(f, "{} of hall {zone} drain and nobody has asked for it", size(amount))
             }
             Event::BelowFloor(left) => {
                 write!(f, "{} are left, less than the floor: end what windows can be ended", size(left))
             }
-            Event::Office(true) => f.write_str("this relay grants the windows now"),
-            Event::Office(false) => f.write_str("this relay grants no windows any more"),
+            Event::Leadership(true) => f.write_str("this relay grants the windows now"),
+            Event::Leadership(false) => f.write_str("this relay grants no windows any more"),
         }
     }
 }
@@ -84,19 +84,19 @@
 
 /// Everything about windows at one relay.
 #[derive(Debug)]
-pub struct Desk {
-    node: Node,
-    plan: Plan,
+pub struct MaintenanceService {
+    node: ReplicatedLedger,
+    plan: CapacityPlan,
     timing: Timing,
     voters: Vec<u32>,
     may_override: Vec<String>,
-    me: u32,
-    members: Members,
+    local_index: u32,
+    members: Liveness,
     sends: Sends,
     events: VecDeque<Event>,
     /// What was said last, so that it is said once.
-    stood: BTreeMap<WindowId, Standing>,
-    past: BTreeMap<WindowId, (What, Moment)>,
+    stood: BTreeMap<WindowId, WindowStatus>,
+    past: BTreeMap<WindowId, (Scope, Moment)>,
     unasked: BTreeMap<Tag, u64>,
     below: bool,
     office: bool,
@@ -107,13 +107,13 @@
 /// Most voters by default: what they tell each other does not grow with the tier.
 const VOTERS: u32 = 7;
 
-impl Desk {
+impl MaintenanceService {
     /// The voters where none are named: all of a small tier, else seven spread over its numbers.
     ///
     /// ```
-    /// use sandgw_maintenance::Desk;
-    /// assert_eq!(Desk::usual_voters(3), [0, 1, 2]);
-    /// assert_eq!(Desk::usual_voters(14), [0, 2, 4, 6, 8, 10, 12]);
+    /// use sandgw_maintenance::MaintenanceService;
+    /// assert_eq!(MaintenanceService::usual_voters(3), [0, 1, 2]);
+    /// assert_eq!(MaintenanceService::usual_voters(14), [0, 2, 4, 6, 8, 10, 12]);
     /// ```
     pub fn usual_voters(relays: u32) -> Vec<u32> {
         let n = relays.min(VOTERS);
@@ -122,21 +122,21 @@
 
     /// The desk of a relay that starts now, in a tier of so many.
     pub fn new(
-        (me, relays): (u32, u32),
+        (local_index, relays): (u32, u32),
         floors: Floors,
         timing: Timing,
         voters: Vec<u32>,
         may_override: Vec<String>,
         now: Moment,
-    ) -> Desk {
-        Desk {
-            node: Node::new(me, now),
-            plan: Plan::new(floors, relays),
+    ) -> MaintenanceService {
+        MaintenanceService {
+            node: ReplicatedLedger::new(local_index, now),
+            plan: CapacityPlan::new(floors, relays),
             timing,
             voters,
             may_override,
-            me,
-            members: Members::default(),
+            local_index,
+            members: Liveness::default(),
             sends: Vec::new(),
             events: VecDeque::new(),
             stood: BTreeMap::new(),
@@ -148,17 +148,17 @@
     }
 
     /// The list as this relay has it, to be changed.
-    pub fn plan(&mut self) -> &mut Plan {
+    pub fn plan(&mut self) -> &mut CapacityPlan {
         &mut self.plan
     }
 
     /// Who is alive.
-    pub fn members(&self) -> &Members {
+    pub fn members(&self) -> &Liveness {
         &self.members
     }
 
     /// The protocol's state.
-    pub fn node(&self) -> &Node {
+    pub fn node(&self) -> &ReplicatedLedger {
         &self.node
     }
 
@@ -172,7 +172,11 @@
         self.events.drain(..).collect()
     }
 
-    fn step<T>(&mut self, now: Moment, f: impl FnOnce(&mut Node, Context<'_>, &mut Sends) -> T) -> T {
+    fn step<T>(
+        &mut self,
+        now: Moment,
+        f: impl FnOnce(&mut ReplicatedLedger, Context<'_>, &mut Sends) -> T,
+    ) -> T {
         let cx = Context { now, timing: &self.timing, plan: &self.plan, voters: &self.voters };
         let result = f(&mut self.node, cx, &mut self.sends);
         self.notice(now);
@@ -197,7 +201,7 @@
         self.step(now, |node, cx, out| node.told(cx, from, message, out));
     }
 
-    /// Carries out a call. A window asked for is answered by its name, and stands as [`Desk::row`] says.
+    /// Carries out a call. A window asked for is answered by its name, and stands as [`MaintenanceService::row`] says.
     pub fn call(&mut self, now: Moment, call: Call) -> Result<Option<WindowId>, Refused> {
         match call {
             Call::Windows => Ok(None),
@@ -228,16 +232,16 @@
             return Err(Refused::MayNot);
         }
         let what = match what {
-            Named::Hall(name, amount) => What::Hall(tag(&name), amount),
-            Named::Streamer(name) => What::Streamer(tag(&name)),
-            Named::Relay(relay) => What::Relay(relay),
+            Named::Zone(name, amount) => Scope::Zone(tag(&name), amount),
+            Named::Endpoint(name) => Scope::Endpoint(tag(&name)),
+            Named::Relay(relay) => Scope::Relay(relay),
         };
         // What can be said at once is; the rest is for the office.
         if let Some(never) = self.plan.never(what, length, by.is_some()) {
             return Err(never);
         }
         let last = self.node.own().keys().next_back().map_or(0, |id| id.asked + 1);
-        let id = WindowId { asked: now.max(last), relay: self.me };
+        let id = WindowId { asked: now.max(last), relay: self.local_index };
         let window = Window { id, what, from: now + after, length, end: None, forced: by.is_some() };
         self.step(now, |node, cx, out| node.ask(cx, window, out))?;
         Ok(id)
@@ -251,8 +255,8 @@
     /// Whether nothing has come yet of what was asked for: not even that it waits for others.
     pub fn is_open(&self, id: WindowId) -> bool {
         self.node.own().get(&id).is_some_and(|own| match own.standing {
-            Standing::Asked | Standing::Waits { .. } => true,
-            Standing::Granted { end, .. } => {
+            WindowStatus::Asked | WindowStatus::Waits { .. } => true,
+            WindowStatus::Granted { end, .. } => {
                 own.not_extended.is_none() && own.window.end.is_some_and(|wish| wish > end)
             }
             _ => false,
@@ -264,7 +268,7 @@
         let granted = self.node.ledger();
         let unasked = self.plan.unasked(granted);
         let mut alarms: Vec<String> =
-            unasked.iter().map(|(hall, n)| Event::Unasked(self.plan.name(*hall), *n).to_string()).collect();
+            unasked.iter().map(|(zone, n)| Event::Unasked(self.plan.name(*zone), *n).to_string()).collect();
         let left = self.plan.left(now, granted);
         if !self.plan.holds(&left) {
             alarms.push(Event::BelowFloor(left.all).to_string());
@@ -295,25 +299,27 @@
     fn own_row(&self, own: &Own, now: Moment) -> Row {
         let s = |at: Moment| at.saturating_sub(now) / 1000;
         let standing = match own.standing {
-            Standing::Asked if now < own.window.from => format!("waits to begin in {} s", s(own.window.from)),
-            Standing::Asked => "asked, nobody has answered yet".into(),
-            Standing::Waits { .. } if now < own.window.from => {
+            WindowStatus::Asked if now < own.window.from => {
+                format!("waits to begin in {} s", s(own.window.from))
+            }
+            WindowStatus::Asked => "asked, nobody has answered yet".into(),
+            WindowStatus::Waits { .. } if now < own.window.from => {
                 format!("waits to begin in {} s", s(own.window.from))
             }
-            Standing::Waits { first: Some(first), ahead } if first != own.window.id => {
+            WindowStatus::Waits { first: Some(first), ahead } if first != own.window.id => {
                 format!("waits behind {ahead}, first {first}")
             }
-            Standing::Waits { ahead, .. } => {
+            WindowStatus::Waits { ahead, .. } => {
                 format!("waits behind {ahead}, for windows to end or streamers to be back")
             }
-            Standing::Granted { until, end } => {
+            WindowStatus::Granted { until, end } => {
                 let more = own.not_extended.map(|r| format!(", not extended: {r}")).unwrap_or_default();
                 format!("granted until {} ends {} ({} s){more}", until / 1000, end / 1000, s(end))
             }
-            Standing::Lapsed { .. } => "lapsed, end its drain; asked for again".into(),
-            Standing::Refused(refused) => format!("refused, {refused}"),
-            Standing::Ended => "ended".into(),
-            Standing::Closed => "closed".into(),
+            WindowStatus::Lapsed { .. } => "lapsed, end its drain; asked for again".into(),
+            WindowStatus::Refused(refused) => format!("refused, {refused}"),
+            WindowStatus::Ended => "ended".into(),
+            WindowStatus::Closed => "closed".into(),
         };
         Row { id: own.window.id, what: self.plan.says(own.window.what), standing }
     }
@@ -326,9 +332,9 @@
 
     /// Says which own windows stand otherwise than before.
     fn notice(&mut self, now: Moment) {
-        let kind = std::mem::discriminant::<Standing>;
+        let kind = std::mem::discriminant::<WindowStatus>;
         let stood = &self.stood;
-        let changed: Vec<(WindowId, Standing, What)> = self
+        let changed: Vec<(WindowId, WindowStatus, Scope)> = self
             .node
             .own()
             .iter()
@@ -336,7 +342,7 @@
             .map(|(id, own)| (*id, own.standing, own.window.what))
             .collect();
         for (id, standing, what) in changed {
-            if standing == Standing::Ended {
+            if standing == WindowStatus::Ended {
                 self.past.insert(id, (what, now + self.timing.bound + self.timing.again));
             }
             self.stood.insert(id, standing);
@@ -346,7 +352,7 @@
         self.stood.retain(|id, _| own.contains_key(id));
         let office = self.node.is_in_office();
         if std::mem::replace(&mut self.office, office) != office {
-            self.event(Event::Office(office));
+            self.event(Event::Leadership(office));
         }
     }
 
@@ -366,11 +372,11 @@
         let unasked = self.plan.unasked(self.node.ledger());
         let new: Vec<(Tag, u64)> = unasked
             .iter()
-            .filter(|(hall, n)| self.unasked.get(hall) != Some(n))
+            .filter(|(zone, n)| self.unasked.get(zone) != Some(n))
             .map(|(h, n)| (*h, *n))
             .collect();
-        for (hall, amount) in new {
-            self.event(Event::Unasked(self.plan.name(hall), amount));
+        for (zone, amount) in new {
+            self.event(Event::Unasked(self.plan.name(zone), amount));
         }
         self.unasked = unasked;
         let left = self.plan.left(now, self.node.ledger());
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -7,7 +7,7 @@
 
 use crate::{Moment, codec};
 
-/// A hall's or a streamer's short tag: four bytes of a hash of its name. Two of the same are taken for one.
+/// A zone's or an endpoint's short tag: four bytes of a hash of its name. Two of the same are taken for one.
 pub type Tag = u32;
 
 /// The tag of a name.
@@ -46,9 +46,9 @@
     }
 }
 
-/// How much of a hall.
+/// How much of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Amount {
+pub enum CapacityShare {
     /// All that it has.
     All,
     /// So many thousandths of the list's unit of size.
@@ -57,11 +57,11 @@
 
 /// What is to be drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum What {
-    /// A hall, or a part of its capacity whichever streamers that is.
-    Hall(Tag, Amount),
-    /// One streamer.
-    Streamer(Tag),
+pub enum Scope {
+    /// A zone, or a part of its capacity whichever endpoints that is.
+    Zone(Tag, CapacityShare),
+    /// One endpoint.
+    Endpoint(Tag),
     /// One relay, by its number.
     Relay(u32),
 }
@@ -72,7 +72,7 @@
     /// Its name.
     pub id: WindowId,
     /// What is to be drained.
-    pub what: What,
+    pub what: Scope,
     /// Not before this.
     pub from: Moment,
     /// For how long.
@@ -89,7 +89,7 @@
     /// The window's name.
     pub id: WindowId,
     /// What it drains.
-    pub what: What,
+    pub what: Scope,
     /// When it ends.
     pub end: Moment,
     /// Whether it was put over the floor.
--- a/crates/maintenance/tests/call.rs
+++ b/crates/maintenance/tests/call.rs
@@ -21,7 +21,7 @@
         "windows now",
         "cancel",
     ] {
-        assert_eq!(read(line), Some(Err(Refused::Form)), "{line}");
+        assert_eq!(read(line), Some(Err(Refused::SchemaVersion)), "{line}");
     }
     assert_eq!(read("done 1-2"), Some(Err(Refused::NoWindow)));
     assert!(matches!(read("window hall a 0.5 60 in 9 by eve"), Some(Ok(Call::Window { after: 9000, .. }))));
@@ -30,7 +30,7 @@
 #[test]
 fn each_says_what_happened_and_what_to_do() {
     for refused in Refused::ALL {
-        assert!(!refused.to_string().is_empty() && !refused.advice().is_empty(), "{refused:?}");
-        assert_ne!(refused.to_string(), refused.advice());
+        assert!(!refused.to_string().is_empty() && !refused.help().is_empty(), "{refused:?}");
+        assert_ne!(refused.to_string(), refused.help());
     }
 }
--- a/crates/maintenance/tests/model.rs
+++ b/crates/maintenance/tests/model.rs
@@ -1,4 +1,4 @@
-//! The grant protocol, checked exhaustively: the transitions that run, with three relays, two halls and two windows.
+//! The grant protocol, checked exhaustively: the transitions that run, with three relays, two zones and two windows.
 //!
 //! A datagram once sent stays on its way for good: it may arrive at any time, any number of times and in any order, or
 //! never, which is loss, doubling, delay and reordering at once. One relay, any one, is killed at any time and starts
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use sandgw_maintenance::plan::{Floors, Plan, Streamer};
-use sandgw_maintenance::replicated_ledger::{Answer, Context, Message, Node, Sends};
-use sandgw_maintenance::{Amount, Moment, Timing, What, Window, WindowId, tag};
+use sandgw_maintenance::plan::{CapacityPlan, Endpoint, Floors};
+use sandgw_maintenance::replicated_ledger::{Answer, Context, Message, ReplicatedLedger, Sends};
+use sandgw_maintenance::{CapacityShare, Moment, Scope, Timing, Window, WindowId, tag};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const RELAYS: u32 = 3;
@@ -19,13 +19,14 @@
 /// The first moment of the model: all have been up for longer than a lease.
 const START: Moment = 10;
 
-/// Two halls of one streamer each, of which one must be left.
-fn plan() -> Plan {
-    let (halls, cold) = (BTreeMap::new(), (1000, 1));
-    let mut plan = Plan::new(Floors { all: 1000, halls, relays: 0, most: 5, longest: 50, cold }, RELAYS);
-    for hall in ["a", "b"] {
-        let (id, hall) = (format!("s-{hall}"), hall.to_owned());
-        plan.put(&Streamer { id, hall, size: 1000, ready: true, started: 0 });
+/// Two zones of one endpoint each, of which one must be left.
+fn plan() -> CapacityPlan {
+    let (zones, cold) = (BTreeMap::new(), (1000, 1));
+    let mut plan =
+        CapacityPlan::new(Floors { all: 1000, zones, relays: 0, most: 5, longest: 50, cold }, RELAYS);
+    for zone in ["a", "b"] {
+        let (id, zone) = (format!("s-{zone}"), zone.to_owned());
+        plan.put(&Endpoint { id, zone, size: 1000, ready: true, started: 0 });
     }
     plan.confirmed(START);
     plan
@@ -49,14 +50,14 @@
 }
 
 struct Tier {
-    plan: Plan,
+    plan: CapacityPlan,
     timing: Timing,
     until: Moment,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    nodes: Vec<Arc<Node>>,
+    nodes: Vec<Arc<ReplicatedLedger>>,
     sent: BTreeSet<Arc<(u32, u32, Message)>>,
     now: Moment,
     killed: bool,
@@ -76,12 +77,17 @@
     }
 
     fn window(&self, relay: u32) -> Window {
-        let hall = ["a", "b"][relay as usize];
-        let (id, what) = (WindowId { asked: START, relay }, What::Hall(tag(hall), Amount::All));
+        let zone = ["a", "b"][relay as usize];
+        let (id, what) = (WindowId { asked: START, relay }, Scope::Zone(tag(zone), CapacityShare::All));
         Window { id, what, from: 0, length: 40, end: Some(START + 40), forced: false }
     }
 
-    fn step(&self, state: &State, relay: u32, f: impl FnOnce(&mut Node, Context<'_>, &mut Sends)) -> State {
+    fn step(
+        &self,
+        state: &State,
+        relay: u32,
+        f: impl FnOnce(&mut ReplicatedLedger, Context<'_>, &mut Sends),
+    ) -> State {
         let (mut node, mut out) = ((*state.nodes[relay as usize]).clone(), Vec::new());
         f(&mut node, self.cx(state.now), &mut out);
         node.timeless();
@@ -138,7 +144,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let nodes = VOTERS.map(|relay| Arc::new(Node::new(relay, 0))).to_vec();
+        let nodes = VOTERS.map(|relay| Arc::new(ReplicatedLedger::new(relay, 0))).to_vec();
         let state = State { nodes, sent: BTreeSet::new(), now: START, killed: false };
         let asked = |state: &State, relay: u32| {
             self.step(state, relay, |node, cx, out| node.ask(cx, self.window(relay), out).unwrap())
@@ -174,7 +180,7 @@
             Action::Pass => State { now: state.now + 1, ..state.clone() },
             Action::Kill(relay) => {
                 let mut next = State { killed: true, ..state.clone() };
-                next.nodes[relay as usize] = Arc::new(Node::new(relay, state.now));
+                next.nodes[relay as usize] = Arc::new(ReplicatedLedger::new(relay, state.now));
                 self.settle(&mut next);
                 next
             }
--- a/crates/maintenance/tests/schedules.rs
+++ b/crates/maintenance/tests/schedules.rs
@@ -1,13 +1,13 @@
-//! Drawn schedules in memory: twelve relays, four halls, faults between them, and a judge who sees all.
+//! Drawn schedules in memory: twelve relays, four zones, faults between them, and a judge who sees all.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sandgw_maintenance::call::{Call, Named};
-use sandgw_maintenance::plan::{Floors, Plan, Streamer};
-use sandgw_maintenance::replicated_ledger::Standing;
-use sandgw_maintenance::{Amount, Desk, Entry, Moment, Timing, WindowId, codec};
+use sandgw_maintenance::plan::{CapacityPlan, Endpoint, Floors};
+use sandgw_maintenance::replicated_ledger::WindowStatus;
+use sandgw_maintenance::{CapacityShare, Entry, MaintenanceService, Moment, Timing, WindowId, codec};
 
 const RELAYS: u32 = 12;
 const STEP: Moment = 20;
@@ -17,16 +17,16 @@
 const START: Moment = 1_790_000_000_000;
 
 fn floors() -> Floors {
-    // Of twelve streamers of size one in four halls, eight are left: a hall and one more may be drained.
-    let (halls, cold) = (BTreeMap::new(), (310, 8600));
-    Floors { all: 8000, halls, relays: 11, most: 4, longest: 60_000, cold }
+    // Of twelve endpoints of size one in four zones, eight are left: a zone and one more may be drained.
+    let (zones, cold) = (BTreeMap::new(), (310, 8600));
+    Floors { all: 8000, zones, relays: 11, most: 4, longest: 60_000, cold }
 }
 
-fn list(plan: &mut Plan, down: Option<u32>) {
+fn list(plan: &mut CapacityPlan, down: Option<u32>) {
     plan.clear();
     for n in (0..12).filter(|n| down != Some(n / 3)) {
-        let (id, hall) = (format!("s-{n}"), format!("hall-{}", n / 3));
-        plan.put(&Streamer { id, hall, size: 1000, ready: true, started: 0 });
+        let (id, zone) = (format!("s-{n}"), format!("hall-{}", n / 3));
+        plan.put(&Endpoint { id, zone, size: 1000, ready: true, started: 0 });
     }
 }
 
@@ -36,7 +36,7 @@
     /// Longest delay, and how often one takes leases.
     delay: Moment,
     stray: f64,
-    /// Cuts, kills, stops and losses of a hall in each second.
+    /// Cuts, kills, stops and losses of a zone in each second.
     strikes: f64,
 }
 
@@ -46,7 +46,7 @@
 struct Tier {
     rng: StdRng,
     now: Moment,
-    desks: Vec<Desk>,
+    desks: Vec<MaintenanceService>,
     ahead: Vec<Moment>,
     /// Until when each is stopped, and is cut off.
     stopped: Vec<Moment>,
@@ -92,7 +92,7 @@
             timing,
             few: seed % 2 == 1,
         };
-        tier.desks = (0..RELAYS).map(|me| tier.desk(me)).collect();
+        tier.desks = (0..RELAYS).map(|local_index| tier.desk(local_index)).collect();
         tier
     }
 
@@ -100,10 +100,17 @@
         self.now + self.ahead[relay as usize]
     }
 
-    fn desk(&self, me: u32) -> Desk {
-        let voters = if self.few { vec![0, 4, 8] } else { Desk::usual_voters(RELAYS) };
-        let mut desk = Desk::new((me, RELAYS), floors(), self.timing, voters, Vec::new(), self.clock(me));
-        list(desk.plan(), self.down.map(|(hall, _)| hall));
+    fn desk(&self, local_index: u32) -> MaintenanceService {
+        let voters = if self.few { vec![0, 4, 8] } else { MaintenanceService::usual_voters(RELAYS) };
+        let mut desk = MaintenanceService::new(
+            (local_index, RELAYS),
+            floors(),
+            self.timing,
+            voters,
+            Vec::new(),
+            self.clock(local_index),
+        );
+        list(desk.plan(), self.down.map(|(zone, _)| zone));
         desk
     }
 
@@ -183,7 +190,7 @@
 
     fn lists(&mut self, down: Option<(u32, Moment)>) {
         (self.down, self.lost_at) = (down, self.now);
-        self.desks.iter_mut().for_each(|desk| list(desk.plan(), down.map(|(hall, _)| hall)));
+        self.desks.iter_mut().for_each(|desk| list(desk.plan(), down.map(|(zone, _)| zone)));
     }
 
     /// All that is believed to be granted leaves the floor; and what is new leaves it beside what is down.
@@ -197,21 +204,21 @@
                 Entry { id, what, end: 0, forced: false }
             }));
         }
-        let mut plan = Plan::new(floors(), RELAYS);
+        let mut plan = CapacityPlan::new(floors(), RELAYS);
         list(&mut plan, None);
         let mut broken = !plan.holds(&plan.left(self.now, &all)) || all.len() > floors().most;
         let believed: BTreeSet<WindowId> = all.iter().map(|entry| entry.id).collect();
         for id in self.desks.iter().flat_map(|desk| desk.node().ledger()).map(|entry| entry.id) {
             self.written.entry(id).or_insert(self.now);
         }
-        let twice = |desk: &Desk| {
+        let twice = |desk: &MaintenanceService| {
             let ids = desk.node().ledger().iter().map(|entry| entry.id);
             ids.collect::<BTreeSet<_>>().len() < desk.node().ledger().len()
         };
         broken |= self.desks.iter().any(twice);
         let late = |id: &WindowId| self.written.get(id).is_none_or(|at| *at > self.lost_at + STEP);
         let new = believed.iter().any(|id| !self.granted.contains_key(id) && late(id));
-        list(&mut plan, self.down.map(|(hall, _)| hall));
+        list(&mut plan, self.down.map(|(zone, _)| zone));
         // What was granted before the loss may be heard of after it, by a relay that was stopped.
         broken |= new && !plan.holds(&plan.left(self.now, &all));
         self.breaks += u32::from(broken);
@@ -227,12 +234,12 @@
 
     fn drawn_call(&mut self) {
         let relay = self.rng.random_range(0..RELAYS);
-        let hall = format!("hall-{}", self.rng.random_range(0..4));
+        let zone = format!("hall-{}", self.rng.random_range(0..4));
         let what = match self.rng.random_range(0..4) {
-            0 => Named::Streamer(format!("s-{}", self.rng.random_range(0..12))),
-            1 => Named::Hall(hall, Amount::Part(2000)),
+            0 => Named::Endpoint(format!("s-{}", self.rng.random_range(0..12))),
+            1 => Named::Zone(zone, CapacityShare::Part(2000)),
             2 => Named::Relay(self.rng.random_range(0..RELAYS)),
-            _ => Named::Hall(hall, Amount::All),
+            _ => Named::Zone(zone, CapacityShare::All),
         };
         let length = self.rng.random_range(1000..12_000);
         self.ask(relay, what, length);
@@ -287,11 +294,11 @@
         let mut tier = Tier::new(seed, CALM, Timing::of(LEASE, BOUND));
         tier.run(LEASE + 200);
         let (asked, mut least) = (tier.now, 0);
-        // At three relays at once; of halls one fits at a time, and windows of the same could go together.
+        // At three relays at once; of zones one fits at a time, and windows of the same could go together.
         let mut ids = Vec::new();
         for n in 0..4u32 {
             let length = tier.rng.random_range(10_000..30_000);
-            let what = Named::Hall(format!("hall-{n}"), Amount::All);
+            let what = Named::Zone(format!("hall-{n}"), CapacityShare::All);
             ids.push(tier.ask([1, 5, 10][n as usize % 3], what, length).unwrap());
             least += length;
         }
@@ -299,7 +306,7 @@
             // What is over for long is shown no more.
             let own =
                 |id: &WindowId| tier.desks[id.relay as usize].node().own().get(id).map(|own| own.standing);
-            ids.iter().all(|id| own(id).is_none_or(|standing| standing == Standing::Ended))
+            ids.iter().all(|id| own(id).is_none_or(|standing| standing == WindowStatus::Ended))
         };
         while !through(&tier) && tier.now < asked + 2 * least {
             tier.step();
@@ -311,31 +318,31 @@
     }
 }
 
-/// A whole hall waits while single streamers come and go, of which there are always enough to keep it out.
+/// A whole zone waits while single endpoints come and go, of which there are always enough to keep it out.
 #[test]
 fn who_waits_longest_is_not_kept_out_by_those_that_fit() {
     let mut tier = Tier::new(1, CALM, Timing::of(LEASE, BOUND));
     tier.run(LEASE + 200);
-    let mut hall = None;
+    let mut zone = None;
     for n in 0..60u32 {
         // Of many lengths: their ends never come together by chance.
         let relay = [1, 5][n as usize % 2];
         tier.ask(
             relay,
-            Named::Streamer(format!("s-{}", [0, 3, 9, 1, 4, 10, 2, 5, 11][n as usize % 9])),
+            Named::Endpoint(format!("s-{}", [0, 3, 9, 1, 4, 10, 2, 5, 11][n as usize % 9])),
             4000 + u64::from(n) * 977 % 2900,
         );
         if n == 15 {
-            hall = tier.ask(10, Named::Hall("hall-2".into(), Amount::All), 5000);
+            zone = tier.ask(10, Named::Zone("hall-2".into(), CapacityShare::All), 5000);
         }
         tier.run(1200);
     }
-    let (hall, granted) = (hall.unwrap(), &tier.granted);
-    let begun = granted.get(&hall).expect("the hall is never granted");
-    let behind = granted.iter().filter(|(id, at)| id.asked > hall.asked && *at < begun).count();
-    println!("the hall began {} ms after it was asked for, {behind} before it", begun - hall.asked);
+    let (zone, granted) = (zone.unwrap(), &tier.granted);
+    let begun = granted.get(&zone).expect("the hall is never granted");
+    let behind = granted.iter().filter(|(id, at)| id.asked > zone.asked && *at < begun).count();
+    println!("the hall began {} ms after it was asked for, {behind} before it", begun - zone.asked);
     // Those before it are through in two turns, and it needs three of four places at once.
-    assert!(begun - hall.asked <= 15_000, "{} ms", begun - hall.asked);
+    assert!(begun - zone.asked <= 15_000, "{} ms", begun - zone.asked);
     assert_eq!(tier.breaks, 0);
 }
 
@@ -345,7 +352,7 @@
     let mut tier = Tier::new(1, CALM, Timing::of(LEASE, BOUND));
     tier.run(20_000);
     assert_eq!(tier.datagrams, 0);
-    let id = tier.ask(3, Named::Streamer("s-1".into()), 2000).unwrap();
+    let id = tier.ask(3, Named::Endpoint("s-1".into()), 2000).unwrap();
     tier.run(20_000);
     assert!(tier.granted.contains_key(&id));
     let told = tier.datagrams;
--- a/crates/quota/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -1,8 +1,8 @@
-//! Who is refused where places are short: flows of members that are over their share, the newest ones, which are
+//! Who is refused where places are short: connections of members that are over their share, the newest ones, which are
 //! those that come.
 //!
-//! It is fed signs of shortage and a member's use as the ledger knows it; it gives a verdict on one flow that comes.
-//! Flows that stand are never touched. Where places are not short everybody is within. A member beyond its rate is
+//! It is fed signs of shortage and a member's use as the ledger knows it; it gives a verdict on one connection that comes.
+//! Connections that stand are never touched. Where places are not short everybody is within. A member beyond its rate is
 //! admitted at its rate; one beyond its connections once it has fewer. Where more come than are left of its
 //! share, before the relays know of each other's, each is admitted by chance: else a burst that comes to all of them
 //! would be admitted as often as there are relays.
@@ -13,26 +13,26 @@
 use crate::rate::Rate;
 use crate::usage_table::View;
 
-/// Places count as short for so long after the last sign of it: signs come and go with every flow.
+/// Places count as short for so long after the last sign of it: signs come and go with every connection.
 const HOLD: Millis = 5000.0;
-/// Above this share of attempts that streamers turn away they are at their bound.
+/// Above this share of attempts that endpoints turn away they are at their bound.
 const TURNED_AWAY: f64 = 0.5;
-/// What a member may save up of its rate, as a span of it, and in flows at the least.
+/// What a member may save up of its rate, as a span of it, and in connections at the least.
 const SAVED: Millis = 2000.0;
 const LEAST_SAVED: f64 = 1.0;
 
 /// Signs that places are short, as they show at this relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Signs {
-    /// The pace window is cut: flows wait for their turn.
+pub struct ScarcitySignals {
+    /// The pace window is cut: connections wait for their turn.
     pub window: bool,
-    /// Streamers are at their bound.
-    pub streamers: bool,
+    /// Endpoints are at their bound.
+    pub endpoints: bool,
     /// Descriptors are nearly used up.
     pub descriptors: bool,
 }
 
-/// What becomes of a flow.
+/// What becomes of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It goes the ordinary way.
@@ -47,14 +47,14 @@
     saved: f64,
     at: Millis,
     beyond: bool,
-    /// Flows that came within the time that others take to know of them, and since when.
+    /// Connections that came within the time that others take to know of them, and since when.
     came: u32,
     since: Millis,
 }
 
-/// The policy; see the module's text.
+/// The policy; see the load balancer's text.
 #[derive(Clone, Debug)]
-pub struct Policy {
+pub struct QuotaPolicy {
     short_at: Millis,
     turned_away: f64,
     buckets: Vec<Bucket>,
@@ -62,11 +62,11 @@
     drawn: u64,
 }
 
-impl Policy {
+impl QuotaPolicy {
     /// For so many members, with no sign of shortage. The seed is the relay's own.
     pub fn new(members: usize, now: Millis, seed: u64) -> Self {
         let bucket = Bucket { saved: LEAST_SAVED, at: now, beyond: false, came: 0, since: now };
-        Policy {
+        QuotaPolicy {
             short_at: f64::NEG_INFINITY,
             turned_away: 0.0,
             buckets: vec![bucket; members],
@@ -76,23 +76,23 @@
     }
 
     /// Takes signs of shortage.
-    pub fn look(&mut self, now: Millis, signs: Signs) {
-        if signs != Signs::default() {
+    pub fn look(&mut self, now: Millis, signs: ScarcitySignals) {
+        if signs != ScarcitySignals::default() {
             self.short_at = now;
         }
     }
 
-    /// A flow was refused for want of a place.
+    /// A connection was refused for want of a place.
     pub fn refused(&mut self, now: Millis) {
         self.short_at = now;
     }
 
-    /// A streamer has taken a flow.
+    /// An endpoint has taken a connection.
     pub fn placed(&mut self) {
         self.turned_away -= self.turned_away / 4.0;
     }
 
-    /// A streamer has turned a flow away: where most do, they are at their bound.
+    /// An endpoint has turned a connection away: where most do, they are at their bound.
     pub fn turned_away(&mut self, now: Millis) {
         self.turned_away += (1.0 - self.turned_away) / 4.0;
         if self.turned_away > TURNED_AWAY {
@@ -105,12 +105,12 @@
         now - self.short_at < HOLD
     }
 
-    /// Flows refused so far.
+    /// Connections refused so far.
     pub fn refusals(&self) -> u64 {
         self.refusals
     }
 
-    /// What becomes of a flow of the member at this position, which uses so much.
+    /// What becomes of a connection of the member at this position, which uses so much.
     pub fn ask(&mut self, now: Millis, at: usize, view: &View) -> Verdict {
         // Kept up in calm times too: who was within has saved something when places get short.
         let within_rate = self.within_rate(now, at, view);
@@ -124,7 +124,7 @@
     }
 
     /// Whether the member's rate bears one more here. It is beyond from above its share and what chance may add to
-    /// it, until it is within its share again; then it has its part of the share by where its flows come.
+    /// it, until it is within its share again; then it has its part of the share by where its connections come.
     fn within_rate(&mut self, now: Millis, at: usize, view: &View) -> bool {
         let (Some(bucket), Some(share)) = (self.buckets.get_mut(at), view.per_s_limit) else { return true };
         let edge = if bucket.beyond { share } else { share + Rate::chance(share) };
--- a/crates/quota/src/tenants.rs
+++ b/crates/quota/src/tenants.rs
@@ -18,7 +18,7 @@
 
 /// A member and its share of the whole tier.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Member {
+pub struct Tenant {
     /// Its name.
     pub name: String,
     /// Open connections over all relays that are within its share; no limit without it.
@@ -29,7 +29,7 @@
 
 /// What is wrong with the members of the settings.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum MembersError {
+pub enum TenantsError {
     /// Two have the same name.
     #[error("member {0:?} is named twice")]
     Twice(String),
@@ -41,41 +41,41 @@
     Nameless(usize),
 }
 
-impl MembersError {
+impl TenantsError {
     /// What an operator can do.
-    pub fn advice(&self) -> &'static str {
+    pub fn help(&self) -> &'static str {
         match self {
-            MembersError::Twice(_) => "give each member one entry under realms, with all of its share",
-            MembersError::TooMany(_) => "leave [shares] out, or name small members' shares as one member's",
-            MembersError::Nameless(_) => "give the entry a name, as clients state it in their first line",
+            TenantsError::Twice(_) => "give each member one entry under realms, with all of its share",
+            TenantsError::TooMany(_) => "leave [shares] out, or name small members' shares as one member's",
+            TenantsError::Nameless(_) => "give the entry a name, as clients state it in their first line",
         }
     }
 }
 
 /// The members of a tier.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Members {
+pub struct Tenants {
     /// By position, each with its tag.
-    all: Vec<(Member, Tag)>,
+    all: Vec<(Tenant, Tag)>,
     names: BTreeMap<String, usize>,
 }
 
-impl Members {
+impl Tenants {
     /// Gives the members their tags.
     ///
     /// # Errors
     /// Where a name is missing or stands twice, or there are too many.
-    pub fn new(members: Vec<Member>) -> Result<Self, MembersError> {
+    pub fn new(members: Vec<Tenant>) -> Result<Self, TenantsError> {
         if members.len() > MOST {
-            return Err(MembersError::TooMany(members.len()));
+            return Err(TenantsError::TooMany(members.len()));
         }
         let mut names = BTreeMap::new();
         for (i, member) in members.iter().enumerate() {
             if member.name.is_empty() {
-                return Err(MembersError::Nameless(i));
+                return Err(TenantsError::Nameless(i));
             }
             if names.insert(member.name.clone(), i).is_some() {
-                return Err(MembersError::Twice(member.name.clone()));
+                return Err(TenantsError::Twice(member.name.clone()));
             }
         }
         // In order of their names, so that two with the same hash find the same ways out of it at every relay.
@@ -86,7 +86,7 @@
             tags[*at] = free.unwrap_or(Tag([0; 2]));
             taken.insert(tags[*at]);
         }
-        Ok(Members { all: members.into_iter().zip(tags).collect(), names })
+        Ok(Tenants { all: members.into_iter().zip(tags).collect(), names })
     }
 
     /// How many there are.
@@ -105,7 +105,7 @@
     }
 
     /// A member by its position.
-    pub fn get(&self, at: usize) -> Option<&Member> {
+    pub fn get(&self, at: usize) -> Option<&Tenant> {
         self.all.get(at).map(|(member, _)| member)
     }
 
--- a/crates/quota/src/usage_gossip.rs
+++ b/crates/quota/src/usage_gossip.rs
@@ -44,7 +44,7 @@
 
 /// A datagram. `life` grows with every start of its teller, `number` with every datagram of that life.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum UsageReport {
     /// What the teller has itself.
     Own {
         /// The teller's life.
@@ -67,14 +67,14 @@
     },
 }
 
-impl Told {
+impl UsageReport {
     /// As text; nothing where it would be too long, which none with at most [`ROWS`] rows is.
     ///
     /// ```
-    /// use sandgw_quota::{tenants::Tag, usage_gossip::{Row, Told}};
+    /// use sandgw_quota::{tenants::Tag, usage_gossip::{Row, UsageReport}};
     /// let rows = vec![Row::new(Tag([1, 2]), 3.0, 0.5)];
-    /// let told = Told::Own { life: 17, number: 1, rows };
-    /// assert_eq!(Told::read(&told.text().unwrap()), Some(told));
+    /// let told = UsageReport::Own { life: 17, number: 1, rows };
+    /// assert_eq!(UsageReport::read(&told.text().unwrap()), Some(told));
     /// ```
     pub fn text(&self) -> Option<String> {
         let bytes = postcard::to_allocvec(self).ok()?;
@@ -84,10 +84,10 @@
     }
 
     /// Reads a text; nothing of what is none.
-    pub fn read(text: &str) -> Option<Told> {
+    pub fn read(text: &str) -> Option<UsageReport> {
         let rest = text.strip_prefix(KIND).filter(|_| text.len() <= MOST_BYTES)?;
         let bytes = STANDARD_NO_PAD.decode(rest).ok()?;
-        match postcard::take_from_bytes::<Told>(&bytes).ok()? {
+        match postcard::take_from_bytes::<UsageReport>(&bytes).ok()? {
             (told, []) => Some(told),
             _ => None,
         }
--- a/crates/quota/src/usage_table.rs
+++ b/crates/quota/src/usage_table.rs
@@ -1,12 +1,12 @@
 //! What each member uses of the tier, from what each relay tells of its own.
 //!
-//! It owns this relay's own counts, which are exact, and what others have told. It is fed flows, datagrams and the
+//! It owns this relay's own counts, which are exact, and what others have told. It is fed connections, datagrams and the
 //! time, and gives datagrams and, for a member, an estimate with its bounds. In a tier of a few each tells all. In a
 //! larger one each tells one relay, the collector, which answers with the sums of all others: whoever asks adds its
 //! own count as it is now, so nothing of its own is counted twice or late. Who gets no answer tells the first
 //! collector and the next in a row that all relays have alike, until the first one answers again.
 //!
-//! A count stands until its relay tells anew or is silent for a while; a flow that goes on at another relay is counted
+//! A count stands until its relay tells anew or is silent for a while; a connection that goes on at another relay is counted
 //! there, and here no more. A relay that has started anew is another life: nothing of the one before is left. What is
 //! doubled or overtaken is known by its number.
 
@@ -16,14 +16,14 @@
 
 use crate::Millis;
 use crate::rate::Rate;
-use crate::tenants::{Members, Tag};
-use crate::usage_gossip::{ROWS, Row, Told};
+use crate::tenants::{Tag, Tenants};
+use crate::usage_gossip::{ROWS, Row, UsageReport};
 
 /// What is to be sent, and to which relay.
-pub type Sends = Vec<(u32, Told)>;
+pub type Sends = Vec<(u32, UsageReport)>;
 
 /// Up to so many relays each tells all.
-pub const ALL_TOLD: u32 = 8;
+pub const FULL_MESH_RELAYS: u32 = 8;
 /// Pause between what a relay tells, where each tells all and where one collects; and after a question that is without
 /// an answer.
 const EVERY_ALL: Millis = 600.0;
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     /// Its number, from 0.
-    pub me: u32,
+    pub local_index: u32,
     /// How many there are.
     pub relays: u32,
     /// Whether they may tell each other anything.
@@ -117,7 +117,7 @@
 
 /// What is worth keeping of others over a restart. It counts by its age like any answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredUsage {
     /// How old it was when it was kept.
     pub age: Millis,
     /// Relays that it rests on.
@@ -126,9 +126,9 @@
     pub rows: Vec<Row>,
 }
 
-/// The ledger; see the module's text.
-pub struct Ledger {
-    members: Members,
+/// The ledger; see the load balancer's text.
+pub struct UsageTable {
+    members: Tenants,
     tags: Vec<Tag>,
     place: Place,
     life: u64,
@@ -152,12 +152,12 @@
     back_at: Millis,
 }
 
-impl Ledger {
+impl UsageTable {
     /// An empty ledger. The time is its life's number: it is to grow with every start.
-    pub fn new(members: Members, place: Place, now: Millis) -> Self {
+    pub fn new(members: Tenants, place: Place, now: Millis) -> Self {
         // Not all at the same moment.
-        let phase = f64::from(place.me) / f64::from(place.relays.max(1));
-        Ledger {
+        let phase = f64::from(place.local_index) / f64::from(place.relays.max(1));
+        UsageTable {
             tags: members.tags().collect(),
             own: vec![Own::default(); members.len()],
             members,
@@ -184,17 +184,17 @@
         self.members.position(member)
     }
 
-    /// A flow of a member has arrived that was not counted before.
+    /// A connection of a member has arrived that was not counted before.
     pub fn arrived(&mut self, now: Millis, at: usize) {
         self.own.get_mut(at).into_iter().for_each(|own| own.rate.add(now));
     }
 
-    /// A flow is being set up.
+    /// A connection is being set up.
     pub fn pending(&mut self, at: usize) {
         self.own.get_mut(at).into_iter().for_each(|own| own.pending += 1);
     }
 
-    /// A flow that was being set up stands.
+    /// A connection that was being set up stands.
     pub fn stands(&mut self, at: usize) {
         if let Some(own) = self.own.get_mut(at) {
             own.pending = own.pending.saturating_sub(1);
@@ -202,7 +202,7 @@
         }
     }
 
-    /// A flow has ended.
+    /// A connection has ended.
     pub fn ended(&mut self, at: usize, stood: bool) {
         if let Some(own) = self.own.get_mut(at) {
             let count = if stood { &mut own.standing } else { &mut own.pending };
@@ -224,7 +224,7 @@
         let change = change + 2.0 * change.sqrt();
         let share = member.and_then(|m| m.connections).unwrap_or(f64::INFINITY);
         // A part of the tier that is most of it goes on with all of the share. Two halves of a tier that is cut can't
-        // both be that; what hears fewer has their part, and who hears nobody its own, of one flow at the least.
+        // both be that; what hears fewer has their part, and who hears nobody its own, of one connection at the least.
         let part = (heard + 1.0) / relays;
         let part = if part > 0.5 { 1.0 } else { part };
         let open = own_open + others.0;
@@ -245,7 +245,7 @@
             per_s_limit: per_s_limit.map(|share| share * part),
             heard,
             relays,
-            lag: if self.place.relays <= ALL_TOLD { EVERY_ALL } else { 1.5 * EVERY },
+            lag: if self.place.relays <= FULL_MESH_RELAYS { EVERY_ALL } else { 1.5 * EVERY },
         }
     }
 
@@ -267,7 +267,7 @@
 
     /// Whether this relay sums up by itself.
     fn collects(&self) -> bool {
-        self.place.relays <= ALL_TOLD || self.collector(self.turn) == self.place.me
+        self.place.relays <= FULL_MESH_RELAYS || self.collector(self.turn) == self.place.local_index
     }
 
     /// The row of collectors, the same at all relays. Neighbours in it are far apart, so that where one part of the
@@ -288,8 +288,8 @@
             return (self.next_at - now).max(1.0);
         }
         let told = self.own_rows(now);
-        if self.place.relays <= ALL_TOLD {
-            let others = (0..self.place.relays).filter(|peer| *peer != self.place.me);
+        if self.place.relays <= FULL_MESH_RELAYS {
+            let others = (0..self.place.relays).filter(|peer| *peer != self.place.local_index);
             out.extend(others.map(|peer| (peer, told.clone())));
             self.next_at = now + EVERY_ALL;
             return EVERY_ALL;
@@ -298,7 +298,7 @@
             (self.turn, self.missed) = ((self.turn + 1) % self.place.relays, 0);
         }
         let collector = self.collector(self.turn);
-        let asks = collector != self.place.me;
+        let asks = collector != self.place.local_index;
         if asks {
             out.push((collector, told.clone()));
             self.missed += 1;
@@ -310,13 +310,13 @@
             self.tried = if back { self.tried } else { self.tried + 1 } % self.turn;
             self.tried_at = now;
             let before = self.collector(self.tried);
-            out.extend((before != self.place.me).then(|| (before, told.clone())));
+            out.extend((before != self.place.local_index).then(|| (before, told.clone())));
         }
         // Who collects, and has just begun to, knows less than the next in the row may.
         let few = self.told.len() as f64 + 1.0 < NEARLY * f64::from(self.place.relays);
         if !asks && few {
             let next = self.collector(self.turn + 1);
-            out.extend((next != self.place.me).then_some((next, told)));
+            out.extend((next != self.place.local_index).then_some((next, told)));
         }
         self.told_at = now;
         let soon = asks && self.silent < SLOW_AFTER || self.turn > 0 && back;
@@ -326,24 +326,24 @@
     }
 
     /// Own counts, as many as a datagram holds; of more members others with each.
-    fn own_rows(&mut self, now: Millis) -> Told {
+    fn own_rows(&mut self, now: Millis) -> UsageReport {
         self.number = self.number.wrapping_add(1);
         let row = |(own, tag): (&Own, &Tag)| Row::new(*tag, f64::from(own.standing), own.rate.per_s(now));
         let rows = turn_of(self.number, self.own.iter().zip(&self.tags).map(row).collect());
-        Told::Own { life: self.life, number: self.number, rows }
+        UsageReport::Own { life: self.life, number: self.number, rows }
     }
 
     /// Takes another relay's datagram.
-    pub fn told(&mut self, now: Millis, peer: u32, told: Told, out: &mut Sends) {
-        if peer >= self.place.relays || peer == self.place.me || !self.place.peers {
+    pub fn told(&mut self, now: Millis, peer: u32, told: UsageReport, out: &mut Sends) {
+        if peer >= self.place.relays || peer == self.place.local_index || !self.place.peers {
             return;
         }
         match told {
-            Told::Own { life, number, rows } => {
+            UsageReport::Own { life, number, rows } => {
                 self.let_go(now);
                 let new = self.told.get(&peer).is_none_or(|t| t.life < life);
                 self.add(now, peer, (life, number), rows);
-                if self.place.relays <= ALL_TOLD {
+                if self.place.relays <= FULL_MESH_RELAYS {
                     // Who has just started is told back at once.
                     let own = new.then(|| (peer, self.own_rows(now)));
                     out.extend(own);
@@ -352,7 +352,7 @@
                     out.push((peer, answer));
                 }
             }
-            Told::Others { life, number, heard, rows } => {
+            UsageReport::Others { life, number, heard, rows } => {
                 self.answered(now, (peer, life), number, heard, rows)
             }
         }
@@ -397,7 +397,7 @@
     }
 
     /// Sums of all but the one that is answered, with what stands here now.
-    fn answer_to(&mut self, now: Millis, peer: u32) -> Told {
+    fn answer_to(&mut self, now: Millis, peer: u32) -> UsageReport {
         self.number = self.number.wrapping_add(1);
         let its = self.told.get(&peer);
         let of = |(own, tag): (&Own, &Tag)| {
@@ -411,7 +411,7 @@
         let turn = its.map_or(0, |t| t.number);
         let heard = self.told.len() + 1 - usize::from(its.is_some());
         let heard = u16::try_from(heard).unwrap_or(u16::MAX);
-        Told::Others { life: self.life, number: self.number, heard, rows: turn_of(turn, rows) }
+        UsageReport::Others { life: self.life, number: self.number, heard, rows: turn_of(turn, rows) }
     }
 
     fn answered(&mut self, now: Millis, from: (u32, u64), number: u32, heard: u16, rows: Vec<Row>) {
@@ -451,15 +451,19 @@
     }
 
     /// What is worth keeping in a folder.
-    pub fn keep(&self, now: Millis) -> Kept {
+    pub fn keep(&self, now: Millis) -> StoredUsage {
         let of = |tag: &Tag| (*tag, self.others(now, *tag));
         let all: Vec<_> = self.tags.iter().map(of).collect();
         let (age, heard) = all.first().map_or((0.0, 0.0), |(_, (_, age, heard))| (*age, *heard));
-        Kept { age, heard, rows: all.iter().map(|(tag, (row, ..))| Row::new(*tag, row.0, row.1)).collect() }
+        StoredUsage {
+            age,
+            heard,
+            rows: all.iter().map(|(tag, (row, ..))| Row::new(*tag, row.0, row.1)).collect(),
+        }
     }
 
     /// Takes what a folder has kept, so long ago. It counts like an answer of that age, until one comes.
-    pub fn restore(&mut self, now: Millis, age: Millis, kept: Kept) {
+    pub fn restore(&mut self, now: Millis, age: Millis, kept: StoredUsage) {
         let sound = age >= 0.0 && kept.age >= 0.0 && (0.0..65_536.0).contains(&kept.heard);
         if self.answer.is_none() && sound && age + kept.age < COUNTS {
             let rows = kept.rows.iter().map(|r| (r.member, (f64::from(r.open), r.per_s()))).collect();
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
-use sandgw_quota::Shares;
-use sandgw_quota::policy::{Signs, Verdict};
-use sandgw_quota::tenants::{Member, Members};
-use sandgw_quota::usage_gossip::{MOST_BYTES, Told};
+use sandgw_quota::QuotaManager;
+use sandgw_quota::policy::{ScarcitySignals, Verdict};
+use sandgw_quota::tenants::{Tenant, Tenants};
+use sandgw_quota::usage_gossip::{MOST_BYTES, UsageReport};
 use sandgw_quota::usage_table::{Place, View};
 
 /// Least step of the clock.
@@ -21,11 +21,11 @@
 }
 
 pub struct Relay {
-    pub shares: Option<Shares>,
+    pub shares: Option<QuotaManager>,
     next: f64,
     /// Side of the cut that it is on.
     pub side: u32,
-    /// Flows that stand here, by member.
+    /// Connections that stand here, by member.
     pub standing: Vec<u32>,
 }
 
@@ -37,7 +37,7 @@
     pub late: f64,
     pub sent: u64,
     pub rng: StdRng,
-    members: Vec<Member>,
+    members: Vec<Tenant>,
     on_way: BTreeMap<(u64, u64), (u32, u32, String)>,
     number: u64,
     /// Clients on their way to another relay: when they arrive, and of which member.
@@ -45,7 +45,7 @@
 }
 
 impl Tier {
-    pub fn new(relays: u32, members: Vec<Member>, seed: u64) -> Tier {
+    pub fn new(relays: u32, members: Vec<Tenant>, seed: u64) -> Tier {
         let kinds = members.len();
         let mut tier = Tier {
             now: 1000.0,
@@ -60,19 +60,19 @@
             number: 0,
             returning: Vec::new(),
         };
-        for me in 0..relays {
-            let (shares, standing) = (Some(tier.shares(me, relays)), vec![0; kinds]);
+        for local_index in 0..relays {
+            let (shares, standing) = (Some(tier.shares(local_index, relays)), vec![0; kinds]);
             tier.relays.push(Relay { shares, next: 0.0, side: 0, standing });
         }
         tier
     }
 
-    fn shares(&self, me: u32, relays: u32) -> Shares {
-        let members = Members::new(self.members.clone()).unwrap();
-        Shares::new(members, Place { me, relays, peers: true }, self.now)
+    fn shares(&self, local_index: u32, relays: u32) -> QuotaManager {
+        let members = Tenants::new(self.members.clone()).unwrap();
+        QuotaManager::new(members, Place { local_index, relays, peers: true }, self.now)
     }
 
-    fn send(&mut self, from: u32, sends: Vec<(u32, Told)>) {
+    fn send(&mut self, from: u32, sends: Vec<(u32, UsageReport)>) {
         for (to, told) in sends {
             self.sent += 1;
             let text = told.text().expect("a datagram fits");
@@ -105,35 +105,35 @@
         while let Some(first) = self.on_way.first_entry().filter(|e| e.key().0 <= now) {
             let (from, to, text) = first.remove();
             let mut out = Vec::new();
-            let told = Told::read(&text).expect("it reads");
+            let told = UsageReport::read(&text).expect("it reads");
             if let Some(shares) = &mut self.relays[to as usize].shares {
                 shares.told(self.now, from, told, &mut out);
             }
             self.send(to, out);
         }
-        for me in 0..self.relays.len() {
-            let relay = &mut self.relays[me];
+        for local_index in 0..self.relays.len() {
+            let relay = &mut self.relays[local_index];
             if let Some(shares) = relay.shares.as_mut().filter(|_| relay.next <= self.now) {
                 let mut out = Vec::new();
                 relay.next = self.now + shares.due(self.now, &mut out);
-                self.send(me as u32, out);
+                self.send(local_index as u32, out);
             }
         }
         let (back, away) = self.returning.drain(..).partition(|(at, _)| *at <= self.now);
         self.returning = away;
         let back: Vec<(f64, usize)> = back;
-        back.into_iter().for_each(|(_, kind)| self.arrives(kind, true, Signs::default()));
+        back.into_iter().for_each(|(_, kind)| self.arrives(kind, true, ScarcitySignals::default()));
     }
 
     /// A client arrives at some relay that is up.
-    pub fn arrives(&mut self, kind: usize, returned: bool, signs: Signs) {
+    pub fn arrives(&mut self, kind: usize, returned: bool, signs: ScarcitySignals) {
         let up: Vec<usize> = (0..self.relays.len()).filter(|i| self.relays[*i].shares.is_some()).collect();
         let at = up[self.rng.random_range(0..up.len())];
         self.arrives_at(at, kind, returned, signs);
     }
 
     /// Whether it was taken.
-    pub fn arrives_at(&mut self, at: usize, kind: usize, returned: bool, signs: Signs) -> bool {
+    pub fn arrives_at(&mut self, at: usize, kind: usize, returned: bool, signs: ScarcitySignals) -> bool {
         let (now, relay) = (self.now, &mut self.relays[at]);
         let Some(shares) = &mut relay.shares else { return false };
         if shares.came(now, &member(kind), returned, signs) == Verdict::Over {
@@ -144,7 +144,7 @@
         true
     }
 
-    /// One of a member's flows ends somewhere.
+    /// One of a member's connections ends somewhere.
     pub fn leaves(&mut self, kind: usize) {
         let start = self.rng.random_range(0..self.relays.len());
         let n = self.relays.len();
@@ -171,14 +171,14 @@
         self.relays[at].next = self.now;
     }
 
-    /// Flows of a member that stand, with those on their way to another relay.
+    /// Connections of a member that stand, with those on their way to another relay.
     pub fn truth(&self, kind: usize) -> f64 {
         let standing: u32 = self.relays.iter().map(|r| r.standing[kind]).sum();
         f64::from(standing) + self.returning.iter().filter(|(_, k)| *k == kind).count() as f64
     }
 
     pub fn views(&self, kind: usize) -> impl Iterator<Item = (usize, View)> {
-        let view = move |s: &Shares| s.view(self.now, &member(kind));
+        let view = move |s: &QuotaManager| s.view(self.now, &member(kind));
         self.relays.iter().enumerate().filter_map(move |(i, r)| Some((i, r.shares.as_ref().and_then(view)?)))
     }
 }
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -3,17 +3,17 @@
 mod common;
 
 use common::{Tier, Watch};
-use sandgw_quota::tenants::Member;
+use sandgw_quota::tenants::Tenant;
 
-fn members() -> Vec<Member> {
+fn members() -> Vec<Tenant> {
     let share = [(178.0, 3.0), (172.0, 3.0), (34.0, 1.0)];
     let named = share.iter().enumerate();
     named
-        .map(|(i, (c, r))| Member { name: common::member(i), connections: Some(*c), per_s: Some(*r) })
+        .map(|(i, (c, r))| Tenant { name: common::member(i), connections: Some(*c), per_s: Some(*r) })
         .collect()
 }
 
-/// A tier in which a member has 300 flows, at random, and has been told all round.
+/// A tier in which a member has 300 connections, at random, and has been told all round.
 fn settled(relays: u32, seed: u64, loss: f64) -> Tier {
     let mut tier = Tier::new(relays, members(), seed);
     tier.loss = loss;
@@ -123,7 +123,7 @@
     }
 }
 
-/// Who hears nobody has its own part of the share, of one flow at the least, and the bounds grow with time.
+/// Who hears nobody has its own part of the share, of one connection at the least, and the bounds grow with time.
 #[test]
 fn who_hears_nobody_has_its_own_part() {
     for relays in TIERS {
@@ -180,8 +180,8 @@
 /// More members than a datagram holds are told in turn.
 #[test]
 fn many_members_are_told_in_turn() {
-    let many: Vec<Member> =
-        (0..60).map(|i| Member { name: common::member(i), ..Member::default() }).collect();
+    let many: Vec<Tenant> =
+        (0..60).map(|i| Tenant { name: common::member(i), ..Tenant::default() }).collect();
     for relays in [4, 32] {
         let mut tier = Tier::new(relays, many.clone(), 8);
         (0..60).for_each(|kind| (0..=kind).for_each(|_| tier.arrives(kind, false, Default::default())));
@@ -196,13 +196,13 @@
 /// What is doubled, overtaken, or of a relay's life before changes nothing.
 #[test]
 fn what_is_overtaken_or_of_an_earlier_life_is_passed_over() {
-    use sandgw_quota::tenants::Members;
-    use sandgw_quota::usage_gossip::{Row, Told};
-    let members = Members::new(members()).unwrap();
+    use sandgw_quota::tenants::Tenants;
+    use sandgw_quota::usage_gossip::{Row, UsageReport};
+    let members = Tenants::new(members()).unwrap();
     let tag = members.tags().next().unwrap();
-    let place = sandgw_quota::usage_table::Place { me: 0, relays: 4, peers: true };
-    let mut shares = sandgw_quota::Shares::new(members, place, 0.0);
-    let own = |life, number, open| Told::Own { life, number, rows: vec![Row::new(tag, open, 0.0)] };
+    let place = sandgw_quota::usage_table::Place { local_index: 0, relays: 4, peers: true };
+    let mut shares = sandgw_quota::QuotaManager::new(members, place, 0.0);
+    let own = |life, number, open| UsageReport::Own { life, number, rows: vec![Row::new(tag, open, 0.0)] };
     let steps = [(7, 1, 5.0, 5.0), (7, 3, 9.0, 9.0), (7, 2, 7.0, 9.0), (7, 3, 1.0, 9.0), (8, 1, 2.0, 2.0)];
     for (life, number, open, counted) in steps.into_iter().chain([(7, 4, 10.0, 2.0)]) {
         shares.told(100.0, 1, own(life, number, open), &mut Vec::new());
--- a/crates/quota/tests/policy.rs
+++ b/crates/quota/tests/policy.rs
@@ -1,16 +1,16 @@
-//! Who is refused: a flood of one member on a tier whose streamers are full.
+//! Who is refused: a flood of one member on a tier whose endpoints are full.
 
 mod common;
 
 use common::{Tier, member};
 use rand::RngExt;
-use sandgw_quota::policy::Signs;
-use sandgw_quota::tenants::Member;
+use sandgw_quota::policy::ScarcitySignals;
+use sandgw_quota::tenants::Tenant;
 
-/// Places of all streamers together, and what the members are entitled to: all of them.
+/// Places of all endpoints together, and what the members are entitled to: all of them.
 const PLACES: f64 = 400.0;
 const SHARES: [f64; 4] = [178.0, 120.0, 68.0, 34.0];
-/// How long a flow stands, in the mean.
+/// How long a connection stands, in the mean.
 const STANDS: f64 = 20_000.0;
 
 /// What they use of their shares.
@@ -22,10 +22,10 @@
     part: [f64; 4],
 }
 
-/// Members arrive for four fifths of their shares, the first for so many times as much. A flow that is not refused by
+/// Members arrive for four fifths of their shares, the first for so many times as much. A connection that is not refused by
 /// share gets a place while there is one. With the limit, or without it.
 fn flood(relays: u32, times: f64, limit: bool, seed: u64) -> Served {
-    let share = |(i, c): (usize, &f64)| Member { name: member(i), connections: Some(*c), per_s: None };
+    let share = |(i, c): (usize, &f64)| Tenant { name: member(i), connections: Some(*c), per_s: None };
     let mut tier = Tier::new(relays, SHARES.iter().enumerate().map(share).collect(), seed);
     (tier.loss, tier.doubled) = (0.2, 0.1);
     let (mut came, mut taken, mut held, mut n) = ([0.0; 4], [0.0; 4], [0.0; 4], 0.0);
@@ -44,9 +44,9 @@
                     continue;
                 }
                 let all: f64 = (0..4).map(|k| tier.truth(k)).sum();
-                // What the relay sees: streamers at their bound turn flows away from a little before they are full.
-                let full = Signs { streamers: all >= 0.97 * PLACES, ..Signs::default() };
-                let signs = if limit { full } else { Signs::default() };
+                // What the relay sees: endpoints at their bound turn connections away from a little before they are full.
+                let full = ScarcitySignals { endpoints: all >= 0.97 * PLACES, ..ScarcitySignals::default() };
+                let signs = if limit { full } else { ScarcitySignals::default() };
                 let at = tier.rng.random_range(0..relays as usize);
                 let served = all < PLACES && tier.arrives_at(at, kind, false, signs);
                 // By chance a member has more than its share at times: what is within counts.
@@ -94,21 +94,21 @@
 #[test]
 fn nobody_is_refused_where_places_are_free() {
     for relays in [4, 32] {
-        let share = Member { name: member(0), connections: Some(10.0), per_s: Some(1.0) };
+        let share = Tenant { name: member(0), connections: Some(10.0), per_s: Some(1.0) };
         let mut tier = Tier::new(relays, vec![share], 2);
         for _ in 0..200 {
             tier.run(100.0, |_| {});
             let at = tier.rng.random_range(0..relays as usize);
-            assert!(tier.arrives_at(at, 0, false, Signs::default()), "{relays}");
+            assert!(tier.arrives_at(at, 0, false, ScarcitySignals::default()), "{relays}");
         }
         // Twenty times its connections and ten times its rate: so it is refused as soon as they are short.
-        let full = Signs { window: true, ..Signs::default() };
+        let full = ScarcitySignals { window: true, ..ScarcitySignals::default() };
         assert!(!tier.arrives_at(0, 0, false, full), "{relays}");
         // And no more once they have not been for five seconds.
         tier.run(4900.0, |_| {});
-        assert!(!tier.arrives_at(0, 0, false, Signs::default()), "{relays}: it does not flap");
+        assert!(!tier.arrives_at(0, 0, false, ScarcitySignals::default()), "{relays}: it does not flap");
         tier.run(200.0, |_| {});
-        assert!(tier.arrives_at(0, 0, false, Signs::default()), "{relays}");
+        assert!(tier.arrives_at(0, 0, false, ScarcitySignals::default()), "{relays}");
     }
 }
 
@@ -117,9 +117,9 @@
 fn a_member_beyond_its_rate_has_its_rate() {
     for relays in [4, 32, 100] {
         let shares = [3.0, 3.0].iter().enumerate();
-        let shares = shares.map(|(i, r)| Member { name: member(i), connections: None, per_s: Some(*r) });
+        let shares = shares.map(|(i, r)| Tenant { name: member(i), connections: None, per_s: Some(*r) });
         let mut tier = Tier::new(relays, shares.collect(), 3);
-        let full = Signs { descriptors: true, ..Signs::default() };
+        let full = ScarcitySignals { descriptors: true, ..ScarcitySignals::default() };
         let (mut taken, mut came) = ([0.0; 2], [0.0; 2]);
         for second in 0..90 {
             tier.run(1000.0, |tier| {
@@ -145,13 +145,13 @@
 
 #[test]
 fn errors_have_their_advice() {
-    use sandgw_quota::tenants::{MOST, Members, MembersError};
+    use sandgw_quota::tenants::{MOST, Tenants, TenantsError};
     let named = |n: usize, name: fn(usize) -> String| {
-        Members::new((0..n).map(|i| Member { name: name(i), ..Member::default() }).collect()).unwrap_err()
+        Tenants::new((0..n).map(|i| Tenant { name: name(i), ..Tenant::default() }).collect()).unwrap_err()
     };
     let all = [named(MOST + 1, member), named(2, |_| "one".into()), named(1, |_| String::new())];
     let wanted =
-        [MembersError::TooMany(MOST + 1), MembersError::Twice("one".into()), MembersError::Nameless(0)];
+        [TenantsError::TooMany(MOST + 1), TenantsError::Twice("one".into()), TenantsError::Nameless(0)];
     assert_eq!(all, wanted);
-    assert!(all.iter().all(|e| !e.advice().is_empty() && e.to_string() != e.advice()));
+    assert!(all.iter().all(|e| !e.help().is_empty() && e.to_string() != e.help()));
 }
--- a/crates/schema-version/src/version_advertisement.rs
+++ b/crates/schema-version/src/version_advertisement.rs
@@ -7,7 +7,7 @@
 //! This layout is kept by all forms to come, so that a process can tell from any word whether it is too old. A
 //! process of before it passes a datagram that begins so over, as it does all that it can't read.
 
-use crate::{Form, FormError, Millis, Range};
+use crate::{Millis, SchemaVersion, SchemaVersionError, SupportedVersions};
 
 /// First character of a word: neither of form 1's two.
 pub const MARK: char = '3';
@@ -18,26 +18,26 @@
 
 /// What a process tells of itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct VersionAdvertisement {
     /// What it reads.
-    pub range: Range,
+    pub range: SupportedVersions,
     /// Below this nothing is written any more.
-    pub finalized: Form,
+    pub finalized: SchemaVersion,
     /// Forms below its newest, and how long ago a process was alive that reads no newer one.
-    pub older: Vec<(Form, Millis)>,
+    pub older: Vec<(SchemaVersion, Millis)>,
 }
 
-impl Word {
+impl VersionAdvertisement {
     /// The word as text.
     ///
     /// ```
-    /// use sandgw_schema_version::{Form, Range, version_advertisement::Word};
-    /// let range = Range::up_to(Form::SECOND)?;
-    /// let word = Word { range, finalized: Form::FIRST, older: vec![(Form::FIRST, 1500.0)] };
+    /// use sandgw_schema_version::{SchemaVersion, SupportedVersions, version_advertisement::VersionAdvertisement};
+    /// let range = SupportedVersions::up_to(SchemaVersion::SECOND)?;
+    /// let word = VersionAdvertisement { range, finalized: SchemaVersion::FIRST, older: vec![(SchemaVersion::FIRST, 1500.0)] };
     /// assert_eq!(word.text(), "312110g");
-    /// let (read, rest) = Word::read("312110g|more")?;
+    /// let (read, rest) = VersionAdvertisement::read("312110g|more")?;
     /// assert_eq!((read.range, rest), (range, Some("more")));
-    /// # Ok::<(), sandgw_schema_version::FormError>(())
+    /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
     /// ```
     pub fn text(&self) -> String {
         let mut text = self.short();
@@ -56,23 +56,23 @@
     }
 
     /// Reads the word that a datagram begins with; gives what follows it, if something does.
-    pub fn read(text: &str) -> Result<(Word, Option<&str>), FormError> {
+    pub fn read(text: &str) -> Result<(VersionAdvertisement, Option<&str>), SchemaVersionError> {
         let (head, rest) = text.split_once('|').map_or((text, None), |(head, rest)| (head, Some(rest)));
-        let cut = FormError::Cut { bytes: text.len(), part: "the word" };
+        let cut = SchemaVersionError::Cut { bytes: text.len(), part: "the word" };
         let digits: Option<Vec<u32>> = head.strip_prefix(MARK).and_then(|d| d.chars().map(value).collect());
         let digits = digits.ok_or_else(|| cut.clone())?;
         let (Some([oldest, newest, finalized]), ages) = (digits.first_chunk(), digits.get(3..)) else {
             return Err(cut);
         };
-        let form = |n: &u32| Form::new(u64::from(*n));
-        let range = Range::new(form(oldest)?, form(newest)?)?;
+        let form = |n: &u32| SchemaVersion::new(u64::from(*n));
+        let range = SupportedVersions::new(form(oldest)?, form(newest)?)?;
         let ages = ages.unwrap_or_default().chunks(3);
         let older = ages.map(|part| match part {
             [of, high, low] => Ok((form(of)?, f64::from(high * 36 + low) * UNIT)),
             _ => Err(cut.clone()),
         });
         let older = older.collect::<Result<_, _>>()?;
-        Ok((Word { range, finalized: form(finalized)?, older }, rest))
+        Ok((VersionAdvertisement { range, finalized: form(finalized)?, older }, rest))
     }
 }
 
--- a/crates/schema-version/src/version_negotiator.rs
+++ b/crates/schema-version/src/version_negotiator.rs
@@ -1,6 +1,6 @@
 //! Which form this process writes: the newest that all who are alive can read.
 //!
-//! [`Ladder`] owns what is known of the others' ranges. It is fed words, datagrams of form 1 without one, what was
+//! [`VersionNegotiator`] owns what is known of the others' ranges. It is fed words, datagrams of form 1 without one, what was
 //! sent, and the time; it gives the tier's form, the form for one relay, and to whom a word is due. It goes up
 //! only after [`QUIET`] without a sign of an older process, down with the first sign, and never below what an
 //! operator has finalized. It never needs to know who belongs to the tier, and no relay is more than another.
@@ -13,8 +13,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::version_advertisement::Word;
-use crate::{Form, FormError, Millis, Range};
+use crate::version_advertisement::VersionAdvertisement;
+use crate::{Millis, SchemaVersion, SchemaVersionError, SupportedVersions};
 
 /// How long no older process may have been heard of before the tier goes up.
 pub const QUIET: Millis = 20_000.0;
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     /// Its word, and when it came.
-    range: Range,
+    range: SupportedVersions,
     told: Millis,
     /// It has spoken without one since.
     plain: Option<Millis>,
@@ -53,7 +53,7 @@
 impl Default for Peer {
     fn default() -> Self {
         Peer {
-            range: Range::SILENT,
+            range: SupportedVersions::SILENT,
             told: f64::NEG_INFINITY,
             plain: None,
             asked: None,
@@ -73,83 +73,94 @@
     pub asks: bool,
 }
 
-/// The decision; see the module's text.
+/// The decision; see the load balancer's text.
 #[derive(Clone, Debug)]
-pub struct Ladder {
-    own: Range,
-    finalized: Form,
-    me: u32,
+pub struct VersionNegotiator {
+    own: SupportedVersions,
+    finalized: SchemaVersion,
+    local_index: u32,
     relays: u32,
     /// Since when this process listens.
     since: Millis,
     /// When a process was last heard of that reads no newer form.
-    older: BTreeMap<Form, Millis>,
+    older: BTreeMap<SchemaVersion, Millis>,
     peers: BTreeMap<u32, Peer>,
     /// When words are due next, and the draw of whom to tell.
     next: Millis,
     draw: u64,
 }
 
-impl Ladder {
-    /// That of a process that starts now as number `me` of so many. It fails where this process can't read what was
+impl VersionNegotiator {
+    /// That of a process that starts now as number `local_index` of so many. It fails where this process can't read what was
     /// finalized.
     ///
     /// ```
-    /// use sandgw_schema_version::{Form, Range, version_negotiator::{Ladder, QUIET}};
-    /// let range = Range::up_to(Form::SECOND)?;
-    /// let ladder = Ladder::new(range, Form::FIRST, (0, 3), 7, 0.0)?;
-    /// assert_eq!(ladder.form(QUIET - 1.0), Form::FIRST);
-    /// assert_eq!(ladder.form(QUIET), Form::SECOND);
-    /// assert!(Ladder::new(Range::SILENT, Form::SECOND, (0, 3), 7, 0.0).is_err());
-    /// # Ok::<(), sandgw_schema_version::FormError>(())
+    /// use sandgw_schema_version::{SchemaVersion, SupportedVersions, version_negotiator::{VersionNegotiator, QUIET}};
+    /// let range = SupportedVersions::up_to(SchemaVersion::SECOND)?;
+    /// let ladder = VersionNegotiator::new(range, SchemaVersion::FIRST, (0, 3), 7, 0.0)?;
+    /// assert_eq!(ladder.form(QUIET - 1.0), SchemaVersion::FIRST);
+    /// assert_eq!(ladder.form(QUIET), SchemaVersion::SECOND);
+    /// assert!(VersionNegotiator::new(SupportedVersions::SILENT, SchemaVersion::SECOND, (0, 3), 7, 0.0).is_err());
+    /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
     /// ```
     pub fn new(
-        own: Range,
-        finalized: Form,
-        (me, relays): (u32, u32),
+        own: SupportedVersions,
+        finalized: SchemaVersion,
+        (local_index, relays): (u32, u32),
         seed: u64,
         now: Millis,
-    ) -> Result<Ladder, FormError> {
+    ) -> Result<VersionNegotiator, SchemaVersionError> {
         if finalized > own.newest {
-            return Err(FormError::Finalized { finalized, range: own });
+            return Err(SchemaVersionError::Finalized { finalized, range: own });
         }
         let (older, peers) = (BTreeMap::new(), BTreeMap::new());
-        Ok(Ladder { own, finalized, me, relays, since: now, older, peers, next: now, draw: seed | 1 })
+        Ok(VersionNegotiator {
+            own,
+            finalized,
+            local_index,
+            relays,
+            since: now,
+            older,
+            peers,
+            next: now,
+            draw: seed | 1,
+        })
     }
 
     /// The number of relays, and this one's among them, have changed.
-    pub fn renumber(&mut self, me: u32, relays: u32) {
-        (self.me, self.relays) = (me, relays);
+    pub fn renumber(&mut self, local_index: u32, relays: u32) {
+        (self.local_index, self.relays) = (local_index, relays);
         self.peers.retain(|peer, _| *peer < relays);
     }
 
     /// What this process reads.
-    pub fn range(&self) -> Range {
+    pub fn range(&self) -> SupportedVersions {
         self.own
     }
 
     /// The form below which nothing is written any more.
-    pub fn finalized(&self) -> Form {
+    pub fn finalized(&self) -> SchemaVersion {
         self.finalized
     }
 
     /// The form that the tier writes, as far as this process has heard.
-    pub fn form(&self, now: Millis) -> Form {
+    pub fn form(&self, now: Millis) -> SchemaVersion {
         let sign = self.sign(now).map(|(form, _)| form);
         let waits = (now - self.since < QUIET).then_some(self.own.oldest);
         sign.into_iter().chain(waits).min().unwrap_or(self.own.newest).max(self.floor())
     }
 
     /// The oldest process heard of lately that reads less than this one: its newest form, and how long ago.
-    pub fn sign(&self, now: Millis) -> Option<(Form, Millis)> {
+    pub fn sign(&self, now: Millis) -> Option<(SchemaVersion, Millis)> {
         let ages = self.signs().map(|(form, at)| (form, now - at));
         ages.filter(|(_, age)| *age < QUIET).min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)))
     }
 
     /// Forms less than this process reads, and when a process was last heard of that reads no newer one.
-    fn signs(&self) -> impl Iterator<Item = (Form, Millis)> {
+    fn signs(&self) -> impl Iterator<Item = (SchemaVersion, Millis)> {
         // Who was silent before and is asked again counts here, and is told on only once that is certain.
-        let silent = self.peers.values().filter(|p| p.silent).filter_map(|p| Some((Form::FIRST, p.plain?)));
+        let silent =
+            self.peers.values().filter(|p| p.silent).filter_map(|p| Some((SchemaVersion::FIRST, p.plain?)));
         let signs = self.older.iter().map(|(form, at)| (*form, *at)).chain(silent);
         signs.filter(|(form, _)| *form < self.own.newest)
     }
@@ -169,12 +180,12 @@
         (QUIET - (now - sign)).max(0.0)
     }
 
-    fn floor(&self) -> Form {
+    fn floor(&self) -> SchemaVersion {
         self.finalized.max(self.own.oldest)
     }
 
     /// The form in which a relay is written to now.
-    pub fn form_for(&self, now: Millis, peer: u32) -> Form {
+    pub fn form_for(&self, now: Millis, peer: u32) -> SchemaVersion {
         let floor = self.floor();
         let Some(p) = self.peers.get(&peer) else { return floor };
         let deaf = p.unanswered.is_some_and(|at| now - at >= ANSWER);
@@ -185,15 +196,20 @@
     }
 
     /// What this process tells of itself.
-    pub fn word(&self, now: Millis) -> Word {
+    pub fn word(&self, now: Millis) -> VersionAdvertisement {
         let ages = self.older.iter().map(|(form, at)| (*form, now - at));
         let older = ages.filter(|(_, age)| *age < QUIET).collect();
-        Word { range: self.own, finalized: self.finalized, older }
+        VersionAdvertisement { range: self.own, finalized: self.finalized, older }
     }
 
     /// Takes a relay's word. It fails where the tier was finalized at a form that this process can't read.
-    pub fn told(&mut self, now: Millis, peer: u32, word: &Word) -> Result<(), FormError> {
-        if peer >= self.relays || peer == self.me {
+    pub fn told(
+        &mut self,
+        now: Millis,
+        peer: u32,
+        word: &VersionAdvertisement,
+    ) -> Result<(), SchemaVersionError> {
+        if peer >= self.relays || peer == self.local_index {
             return Ok(());
         }
         let p = self.peers.entry(peer).or_default();
@@ -203,7 +219,7 @@
             self.sign_of(*form, now - ago);
         }
         if word.finalized > self.own.newest {
-            return Err(FormError::Finalized { finalized: word.finalized, range: self.own });
+            return Err(SchemaVersionError::Finalized { finalized: word.finalized, range: self.own });
         }
         self.finalized = self.finalized.max(word.finalized);
         Ok(())
@@ -211,7 +227,7 @@
 
     /// A relay was heard without a word, in form 1.
     pub fn plain(&mut self, now: Millis, peer: u32) {
-        if peer >= self.relays || peer == self.me {
+        if peer >= self.relays || peer == self.local_index {
             return;
         }
         let p = self.peers.entry(peer).or_default();
@@ -221,7 +237,7 @@
         }
         let before = p.plain.replace(now);
         if p.silent && before.is_some_and(|at| now - at <= KNOWN) {
-            self.sign_of(Form::FIRST, now);
+            self.sign_of(SchemaVersion::FIRST, now);
         } else if p.asked.is_none() && now - p.told > TELL + BESIDE {
             // Whoever has a word tells it with the first datagram in [`TELL`]: it was lost, or there is none. What
             // it was says little of what it is, after a pause in which it may have been replaced.
@@ -230,7 +246,7 @@
     }
 
     /// A process that reads no newer form was alive then.
-    fn sign_of(&mut self, form: Form, at: Millis) {
+    fn sign_of(&mut self, form: SchemaVersion, at: Millis) {
         if form < self.own.newest {
             let latest = self.older.entry(form).or_insert(at);
             *latest = latest.max(at);
@@ -243,9 +259,9 @@
     }
 
     /// A relay was sent a datagram of this form, with a word or without.
-    pub fn sent(&mut self, now: Millis, peer: u32, form: Form, word: bool) {
+    pub fn sent(&mut self, now: Millis, peer: u32, form: SchemaVersion, word: bool) {
         let p = self.peers.entry(peer).or_default();
-        if form > Form::FIRST {
+        if form > SchemaVersion::FIRST {
             p.unanswered.get_or_insert(now);
         }
         if word {
@@ -265,7 +281,7 @@
         // A part of the tier apart, so that neighbours tell different ones.
         let step = (others / TOLD).max(1);
         for n in 0..TOLD.min(others) {
-            let peer = (self.me + 1 + (first + n * step) % others) % self.relays;
+            let peer = (self.local_index + 1 + (first + n * step) % others) % self.relays;
             out.push(Due { peer, asks: false });
         }
     }
@@ -282,10 +298,10 @@
                 out.push(Due { peer: *peer, asks: true });
             }
         }
-        signs.into_iter().for_each(|at| self.sign_of(Form::FIRST, at));
+        signs.into_iter().for_each(|at| self.sign_of(SchemaVersion::FIRST, at));
     }
 
-    /// In how long [`Ladder::due`] is to be called again.
+    /// In how long [`VersionNegotiator::due`] is to be called again.
     pub fn timer(&self, now: Millis) -> Millis {
         let ask = |(since, last): (Millis, Millis)| (last + ASK).min(since + GRACE);
         let asks = self.peers.values().filter_map(|p| p.asked).map(ask);
@@ -293,12 +309,12 @@
     }
 
     /// Ends the possibility to go back below the newest form. It fails while an older process may be alive.
-    pub fn finalize(&mut self, now: Millis) -> Result<Form, FormError> {
+    pub fn finalize(&mut self, now: Millis) -> Result<SchemaVersion, SchemaVersionError> {
         if let Some((form, ago)) = self.sign(now) {
-            return Err(FormError::OlderAlive { form, ago });
+            return Err(SchemaVersionError::OlderAlive { form, ago });
         }
         if self.finalized < self.own.newest && self.waits(now) > 0.0 {
-            return Err(FormError::TooEarly { left: self.waits(now) });
+            return Err(SchemaVersionError::TooEarly { left: self.waits(now) });
         }
         self.finalized = self.own.newest;
         Ok(self.finalized)
@@ -310,13 +326,18 @@
     }
 
     /// Takes what the process before knew: it has listened for so long, and this was its word.
-    pub fn resume(&mut self, now: Millis, listened: Millis, word: &Word) -> Result<(), FormError> {
+    pub fn resume(
+        &mut self,
+        now: Millis,
+        listened: Millis,
+        word: &VersionAdvertisement,
+    ) -> Result<(), SchemaVersionError> {
         if listened.is_finite() && listened > 0.0 {
             self.since = self.since.min(now - listened);
         }
         word.older.iter().for_each(|(form, ago)| self.sign_of(*form, now - ago));
         if word.finalized > self.own.newest {
-            return Err(FormError::Finalized { finalized: word.finalized, range: self.own });
+            return Err(SchemaVersionError::Finalized { finalized: word.finalized, range: self.own });
         }
         self.finalized = self.finalized.max(word.finalized);
         Ok(())
--- a/crates/schema-version/src/versioned_channel.rs
+++ b/crates/schema-version/src/versioned_channel.rs
@@ -1,7 +1,7 @@
 //! What stands between a relay's messages and its datagrams: each goes out in the form that its reader reads, and
 //! comes in whatever form it has.
 //!
-//! [`Post`] owns the ladder and what form 1 can't say yet. It is fed texts of form 1, rows of shares, datagrams
+//! [`VersionedChannel`] owns the ladder and what form 1 can't say yet. It is fed texts of form 1, rows of shares, datagrams
 //! and the time; it gives datagrams, texts and rows. It sends nothing itself.
 //!
 //! Rows are kept aside by relay, the latest only, for as long as that relay is written to in form 1, and go with
@@ -9,11 +9,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::compatibility_table::{ROWS, Shares};
+use crate::compatibility_table::{QuotaRows, ROWS};
 use crate::version_advertisement::MARK;
-use crate::version_negotiator::{Due, Ladder};
-use crate::versioned_message::{Aside, Envelope, MOST_BYTES, down, up};
-use crate::{Form, FormError, Millis};
+use crate::version_negotiator::{Due, VersionNegotiator};
+use crate::versioned_message::{Aside, MOST_BYTES, VersionedMessage, down, up};
+use crate::{Millis, SchemaVersion, SchemaVersionError};
 
 /// Rows wait this long for a datagram that they can go with.
 const WAIT: Millis = 200.0;
@@ -44,22 +44,22 @@
     /// A text of form 1.
     pub text: Option<String>,
     /// Rows of the members' shares.
-    pub shares: Option<Shares>,
+    pub shares: Option<QuotaRows>,
 }
 
-/// See the module's text.
+/// See the load balancer's text.
 #[derive(Clone, Debug)]
-pub struct Post {
+pub struct VersionedChannel {
     /// Which form is written.
-    pub ladder: Ladder,
-    aside: BTreeMap<u32, (Millis, Shares)>,
+    pub ladder: VersionNegotiator,
+    aside: BTreeMap<u32, (Millis, QuotaRows)>,
     counts: Counts,
 }
 
-impl Post {
+impl VersionedChannel {
     /// One that has nothing to send.
-    pub fn new(ladder: Ladder) -> Post {
-        Post { ladder, aside: BTreeMap::new(), counts: Counts::default() }
+    pub fn new(ladder: VersionNegotiator) -> VersionedChannel {
+        VersionedChannel { ladder, aside: BTreeMap::new(), counts: Counts::default() }
     }
 
     /// Totals since the start.
@@ -68,38 +68,38 @@
     }
 
     /// Keeps rows for a relay until they can go; those kept before give way.
-    pub fn keep(&mut self, now: Millis, peer: u32, shares: Shares) {
+    pub fn keep(&mut self, now: Millis, peer: u32, shares: QuotaRows) {
         self.aside.insert(peer, (now, shares));
     }
 
     /// Sends a text of form 1 in the form that the relay reads; one datagram, or up to three where they need be.
     ///
     /// ```
-    /// use sandgw_schema_version::{Form, Range, version_negotiator::Ladder, versioned_channel::Post};
-    /// let ladder = Ladder::new(Range::up_to(Form::SECOND)?, Form::FIRST, (0, 3), 7, 0.0)?;
-    /// let (mut post, mut out) = (Post::new(ladder), Vec::new());
+    /// use sandgw_schema_version::{SchemaVersion, SupportedVersions, version_negotiator::VersionNegotiator, versioned_channel::VersionedChannel};
+    /// let ladder = VersionNegotiator::new(SupportedVersions::up_to(SchemaVersion::SECOND)?, SchemaVersion::FIRST, (0, 3), 7, 0.0)?;
+    /// let (mut post, mut out) = (VersionedChannel::new(ladder), Vec::new());
     /// post.send(0.0, 1, "1s a", &mut out);
     /// // Nothing is known of relay 1: it gets the word, which an old process passes over, and form 1.
     /// assert_eq!(out, [(1, "3121".to_owned()), (1, "1s a".to_owned())]);
-    /// # Ok::<(), sandgw_schema_version::FormError>(())
+    /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
     /// ```
     pub fn send(&mut self, now: Millis, peer: u32, text: &str, out: &mut Datagrams) {
-        if self.ladder.form_for(now, peer) >= Form::SECOND {
+        if self.ladder.form_for(now, peer) >= SchemaVersion::SECOND {
             let shares = self.aside.get(&peer).map(|(_, shares)| shares.clone());
             let whole = self.envelope(now, Some(text.to_owned()), shares);
             if let Some(whole) = whole.write() {
                 self.aside.remove(&peer);
-                return self.push(now, peer, Form::SECOND, whole, out);
+                return self.push(now, peer, SchemaVersion::SECOND, whole, out);
             }
             let part = self.envelope(now, Some(fitting(text).to_owned()), None);
             if let Some(part) = part.write() {
-                return self.push(now, peer, Form::SECOND, part, out);
+                return self.push(now, peer, SchemaVersion::SECOND, part, out);
             }
         }
         if self.ladder.is_due(now, peer) {
             self.say(now, peer, false, out);
         }
-        self.push(now, peer, Form::FIRST, text.to_owned(), out);
+        self.push(now, peer, SchemaVersion::FIRST, text.to_owned(), out);
     }
 
     /// Takes a datagram of a relay; what is to be sent in answer is added.
@@ -109,7 +109,7 @@
         peer: u32,
         text: &str,
         out: &mut Datagrams,
-    ) -> Result<Received, FormError> {
+    ) -> Result<Received, SchemaVersionError> {
         if !text.starts_with(MARK) {
             return self.plain(now, peer, text);
         }
@@ -117,7 +117,7 @@
             Some(word) => (word, true),
             None => (text, false),
         };
-        let read = Envelope::read(text);
+        let read = VersionedMessage::read(text);
         let word = read.as_ref().map_or_else(|(word, _)| word.as_ref(), |envelope| Some(&envelope.word));
         // A word counts though what follows it can't be read: its sender is alive and newer.
         let told = word.map(|word| self.ladder.told(now, peer, word)).transpose();
@@ -129,7 +129,7 @@
         Ok(Received { text, shares: aside.shares })
     }
 
-    fn plain(&mut self, now: Millis, peer: u32, text: &str) -> Result<Received, FormError> {
+    fn plain(&mut self, now: Millis, peer: u32, text: &str) -> Result<Received, SchemaVersionError> {
         match text.chars().next() {
             Some('1' | '2') => {
                 self.ladder.plain(now, peer);
@@ -137,20 +137,22 @@
             }
             // Of a process that tells shares and no word: it reads form 1, and passes over what it can't.
             Some(ROWS) => {
-                let shares = Shares::new(text).map_err(|e| self.count(e))?;
+                let shares = QuotaRows::new(text).map_err(|e| self.count(e))?;
                 self.ladder.plain(now, peer);
                 Ok(Received { text: None, shares: Some(shares) })
             }
-            Some(letter) => Err(self.count(FormError::Unknown { letter, newest: Form::NEWEST })),
-            None => Err(self.count(FormError::Cut { bytes: 0, part: "all of it" })),
+            Some(letter) => {
+                Err(self.count(SchemaVersionError::Unknown { letter, newest: SchemaVersion::NEWEST }))
+            }
+            None => Err(self.count(SchemaVersionError::Cut { bytes: 0, part: "all of it" })),
         }
     }
 
-    fn count(&mut self, e: FormError) -> FormError {
+    fn count(&mut self, e: SchemaVersionError) -> SchemaVersionError {
         match &e {
-            FormError::Cut { .. } | FormError::NoForm { .. } | FormError::Backwards { .. } => {
-                self.counts.cut += 1
-            }
+            SchemaVersionError::Cut { .. }
+            | SchemaVersionError::NoForm { .. }
+            | SchemaVersionError::Backwards { .. } => self.counts.cut += 1,
             _ => self.counts.future += 1,
         }
         e
@@ -161,27 +163,27 @@
         let mut due = Vec::new();
         self.ladder.due(now, &mut due);
         due.into_iter().for_each(|Due { peer, asks }| self.say(now, peer, asks, out));
-        let ripe = |(peer, (at, _)): (&u32, &(Millis, Shares))| (now - at >= WAIT).then_some(*peer);
+        let ripe = |(peer, (at, _)): (&u32, &(Millis, QuotaRows))| (now - at >= WAIT).then_some(*peer);
         let ripe: Vec<u32> = self.aside.iter().filter_map(ripe).collect();
         for peer in ripe {
-            if self.ladder.form_for(now, peer) < Form::SECOND {
+            if self.ladder.form_for(now, peer) < SchemaVersion::SECOND {
                 continue;
             }
             let shares = self.aside.remove(&peer).map(|(_, shares)| shares);
             if let Some(rows) = self.envelope(now, None, shares).write() {
-                self.push(now, peer, Form::SECOND, rows, out);
+                self.push(now, peer, SchemaVersion::SECOND, rows, out);
             }
         }
     }
 
-    /// In how long [`Post::due`] is to be called again.
+    /// In how long [`VersionedChannel::due`] is to be called again.
     pub fn timer(&self, now: Millis) -> Millis {
-        let able = |peer: &u32| self.ladder.form_for(now, *peer) >= Form::SECOND;
+        let able = |peer: &u32| self.ladder.form_for(now, *peer) >= SchemaVersion::SECOND;
         let rows = self.aside.iter().filter(|(peer, _)| able(peer)).map(|(_, (at, _))| at + WAIT - now);
         rows.fold(self.ladder.timer(now), f64::min).max(1.0)
     }
 
-    fn envelope(&self, now: Millis, text: Option<String>, shares: Option<Shares>) -> Envelope {
+    fn envelope(&self, now: Millis, text: Option<String>, shares: Option<QuotaRows>) -> VersionedMessage {
         up(text, Aside { word: self.ladder.word(now), shares })
     }
 
@@ -189,12 +191,12 @@
         let word = self.ladder.word(now).text();
         self.counts.words += 1;
         self.counts.word_bytes += word.len() as u64;
-        self.ladder.sent(now, peer, Form::FIRST, true);
+        self.ladder.sent(now, peer, SchemaVersion::FIRST, true);
         out.push((peer, if asks { word + "|?" } else { word }));
     }
 
-    fn push(&mut self, now: Millis, peer: u32, form: Form, text: String, out: &mut Datagrams) {
-        let newer = form > Form::FIRST;
+    fn push(&mut self, now: Millis, peer: u32, form: SchemaVersion, text: String, out: &mut Datagrams) {
+        let newer = form > SchemaVersion::FIRST;
         if newer {
             self.counts.second += 1;
             self.counts.word_bytes += text.find('|').unwrap_or(text.len()) as u64 + 1;
--- a/crates/schema-version/tests/tier.rs
+++ b/crates/schema-version/tests/tier.rs
@@ -6,10 +6,10 @@
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_schema_version::compatibility_table::Shares;
-use sandgw_schema_version::version_negotiator::{GRACE, KNOWN, Ladder, QUIET};
-use sandgw_schema_version::versioned_channel::Post;
-use sandgw_schema_version::{Form, Range};
+use sandgw_schema_version::compatibility_table::QuotaRows;
+use sandgw_schema_version::version_negotiator::{GRACE, KNOWN, QUIET, VersionNegotiator};
+use sandgw_schema_version::versioned_channel::VersionedChannel;
+use sandgw_schema_version::{SchemaVersion, SupportedVersions};
 
 /// All are at the newest that all can read so long after the last change.
 const SETTLED: f64 = 2.0 * QUIET + GRACE;
@@ -19,7 +19,7 @@
 enum Process {
     Down,
     Old,
-    New(Box<Post>),
+    New(Box<VersionedChannel>),
 }
 
 struct Sim {
@@ -34,14 +34,14 @@
     sent: u64,
     /// Who has heard an old process in its present life.
     heard: BTreeSet<(usize, usize)>,
-    floor: Form,
+    floor: SchemaVersion,
     /// Datagrams that an old process could not read, by pair, since it last got one that it could.
     dark: BTreeMap<(usize, usize), (f64, f64)>,
-    rows: BTreeMap<usize, Vec<Shares>>,
+    rows: BTreeMap<usize, Vec<QuotaRows>>,
 }
 
-fn up_to(most: u8) -> Range {
-    Range::up_to(Form::new(most.into()).unwrap()).unwrap()
+fn up_to(most: u8) -> SupportedVersions {
+    SupportedVersions::up_to(SchemaVersion::new(most.into()).unwrap()).unwrap()
 }
 
 impl Sim {
@@ -56,7 +56,7 @@
             flying: BTreeMap::new(),
             sent: 0,
             heard: BTreeSet::new(),
-            floor: Form::FIRST,
+            floor: SchemaVersion::FIRST,
             dark: BTreeMap::new(),
             rows: BTreeMap::new(),
         }
@@ -75,8 +75,14 @@
         self.processes[i] = match most {
             0 => Process::Old,
             // Kept in the folder, or told by the others before it serves.
-            _ => match Ladder::new(up_to(most), self.floor, (i as u32, n), self.rng.random(), self.now) {
-                Ok(ladder) => Process::New(Box::new(Post::new(ladder))),
+            _ => match VersionNegotiator::new(
+                up_to(most),
+                self.floor,
+                (i as u32, n),
+                self.rng.random(),
+                self.now,
+            ) {
+                Ok(ladder) => Process::New(Box::new(VersionedChannel::new(ladder))),
                 Err(_) => Process::Down,
             },
         };
@@ -88,7 +94,7 @@
         let word = !text.contains('|') || text.ends_with("|?");
         if let Process::Old = self.processes[to]
             && !word
-            && self.finalized(from) == Some(Form::FIRST)
+            && self.finalized(from) == Some(SchemaVersion::FIRST)
         {
             if readable {
                 self.dark.remove(&(from, to));
@@ -168,7 +174,7 @@
             }
             // What it knows to be finalized is what binds a process; a cut may keep it from hearing of it.
             for (i, form) in self.forms() {
-                let least = self.finalized(i).unwrap_or(Form::FIRST);
+                let least = self.finalized(i).unwrap_or(SchemaVersion::FIRST);
                 assert!(form >= least, "{i}: form {form}, finalized {least}");
             }
         }
@@ -180,32 +186,32 @@
         (0..self.processes.len()).find(there).unwrap_or(i)
     }
 
-    fn new_ones(&self) -> impl Iterator<Item = (usize, &Ladder)> {
+    fn new_ones(&self) -> impl Iterator<Item = (usize, &VersionNegotiator)> {
         self.processes.iter().enumerate().filter_map(|(i, p)| match p {
             Process::New(post) => Some((i, &post.ladder)),
             _ => None,
         })
     }
 
-    fn finalized(&self, i: usize) -> Option<Form> {
+    fn finalized(&self, i: usize) -> Option<SchemaVersion> {
         self.new_ones().find(|(n, _)| *n == i).map(|(_, ladder)| ladder.finalized())
     }
 
     /// What each process of this program writes that can read what is finalized.
-    fn forms(&self) -> Vec<(usize, Form)> {
+    fn forms(&self) -> Vec<(usize, SchemaVersion)> {
         let reads = self.new_ones().filter(|(_, ladder)| ladder.range().newest() >= self.floor);
         reads.map(|(i, ladder)| (i, ladder.form(self.now))).collect()
     }
 
     /// The newest form that all alive read, and not under what is finalized.
-    fn common(&self) -> Form {
-        let old = self.processes.iter().any(|p| matches!(p, Process::Old)).then_some(Form::FIRST);
+    fn common(&self) -> SchemaVersion {
+        let old = self.processes.iter().any(|p| matches!(p, Process::Old)).then_some(SchemaVersion::FIRST);
         let newest = self.new_ones().map(|(_, ladder)| ladder.range().newest());
-        newest.chain(old).min().unwrap_or(Form::FIRST).max(self.floor)
+        newest.chain(old).min().unwrap_or(SchemaVersion::FIRST).max(self.floor)
     }
 
     /// The processes that don't write this form.
-    fn others(&self, form: Form) -> Vec<(usize, Form)> {
+    fn others(&self, form: SchemaVersion) -> Vec<(usize, SchemaVersion)> {
         self.forms().into_iter().filter(|(_, f)| *f != form).collect()
     }
 
@@ -276,15 +282,15 @@
     // Stopped half way for minutes.
     for _ in 0..60 {
         sim.run(4000.0);
-        assert_eq!(sim.others(Form::FIRST), [], "half of it is old");
+        assert_eq!(sim.others(SchemaVersion::FIRST), [], "half of it is old");
     }
     roll(&mut sim, 2, 24);
     sim.settles();
-    assert_eq!(sim.common(), Form::SECOND);
+    assert_eq!(sim.common(), SchemaVersion::SECOND);
     // One old process is enough to go back, and it is told nothing that it can't read meanwhile.
     sim.start(5, 0);
     sim.run(KNOWN + GRACE);
-    assert!(sim.others(Form::FIRST).len() <= 3, "{:?}", sim.forms());
+    assert!(sim.others(SchemaVersion::FIRST).len() <= 3, "{:?}", sim.forms());
     sim.settles();
     roll(&mut sim, 0, 24);
 }
@@ -296,12 +302,12 @@
     (0..12).for_each(|i| sim.start(i, if i < 6 { 2 } else { 0 }));
     (0..12).for_each(|i| sim.side[i] = u8::from(i >= 6));
     sim.run(SETTLED);
-    assert_eq!(sim.others(Form::SECOND), []);
+    assert_eq!(sim.others(SchemaVersion::SECOND), []);
     sim.side.fill(0);
     sim.settles();
     (6..12).for_each(|i| sim.start(i, 2));
     sim.settles();
-    assert_eq!(sim.common(), Form::SECOND);
+    assert_eq!(sim.common(), SchemaVersion::SECOND);
 }
 
 /// After finalize an old process is no reason to go back, and a new one that is pinned does not start.
@@ -313,11 +319,12 @@
     assert!(post.ladder.finalize(1000.0).is_err(), "too early");
     sim.settles();
     let Process::New(post) = &mut sim.processes[2] else { panic!() };
-    assert_eq!(post.ladder.finalize(sim.now), Ok(Form::SECOND));
+    assert_eq!(post.ladder.finalize(sim.now), Ok(SchemaVersion::SECOND));
     sim.run(QUIET);
-    let told = |p: &Process| matches!(p, Process::New(post) if post.ladder.finalized() == Form::SECOND);
+    let told =
+        |p: &Process| matches!(p, Process::New(post) if post.ladder.finalized() == SchemaVersion::SECOND);
     assert!(sim.processes.iter().all(told), "it is told among relays");
-    sim.floor = Form::SECOND;
+    sim.floor = SchemaVersion::SECOND;
     sim.start(4, 0);
     sim.start(5, 1);
     assert!(matches!(sim.processes[5], Process::Down));
@@ -329,7 +336,7 @@
 fn rows_are_kept_aside_while_form_1_is_written() {
     let mut sim = Sim::new(3, 5, 0.0);
     (0..3).for_each(|i| sim.start(i, 2));
-    let shares = |n: usize| Shares::new(&format!("m{}", "A".repeat(n + 1))).unwrap();
+    let shares = |n: usize| QuotaRows::new(&format!("m{}", "A".repeat(n + 1))).unwrap();
     for n in 0..5 {
         let Process::New(post) = &mut sim.processes[1] else { panic!() };
         post.keep(sim.now, 0, shares(n));
@@ -344,15 +351,15 @@
 /// one that has nothing to say: it gets form 1.
 #[test]
 fn who_is_silent_gets_form_1() {
-    let mut ladder = Ladder::new(up_to(2), Form::FIRST, (0, 2), 1, 0.0).unwrap();
+    let mut ladder = VersionNegotiator::new(up_to(2), SchemaVersion::FIRST, (0, 2), 1, 0.0).unwrap();
     let word = ladder.word(QUIET);
-    let told = |ladder: &mut Ladder, now| ladder.told(now, 1, &word).unwrap();
+    let told = |ladder: &mut VersionNegotiator, now| ladder.told(now, 1, &word).unwrap();
     told(&mut ladder, QUIET);
-    assert_eq!(ladder.form_for(QUIET + KNOWN - 1.0, 1), Form::SECOND);
-    assert_eq!(ladder.form_for(QUIET + KNOWN + 1.0, 1), Form::FIRST);
-    ladder.sent(QUIET, 1, Form::SECOND, true);
-    assert_eq!(ladder.form_for(QUIET + 100.0, 1), Form::SECOND, "it may still answer");
-    assert_eq!(ladder.form_for(QUIET + 1100.0, 1), Form::FIRST);
+    assert_eq!(ladder.form_for(QUIET + KNOWN - 1.0, 1), SchemaVersion::SECOND);
+    assert_eq!(ladder.form_for(QUIET + KNOWN + 1.0, 1), SchemaVersion::FIRST);
+    ladder.sent(QUIET, 1, SchemaVersion::SECOND, true);
+    assert_eq!(ladder.form_for(QUIET + 100.0, 1), SchemaVersion::SECOND, "it may still answer");
+    assert_eq!(ladder.form_for(QUIET + 1100.0, 1), SchemaVersion::FIRST);
     told(&mut ladder, QUIET + 1200.0);
-    assert_eq!(ladder.form_for(QUIET + 1300.0, 1), Form::SECOND);
+    assert_eq!(ladder.form_for(QUIET + 1300.0, 1), SchemaVersion::SECOND);
 }
--- a/crates/test-cluster/examples/cold_start.rs
+++ b/crates/test-cluster/examples/cold_start.rs
@@ -1,4 +1,4 @@
-//! Starts many relays together before a slow list service and streamers with one store, and prints how they fare.
+//! Starts many relays together before a slow list service and endpoints with one store, and prints how they fare.
 //!
 //! `cargo run --release -p sandgw-rig --example cold_start -- target/release/sandgw --relays 250`
 
@@ -10,7 +10,7 @@
 use sandgw_test_cluster::load_clients::Plan as Crowd;
 use sandgw_test_cluster::log::{Event, What};
 use sandgw_test_cluster::stub_discovery::Service;
-use sandgw_test_cluster::{Millis, Rig, RigError, Size, span};
+use sandgw_test_cluster::{Millis, Size, TestCluster, TestClusterError, span};
 
 #[derive(Parser)]
 struct Arguments {
@@ -46,13 +46,13 @@
     /// Set-ups a second at the store.
     #[arg(long, default_value_t = 120.0)]
     store: f64,
-    /// Warm streamers.
+    /// Warm endpoints.
     #[arg(long, default_value_t = 12)]
     warm: usize,
-    /// Streamers that start with the relays.
+    /// Endpoints that start with the relays.
     #[arg(long, default_value_t = 18)]
     cold: usize,
-    /// Set-ups a second that one warm streamer bears.
+    /// Set-ups a second that one warm endpoint bears.
     #[arg(long, default_value_t = 20.0)]
     rate: f64,
     /// Kill this share of the relays at once after so many seconds and start them again.
@@ -73,7 +73,7 @@
     match runtime.map(run) {
         Ok(Ok(())) => ExitCode::SUCCESS,
         Ok(Err(e)) => {
-            eprintln!("{e}\n{}", e.advice());
+            eprintln!("{e}\n{}", e.help());
             ExitCode::FAILURE
         }
         Err(e) => {
@@ -83,7 +83,7 @@
     }
 }
 
-async fn measure(a: &Arguments) -> Result<(), RigError> {
+async fn measure(a: &Arguments) -> Result<(), TestClusterError> {
     let service =
         Service { cost: a.cost, slower: a.slower, down: a.down > 0.0, mute: a.mute, ..Service::default() };
     let size = Size {
@@ -95,7 +95,7 @@
         known: !a.unknown,
         ..Size::new(&a.binary, a.relays, a.warm)
     };
-    let mut rig = Rig::new(size).await?;
+    let mut rig = TestCluster::new(size).await?;
     let begin = rig.log.now();
     let tenants = [("acme", 0.6), ("luna", 0.3), ("nova", 0.1)].map(|(name, weight)| (name.into(), weight));
     let crowd = Crowd {
@@ -108,7 +108,7 @@
     };
     let clients = rig.clients(crowd);
     rig.start(900.0).await?;
-    let until = |rig: &Rig, s: f64| tokio::time::sleep(span(begin + s * 1000.0 - rig.log.now()));
+    let until = |rig: &TestCluster, s: f64| tokio::time::sleep(span(begin + s * 1000.0 - rig.log.now()));
     let mut early = None;
     let mut moments = vec![(5.0, Moment::Count), (a.seconds, Moment::End)];
     moments.extend((a.down > 0.0).then_some((a.down, Moment::Back)));
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole rig: relays, links, discovery, streamers and the front, wired together.
+//! A whole rig: relays, links, discovery, endpoints and the front, wired together.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -10,13 +10,13 @@
 use crate::fault_proxy::{Fate, Mesh};
 use crate::fault_schedule::{Fault, Script};
 use crate::invariants::{Verdict, judge};
-use crate::load_clients::{Clients, Front, Plan as Crowd};
+use crate::load_clients::{ClientProtocol, Clients, Plan as Crowd};
 use crate::log::What;
 use crate::process::{Plan, Relay};
 use crate::settings::{Rules, settings};
 use crate::stub_discovery::{Discovery, Entry, Service};
 use crate::stub_endpoints::{Fleet, Model};
-use crate::{Log, Millis, RigError, free_address, raise_descriptors, span, unix_ms};
+use crate::{Log, Millis, TestClusterError, free_address, raise_descriptors, span, unix_ms};
 
 /// How many of what.
 #[derive(Clone, Debug)]
@@ -25,13 +25,13 @@
     pub binary: PathBuf,
     /// Relays.
     pub relays: usize,
-    /// Streamers that have been up for long.
+    /// Endpoints that have been up for long.
     pub warm: usize,
-    /// Streamers that start with the rig.
+    /// Endpoints that start with the rig.
     pub cold: usize,
-    /// Set-ups a second that a warm streamer bears.
+    /// Set-ups a second that a warm endpoint bears.
     pub rate: f64,
-    /// Connections that a streamer holds at the most.
+    /// Connections that an endpoint holds at the most.
     pub places: usize,
     /// Set-ups a second that the store bears, if it is a limit.
     pub store_rate: Option<f64>,
@@ -45,12 +45,12 @@
     pub tenants: Vec<&'static str>,
     /// What all that is drawn depends on.
     pub seed: u64,
-    /// The list that relays know at their start is as it was before the cold streamers began.
+    /// The list that relays know at their start is as it was before the cold endpoints began.
     pub known: bool,
 }
 
 impl Size {
-    /// So many relays of this program before so many warm streamers.
+    /// So many relays of this program before so many warm endpoints.
     pub fn new(binary: impl Into<PathBuf>, relays: usize, warm: usize) -> Size {
         Size {
             binary: binary.into(),
@@ -71,7 +71,7 @@
 }
 
 /// A rig. All of it ends when it is dropped.
-pub struct Rig {
+pub struct TestCluster {
     /// How many of what.
     pub size: Size,
     /// What all have seen.
@@ -82,10 +82,10 @@
     pub mesh: Mesh,
     /// Discovery.
     pub discovery: Discovery,
-    /// The streamers.
+    /// The endpoints.
     pub fleet: Fleet,
     /// The front.
-    pub front: Arc<Front>,
+    pub front: Arc<ClientProtocol>,
     /// What looks after the rig's own thread.
     _watch: JoinSet<()>,
 }
@@ -96,9 +96,9 @@
 const TICK: Millis = 20.0;
 const STALL: Millis = 50.0;
 
-impl Rig {
+impl TestCluster {
     /// Sets everything up but starts no relay. To be called within a runtime.
-    pub async fn new(size: Size) -> Result<Rig, RigError> {
+    pub async fn new(size: Size) -> Result<TestCluster, TestClusterError> {
         raise_descriptors(OWN + 8 * size.relays as u64)?;
         let log = Log::default();
         let discovery = Discovery::start(size.relays, size.service.clone(), &log).await?;
@@ -119,21 +119,21 @@
         let peers = (0..size.relays).map(|_| free_address()).collect::<Result<Vec<_>, _>>()?;
         let mesh = Mesh::new(peers.clone(), size.seed, &log).await?;
         let mut relays = Vec::new();
-        for (me, own) in peers.into_iter().enumerate() {
-            let settings = settings(&size.rules, size.relays, me, &size.classes, &size.tenants);
-            let mut plan = Plan::new(&size.binary, discovery.address(me), settings)?;
+        for (local_index, own) in peers.into_iter().enumerate() {
+            let settings = settings(&size.rules, size.relays, local_index, &size.classes, &size.tenants);
+            let mut plan = Plan::new(&size.binary, discovery.address(local_index), settings)?;
             (plan.peer_listen, plan.peers, plan.known) = (own, mesh.addresses().to_vec(), known.clone());
-            relays.push(Relay::new(me, plan, &log)?);
+            relays.push(Relay::new(local_index, plan, &log)?);
         }
         let listens: Vec<_> = relays.iter().map(|r| r.plan.listen).collect();
-        let front = Arc::new(Front::new(&listens, &log));
+        let front = Arc::new(ClientProtocol::new(&listens, &log));
         let mut watch = JoinSet::new();
         watch.spawn(stalls(log.clone()));
-        Ok(Rig { size, log, relays, mesh, discovery, fleet, front, _watch: watch })
+        Ok(TestCluster { size, log, relays, mesh, discovery, fleet, front, _watch: watch })
     }
 
     /// Starts all relays, evenly over so many milliseconds.
-    pub async fn start(&mut self, over_ms: Millis) -> Result<(), RigError> {
+    pub async fn start(&mut self, over_ms: Millis) -> Result<(), TestClusterError> {
         let (begin, each) = (self.log.now(), over_ms / self.relays.len() as f64);
         for (n, relay) in self.relays.iter_mut().enumerate() {
             tokio::time::sleep(span(begin + each * n as f64 - self.log.now())).await;
@@ -143,7 +143,7 @@
     }
 
     /// Starts all relays and waits until the front has admitted them.
-    pub async fn ready(&mut self) -> Result<(), RigError> {
+    pub async fn ready(&mut self) -> Result<(), TestClusterError> {
         self.start(0.0).await?;
         for relay in &self.relays {
             relay.ready(30_000.0).await?;
@@ -158,7 +158,7 @@
     }
 
     /// Carries one fault out.
-    pub async fn apply(&mut self, fault: &Fault) -> Result<(), RigError> {
+    pub async fn apply(&mut self, fault: &Fault) -> Result<(), TestClusterError> {
         match fault {
             Fault::Kill(some) => some.iter().for_each(|n| self.relays[*n].kill()),
             Fault::Terminate(some) => some.iter().try_for_each(|n| self.relays[*n].terminate())?,
@@ -178,17 +178,17 @@
             Fault::DiscoveryBack => self.discovery.set(|s| s.down = false),
             Fault::Silence => self.discovery.silence(),
             Fault::Drain(n, within) => {
-                let id = self.streamer(*n);
+                let id = self.endpoint(*n);
                 self.discovery.phase(&id, "Terminating");
                 self.fleet.drain(&id, *within);
             }
-            Fault::StreamerDies(n) => {
-                let id = self.streamer(*n);
+            Fault::EndpointDies(n) => {
+                let id = self.endpoint(*n);
                 self.fleet.kill(&id);
                 self.discovery.phase(&id, "Gone");
             }
-            Fault::StreamerStarts(n) => self.streamer_starts(*n).await?,
-            Fault::StreamerJoins => {
+            Fault::EndpointStarts(n) => self.endpoint_starts(*n).await?,
+            Fault::EndpointJoins => {
                 let model = model(&self.size, self.fleet.ids().len());
                 let address = self.fleet.add(model.clone(), true).await?;
                 self.discovery.list(entry(&model, address, true));
@@ -197,8 +197,8 @@
         Ok(())
     }
 
-    async fn streamer_starts(&self, n: usize) -> Result<(), RigError> {
-        let id = self.streamer(n);
+    async fn endpoint_starts(&self, n: usize) -> Result<(), TestClusterError> {
+        let id = self.endpoint(n);
         self.fleet.start(&id, true).await?;
         if let Some((model, address)) = self.fleet.model(&id) {
             self.discovery.list(entry(&model, address, true));
@@ -206,12 +206,12 @@
         Ok(())
     }
 
-    fn streamer(&self, n: usize) -> Arc<str> {
+    fn endpoint(&self, n: usize) -> Arc<str> {
         self.fleet.ids().get(n).cloned().unwrap_or_else(|| "".into())
     }
 
     /// Carries a script out, to its end.
-    pub async fn run(&mut self, script: &Script) -> Result<(), RigError> {
+    pub async fn run(&mut self, script: &Script) -> Result<(), TestClusterError> {
         let begin = self.log.now();
         for (at, fault) in &script.steps {
             tokio::time::sleep(span(begin + at - self.log.now())).await;
@@ -238,7 +238,7 @@
     }
 }
 
-/// The streamer of this number.
+/// The endpoint of this number.
 fn model(size: &Size, n: usize) -> Model {
     let zone = ["a", "b", "c", "d"][n % 4].into();
     Model { id: format!("s{n:03}").into(), zone, size: 1.0, rate: size.rate, places: size.places }
--- a/crates/test-cluster/src/fault_proxy.rs
+++ b/crates/test-cluster/src/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! Links between relays, and before discovery and streamers: where datagrams and connections are delayed, lost and
+//! Links between relays, and before discovery and endpoints: where datagrams and connections are delayed, lost and
 //! cut.
 //!
 //! A [`Mesh`] owns one UDP socket for each relay, which stands in for it at all others: what relay `i` sends to the
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-use crate::{Log, Millis, RigError, host, listen, listen_at, locked, reset, span};
+use crate::{Log, Millis, TestClusterError, host, listen, listen_at, locked, reset, span};
 
 /// What happens to datagrams one way between two relays.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -119,11 +119,11 @@
 
 impl Mesh {
     /// Links between relays that listen at these addresses, without any fault.
-    pub async fn new(relays: Vec<SocketAddr>, seed: u64, log: &Log) -> Result<Mesh, RigError> {
+    pub async fn new(relays: Vec<SocketAddr>, seed: u64, log: &Log) -> Result<Mesh, TestClusterError> {
         let (mut sockets, mut addresses) = (Vec::new(), Vec::new());
         for _ in &relays {
             let at = SocketAddr::new(host(), 0);
-            let failed = |cause| RigError::Socket { at, cause };
+            let failed = |cause| TestClusterError::Socket { at, cause };
             let socket = UdpSocket::bind(at).await.map_err(failed)?;
             addresses.push(socket.local_addr().map_err(failed)?);
             sockets.push(socket);
@@ -263,7 +263,7 @@
 
 impl TcpLink {
     /// A link to this address, without any fault.
-    pub async fn new(target: SocketAddr) -> Result<TcpLink, RigError> {
+    pub async fn new(target: SocketAddr) -> Result<TcpLink, TestClusterError> {
         let (address, listener) = listen().await?;
         let (passage, seen) = watch::channel(Passage::Through);
         let task = tokio::spawn(accept(address, listener, target, seen)).abort_handle();
--- a/crates/test-cluster/src/fault_schedule.rs
+++ b/crates/test-cluster/src/fault_schedule.rs
@@ -1,6 +1,6 @@
 //! Scripts of faults, drawn from a seed: the same seed gives the same script.
 //!
-//! A script is data; [`crate::Rig::run`] carries it out. It is fed the size of the rig and gives faults with their
+//! A script is data; [`crate::TestCluster::run`] carries it out. It is fed the size of the rig and gives faults with their
 //! moments, each with its end within the script's time, so that the rig is whole again when it is over.
 
 use std::fmt;
@@ -45,14 +45,14 @@
     DiscoveryBack,
     /// Open watches fall silent.
     Silence,
-    /// This streamer, by its place among all, drains within so many milliseconds.
+    /// This endpoint, by its place among all, drains within so many milliseconds.
     Drain(usize, Millis),
-    /// This streamer dies.
-    StreamerDies(usize),
+    /// This endpoint dies.
+    EndpointDies(usize),
     /// It starts again, cold.
-    StreamerStarts(usize),
-    /// A streamer that was never there starts, cold, behind all others in their order.
-    StreamerJoins,
+    EndpointStarts(usize),
+    /// An endpoint that was never there starts, cold, behind all others in their order.
+    EndpointJoins,
 }
 
 /// What is to be drawn.
@@ -60,8 +60,8 @@
 pub struct Bounds {
     /// Relays in the rig.
     pub relays: usize,
-    /// Streamers in the rig.
-    pub streamers: usize,
+    /// Endpoints in the rig.
+    pub endpoints: usize,
     /// How long the script is.
     pub length_ms: Millis,
     /// How many faults, their ends not counted.
@@ -80,7 +80,7 @@
     ///
     /// ```
     /// use sandgw_test_cluster::fault_schedule::{Bounds, Script};
-    /// let bounds = Bounds { relays: 8, streamers: 4, length_ms: 20_000.0, faults: 10 };
+    /// let bounds = Bounds { relays: 8, endpoints: 4, length_ms: 20_000.0, faults: 10 };
     /// assert_eq!(Script::draw(7, &bounds), Script::draw(7, &bounds));
     /// assert_ne!(Script::draw(7, &bounds), Script::draw(8, &bounds));
     /// ```
@@ -119,7 +119,7 @@
     let relay = dice.random_range(0..bounds.relays.max(1));
     // Those that drain are others than those that die.
     let [drains, dies] = [0, 1].map(|odd| {
-        let of = (bounds.streamers + 1 - odd) / 2;
+        let of = (bounds.endpoints + 1 - odd) / 2;
         2 * dice.random_range(0..of.max(1)) + odd
     });
     let some = |dice: &mut StdRng| -> Vec<usize> {
@@ -143,8 +143,8 @@
         }
         6 => (Fault::DiscoveryDown, Some(Fault::DiscoveryBack)),
         7 => (Fault::Silence, None),
-        8 => (Fault::Drain(drains, dice.random_range(200.0..2000.0)), Some(Fault::StreamerStarts(drains))),
-        _ => (Fault::StreamerDies(dies), Some(Fault::StreamerStarts(dies))),
+        8 => (Fault::Drain(drains, dice.random_range(200.0..2000.0)), Some(Fault::EndpointStarts(drains))),
+        _ => (Fault::EndpointDies(dies), Some(Fault::EndpointStarts(dies))),
     }
 }
 
--- a/crates/test-cluster/src/invariants.rs
+++ b/crates/test-cluster/src/invariants.rs
@@ -10,21 +10,21 @@
 
 use crate::Millis;
 use crate::log::{Answer, Call, End, Event, Relay, What};
-use crate::service_levels::Shares;
+use crate::service_levels::QuotaManager;
 use crate::settings::Rules;
 
 /// Where a request that may have run may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Where {
-    /// At any streamer.
+    /// At any endpoint.
     All,
-    /// At streamers of the same zone.
+    /// At endpoints of the same zone.
     Zone,
 }
 
 /// Whether requests of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Always.
     Safe,
     /// Within so many milliseconds of the first attempt that may have run.
@@ -36,13 +36,13 @@
 /// The four rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Every request taken is answered, once and in time, with what a streamer made for it.
+    /// Every request taken is answered, once and in time, with what an endpoint made for it.
     Answered,
     /// No repeated effect.
     NoRepeat,
-    /// Nothing new to a streamer that is known to drain or to be gone.
+    /// Nothing new to an endpoint that is known to drain or to be gone.
     Drain,
-    /// A cold streamer is not thrown over.
+    /// A cold endpoint is not thrown over.
     FailBack,
 }
 
@@ -67,11 +67,11 @@
     /// Clients that were served, and all, by class and tenant.
     pub served: BTreeMap<(Arc<str>, Arc<str>), (u64, u64)>,
     /// What was served in each third, of each class and of each tenant.
-    pub shares: Shares,
-    /// Flows that arrived mid-flow and were sent to a streamer, and those whose first attempt found the one that
+    pub shares: QuotaManager,
+    /// Connections that arrived mid-connection and were sent to an endpoint, and those whose first attempt found the one that
     /// holds them.
     pub mid_flow: (u64, u64),
-    /// The most that came to a cold streamer within the window, as a share of its budget.
+    /// The most that came to a cold endpoint within the window, as a share of its budget.
     pub coldest: f64,
     /// The longest that the rig's own thread stood still: what came meanwhile is noted in one moment. It excuses nothing.
     pub stalled_ms: Millis,
@@ -106,10 +106,10 @@
 const LINES: usize = 40;
 
 /// Judges a log. Classes that are not named may always be repeated.
-pub fn judge(events: &[Event], rules: &Rules, classes: &HashMap<Arc<str>, Repeat>) -> Verdict {
+pub fn judge(events: &[Event], rules: &Rules, classes: &HashMap<Arc<str>, Idempotency>) -> Verdict {
     let mut case = Case::read(events, rules);
     let mid_flow = case.mid_flow();
-    let shares = Shares::of(events);
+    let shares = QuotaManager::of(events);
     let mut verdict = Verdict { served: served(events), shares, mid_flow, ..Verdict::default() };
     verdict.breaches.extend(case.answered());
     verdict.breaches.extend(case.repeats(classes));
@@ -136,9 +136,9 @@
     by
 }
 
-/// A flow's part of the log.
+/// A connection's part of the log.
 #[derive(Default)]
-struct Flow<'a> {
+struct Connection<'a> {
     relay: Relay,
     wait: Millis,
     class: Arc<str>,
@@ -150,7 +150,7 @@
 struct Case<'a> {
     rules: &'a Rules,
     events: &'a [Event],
-    flows: BTreeMap<u64, Flow<'a>>,
+    connections: BTreeMap<u64, Connection<'a>>,
     /// What concerns what each relay is told.
     told: HashMap<Relay, Vec<&'a Event>>,
     /// Changes of the list by revision, the first being 1.
@@ -160,7 +160,7 @@
     memory: HashMap<(Relay, u64, usize), Option<Millis>>,
 }
 
-fn flow_of(what: &What) -> Option<u64> {
+fn connection_of(what: &What) -> Option<u64> {
     match what {
         What::Asked { id, .. }
         | What::Answered { id, .. }
@@ -184,11 +184,11 @@
 
 impl<'a> Case<'a> {
     fn read(events: &'a [Event], rules: &'a Rules) -> Case<'a> {
-        let (flows, told, list, stood) = <_>::default();
-        let mut case = Case { rules, events, flows, told, list, stood, memory: HashMap::new() };
+        let (connections, told, list, stood) = <_>::default();
+        let mut case = Case { rules, events, connections, told, list, stood, memory: HashMap::new() };
         for e in events {
-            if let Some(id) = flow_of(&e.what) {
-                case.flow(id, e);
+            if let Some(id) = connection_of(&e.what) {
+                case.connection(id, e);
             }
             if let Some(relay) = relay_of(&e.what) {
                 case.told.entry(relay).or_default().push(e);
@@ -206,17 +206,21 @@
         case
     }
 
-    fn flow(&mut self, id: u64, e: &'a Event) {
-        let flow = self.flows.entry(id).or_default();
+    fn connection(&mut self, id: u64, e: &'a Event) {
+        let connection = self.connections.entry(id).or_default();
         if let What::Asked { relay, wait_ms, class, .. } = &e.what {
-            (flow.relay, flow.wait, flow.class, flow.asked) = (*relay, *wait_ms, class.clone(), e.at);
+            (connection.relay, connection.wait, connection.class, connection.asked) =
+                (*relay, *wait_ms, class.clone(), e.at);
         }
-        flow.events.push(e);
+        connection.events.push(e);
     }
 
-    /// Which relay a flow was asked of.
+    /// Which relay a connection was asked of.
     fn asked_at(&self, id: u64) -> Option<Relay> {
-        self.flows.get(&id).filter(|flow| flow.wait > 0.0).map(|flow| flow.relay)
+        self.connections
+            .get(&id)
+            .filter(|connection| connection.wait > 0.0)
+            .map(|connection| connection.relay)
     }
 
     fn stood_within(&self, relay: Relay, from: Millis, to: Millis) -> bool {
@@ -228,12 +232,12 @@
         events.into_iter().any(|e| matches!(e.what, What::Died(_)) && e.at >= from && e.at <= to)
     }
 
-    /// Flows that came mid-flow, and those that were found at once.
+    /// Connections that came mid-connection, and those that were found at once.
     fn mid_flow(&self) -> (u64, u64) {
         let mut count = (0, 0);
-        for flow in self.flows.values() {
-            let mid = flow.events.iter().any(|e| matches!(e.what, What::Attempt { mid: true, .. }));
-            let first = flow.events.iter().find_map(|e| match &e.what {
+        for connection in self.connections.values() {
+            let mid = connection.events.iter().any(|e| matches!(e.what, What::Attempt { mid: true, .. }));
+            let first = connection.events.iter().find_map(|e| match &e.what {
                 What::AttemptEnded { end, .. } => Some(*end),
                 _ => None,
             });
@@ -245,72 +249,78 @@
 
     /// Rule 1.
     fn answered(&self) -> Vec<Breach> {
-        self.flows.values().filter_map(|flow| self.unanswered(flow)).collect()
+        self.connections.values().filter_map(|connection| self.unanswered(connection)).collect()
     }
 
-    fn unanswered(&self, flow: &Flow<'a>) -> Option<Breach> {
-        let due = flow.asked + flow.wait + self.rules.answer_slack_ms + self.rules.grace_ms;
+    fn unanswered(&self, connection: &Connection<'a>) -> Option<Breach> {
+        let due = connection.asked + connection.wait + self.rules.answer_slack_ms + self.rules.grace_ms;
         let over = self.events.last().map_or(0.0, |e| e.at);
         let ends = |e: &&&Event| matches!(e.what, What::Answered { .. } | What::Left { .. });
-        let end = flow.events.iter().find(ends).map_or(due, |e| e.at);
+        let end = connection.events.iter().find(ends).map_or(due, |e| e.at);
         // What its relay's death or the end of the log cut off is owed by nobody.
-        let excused = self.stood_within(flow.relay, flow.asked, due);
-        if flow.wait <= 0.0 || excused || self.died_within(flow.relay, flow.asked, end) {
+        let excused = self.stood_within(connection.relay, connection.asked, due);
+        if connection.wait <= 0.0 || excused || self.died_within(connection.relay, connection.asked, end) {
             return None;
         }
-        let answers: Vec<_> = flow.events.iter().filter(ends).collect();
+        let answers: Vec<_> = connection.events.iter().filter(ends).collect();
         let what = match answers.first().map(|e| (e.at, &e.what)) {
             None if over <= due => return None,
             None | Some((_, What::Left { .. })) => "no answer".to_owned(),
             Some((_, What::Answered { answer: Answer::Cut, .. })) => "ended without an answer".to_owned(),
             Some((at, _)) if at > due => format!("answered {:.0} ms too late", at - due),
-            Some((_, What::Answered { answer: Answer::Up(receipt), .. })) if !flow.issued(receipt) => {
+            Some((_, What::Answered { answer: Answer::Up(receipt), .. })) if !connection.issued(receipt) => {
                 format!("served with {receipt:?}, which no streamer made for it")
             }
             Some(_) if answers.len() > 1 => "answered twice".to_owned(),
             Some(_) => return None,
         };
-        Some(self.breach(Rule::Answered, [flow.relay], what, flow.events.iter().copied()))
+        Some(self.breach(Rule::Answered, [connection.relay], what, connection.events.iter().copied()))
     }
 
     /// Rule 2.
-    fn repeats(&self, classes: &HashMap<Arc<str>, Repeat>) -> Vec<Breach> {
-        let repeat = |flow: &Flow| classes.get(&flow.class).copied().unwrap_or(Repeat::Safe);
-        let broken = self.flows.values().filter_map(|flow| Some((flow, self.repeated(flow, repeat(flow))?)));
+    fn repeats(&self, classes: &HashMap<Arc<str>, Idempotency>) -> Vec<Breach> {
+        let repeat =
+            |connection: &Connection| classes.get(&connection.class).copied().unwrap_or(Idempotency::Safe);
+        let broken = self
+            .connections
+            .values()
+            .filter_map(|connection| Some((connection, self.repeated(connection, repeat(connection))?)));
         broken
-            .map(|(flow, what)| self.breach(Rule::NoRepeat, [flow.relay], what, flow.events.iter().copied()))
+            .map(|(connection, what)| {
+                self.breach(Rule::NoRepeat, [connection.relay], what, connection.events.iter().copied())
+            })
             .collect()
     }
 
-    /// What is wrong with a flow's attempts, if anything.
-    fn repeated(&self, flow: &Flow<'a>, repeat: Repeat) -> Option<String> {
+    /// What is wrong with a connection's attempts, if anything.
+    fn repeated(&self, connection: &Connection<'a>, repeat: Idempotency) -> Option<String> {
         let mut out: Option<Millis> = None;
         // Where and when the first attempt that may have run was sent.
         let mut ran: Option<(Arc<str>, Millis)> = None;
-        for e in &flow.events {
+        for e in &connection.events {
             match &e.what {
-                What::Attempt { streamer, first_byte, .. } => {
-                    // A relay that has given one up is ahead of its streamer's log by the way there.
-                    if out.is_some_and(|since| *first_byte - since > 0.0) && !self.ends_soon(flow, e) {
+                What::Attempt { endpoint, first_byte, .. } => {
+                    // A relay that has given one up is ahead of its endpoint's log by the way there.
+                    if out.is_some_and(|since| *first_byte - since > 0.0) && !self.ends_soon(connection, e) {
                         return Some("a second attempt while one was out".into());
                     }
                     if let Some((at, since)) = &ran
-                        && let Some(what) = self.forbids(repeat, at, *since, streamer, e.at)
+                        && let Some(what) = self.forbids(repeat, at, *since, endpoint, e.at)
                     {
                         return Some(what);
                     }
                     out = Some(e.at);
-                    ran.get_or_insert((streamer.clone(), e.at));
+                    ran.get_or_insert((endpoint.clone(), e.at));
                 }
                 What::AttemptEnded { end, .. } => {
                     out = None;
-                    // One that was turned away never ran; what ran before it is another streamer's.
-                    if *end == End::Busy && self.only_turned_away(flow, e.at) {
+                    // One that was turned away never ran; what ran before it is another endpoint's.
+                    if *end == End::Busy && self.only_turned_away(connection, e.at) {
                         ran = None;
                     }
                 }
                 What::Answered { answer: Answer::Busy(_), .. } => {
-                    let harmless = matches!(repeat, Repeat::Safe | Repeat::Keyed(Where::All, _));
+                    let harmless = matches!(repeat, Idempotency::Safe | Idempotency::Keyed(Where::All, _));
                     if ran.is_some() && !harmless {
                         return Some("refused as harmless though it may have run".into());
                     }
@@ -321,30 +331,37 @@
         None
     }
 
-    fn forbids(&self, repeat: Repeat, first: &str, since: Millis, now: &str, at: Millis) -> Option<String> {
+    fn forbids(
+        &self,
+        repeat: Idempotency,
+        first: &str,
+        since: Millis,
+        now: &str,
+        at: Millis,
+    ) -> Option<String> {
         match repeat {
-            Repeat::Safe => None,
-            Repeat::Unsafe => Some("sent again though it may have run".into()),
-            Repeat::Keyed(_, window) if at > since + window + self.rules.grace_ms => {
+            Idempotency::Safe => None,
+            Idempotency::Unsafe => Some("sent again though it may have run".into()),
+            Idempotency::Keyed(_, window) if at > since + window + self.rules.grace_ms => {
                 Some(format!("sent again {:.0} ms after it may have run", at - since))
             }
-            Repeat::Keyed(Where::Zone, _) if self.zone(first) != self.zone(now) => {
+            Idempotency::Keyed(Where::Zone, _) if self.zone(first) != self.zone(now) => {
                 Some(format!("sent to {now} though it may have run at {first}"))
             }
-            Repeat::Keyed(..) => None,
+            Idempotency::Keyed(..) => None,
         }
     }
 
-    /// An attempt counts as over once its relay gave it up; the streamer sees that a moment later.
-    fn ends_soon(&self, flow: &Flow<'a>, second: &Event) -> bool {
+    /// An attempt counts as over once its relay gave it up; the endpoint sees that a moment later.
+    fn ends_soon(&self, connection: &Connection<'a>, second: &Event) -> bool {
         let grace = self.rules.grace_ms.max(50.0);
-        let later = flow.events.iter().filter(|e| e.at >= second.at && e.at - second.at <= grace);
-        let What::Attempt { streamer: own, .. } = &second.what else { return false };
-        later.into_iter().any(|e| matches!(&e.what, What::AttemptEnded { streamer, .. } if streamer != own))
+        let later = connection.events.iter().filter(|e| e.at >= second.at && e.at - second.at <= grace);
+        let What::Attempt { endpoint: own, .. } = &second.what else { return false };
+        later.into_iter().any(|e| matches!(&e.what, What::AttemptEnded { endpoint, .. } if endpoint != own))
     }
 
-    fn only_turned_away(&self, flow: &Flow<'a>, upto: Millis) -> bool {
-        let until = flow.events.iter().filter(|e| e.at <= upto);
+    fn only_turned_away(&self, connection: &Connection<'a>, upto: Millis) -> bool {
+        let until = connection.events.iter().filter(|e| e.at <= upto);
         let mut ends = until.filter_map(|e| match &e.what {
             What::AttemptEnded { end, .. } => Some(*end),
             _ => None,
@@ -354,7 +371,7 @@
 
     fn zone(&self, id: &str) -> Option<&Arc<str>> {
         self.list.values().find_map(|e| match &e.what {
-            What::Listed { streamer, zone, .. } if &**streamer == id => Some(zone),
+            What::Listed { endpoint, zone, .. } if &**endpoint == id => Some(zone),
             _ => None,
         })
     }
@@ -363,16 +380,16 @@
     fn drains(&mut self) -> Vec<Breach> {
         let mut breaches = Vec::new();
         for e in self.events {
-            let What::Attempt { id, streamer, first_byte, mid } = &e.what else { continue };
+            let What::Attempt { id, endpoint, first_byte, mid } = &e.what else { continue };
             let Some(relay) = self.asked_at(*id) else { continue };
-            let Some((revision, listed)) = self.left_at(streamer, *first_byte) else { continue };
+            let Some((revision, listed)) = self.left_at(endpoint, *first_byte) else { continue };
             let Some(told) = self.told_at(relay, revision, *first_byte) else { continue };
             let late = first_byte - told - self.rules.stop_sending_ms - self.rules.grace_ms;
-            // A connection that flows goes to who holds it, draining or not.
+            // A connection that connections goes to who holds it, draining or not.
             if *mid || late <= 0.0 {
                 continue;
             }
-            let what = format!("sent to {streamer} {late:.0} ms later than it may, told at {told:.0}");
+            let what = format!("sent to {endpoint} {late:.0} ms later than it may, told at {told:.0}");
             let lines =
                 self.told[&relay].iter().copied().filter(|t| (told - 20_000.0..*first_byte).contains(&t.at));
             let lines = [listed].into_iter().chain(lines).chain([e]);
@@ -381,12 +398,12 @@
         breaches
     }
 
-    /// Since which revision a streamer has not been ready, as of a time.
+    /// Since which revision an endpoint has not been ready, as of a time.
     fn left_at(&self, id: &str, at: Millis) -> Option<(u64, &'a Event)> {
         let mut since = None;
         for (revision, e) in self.list.iter().filter(|(_, e)| e.at <= at) {
             match &e.what {
-                What::Listed { streamer, phase, .. } if &**streamer == id => {
+                What::Listed { endpoint, phase, .. } if &**endpoint == id => {
                     since = if *phase == "Ready" { None } else { since.or(Some((*revision, *e))) };
                 }
                 _ => {}
@@ -398,24 +415,24 @@
     /// Rule 4: the breaches, and the most that came as a share of the budget.
     fn fail_back(&mut self) -> (Vec<Breach>, f64) {
         let cold = self.events.iter().filter_map(|e| match &e.what {
-            What::ColdStart { streamer, rate } => Some((e.at, streamer.clone(), *rate)),
+            What::ColdStart { endpoint, rate } => Some((e.at, endpoint.clone(), *rate)),
             _ => None,
         });
         let (mut breaches, mut coldest) = (Vec::new(), 0.0_f64);
-        for (start, streamer, rate) in cold.collect::<Vec<_>>() {
-            let (share, breach) = self.thrown_over(start, &streamer, rate);
+        for (start, endpoint, rate) in cold.collect::<Vec<_>>() {
+            let (share, breach) = self.thrown_over(start, &endpoint, rate);
             coldest = coldest.max(share);
             breaches.extend(breach);
         }
         (breaches, coldest)
     }
 
-    fn thrown_over(&mut self, start: Millis, streamer: &Arc<str>, rate: f64) -> (f64, Option<Breach>) {
+    fn thrown_over(&mut self, start: Millis, endpoint: &Arc<str>, rate: f64) -> (f64, Option<Breach>) {
         let rules = self.rules;
         let until = self.events.iter().filter(|e| e.at > start && e.at - start < rules.warm_ms);
         let came: Vec<_> = until
             .filter_map(|e| match &e.what {
-                What::Attempt { id, streamer: to, .. } if to == streamer => Some((e, self.asked_at(*id)?)),
+                What::Attempt { id, endpoint: to, .. } if to == endpoint => Some((e, self.asked_at(*id)?)),
                 _ => None,
             })
             .collect();
@@ -433,7 +450,7 @@
             if window.len() as f64 <= budget {
                 continue;
             }
-            if let Some(breach) = self.by_told(start, streamer, window, budget) {
+            if let Some(breach) = self.by_told(start, endpoint, window, budget) {
                 return (share, Some(breach));
             }
         }
@@ -448,7 +465,7 @@
         budget: f64,
     ) -> Option<Breach> {
         let fresh = self.list.iter().find(|(_, e)| {
-            let of = |w: &What| matches!(w, What::Listed { streamer, fresh: true, .. } if streamer == id);
+            let of = |w: &What| matches!(w, What::Listed { endpoint, fresh: true, .. } if endpoint == id);
             of(&e.what) && e.at >= start - 1000.0
         });
         let (revision, listed) = fresh.map(|(r, e)| (*r, *e))?;
@@ -506,7 +523,7 @@
     }
 }
 
-impl Flow<'_> {
+impl Connection<'_> {
     fn issued(&self, receipt: &str) -> bool {
         let made =
             |e: &&Event| matches!(&e.what, What::AttemptEnded { receipt: Some(r), .. } if r == receipt);
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -29,7 +29,7 @@
 
 use tokio::net::{TcpListener, TcpStream};
 
-pub use cluster::{Rig, Size};
+pub use cluster::{Size, TestCluster};
 pub use log::Log;
 
 /// Time in milliseconds.
@@ -37,7 +37,7 @@
 
 /// What keeps the rig itself from working; faults of relays are no errors but entries in the log.
 #[derive(Debug, thiserror::Error)]
-pub enum RigError {
+pub enum TestClusterError {
     /// A stand-in has no address to listen on.
     #[error("no socket at {at}: {cause}")]
     Socket {
@@ -92,18 +92,22 @@
     },
 }
 
-impl RigError {
+impl TestClusterError {
     /// What who runs the rig can do.
-    pub fn advice(&self) -> &'static str {
+    pub fn help(&self) -> &'static str {
         match self {
-            RigError::Socket { .. } => "end what listens there, or run again: the rig draws its ports anew",
-            RigError::Start { .. } => "build the program and give the path of its binary",
-            RigError::Folder { .. } => {
+            TestClusterError::Socket { .. } => {
+                "end what listens there, or run again: the rig draws its ports anew"
+            }
+            TestClusterError::Start { .. } => "build the program and give the path of its binary",
+            TestClusterError::Folder { .. } => {
                 "make room in the folder for temporary files, or set TMPDIR to another"
             }
-            RigError::Signal { .. } => "look into the relay's log: its process has ended by itself",
-            RigError::NotReady { .. } => "look into the relay's log; on a busy machine run fewer relays",
-            RigError::Descriptors { .. } => "raise the hard limit (ulimit -Hn), or run fewer relays",
+            TestClusterError::Signal { .. } => "look into the relay's log: its process has ended by itself",
+            TestClusterError::NotReady { .. } => {
+                "look into the relay's log; on a busy machine run fewer relays"
+            }
+            TestClusterError::Descriptors { .. } => "raise the hard limit (ulimit -Hn), or run fewer relays",
         }
     }
 }
@@ -136,18 +140,18 @@
 }
 
 /// An address of its own with a port that is free now, for a process that is to listen there itself.
-pub fn free_address() -> Result<SocketAddr, RigError> {
+pub fn free_address() -> Result<SocketAddr, TestClusterError> {
     let at = SocketAddr::new(host(), 0);
     let listener = std::net::TcpListener::bind(at);
-    listener.and_then(|l| l.local_addr()).map_err(|cause| RigError::Socket { at, cause })
+    listener.and_then(|l| l.local_addr()).map_err(|cause| TestClusterError::Socket { at, cause })
 }
 
 /// Listens at an address of its own.
-pub(crate) async fn listen() -> Result<(SocketAddr, TcpListener), RigError> {
+pub(crate) async fn listen() -> Result<(SocketAddr, TcpListener), TestClusterError> {
     listen_at(SocketAddr::new(host(), 0)).await
 }
 
-pub(crate) async fn listen_at(at: SocketAddr) -> Result<(SocketAddr, TcpListener), RigError> {
+pub(crate) async fn listen_at(at: SocketAddr) -> Result<(SocketAddr, TcpListener), TestClusterError> {
     let bound = async {
         let socket = tokio::net::TcpSocket::new_v4()?;
         // It takes its place again though connections of its life before linger.
@@ -156,7 +160,7 @@
         let listener = socket.listen(4096)?;
         Ok((listener.local_addr()?, listener))
     };
-    bound.await.map_err(|cause| RigError::Socket { at, cause })
+    bound.await.map_err(|cause| TestClusterError::Socket { at, cause })
 }
 
 /// Ends a connection as a machine does whose process has died.
@@ -165,13 +169,13 @@
 }
 
 /// Raises this process's limit of descriptors as far as the system admits, which has to be what is needed.
-pub fn raise_descriptors(needed: u64) -> Result<(), RigError> {
+pub fn raise_descriptors(needed: u64) -> Result<(), TestClusterError> {
     use rustix::process::{Resource, getrlimit, setrlimit};
     let mut limit = getrlimit(Resource::Nofile);
     let most = limit.maximum.unwrap_or(u64::MAX);
     limit.current = limit.maximum;
     match setrlimit(Resource::Nofile, limit) {
         Ok(()) if most >= needed => Ok(()),
-        _ => Err(RigError::Descriptors { needed, most }),
+        _ => Err(TestClusterError::Descriptors { needed, most }),
     }
 }
--- a/crates/test-cluster/src/load_clients.rs
+++ b/crates/test-cluster/src/load_clients.rs
@@ -2,7 +2,7 @@
 //!
 //! They own their connections; they are fed a plan with a seed; they note every first line and every answer, and
 //! count how each client fared. A client retries after a refusal or a failure while its time lasts, stays once it is
-//! served, comes back after `MOVE` or a break, and arrives mid-flow at another relay when its own dies, where packets
+//! served, comes back after `MOVE` or a break, and arrives mid-connection at another relay when its own dies, where packets
 //! pass through.
 
 use std::collections::BTreeMap;
@@ -31,19 +31,19 @@
 }
 
 /// The front: it admits a relay that answers `PING`, and finds a dead one some seconds later.
-pub struct Front {
+pub struct ClientProtocol {
     gates: Arc<Mutex<Vec<Gate>>>,
     tasks: Vec<AbortHandle>,
 }
 
-impl Front {
+impl ClientProtocol {
     /// A front before relays at these addresses, which looks after them until it is dropped.
-    pub fn new(relays: &[SocketAddr], log: &Log) -> Front {
+    pub fn new(relays: &[SocketAddr], log: &Log) -> ClientProtocol {
         let gates = relays.iter().map(|listen| Gate { listen: *listen, admitted: false }).collect();
         let gates = Arc::new(Mutex::new(gates));
         let look = |relay| tokio::spawn(look_after(relay, gates.clone(), log.clone())).abort_handle();
         let tasks = (0..relays.len()).map(look).collect();
-        Front { gates, tasks }
+        ClientProtocol { gates, tasks }
     }
 
     /// Relays that are admitted now.
@@ -63,7 +63,7 @@
     }
 }
 
-impl Drop for Front {
+impl Drop for ClientProtocol {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
     }
@@ -186,9 +186,9 @@
     pub moved: u64,
     /// Standing connections that broke.
     pub broke: u64,
-    /// Clients that arrived mid-flow, and those of them that went on at their streamer.
+    /// Clients that arrived mid-connection, and those of them that went on at their endpoint.
     pub mid_flow: u64,
-    /// Those of them that went on at their streamer.
+    /// Those of them that went on at their endpoint.
     pub found: u64,
     /// Clients that stand now.
     pub standing: u64,
@@ -197,7 +197,7 @@
 }
 
 struct Crowd {
-    front: Arc<Front>,
+    front: Arc<ClientProtocol>,
     log: Log,
     plan: Plan,
     passes: bool,
@@ -212,7 +212,7 @@
 
 impl Clients {
     /// Lets clients arrive from now on.
-    pub fn arrive(plan: Plan, front: &Arc<Front>, rules: &Rules, log: &Log) -> Clients {
+    pub fn arrive(plan: Plan, front: &Arc<ClientProtocol>, rules: &Rules, log: &Log) -> Clients {
         let results = Arc::<Mutex<Results>>::default();
         let mut dice = StdRng::seed_from_u64(plan.seed);
         let mut tasks = JoinSet::new();
@@ -255,11 +255,11 @@
     group: u64,
     class: Arc<str>,
     tenant: Arc<str>,
-    /// The relay of the last try, and the streamer that holds it.
+    /// The relay of the last try, and the endpoint that holds it.
     relay: Option<usize>,
-    streamer: String,
-    /// The id of the flow that stands.
-    flow: u64,
+    endpoint: String,
+    /// The id of the connection that stands.
+    connection: u64,
 }
 
 /// One of those with weights, or this where there are none.
@@ -298,8 +298,8 @@
             class,
             tenant,
             relay: None,
-            streamer: String::new(),
-            flow: 0,
+            endpoint: String::new(),
+            connection: 0,
         }
     }
 
@@ -411,20 +411,20 @@
         };
         self.crowd.log.note(What::Answered { id, answer: answer.clone() });
         if let Answer::Up(receipt) = &answer {
-            let streamer = receipt.split('/').next().unwrap_or_default().to_owned();
+            let endpoint = receipt.split('/').next().unwrap_or_default().to_owned();
             let mut results = locked(&self.crowd.results);
             results.mid_flow += u64::from(mid);
-            results.found += u64::from(mid && streamer == self.streamer);
+            results.found += u64::from(mid && endpoint == self.endpoint);
             drop(results);
-            self.streamer = streamer;
-            self.flow = id;
+            self.endpoint = endpoint;
+            self.connection = id;
         }
         (Some(answer), Some(stream))
     }
 
     async fn stand(&mut self, mut stream: BufReader<TcpStream>, stay: Millis) -> Stay {
         let (log, every) = (self.crowd.log.clone(), self.crowd.plan.line_every_ms);
-        let (end, id) = (log.now() + stay, self.flow);
+        let (end, id) = (log.now() + stay, self.connection);
         let mut next = log.now() + every * self.dice.random_range(0.0..1.0);
         let mut line = Vec::new();
         loop {
--- a/crates/test-cluster/src/log.rs
+++ b/crates/test-cluster/src/log.rs
@@ -27,7 +27,7 @@
     Cut,
 }
 
-/// How an attempt ended at its streamer.
+/// How an attempt ended at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// It stands.
@@ -36,7 +36,7 @@
     Busy,
     /// An error; it may have run.
     Error,
-    /// The streamer broke the connection; it may have run.
+    /// The endpoint broke the connection; it may have run.
     Reset,
     /// The relay gave it up; it may have run.
     GivenUp,
@@ -78,7 +78,7 @@
     Continued(Relay),
     /// A client's first line is written to a relay that accepted it.
     Asked {
-        /// The flow's id, fresh for each try.
+        /// The connection's id, fresh for each try.
         id: u64,
         /// At which relay.
         relay: Relay,
@@ -88,29 +88,29 @@
         class: Arc<str>,
         /// Its tenant.
         tenant: Arc<str>,
-        /// It arrives mid-flow.
+        /// It arrives mid-connection.
         mid: bool,
     },
     /// A relay's answer to it.
     Answered {
-        /// The flow's id.
+        /// The connection's id.
         id: u64,
         /// The answer.
         answer: Answer,
     },
     /// The client left before it was answered.
     Left {
-        /// The flow's id.
+        /// The connection's id.
         id: u64,
     },
     /// A standing connection was told to move.
     Moved {
-        /// The flow's id.
+        /// The connection's id.
         id: u64,
     },
     /// A standing connection broke without `MOVE`.
     Broke {
-        /// The flow's id.
+        /// The connection's id.
         id: u64,
     },
     /// A client arrives, before its first try.
@@ -133,43 +133,43 @@
         /// Whether it was served.
         served: bool,
     },
-    /// A first line has arrived at a streamer.
+    /// A first line has arrived at an endpoint.
     Attempt {
-        /// The flow's id.
+        /// The connection's id.
         id: u64,
-        /// The streamer.
-        streamer: Arc<str>,
+        /// The endpoint.
+        endpoint: Arc<str>,
         /// When the line's first byte came.
         first_byte: Millis,
-        /// It is of a connection that flows already.
+        /// It is of a connection that connections already.
         mid: bool,
     },
     /// That attempt has ended, or stands.
     AttemptEnded {
-        /// The flow's id.
+        /// The connection's id.
         id: u64,
-        /// The streamer.
-        streamer: Arc<str>,
+        /// The endpoint.
+        endpoint: Arc<str>,
         /// How.
         end: End,
         /// The receipt of one that stands.
         receipt: Option<String>,
     },
-    /// A streamer that may take so many set-ups a second when warm has started cold.
+    /// An endpoint that may take so many set-ups a second when warm has started cold.
     ColdStart {
-        /// The streamer.
-        streamer: Arc<str>,
+        /// The endpoint.
+        endpoint: Arc<str>,
         /// Set-ups a second that it bears when warm.
         rate: f64,
     },
-    /// A streamer fell over.
+    /// An endpoint fell over.
     Fell(Arc<str>),
     /// The list has changed.
     Listed {
         /// The list's revision from now on.
         revision: u64,
-        /// The streamer.
-        streamer: Arc<str>,
+        /// The endpoint.
+        endpoint: Arc<str>,
         /// Its zone.
         zone: Arc<str>,
         /// `Ready`, `Terminating` or `Gone`.
--- a/crates/test-cluster/src/process.rs
+++ b/crates/test-cluster/src/process.rs
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 
 use crate::log::What;
-use crate::{Log, Millis, RigError, free_address, span};
+use crate::{Log, Millis, TestClusterError, free_address, span};
 
 /// What a relay is told at its start.
 #[derive(Clone, Debug)]
@@ -48,7 +48,11 @@
 
 impl Plan {
     /// A relay with addresses of its own, alone in its tier.
-    pub fn new(binary: impl Into<PathBuf>, discovery: SocketAddr, settings: Value) -> Result<Plan, RigError> {
+    pub fn new(
+        binary: impl Into<PathBuf>,
+        discovery: SocketAddr,
+        settings: Value,
+    ) -> Result<Plan, TestClusterError> {
         let (listen, ops, peer_listen) = (free_address()?, free_address()?, free_address()?);
         Ok(Plan {
             binary: binary.into(),
@@ -88,8 +92,9 @@
 
 impl Relay {
     /// A relay that is not started yet.
-    pub fn new(number: usize, plan: Plan, log: &Log) -> Result<Relay, RigError> {
-        let folder = tempfile::tempdir().map_err(|cause| RigError::Folder { relay: number, cause })?;
+    pub fn new(number: usize, plan: Plan, log: &Log) -> Result<Relay, TestClusterError> {
+        let folder =
+            tempfile::tempdir().map_err(|cause| TestClusterError::Folder { relay: number, cause })?;
         Ok(Relay { number, plan, log: log.clone(), folder, child: None, starts: 0 })
     }
 
@@ -99,7 +104,7 @@
     }
 
     /// Starts the process; once more with the same name and addresses, if it was killed before.
-    pub fn start(&mut self) -> Result<(), RigError> {
+    pub fn start(&mut self) -> Result<(), TestClusterError> {
         let relay = self.number;
         if self.child.is_some() {
             self.kill();
@@ -113,7 +118,7 @@
             let log = File::options().create(true).append(true).open(self.log_file())?;
             Ok((log, own))
         };
-        let (out, own) = prepared().map_err(|cause| RigError::Folder { relay, cause })?;
+        let (out, own) = prepared().map_err(|cause| TestClusterError::Folder { relay, cause })?;
         let mut command = Command::new("/bin/sh");
         command.arg("-c").arg(format!("ulimit -n {}; exec \"$0\" \"$@\"", self.plan.sockets));
         command.arg(&self.plan.binary).args(&self.plan.arguments);
@@ -124,18 +129,18 @@
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(out);
         let child = command.spawn();
         let binary = self.plan.binary.clone();
-        self.child = Some(child.map_err(|cause| RigError::Start { relay, binary, cause })?);
+        self.child = Some(child.map_err(|cause| TestClusterError::Start { relay, binary, cause })?);
         let known = self.plan.known["revision"].as_u64().unwrap_or(0);
         self.log.note(What::Started { relay, known });
         Ok(())
     }
 
-    fn write_configuration(&self) -> Result<(), RigError> {
+    fn write_configuration(&self) -> Result<(), TestClusterError> {
         // A new seed with each start, the same for the same start of the same relay.
         let seed = (self.number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.starts;
         let text = self.plan.configuration(&self.name(), seed).to_string();
         let written = fs::write(self.configuration_file(), text + "\n");
-        written.map_err(|cause| RigError::Folder { relay: self.number, cause })
+        written.map_err(|cause| TestClusterError::Folder { relay: self.number, cause })
     }
 
     fn configuration_file(&self) -> PathBuf {
@@ -157,10 +162,10 @@
         fs::read_to_string(self.log_file()).unwrap_or_default()
     }
 
-    fn signal(&self, signal: Signal) -> Result<(), RigError> {
+    fn signal(&self, signal: Signal) -> Result<(), TestClusterError> {
         let pid = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
         let sent = pid.map_or(Err(io::ErrorKind::NotFound.into()), |pid| Ok(kill_process(pid, signal)?));
-        sent.map_err(|cause| RigError::Signal { relay: self.number, cause })
+        sent.map_err(|cause| TestClusterError::Signal { relay: self.number, cause })
     }
 
     /// SIGKILL, at once and for good.
@@ -173,26 +178,26 @@
     }
 
     /// SIGTERM, as a planned restart begins; [`Relay::kill`] ends it.
-    pub fn terminate(&self) -> Result<(), RigError> {
+    pub fn terminate(&self) -> Result<(), TestClusterError> {
         self.log.note(What::Terminated(self.number));
         self.signal(Signal::TERM)
     }
 
     /// SIGSTOP: the process stands still.
-    pub fn stop(&self) -> Result<(), RigError> {
+    pub fn stop(&self) -> Result<(), TestClusterError> {
         self.log.note(What::Stopped(self.number));
         self.signal(Signal::STOP)
     }
 
     /// SIGCONT: it goes on.
-    pub fn go_on(&self) -> Result<(), RigError> {
+    pub fn go_on(&self) -> Result<(), TestClusterError> {
         let sent = self.signal(Signal::CONT);
         self.log.note(What::Continued(self.number));
         sent
     }
 
     /// Writes the plan as it is now as its configuration, and sends SIGHUP.
-    pub fn reload(&self) -> Result<(), RigError> {
+    pub fn reload(&self) -> Result<(), TestClusterError> {
         self.write_configuration()?;
         self.signal(Signal::HUP)
     }
@@ -220,11 +225,11 @@
     }
 
     /// Waits until it answers `PING`, for so long at the most.
-    pub async fn ready(&self, most: Millis) -> Result<(), RigError> {
+    pub async fn ready(&self, most: Millis) -> Result<(), TestClusterError> {
         ready(self.number, self.plan.listen, &self.log, most).await.map_err(|after_ms| {
             let logged = self.logged();
             let end = logged.lines().rev().take(3).collect::<Vec<_>>().join(" / ");
-            RigError::NotReady { relay: self.number, after_ms, end }
+            TestClusterError::NotReady { relay: self.number, after_ms, end }
         })
     }
 }
--- a/crates/test-cluster/src/service_levels.rs
+++ b/crates/test-cluster/src/service_levels.rs
@@ -71,7 +71,7 @@
 
 impl FloorError {
     /// What who runs the rig can do.
-    pub fn advice(&self) -> &'static str {
+    pub fn help(&self) -> &'static str {
         match self {
             FloorError::NotAsked(_) => "let clients arrive throughout the run, or judge it without a floor",
             FloorError::Starved { .. } => "look in the log for what became of the clients of the parts named",
@@ -89,14 +89,14 @@
 
 /// What was served in each part of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Shares {
+pub struct QuotaManager {
     /// By part; each third is there, whether anybody arrived in it or not.
     pub by: BTreeMap<Part, Share>,
 }
 
-impl Shares {
+impl QuotaManager {
     /// Counts the clients of a log.
-    pub fn of(events: &[Event]) -> Shares {
+    pub fn of(events: &[Event]) -> QuotaManager {
         let arrivals = || events.iter().filter(|e| matches!(e.what, What::Arrived { .. })).map(|e| e.at);
         let first = arrivals().fold(f64::INFINITY, f64::min);
         let span = arrivals().fold(first, f64::max) - first;
@@ -119,14 +119,14 @@
                 _ => {}
             }
         }
-        Shares { by }
+        QuotaManager { by }
     }
 
     /// Whether each part was served this share of what it asked at the least.
     ///
     /// ```
-    /// use sandgw_test_cluster::service_levels::{FloorError, Shares};
-    /// assert!(matches!(Shares::of(&[]).hold(0.2), Err(FloorError::NotAsked(thirds)) if thirds.len() == 3));
+    /// use sandgw_test_cluster::service_levels::{FloorError, QuotaManager};
+    /// assert!(matches!(QuotaManager::of(&[]).hold(0.2), Err(FloorError::NotAsked(thirds)) if thirds.len() == 3));
     /// ```
     pub fn hold(&self, floor: f64) -> Result<(), FloorError> {
         let not_asked: Vec<_> =
@@ -141,7 +141,7 @@
     }
 }
 
-impl fmt::Display for Shares {
+impl fmt::Display for QuotaManager {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.by.iter().try_for_each(|(part, share)| writeln!(f, "{part}: {share}"))
     }
