--- a/crates/test-cluster/src/stub_discovery.rs
+++ b/crates/test-cluster/src/stub_discovery.rs
@@ -27,7 +27,7 @@
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
 use crate::log::{Call, Relay, What};
-use crate::{Log, Millis, RigError, listen, locked, reset, span};
+use crate::{Log, Millis, TestClusterError, listen, locked, reset, span};
 
 /// A watch that comes this long after the answer before goes on.
 const GOES_ON: Millis = 200.0;
@@ -78,7 +78,7 @@
     Closed(usize),
 }
 
-/// A streamer as discovery lists it.
+/// An endpoint as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// The same at all relays.
@@ -102,7 +102,7 @@
     members: BTreeMap<Arc<str>, (u64, Entry)>,
     /// When each revision came, the first first.
     times: Vec<Millis>,
-    /// Addresses that a relay is told instead of the streamer's.
+    /// Addresses that a relay is told instead of the endpoint's.
     links: HashMap<(Relay, Arc<str>), SocketAddr>,
 }
 
@@ -156,7 +156,7 @@
 
 impl Discovery {
     /// A service with an address for each of so many relays.
-    pub async fn start(relays: usize, service: Service, log: &Log) -> Result<Discovery, RigError> {
+    pub async fn start(relays: usize, service: Service, log: &Log) -> Result<Discovery, TestClusterError> {
         let state = Mutex::new(State { service, ..State::default() });
         let inner = Arc::new(Inner { log: log.clone(), state, changed: watch::channel(0).0 });
         let (mut addresses, mut tasks) = (Vec::new(), Vec::new());
@@ -209,14 +209,14 @@
     pub fn list(&self, entry: Entry) {
         let mut state = locked(&self.inner.state);
         let fresh = entry.up_since > 0;
-        let (streamer, zone, phase) = (entry.id.clone(), entry.zone.clone(), entry.phase);
+        let (endpoint, zone, phase) = (entry.id.clone(), entry.zone.clone(), entry.phase);
         state.list.revision += 1;
         let revision = state.list.revision;
         state.list.members.insert(entry.id.clone(), (revision, entry));
         state.list.times.push(self.inner.log.now());
         let behind = state.service.behind;
         drop(state);
-        self.inner.log.note(What::Listed { revision, streamer, zone, phase, fresh });
+        self.inner.log.note(What::Listed { revision, endpoint, zone, phase, fresh });
         self.look();
         if behind > 0.0 {
             let inner = self.inner.clone();
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Changes the phase of a streamer that is listed.
+    /// Changes the phase of an endpoint that is listed.
     pub fn phase(&self, id: &str, phase: &'static str) {
         let entry = locked(&self.inner.state).list.members.get(id).map(|(_, e)| e.clone());
         if let Some(entry) = entry {
@@ -235,7 +235,7 @@
         }
     }
 
-    /// A relay is told this address instead of the streamer's, from the next list on.
+    /// A relay is told this address instead of the endpoint's, from the next list on.
     pub fn link(&self, relay: Relay, id: &str, address: SocketAddr) {
         locked(&self.inner.state).list.links.insert((relay, id.into()), address);
     }
--- a/crates/test-cluster/src/stub_endpoints.rs
+++ b/crates/test-cluster/src/stub_endpoints.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for streamers, and the store that all their set-ups call.
+//! Stand-ins for endpoints, and the store that all their set-ups call.
 //!
 //! They own their listeners and what they hold; they are fed first lines and faults; they note every attempt. A
 //! set-up takes its turn at the store, first come, first served, also when its relay has given it up since. A cold
-//! streamer counts what arrives, rejected or not, and falls over by the rule's budget. One that has fallen stays
+//! endpoint counts what arrives, rejected or not, and falls over by the rule's budget. One that has fallen stays
 //! down until it is started anew.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -17,12 +17,12 @@
 
 use crate::log::{End, What};
 use crate::settings::Rules;
-use crate::{Log, Millis, RigError, host, listen_at, locked, reset, span};
+use crate::{Log, Millis, TestClusterError, host, listen_at, locked, reset, span};
 
 /// Longest line, with its end.
 const LINE_BYTES: u64 = 4096;
 
-/// A streamer's place and strength.
+/// An endpoint's place and strength.
 #[derive(Clone, Debug)]
 pub struct Model {
     /// Its name.
@@ -37,7 +37,7 @@
     pub places: usize,
 }
 
-/// How a streamer treats what comes.
+/// How an endpoint treats what comes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Manner {
     /// As it should.
@@ -61,7 +61,7 @@
     drains: Option<Millis>,
 }
 
-struct Streamer {
+struct Endpoint {
     model: Model,
     address: SocketAddr,
     orders: watch::Sender<Orders>,
@@ -85,17 +85,17 @@
 struct Inner {
     log: Log,
     rules: Rules,
-    all: Mutex<BTreeMap<Arc<str>, Streamer>>,
+    all: Mutex<BTreeMap<Arc<str>, Endpoint>>,
     store: Mutex<Store>,
 }
 
-/// All streamers and their store. They end when it is dropped.
+/// All endpoints and their store. They end when it is dropped.
 pub struct Fleet {
     inner: Arc<Inner>,
 }
 
 impl Fleet {
-    /// No streamers, and a store of so many set-ups a second, or without a limit.
+    /// No endpoints, and a store of so many set-ups a second, or without a limit.
     pub fn new(rules: &Rules, store_rate: Option<f64>, log: &Log) -> Fleet {
         let store = Mutex::new(Store { rate: store_rate, free_at: 0.0, taken: 0 });
         Fleet {
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Adds a streamer and starts it, warm or cold; where it listens.
-    pub async fn add(&self, model: Model, cold: bool) -> Result<SocketAddr, RigError> {
+    /// Adds an endpoint and starts it, warm or cold; where it listens.
+    pub async fn add(&self, model: Model, cold: bool) -> Result<SocketAddr, TestClusterError> {
         let (address, listener) = listen_at(SocketAddr::new(host(), 0)).await?;
         let id = model.id.clone();
         let orders = watch::channel(Orders { life: 0, manner: Manner::Sound, drains: None }).0;
-        let streamer = Streamer {
+        let endpoint = Endpoint {
             model,
             address,
             orders,
@@ -118,13 +118,13 @@
             held: HashMap::new(),
             receipts: 0,
         };
-        locked(&self.inner.all).insert(id.clone(), streamer);
+        locked(&self.inner.all).insert(id.clone(), endpoint);
         self.begin(&id, listener, cold);
         Ok(address)
     }
 
     /// Starts one again that was killed or fell over, at the same address.
-    pub async fn start(&self, id: &str, cold: bool) -> Result<(), RigError> {
+    pub async fn start(&self, id: &str, cold: bool) -> Result<(), TestClusterError> {
         let address = locked(&self.inner.all).get(id).map(|s| s.address);
         if let Some(address) = address {
             self.kill(id);
@@ -144,22 +144,22 @@
 
     fn begin(&self, id: &str, listener: TcpListener, cold: bool) {
         let mut all = locked(&self.inner.all);
-        let Some(streamer) = all.get_mut(id) else { return };
-        streamer.cold = cold.then(|| self.inner.log.now());
-        streamer.came.clear();
+        let Some(endpoint) = all.get_mut(id) else { return };
+        endpoint.cold = cold.then(|| self.inner.log.now());
+        endpoint.came.clear();
         let accept =
-            accept(self.inner.clone(), streamer.model.id.clone(), listener, streamer.orders.subscribe());
-        streamer.task = Some(tokio::spawn(accept).abort_handle());
+            accept(self.inner.clone(), endpoint.model.id.clone(), listener, endpoint.orders.subscribe());
+        endpoint.task = Some(tokio::spawn(accept).abort_handle());
         if cold {
-            let (streamer, rate) = (streamer.model.id.clone(), streamer.model.rate);
-            self.inner.log.note(What::ColdStart { streamer, rate });
+            let (endpoint, rate) = (endpoint.model.id.clone(), endpoint.model.rate);
+            self.inner.log.note(What::ColdStart { endpoint, rate });
         }
     }
 
     /// Ends one outright: its connections are reset and new ones refused.
     pub fn kill(&self, id: &str) {
-        if let Some(streamer) = locked(&self.inner.all).get_mut(id) {
-            streamer.die();
+        if let Some(endpoint) = locked(&self.inner.all).get_mut(id) {
+            endpoint.die();
         }
     }
 
@@ -174,8 +174,8 @@
     }
 
     fn order(&self, id: &str, change: impl FnOnce(&mut Orders)) {
-        if let Some(streamer) = locked(&self.inner.all).get(id) {
-            streamer.orders.send_modify(change);
+        if let Some(endpoint) = locked(&self.inner.all).get(id) {
+            endpoint.orders.send_modify(change);
         }
     }
 
@@ -207,11 +207,11 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        locked(&self.inner.all).values_mut().for_each(Streamer::die);
+        locked(&self.inner.all).values_mut().for_each(Endpoint::die);
     }
 }
 
-impl Streamer {
+impl Endpoint {
     fn die(&mut self) {
         if let Some(task) = self.task.take() {
             task.abort();
@@ -239,7 +239,7 @@
     }
 }
 
-/// What a first line says, as far as a streamer cares.
+/// What a first line says, as far as an endpoint cares.
 struct First {
     id: u64,
     key: String,
@@ -290,7 +290,7 @@
     }
 
     fn ended(&self, id: u64, end: End, receipt: Option<String>) {
-        self.inner.log.note(What::AttemptEnded { id, streamer: self.id.clone(), end, receipt });
+        self.inner.log.note(What::AttemptEnded { id, endpoint: self.id.clone(), end, receipt });
     }
 
     /// Serves a connection; whether it ends in peace.
@@ -307,8 +307,8 @@
             let _ = stream.write_all(b"SYNTAX\r\n").await;
             return true;
         };
-        let streamer = self.id.clone();
-        self.inner.log.note(What::Attempt { id: first.id, streamer, first_byte, mid: first.mid });
+        let endpoint = self.id.clone();
+        self.inner.log.note(What::Attempt { id: first.id, endpoint, first_byte, mid: first.mid });
         let orders_now = *orders.borrow();
         let verdict = self.judge(&first, orders_now);
         let answer = match verdict {
@@ -335,8 +335,8 @@
         let now = self.inner.log.now();
         let rules = &self.inner.rules;
         let mut all = locked(&self.inner.all);
-        let Some(streamer) = all.get_mut(&self.id) else { return Verdict::Reset };
-        if self.falls(streamer, now) {
+        let Some(endpoint) = all.get_mut(&self.id) else { return Verdict::Reset };
+        if self.falls(endpoint, now) {
             return Verdict::Reset;
         }
         match orders.manner {
@@ -345,11 +345,11 @@
             Manner::Sound | Manner::Slow(_) => {}
         }
         if first.mid {
-            let holds = streamer.held.get(&first.key);
+            let holds = endpoint.held.get(&first.key);
             let holds = holds.is_some_and(|since| since.is_none_or(|since| now - since < rules.park_ms));
             return if holds { Verdict::Continue } else { Verdict::Reset };
         }
-        if orders.drains.is_some() || streamer.full(now, rules.park_ms) {
+        if orders.drains.is_some() || endpoint.full(now, rules.park_ms) {
             return Verdict::Busy;
         }
         let more = if let Manner::Slow(more) = orders.manner { more } else { 0.0 };
@@ -360,21 +360,21 @@
         Verdict::SetUp(store.free_at - now + more)
     }
 
-    /// Counts what has come; whether a cold streamer falls over by it.
-    fn falls(&self, streamer: &mut Streamer, now: Millis) -> bool {
+    /// Counts what has come; whether a cold endpoint falls over by it.
+    fn falls(&self, endpoint: &mut Endpoint, now: Millis) -> bool {
         let rules = &self.inner.rules;
-        let Some(age) = streamer.cold.map(|at| now - at).filter(|age| *age < rules.warm_ms) else {
+        let Some(age) = endpoint.cold.map(|at| now - at).filter(|age| *age < rules.warm_ms) else {
             return false;
         };
-        streamer.came.push_back(now);
-        while streamer.came.front().is_some_and(|at| now - at > rules.fall_ms) {
-            streamer.came.pop_front();
+        endpoint.came.push_back(now);
+        while endpoint.came.front().is_some_and(|at| now - at > rules.fall_ms) {
+            endpoint.came.pop_front();
         }
-        let budget = Rules::budget(rules.allowed(streamer.model.rate, age));
-        let falls = streamer.came.len() as f64 > budget;
+        let budget = Rules::budget(rules.allowed(endpoint.model.rate, age));
+        let falls = endpoint.came.len() as f64 > budget;
         if falls {
             self.inner.log.note(What::Fell(self.id.clone()));
-            streamer.die();
+            endpoint.die();
         }
         falls
     }
@@ -409,10 +409,10 @@
 
     fn receipt(&self, key: &str) -> String {
         let mut all = locked(&self.inner.all);
-        let Some(streamer) = all.get_mut(&self.id) else { return String::new() };
-        streamer.receipts += 1;
-        streamer.held.insert(key.to_owned(), None);
-        format!("{}/{}", self.id, streamer.receipts)
+        let Some(endpoint) = all.get_mut(&self.id) else { return String::new() };
+        endpoint.receipts += 1;
+        endpoint.held.insert(key.to_owned(), None);
+        format!("{}/{}", self.id, endpoint.receipts)
     }
 
     async fn stand(
@@ -463,18 +463,18 @@
     fn left(&self, key: &str) -> bool {
         let now = self.inner.log.now();
         let mut all = locked(&self.inner.all);
-        if let Some(streamer) = all.get_mut(&self.id) {
-            match streamer.held.get_mut(key).filter(|_| self.inner.rules.passes) {
+        if let Some(endpoint) = all.get_mut(&self.id) {
+            match endpoint.held.get_mut(key).filter(|_| self.inner.rules.passes) {
                 Some(since) => *since = Some(now),
-                None => drop(streamer.held.remove(key)),
+                None => drop(endpoint.held.remove(key)),
             }
         }
         true
     }
 
     fn forget(&self, key: &str) {
-        if let Some(streamer) = locked(&self.inner.all).get_mut(&self.id) {
-            streamer.held.remove(key);
+        if let Some(endpoint) = locked(&self.inner.all).get_mut(&self.id) {
+            endpoint.held.remove(key);
         }
     }
 }
--- a/crates/test-cluster/tests/errors.rs
+++ b/crates/test-cluster/tests/errors.rs
@@ -3,25 +3,25 @@
 use std::io;
 use std::net::SocketAddr;
 
-use sandgw_test_cluster::RigError;
+use sandgw_test_cluster::TestClusterError;
 
 #[test]
 fn every_error_says_what_happened_and_what_to_do() {
     let io = || io::Error::other("cause");
     let at = SocketAddr::from(([127, 0, 0, 1], 1));
     let all = [
-        RigError::Socket { at, cause: io() },
-        RigError::Start { relay: 7, binary: "sandgw".into(), cause: io() },
-        RigError::Folder { relay: 7, cause: io() },
-        RigError::Signal { relay: 7, cause: io() },
-        RigError::NotReady { relay: 7, after_ms: 5.0, end: "cause".into() },
-        RigError::Descriptors { needed: 9, most: 7 },
+        TestClusterError::Socket { at, cause: io() },
+        TestClusterError::Start { relay: 7, binary: "sandgw".into(), cause: io() },
+        TestClusterError::Folder { relay: 7, cause: io() },
+        TestClusterError::Signal { relay: 7, cause: io() },
+        TestClusterError::NotReady { relay: 7, after_ms: 5.0, end: "cause".into() },
+        TestClusterError::Descriptors { needed: 9, most: 7 },
     ];
     for error in &all {
         let text = error.to_string();
         assert!(text.contains("cause") || text.contains('7'), "{text}");
-        assert!(error.advice().len() > 20, "{text}");
+        assert!(error.help().len() > 20, "{text}");
     }
-    let advice: std::collections::BTreeSet<_> = all.iter().map(RigError::advice).collect();
-    assert_eq!(advice.len(), all.len());
+    let help: std::collections::BTreeSet<_> = all.iter().map(TestClusterError::help).collect();
+    assert_eq!(help.len(), all.len());
 }
--- a/crates/test-cluster/tests/floors.rs
+++ b/crates/test-cluster/tests/floors.rs
@@ -5,9 +5,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use sandgw_test_cluster::invariants::judge;
-use sandgw_test_cluster::load_clients::{Clients, Front, Plan};
+use sandgw_test_cluster::load_clients::{ClientProtocol, Clients, Plan};
 use sandgw_test_cluster::log::{Event, What};
-use sandgw_test_cluster::service_levels::{FloorError, Part, Share, Shares};
+use sandgw_test_cluster::service_levels::{FloorError, Part, QuotaManager, Share};
 use sandgw_test_cluster::settings::Rules;
 use sandgw_test_cluster::{Log, host};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -48,7 +48,7 @@
 #[test]
 fn a_floor_holds_where_every_part_is_served_so_much() {
     // Every tenth is not served: of each class one in ten, or none.
-    let shares = Shares::of(&log(|n| n % 10 != 0));
+    let shares = QuotaManager::of(&log(|n| n % 10 != 0));
     assert_eq!(shares.by.len(), 3 + CLASSES.len() + TENANTS.len());
     let asked = |part: &Part| shares.by[part].asked;
     assert!((1..=3).all(|n| asked(&Part::Third(n)) == CLIENTS / 3), "{shares}");
@@ -82,7 +82,7 @@
         assert_eq!(starved(held), std::slice::from_ref(&part), "{verdict}");
         let share = verdict.shares.by[&part];
         assert!(error.to_string().contains(&format!("{part} {share}")), "{error}");
-        assert!(text.contains(&format!("{part}: {share}")) && error.advice().len() > 20, "{text}");
+        assert!(text.contains(&format!("{part}: {share}")) && error.help().len() > 20, "{text}");
         assert!(verdict.shares.hold(0.2).is_ok(), "{verdict}");
     }
 }
@@ -94,7 +94,7 @@
     events.retain(|e| !matches!(e.what, What::Done { client, .. } if client >= 120));
     // One that is done twice, and one that nobody saw come.
     events.extend([done(9000.0, 0, true), done(9000.0, CLIENTS, true)]);
-    let shares = Shares::of(&events);
+    let shares = QuotaManager::of(&events);
     assert_eq!(starved(shares.hold(0.5)), [Part::Third(3)]);
     assert_eq!(shares.by[&Part::Third(1)], Share { served: 60, asked: 60 });
     assert_eq!(shares.by[&Part::Class("stream".into())], Share { served: 60, asked: 90 });
@@ -103,13 +103,13 @@
 #[test]
 fn a_third_in_which_nobody_arrives_holds_no_floor() {
     let events: Vec<_> = [0.0, 10.0, 990.0, 1000.0].iter().zip(0..).map(|(at, n)| arrived(*at, n)).collect();
-    let error = Shares::of(&events).hold(0.0).unwrap_err();
+    let error = QuotaManager::of(&events).hold(0.0).unwrap_err();
     assert_eq!(error, FloorError::NotAsked(vec![Part::Third(2)]));
-    assert!(error.to_string().contains("third 2") && error.advice().len() > 20, "{error}");
+    assert!(error.to_string().contains("third 2") && error.help().len() > 20, "{error}");
 }
 
 /// Before a stand-in for a relay that turns away, by their first line and by how many came before, whom it is told to.
-async fn run(refuses: impl Fn(usize, &str) -> bool + Send + Sync + 'static) -> Shares {
+async fn run(refuses: impl Fn(usize, &str) -> bool + Send + Sync + 'static) -> QuotaManager {
     let listener = TcpListener::bind((host(), 0)).await.unwrap();
     let (at, came, refuses) =
         (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)), Arc::new(refuses));
@@ -135,7 +135,7 @@
         }
     });
     let (log, rules) = (Log::default(), Rules::default());
-    let front = Arc::new(Front::new(&[at], &log));
+    let front = Arc::new(ClientProtocol::new(&[at], &log));
     assert!(front.until(1, 10_000.0).await);
     let plan = Plan {
         count: CLIENTS as usize,
--- a/crates/test-cluster/tests/judge.rs
+++ b/crates/test-cluster/tests/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use sandgw_test_cluster::invariants::{Repeat, Rule, Verdict, Where, judge};
+use sandgw_test_cluster::invariants::{Idempotency, Rule, Verdict, Where, judge};
 use sandgw_test_cluster::log::{Answer, Call, End, Event, What};
 use sandgw_test_cluster::settings::Rules;
 
@@ -25,11 +25,11 @@
     Strays,
     /// It refuses what may have run as harmless.
     Disclaims,
-    /// It sends to a streamer that drains, as it was told.
+    /// It sends to an endpoint that drains, as it was told.
     Ignores,
     /// It takes a silent watch for a list without changes.
     Sleeps,
-    /// It throws a cold streamer over.
+    /// It throws a cold endpoint over.
     Floods,
 }
 
@@ -54,33 +54,33 @@
         id
     }
 
-    fn attempt(&mut self, id: u64, streamer: &str) {
+    fn attempt(&mut self, id: u64, endpoint: &str) {
         self.now += 1.0;
-        self.note(What::Attempt { id, streamer: streamer.into(), first_byte: self.now, mid: false });
+        self.note(What::Attempt { id, endpoint: endpoint.into(), first_byte: self.now, mid: false });
     }
 
-    fn ended(&mut self, id: u64, streamer: &str, end: End) {
+    fn ended(&mut self, id: u64, endpoint: &str, end: End) {
         self.now += 10.0;
-        let receipt = (end == End::Up).then(|| format!("{streamer}/{id}"));
-        self.note(What::AttemptEnded { id, streamer: streamer.into(), end, receipt });
+        let receipt = (end == End::Up).then(|| format!("{endpoint}/{id}"));
+        self.note(What::AttemptEnded { id, endpoint: endpoint.into(), end, receipt });
     }
 
-    fn up(&mut self, id: u64, streamer: &str) {
-        self.attempt(id, streamer);
-        self.ended(id, streamer, End::Up);
-        self.note(What::Answered { id, answer: Answer::Up(format!("{streamer}/{id}")) });
+    fn up(&mut self, id: u64, endpoint: &str) {
+        self.attempt(id, endpoint);
+        self.ended(id, endpoint, End::Up);
+        self.note(What::Answered { id, answer: Answer::Up(format!("{endpoint}/{id}")) });
     }
 
-    fn listed(&mut self, revision: u64, streamer: &str, phase: &'static str, fresh: bool) {
-        let zone = Arc::from(&streamer[..1]);
-        self.note(What::Listed { revision, streamer: streamer.into(), zone, phase, fresh });
+    fn listed(&mut self, revision: u64, endpoint: &str, phase: &'static str, fresh: bool) {
+        let zone = Arc::from(&endpoint[..1]);
+        self.note(What::Listed { revision, endpoint: endpoint.into(), zone, phase, fresh });
     }
 
     fn is(&self, careless: Careless) -> bool {
         self.careless == careless
     }
 
-    /// A flow each that is served, refused after `BUSY`, and told a failure after what may have run.
+    /// A connection each that is served, refused after `BUSY`, and told a failure after what may have run.
     fn answers(&mut self) {
         let id = self.asks("stream");
         self.attempt(id, "a1");
@@ -149,13 +149,13 @@
     }
 
     fn fails_back(&mut self) {
-        self.note(What::ColdStart { streamer: "b2".into(), rate: 100.0 });
+        self.note(What::ColdStart { endpoint: "b2".into(), rate: 100.0 });
         self.listed(6, "b2", "Ready", true);
         self.note(What::Told { relay: 3, call: 3, revision: 6 });
         // 100 a second, of which 34% in the middle of it tripled are 102; for chance two roots of that and two: 124.
         for _ in 0..if self.is(Floods) { 130 } else { 90 } {
             let id = self.asks("stream");
-            self.note(What::Attempt { id, streamer: "b2".into(), first_byte: self.now, mid: false });
+            self.note(What::Attempt { id, endpoint: "b2".into(), first_byte: self.now, mid: false });
             self.now += 5.0;
             self.ended(id, "b2", End::Busy);
             self.now -= 10.0;
@@ -168,11 +168,11 @@
     play_with(careless, None)
 }
 
-/// The same, and the rig's own thread had stood still for so long in the middle of what came to the cold streamer.
+/// The same, and the rig's own thread had stood still for so long in the middle of what came to the cold endpoint.
 fn play_with(careless: Careless, stall: Option<f64>) -> Verdict {
     let mut play = Play { careless, now: 10.0, next: 0, log: Vec::new() };
-    let streamers = ["a1", "a2", "b1"];
-    streamers.iter().zip(1..).for_each(|(id, revision)| play.listed(revision, id, "Ready", false));
+    let endpoints = ["a1", "a2", "b1"];
+    endpoints.iter().zip(1..).for_each(|(id, revision)| play.listed(revision, id, "Ready", false));
     play.note(What::Started { relay: 3, known: 3 });
     play.answers();
     play.repeats();
@@ -184,8 +184,8 @@
     play.now += 5000.0;
     play.note(What::Ready(0));
     let classes = HashMap::from([
-        (Arc::from("once"), Repeat::Unsafe),
-        (Arc::from("keyed"), Repeat::Keyed(Where::Zone, 5000.0)),
+        (Arc::from("once"), Idempotency::Unsafe),
+        (Arc::from("keyed"), Idempotency::Keyed(Where::Zone, 5000.0)),
     ]);
     judge(&play.log, &Rules::default(), &classes)
 }
--- a/crates/test-cluster/tests/script.rs
+++ b/crates/test-cluster/tests/script.rs
@@ -5,7 +5,7 @@
 #[test]
 fn every_fault_ends_and_the_seed_says_all() {
     for seed in 0..200 {
-        let bounds = Bounds { relays: 6, streamers: 4, length_ms: 30_000.0, faults: 12 };
+        let bounds = Bounds { relays: 6, endpoints: 4, length_ms: 30_000.0, faults: 12 };
         let script = Script::draw(seed, &bounds);
         assert_eq!(script, Script::draw(seed, &bounds));
         assert!(script.steps.is_sorted_by(|a, b| a.0 <= b.0), "{script}");
--- a/crates/test-cluster/tests/stand_ins.rs
+++ b/crates/test-cluster/tests/stand_ins.rs
@@ -8,7 +8,7 @@
 use sandgw_test_cluster::settings::Rules;
 use sandgw_test_cluster::stub_discovery::{Discovery, Entry, Service, Stop, Style};
 use sandgw_test_cluster::stub_endpoints::{Fleet, Model};
-use sandgw_test_cluster::{Log, Rig, Size, host, span};
+use sandgw_test_cluster::{Log, Size, TestCluster, host, span};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::timeout;
@@ -95,7 +95,7 @@
 #[tokio::test]
 async fn a_rig_notes_that_its_own_thread_stood_still() {
     // No relay is started.
-    let rig = Rig::new(Size::new("none", 1, 1)).await.unwrap();
+    let rig = TestCluster::new(Size::new("none", 1, 1)).await.unwrap();
     tokio::time::sleep(span(100.0)).await;
     std::thread::sleep(Duration::from_millis(400));
     let noted = |e: &Event| matches!(e.what, What::Stalled { ms } if ms >= 300.0);
@@ -190,7 +190,7 @@
     };
     assert!(timeout(LONG, up).await.is_ok(), "{:?}", fleet.held());
     // 9.3 in a second, with 2 roots and 2 more, are 17: the one after it is too many.
-    let came = log.count(|w| matches!(w, What::Attempt { streamer, .. } if &**streamer == "cold"));
+    let came = log.count(|w| matches!(w, What::Attempt { endpoint, .. } if &**endpoint == "cold"));
     assert!((17..=19).contains(&came), "{came}");
     // It comes back where it was.
     fleet.start("cold", false).await.unwrap();
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,4 +1,4 @@
-//! A toy to try the relay with: discovery that lists two streamers, and the streamers, which take every
+//! A toy to try the relay with: discovery that lists two endpoints, and the endpoints, which take every
 //! connection and return each line. Run it with `cargo run --example toy_server`.
 
 use std::io::{self, BufRead, BufReader, Write};
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 const DISCOVERY: &str = "127.0.0.1:8500";
-const STREAMERS: [&str; 2] = ["127.0.0.1:9001", "127.0.0.1:9002"];
+const ENDPOINTS: [&str; 2] = ["127.0.0.1:9001", "127.0.0.1:9002"];
 
 /// The list never changes: a watch on changes waits out its time and gets none.
 fn discovery(mut stream: TcpStream) -> io::Result<()> {
     let mut line = String::new();
     BufReader::new(&stream).read_line(&mut line)?;
-    let members = STREAMERS.map(|address| {
+    let members = ENDPOINTS.map(|address| {
         format!(
             r#"{{"id":"toy-{address}","host_port":"{address}","locality":"a","flavor":"toy","cell":0,"phase":"Ready","size":1.0,"up_since_ms":0}}"#
         )
@@ -27,7 +27,7 @@
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-fn streamer(name: &str, mut stream: TcpStream) -> io::Result<()> {
+fn endpoint(name: &str, mut stream: TcpStream) -> io::Result<()> {
     for line in BufReader::new(stream.try_clone()?).lines() {
         let line = line?;
         println!("{name}: {line}");
@@ -49,9 +49,9 @@
 }
 
 fn main() -> io::Result<()> {
-    for address in STREAMERS {
-        thread::spawn(move || serve(address, streamer));
+    for address in ENDPOINTS {
+        thread::spawn(move || serve(address, endpoint));
     }
-    println!("discovery on {DISCOVERY}, streamers on {STREAMERS:?}");
+    println!("discovery on {DISCOVERY}, streamers on {ENDPOINTS:?}");
     serve(DISCOVERY, |_, stream| discovery(stream))
 }
--- a/src/bin/sandgw-adapter.rs
+++ b/src/bin/sandgw-adapter.rs
@@ -1,11 +1,11 @@
-//! Runs the module on the simulator's wire: batches on standard input, replies on standard output.
+//! Runs the load balancer on the simulator's wire: batches on standard input, replies on standard output.
 
 #![forbid(unsafe_code)]
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use sandgw::help::Advice;
+use sandgw::help::Help;
 use sandgw::simulator::{Adapter, WireError};
 use thiserror::Error;
 
@@ -21,9 +21,9 @@
 }
 
 impl Failed {
-    fn advice(&self) -> &'static str {
+    fn help(&self) -> &'static str {
         match self {
-            Failed::Wire(e) => e.what.advice(),
+            Failed::Wire(e) => e.what.help(),
             Failed::Read(_) | Failed::Write(_) => "look at the simulator, which holds the other end",
         }
     }
@@ -54,7 +54,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("sandgw-adapter: {what}; {}", what.advice());
+            eprintln!("sandgw-adapter: {what}; {}", what.help());
             ExitCode::FAILURE
         }
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,15 +8,15 @@
 use std::str::FromStr;
 
 use sandgw_maintenance::plan::Floors;
-use sandgw_maintenance::{Desk, Timing};
-use sandgw_schema_version::{Form, Range};
+use sandgw_maintenance::{MaintenanceService, Timing};
+use sandgw_schema_version::{SchemaVersion, SupportedVersions};
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::discovery::{ListError, TargetGroup};
-use crate::help::{Advice, advice};
+use crate::discovery::{EndpointList, ListError};
+use crate::help::{Help, help};
 use crate::listener::rtmp::RtmpSettings;
-use crate::policy::api::{Millis, ServerEntry, Settings};
+use crate::policy::api::{EndpointEntry, Millis, Settings};
 use crate::simulator::{self, SettingFault};
 
 /// What was wrong with a configuration, or with a folder that it names.
@@ -31,15 +31,15 @@
     pub fault: Fault,
 }
 
-impl Advice for ConfigError {
+impl Help for ConfigError {
     const ALL: &'static [(&'static str, &'static str)] = Fault::ALL;
 
     fn said(&self) -> &'static str {
         self.fault.said()
     }
 
-    fn advice(&self) -> &'static str {
-        self.fault.advice()
+    fn help(&self) -> &'static str {
+        self.fault.help()
     }
 }
 
@@ -93,7 +93,7 @@
     NotText(Value),
     /// A text that can't be read.
     #[error("{text:?} is not {wanted}")]
-    Form {
+    SchemaVersion {
         /// The text.
         text: String,
         /// What it must be.
@@ -112,7 +112,7 @@
     /// A seed that can't be read.
     #[error("must be a hexadecimal number of 64 bits")]
     Seed,
-    /// Settings without a class: no flow could be placed.
+    /// Settings without a class: no connection could be placed.
     #[error("must name at least one class")]
     NoClasses,
     /// A class that the settings don't name.
@@ -129,7 +129,7 @@
     NoShare,
     /// No form of shared state has that number.
     #[error("of forms: {0}")]
-    Forms(sandgw_schema_version::FormError),
+    Forms(sandgw_schema_version::SchemaVersionError),
     /// Windows are agreed on by messages between relays, and there are none.
     #[error("needs peer_listen, and settings.limits.peerMessages")]
     NoMessages,
@@ -156,7 +156,7 @@
     Setting(#[from] SettingFault),
 }
 
-advice!(Fault {
+help!(Fault {
     NotSet: "is not set, and no application file" => "set it to the platform's file, or call `sandgw run FILE`",
     Unreadable: "(file):" => "see that the file is there and that this user may read it",
     Unwritable: "(file):" => "choose another name, or move away what is there; the folder must be writable",
@@ -171,7 +171,7 @@
     NotTable: "must be a table" => "write it as [NAME] with its keys below",
     NotList: "must be a list" => "put the values in [ ]",
     NotText: "is no text" => "put the value in quotes",
-    Form: "is not" => "write numbers, no host name: 127.0.0.1:8443 with a port, 127.0.0.1 without",
+    SchemaVersion: "is not" => "write numbers, no host name: 127.0.0.1:8443 with a port, 127.0.0.1 without",
     Number: "is no number from" => "choose a number in that range, without quotes",
     Seed: "must be a hexadecimal number" => "take it out: the time will do",
     NoClasses: "must name at least one class" => "add a class to settings.lanes; the platform's file has them",
@@ -213,10 +213,10 @@
     /// The relays of the tier, by their numbers.
     pub peers: Vec<SocketAddr>,
     /// The list as last held.
-    pub known: Vec<ServerEntry>,
+    pub known: Vec<EndpointEntry>,
     /// The list's state to go on from.
-    pub target_group: TargetGroup,
-    /// The module's settings.
+    pub endpoint_list: EndpointList,
+    /// The load balancer's settings.
     pub settings: Settings,
     /// Names of the settings' classes.
     pub classes: Vec<String>,
@@ -234,7 +234,7 @@
     pub state: Option<StateFolder>,
     /// What it reads of shared state and may write, where an application's file turns forms on; without it, it
     /// writes form 1 and tells nobody what it reads.
-    pub forms: Option<Range>,
+    pub forms: Option<SupportedVersions>,
     /// Maintenance windows, where an application's file has a section for them.
     pub maintenance: Option<Maintenance>,
     /// The files' keys, to tell a file that was cut from a whole one.
@@ -272,7 +272,7 @@
 pub struct Rtmp {
     /// Where it listens.
     pub listen: SocketAddr,
-    /// What holds for all its flows.
+    /// What holds for all its connections.
     pub settings: RtmpSettings,
     /// Addresses of fronts whose PROXY protocol headers are believed.
     pub trusted: Vec<IpAddr>,
@@ -337,11 +337,11 @@
         let (base_file, base) = base.unwrap_or_else(|| empty.clone());
         let (app_file, app) = file.unwrap_or(empty);
         let mut platform = Reader::new(&base_file, &base, "", &mut faults);
-        let known = match TargetGroup::known(&base["known"]) {
+        let known = match EndpointList::known(&base["known"]) {
             Ok(known) => known,
             Err(e) => {
                 platform.fault("known", Fault::Known(Box::new(e)));
-                (TargetGroup::default(), Vec::new())
+                (EndpointList::default(), Vec::new())
             }
         };
         let seed = platform.seed();
@@ -462,7 +462,7 @@
                 peer_listen,
                 peers: peers.unwrap_or_default(),
                 known: known.1,
-                target_group: known.0,
+                endpoint_list: known.0,
                 settings: module,
                 classes,
                 tenants: simulator::tenant_names(settings),
@@ -497,7 +497,7 @@
     /// but are taken at the next start only.
     ///
     /// Taken are `settings`, where to ask and whom to believe: `discovery`, `peers`, `limits.first_line_ms`,
-    /// `rtmp.class`, `rtmp.give_up_ms`, `rtmp.trusted` and `snmp.community`; what a flow began with holds to its
+    /// `rtmp.class`, `rtmp.give_up_ms`, `rtmp.trusted` and `snmp.community`; what a connection began with holds to its
     /// end. Not taken are the addresses listened on, since clients and peers would still use the old ones, the name,
     /// the store, and the process's own limit of descriptors. `known` and `seed` are for a start: the list held is
     /// newer than any in the file.
@@ -533,7 +533,7 @@
 
 impl Limits {
     fn read(&mut self, r: &mut Reader<'_>) {
-        // Under the least the program could not hold its own and a few flows.
+        // Under the least the program could not hold its own and a few connections.
         let sockets = r.number("sockets", 64.0, 1_048_576.0);
         self.sockets = sockets.map_or(self.sockets, |n| n as usize);
         self.first_line = r.number("first_line_ms", 100.0, 600_000.0).unwrap_or(self.first_line);
@@ -574,14 +574,17 @@
 }
 
 /// Reads up to which form shared state may be written; the newest where that is left out.
-fn forms(r: &mut Reader<'_>) -> Option<Range> {
+fn forms(r: &mut Reader<'_>) -> Option<SupportedVersions> {
     r.known_keys(&["most"]);
-    let newest = f64::from(Form::NEWEST.number());
+    let newest = f64::from(SchemaVersion::NEWEST.number());
     let most = r.number("most", 1.0, newest).unwrap_or(newest);
     if most.fract() != 0.0 {
         r.fault("most", SettingFault::Whole(most));
     }
-    Form::new(most as u64).and_then(Range::up_to).map_err(|e| r.fault("most", Fault::Forms(e))).ok()
+    SchemaVersion::new(most as u64)
+        .and_then(SupportedVersions::up_to)
+        .map_err(|e| r.fault("most", Fault::Forms(e)))
+        .ok()
 }
 
 /// Reads what must be left of capacity, in the list's sizes, and how windows are agreed on.
@@ -611,31 +614,32 @@
     if bound * 4 > lease {
         r.fault("clock_bound_ms", Fault::Bound);
     }
-    let halls = hall_floors(r);
-    let voters = r.list("voters", "a relay's number").unwrap_or_else(|| Desk::usual_voters(relays));
+    let zones = zone_floors(r);
+    let voters =
+        r.list("voters", "a relay's number").unwrap_or_else(|| MaintenanceService::usual_voters(relays));
     let once: BTreeSet<u32> = voters.iter().copied().collect();
     if voters.is_empty() || once.len() < voters.len() || voters.iter().any(|v| *v >= relays) {
         r.fault("voters", Fault::Voters(relays));
     }
     let may_override = r.list("override", "a name").unwrap_or_default();
-    let cold = ((module.cold_from * 1000.0) as u64, module.warm_within as u64);
+    let cold = ((module.cold_capacity_fraction * 1000.0) as u64, module.warm_up_time as u64);
     let (all, longest) = ((floor * 1000.0) as u64, (longest * 1000.0) as u64);
-    let floors = Floors { all, halls, relays: left as u32, most: most as usize, longest, cold };
+    let floors = Floors { all, zones, relays: left as u32, most: most as usize, longest, cold };
     Some(Maintenance { floors, timing: Timing::of(lease, bound), voters, may_override })
 }
 
-fn hall_floors(r: &mut Reader<'_>) -> BTreeMap<String, u64> {
+fn zone_floors(r: &mut Reader<'_>) -> BTreeMap<String, u64> {
     let table = &r.table["halls"];
     if !table.is_null() && !table.is_object() {
         r.fault("halls", Fault::NotTable);
     }
     let rows: Vec<(String, Value)> =
-        table.as_object().into_iter().flatten().map(|(hall, floor)| (hall.clone(), floor.clone())).collect();
+        table.as_object().into_iter().flatten().map(|(zone, floor)| (zone.clone(), floor.clone())).collect();
     let mut floors = BTreeMap::new();
-    for (hall, floor) in rows {
+    for (zone, floor) in rows {
         match floor.as_f64().filter(|n| (0.0..=4e6).contains(n)) {
-            Some(floor) => drop(floors.insert(hall, (floor * 1000.0) as u64)),
-            None => r.fault(&format!("halls.{hall}"), Fault::Number { value: floor, least: 0.0, most: 4e6 }),
+            Some(floor) => drop(floors.insert(zone, (floor * 1000.0) as u64)),
+            None => r.fault(&format!("halls.{zone}"), Fault::Number { value: floor, least: 0.0, most: 4e6 }),
         }
     }
     floors
@@ -726,7 +730,7 @@
     Value::Null
 }
 
-/// Keys that come and go with other values: what is in the list of streamers is its own matter, and these of a class
+/// Keys that come and go with other values: what is in the list of endpoints is its own matter, and these of a class
 /// hang on its effect.
 const MAY_GO: [&str; 4] =
     ["known", "settings.lanes[].group", "settings.lanes[].windowMs", "settings.lanes[].aimStretch"];
@@ -802,7 +806,7 @@
     fn parse<T: FromStr>(&mut self, key: &str, text: &str, wanted: &'static str) -> Option<T> {
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            self.fault(key, Fault::Form { text: text.to_owned(), wanted });
+            self.fault(key, Fault::SchemaVersion { text: text.to_owned(), wanted });
         }
         parsed
     }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! The target group: discovery's list of streamers, and what is asked of it.
+//! The endpoint list: discovery's list of endpoints, and what is asked of it.
 //!
-//! Nothing here knows a socket: a driver asks for [`TargetGroup::request`] and hands the body of what comes back to
-//! [`TargetGroup::answer`].
+//! Nothing here knows a socket: a driver asks for [`EndpointList::request`] and hands the body of what comes back to
+//! [`EndpointList::answer`].
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::help::advice;
+use crate::help::help;
 use crate::policy::api::*;
 use crate::policy::hashing::fraction;
 
@@ -27,13 +27,13 @@
 /// Pause before the next try at a discovery service that has not answered since it was configured: what it
 /// has to tell counts as told 4 s later.
 pub const RETRY: Millis = 250.0;
-/// Most that a streamer's size may be, and its start: later is no time in milliseconds.
+/// Most that an endpoint's size may be, and its start: later is no time in milliseconds.
 const LARGEST: f64 = 1e6;
 const LATEST: Millis = 1e14;
-/// Most bytes of one answer; a list of thousands of streamers stays far below.
+/// Most bytes of one answer; a list of thousands of endpoints stays far below.
 pub const ANSWER_BYTES: usize = 4 << 20;
 
-/// What is wrong with a list of streamers. Nothing of it has been taken.
+/// What is wrong with a list of endpoints. Nothing of it has been taken.
 #[derive(Debug, Error)]
 pub enum ListError {
     /// The text is no JSON.
@@ -61,27 +61,27 @@
     /// The answer is to a call of another service.
     #[error("discovery has moved since it was asked")]
     Moved,
-    /// A streamer has no name.
+    /// An endpoint has no name.
     #[error("members: id: must be a text")]
     NoId,
-    /// A streamer's phase is none of those known.
+    /// An endpoint's phase is none of those known.
     #[error("members: {id}: phase: unknown phase {phase:?}")]
     Phase {
-        /// The streamer.
+        /// The endpoint.
         id: String,
         /// What stands there, if it is a text.
         phase: Option<String>,
     },
-    /// Nothing can be sent to a streamer.
+    /// Nothing can be sent to an endpoint.
     #[error("members: {id}: host_port: must be an address and a port")]
     Address {
-        /// The streamer.
+        /// The endpoint.
         id: String,
     },
-    /// A streamer's figure can't be used.
+    /// An endpoint's figure can't be used.
     #[error("members: {id}: {key}: {value} is no number from 0 to {most}")]
     Figure {
-        /// The streamer.
+        /// The endpoint.
         id: String,
         /// `size` or `up_since_ms`.
         key: &'static str,
@@ -92,7 +92,7 @@
     },
 }
 
-advice!(ListError {
+help!(ListError {
     NotJson: "not JSON" => "see that what answers there is the list service, and nothing cuts its answers short",
     Field: "must be" => "the list service speaks another form: look at its version",
     NotWhole: "the whole list was asked for" => "nothing where it stays at one; else look at the list service",
@@ -111,7 +111,7 @@
     /// The connection could not be made, or broke.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// There was no answer within [`TargetGroup::timeout`].
+    /// There was no answer within [`EndpointList::timeout`].
     #[error("no answer in time")]
     Late,
     /// What came is no HTTP.
@@ -131,7 +131,7 @@
     List(#[from] ListError),
 }
 
-advice!(CallError {
+help!(CallError {
     Io: "os error" => "see that the list service runs and listens at that address",
     Late: "no answer in time" => "nothing at a start; later look at the load of the list service and the way there",
     NotHttp: "not HTTP" => "see that what listens at that address is the list service, with nothing that alters it",
@@ -142,7 +142,7 @@
 
 /// The list as this relay has it.
 #[derive(Debug, Default)]
-pub struct TargetGroup {
+pub struct EndpointList {
     /// The list's version; nothing where it is not known to be this discovery service's.
     revision: Option<u64>,
     /// No call has been answered since the start or since one failed: the version is of the list as last held.
@@ -152,15 +152,15 @@
     seed: u64,
     /// A call is out that has not been answered, for what is newer than this or for all of the list.
     asked: Option<Option<u64>>,
-    addresses: BTreeMap<ServerId, SocketAddr>,
+    addresses: BTreeMap<EndpointId, SocketAddr>,
     /// The entries as they came, for the process that is to serve next.
-    members: BTreeMap<ServerId, Value>,
+    members: BTreeMap<EndpointId, Value>,
 }
 
-impl TargetGroup {
+impl EndpointList {
     /// Starts from the list as last held, if there is one.
-    pub fn known(known: &Value) -> Result<(Self, Vec<ServerEntry>), ListError> {
-        let mut group = TargetGroup::default();
+    pub fn known(known: &Value) -> Result<(Self, Vec<EndpointEntry>), ListError> {
+        let mut group = EndpointList::default();
         if known.is_null() {
             return Ok((group, Vec::new()));
         }
@@ -176,7 +176,7 @@
         &mut self,
         revision: Option<u64>,
         members: Vec<Value>,
-    ) -> Result<Vec<ServerEntry>, ListError> {
+    ) -> Result<Vec<EndpointEntry>, ListError> {
         let list = serde_json::json!({"revision": 0, "complete": true, "members": members});
         let (_, entries) = self.read(&list)?;
         self.revision = revision;
@@ -223,9 +223,9 @@
         fraction(self.seed)
     }
 
-    /// Where a streamer listens for this relay; nowhere once it is gone, since nothing is sent there any more.
-    pub fn address(&self, target: &ServerId) -> Option<SocketAddr> {
-        self.addresses.get(target).copied()
+    /// Where an endpoint listens for this relay; nowhere once it is gone, since nothing is sent there any more.
+    pub fn address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
+        self.addresses.get(endpoint).copied()
     }
 
     /// What to ask for: the whole list, then the watch for what is newer.
@@ -240,7 +240,7 @@
     }
 
     /// Takes the body of the answer to the call that is out, whole or not at all.
-    pub fn answer(&mut self, body: &[u8]) -> Result<(ListKind, Vec<ServerEntry>), ListError> {
+    pub fn answer(&mut self, body: &[u8]) -> Result<(ListKind, Vec<EndpointEntry>), ListError> {
         let after = self.asked.take().ok_or(ListError::Moved)?;
         let value: Value = serde_json::from_slice(body).map_err(ListError::NotJson)?;
         if value["complete"] == false {
@@ -254,7 +254,7 @@
         self.read(&value)
     }
 
-    fn read(&mut self, value: &Value) -> Result<(ListKind, Vec<ServerEntry>), ListError> {
+    fn read(&mut self, value: &Value) -> Result<(ListKind, Vec<EndpointEntry>), ListError> {
         let field = |key, wanted| ListError::Field { key, wanted };
         let revision = value["revision"].as_u64().ok_or(field("revision", "a whole number"))?;
         let complete = value["complete"].as_bool().ok_or(field("complete", "true or false"))?;
@@ -269,10 +269,10 @@
         }
         for ((entry, address), value) in read.into_iter().zip(members) {
             match entry.state {
-                ServerState::Gone => drop(self.members.remove(&entry.id)),
+                EndpointState::Removed => drop(self.members.remove(&entry.id)),
                 _ => drop(self.members.insert(entry.id.clone(), value.clone())),
             }
-            match address.filter(|_| entry.state != ServerState::Gone) {
+            match address.filter(|_| entry.state != EndpointState::Removed) {
                 Some(address) => drop(self.addresses.insert(entry.id.clone(), address)),
                 None => drop(self.addresses.remove(&entry.id)),
             }
@@ -282,19 +282,19 @@
     }
 }
 
-fn member(value: &Value) -> Result<(ServerEntry, Option<SocketAddr>), ListError> {
+fn member(value: &Value) -> Result<(EndpointEntry, Option<SocketAddr>), ListError> {
     let id = value["id"].as_str().ok_or(ListError::NoId)?;
     let state = match value["phase"].as_str() {
-        Some("Ready") => ServerState::Ready,
-        Some("Terminating") => ServerState::Draining,
-        Some("Gone") => ServerState::Gone,
+        Some("Ready") => EndpointState::Ready,
+        Some("Terminating") => EndpointState::Draining,
+        Some("Gone") => EndpointState::Removed,
         other => return Err(ListError::Phase { id: id.to_owned(), phase: other.map(str::to_owned) }),
     };
     let address = value["host_port"].as_str().and_then(|a| a.parse().ok());
-    if address.is_none() && state != ServerState::Gone {
+    if address.is_none() && state != EndpointState::Removed {
         return Err(ListError::Address { id: id.to_owned() });
     }
-    // A start misread as long ago would have a cold streamer taken for a warm one.
+    // A start misread as long ago would have a cold endpoint taken for a warm one.
     let number = |key: &'static str, absent: f64, most: f64| match &value[key] {
         Value::Null => Ok(absent),
         other => {
@@ -303,8 +303,8 @@
             number.ok_or_else(wrong)
         }
     };
-    let entry = ServerEntry {
-        id: ServerId(Arc::from(id)),
+    let entry = EndpointEntry {
+        id: EndpointId(Arc::from(id)),
         state,
         weight: number("size", 1.0, LARGEST)?,
         started: number("up_since_ms", 0.0, LATEST)?,
--- a/src/help/mod.rs
+++ b/src/help/mod.rs
@@ -6,45 +6,45 @@
 
 use std::fmt;
 
-/// An error that knows what can be done about it. Implemented by [`advice!`](crate::help), so that an error
+/// An error that knows what can be done about it. Implemented by [`help!`](crate::help), so that an error
 /// that gains a case does not build until the case has its words.
-pub trait Advice {
+pub trait Help {
     /// What all cases say, and the advice on each.
     const ALL: &'static [(&'static str, &'static str)];
     /// The piece of this error's text that is the same whatever it happened to.
     fn said(&self) -> &'static str;
     /// What an operator can do.
-    fn advice(&self) -> &'static str;
+    fn help(&self) -> &'static str;
 }
 
 /// An error in one line, with its advice behind it.
 ///
 /// ```
-/// use sandgw::help::advised;
+/// use sandgw::help::with_help;
 /// use sandgw::discovery::CallError;
 ///
-/// let line = advised(&CallError::Status(503)).to_string();
+/// let line = with_help(&CallError::Status(503)).to_string();
 /// assert!(line.starts_with("status 503; "), "{line}");
 /// ```
-pub fn advised<E: Advice + fmt::Display>(error: &E) -> Advised<'_, E> {
-    Advised(error)
+pub fn with_help<E: Help + fmt::Display>(error: &E) -> WithHelp<'_, E> {
+    WithHelp(error)
 }
 
-/// What [`advised`] gives.
-pub struct Advised<'a, E>(&'a E);
+/// What [`with_help`] gives.
+pub struct WithHelp<'a, E>(&'a E);
 
-impl<E: Advice + fmt::Display> fmt::Display for Advised<'_, E> {
+impl<E: Help + fmt::Display> fmt::Display for WithHelp<'_, E> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}; {}", self.0, self.0.advice())
+        write!(f, "{}; {}", self.0, self.0.help())
     }
 }
 
-/// Implements [`Advice`]: each case with what it says and the advice on it; cases that hold an error with advice of
+/// Implements [`Help`]: each case with what it says and the advice on it; cases that hold an error with advice of
 /// its own are named behind `of`.
-macro_rules! advice {
-    ($error:ident { $($case:ident: $said:literal => $advice:literal,)* } $(of $($whole:ident),*)?) => {
-        impl crate::help::Advice for $error {
-            const ALL: &'static [(&'static str, &'static str)] = &[$(($said, $advice)),*];
+macro_rules! help {
+    ($error:ident { $($case:ident: $said:literal => $help:literal,)* } $(of $($whole:ident),*)?) => {
+        impl crate::help::Help for $error {
+            const ALL: &'static [(&'static str, &'static str)] = &[$(($said, $help)),*];
 
             fn said(&self) -> &'static str {
                 match self {
@@ -53,16 +53,16 @@
                 }
             }
 
-            fn advice(&self) -> &'static str {
+            fn help(&self) -> &'static str {
                 match self {
-                    $($error::$case { .. } => $advice,)*
-                    $($($error::$whole(error) => error.advice(),)*)?
+                    $($error::$case { .. } => $help,)*
+                    $($($error::$whole(error) => error.help(),)*)?
                 }
             }
         }
     };
 }
-pub(crate) use advice;
+pub(crate) use help;
 
 #[cfg(test)]
 mod tests;
--- a/src/help/tests.rs
+++ b/src/help/tests.rs
@@ -3,22 +3,22 @@
 use serde_json::{Value, json};
 use tokio::io::AsyncWriteExt;
 
-use super::Advice;
+use super::Help;
 use crate::config::{Config, ConfigError, Fault, new_application};
-use crate::discovery::{ANSWER_BYTES, CallError, ListError, TargetGroup};
+use crate::discovery::{ANSWER_BYTES, CallError, EndpointList, ListError};
 use crate::net::http_call::fetch;
 use crate::simulator::{Adapter, SettingFault, WireFault, settings};
 
 /// Errors as they come about: all cases of a kind are among them, each says what it is found by, and its row of
 /// the operators' page has that and its advice.
-fn all_named<E: Advice + Display>(errors: &[E]) {
+fn all_named<E: Help + Display>(errors: &[E]) {
     let page = include_str!("../../docs/operators/errors.md");
-    for (said, advice) in E::ALL {
-        let known = errors.iter().any(|e| e.said() == *said && e.advice() == *advice);
+    for (said, help) in E::ALL {
+        let known = errors.iter().any(|e| e.said() == *said && e.help() == *help);
         assert!(known, "nothing brings {said:?} about");
-        let row = format!("| {advice} |");
+        let row = format!("| {help} |");
         let named = page.lines().any(|l| l.contains(&format!("`{said}`")) && l.ends_with(&row));
-        assert!(named, "the page does not name {said:?}, or has not: {advice}");
+        assert!(named, "the page does not name {said:?}, or has not: {help}");
     }
     for e in errors {
         assert!(e.to_string().contains(e.said()), "{e} does not say {:?}", e.said());
@@ -26,7 +26,7 @@
 }
 
 fn list(asked: &[&str]) -> ListError {
-    let mut group = TargetGroup::default();
+    let mut group = EndpointList::default();
     let answers = asked.iter().map(|body| {
         group.request();
         group.answer(body.as_bytes())
@@ -42,7 +42,7 @@
 fn each_fault_of_a_list_has_its_advice() {
     let held = r#"{"revision":5,"complete":true,"members":[]}"#;
     let changes = r#"{"revision":4,"complete":false,"members":[]}"#;
-    let unasked = TargetGroup::default().answer(b"{}").expect_err("an answer that nobody asked for");
+    let unasked = EndpointList::default().answer(b"{}").expect_err("an answer that nobody asked for");
     all_named(&[
         list(&["<html>"]),
         list(&["{}"]),
@@ -117,7 +117,7 @@
     let cut = whole.trim_end().rsplit_once('\n').expect("lines").0;
     all.extend(told(load(cut).and_then(|new| running.whole(new))));
     all.extend(["app", "app", "A"].iter().filter_map(|name| new_application(folder.path(), name).err()));
-    let form = sandgw_schema_version::Form::new(99).expect_err("no form");
+    let form = sandgw_schema_version::SchemaVersion::new(99).expect_err("no form");
     all.push(ConfigError { file: "f".into(), key: "forms.most".into(), fault: Fault::Forms(form) });
     all.push(ConfigError { file: "f".into(), key: "maintenance.floor".into(), fault: Fault::NoMessages });
     all.push(failed(Fault::Start(std::io::Error::from_raw_os_error(98))));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod simulator;
 pub mod snmp;
 
-pub use policy::Balancer;
+pub use policy::LoadBalancer;
 
 #[cfg(test)]
 mod properties;
--- a/src/listener/line.rs
+++ b/src/listener/line.rs
@@ -8,10 +8,10 @@
 
 use bytes::{Buf, BytesMut};
 
-use super::{Answer, Arrive, CarriedFront, Front};
+use super::{Answer, Arrive, ClientProtocol, TransferredProtocol};
 use crate::policy::api::*;
 use crate::relay::lifecycle::Operation;
-use crate::relay::{Arrival, FixedResponse};
+use crate::relay::{IncomingRequest, LocalReply};
 
 /// Longest line, with its end.
 const LINE_BYTES: usize = 4096;
@@ -27,7 +27,7 @@
 pub struct LineNames {
     /// Whether `g` names a group or else the client: whether connections of one group share work.
     pub groups: bool,
-    /// Classes, each with until when new flows may name it, where it was dropped. Flows that arrive mid-flow began
+    /// Classes, each with until when new connections may name it, where it was dropped. Connections that arrive mid-connection began
     /// when it was in force.
     pub classes: Vec<(String, Option<Millis>)>,
     /// Tenants; where there are none any will do.
@@ -38,9 +38,9 @@
 #[derive(Default)]
 pub struct LineRules {
     names: RefCell<LineNames>,
-    /// Tenants of the settings before these: connections of theirs may arrive mid-flow.
+    /// Tenants of the settings before these: connections of theirs may arrive mid-connection.
     former: RefCell<Vec<String>>,
-    /// Ids of the flows that are open, each with its key.
+    /// Ids of the connections that are open, each with its key.
     open: RefCell<HashMap<String, String>>,
 }
 
@@ -71,26 +71,26 @@
 }
 
 /// One client that speaks lines.
-pub struct LineFront {
+pub struct LineProtocol {
     rules: Rc<LineRules>,
     patience: Millis,
     /// Its id, while it is open.
     id: Option<String>,
     /// The first line without its end.
     first: String,
-    /// Start of the streamer's current line, and how many bytes of it have passed.
+    /// Start of the endpoint's current line, and how many bytes of it have passed.
     word: Vec<u8>,
     partial: usize,
-    /// Outcome that the streamer's last whole line announces.
+    /// Outcome that the endpoint's last whole line announces.
     announced: Option<Outcome>,
     /// When the client sent the oldest line that is without an answer.
     asked: Option<Millis>,
 }
 
-impl LineFront {
+impl LineProtocol {
     /// A front for one connection, which may take so long for its first line.
     pub fn new(rules: Rc<LineRules>, patience: Millis) -> Self {
-        LineFront {
+        LineProtocol {
             rules,
             patience,
             id: None,
@@ -102,24 +102,24 @@
         }
     }
 
-    /// Goes on with a flow that stood at the process before.
-    pub fn adopt(rules: Rc<LineRules>, now: Millis, carried: CarriedFront) -> Self {
+    /// Goes on with a connection that stood at the process before.
+    pub fn adopt(rules: Rc<LineRules>, now: Millis, carried: TransferredProtocol) -> Self {
         rules.open.borrow_mut().insert(carried.id.clone(), carried.key);
         let outcome = |served| if served { Outcome::Ok } else { Outcome::Cancelled };
-        let mut front = LineFront::new(rules, 0.0);
-        front.id = Some(carried.id);
-        front.word = carried.word;
-        front.word.truncate(WORD);
-        front.partial = carried.partial as usize;
-        front.announced = carried.announced.map(outcome);
-        front.asked = carried.unanswered.filter(|age| *age >= 0.0).map(|age| now - age);
-        front
+        let mut protocol = LineProtocol::new(rules, 0.0);
+        protocol.id = Some(carried.id);
+        protocol.word = carried.word;
+        protocol.word.truncate(WORD);
+        protocol.partial = carried.partial as usize;
+        protocol.announced = carried.announced.map(outcome);
+        protocol.asked = carried.unanswered.filter(|age| *age >= 0.0).map(|age| now - age);
+        protocol
     }
 
     /// Reads `OPEN ID KEY name=value,...`; nothing of what is malformed, names what there is not, or is open
-    /// already. A streamer would refuse it or close on it, which says nothing of the streamer, and the module
+    /// already. An endpoint would refuse it or close on it, which says nothing of the endpoint, and the load balancer
     /// would try the next one with it.
-    fn parse(&mut self, now: Millis, line: &str) -> Option<Arrival> {
+    fn parse(&mut self, now: Millis, line: &str) -> Option<IncomingRequest> {
         let mut words = line.split(' ');
         let (open, id, key, list) = (words.next()?, words.next()?, words.next()?, words.next()?);
         let plain = line.bytes().all(|b| b.is_ascii_graphic() || b == b' ');
@@ -127,8 +127,12 @@
             return None;
         }
         let text = |value: &str| Some(Key(Arc::from(value)));
-        let mut arrival =
-            Arrival { client: text(key), sent_away: true, led_elsewhere: true, ..Arrival::default() };
+        let mut arrival = IncomingRequest {
+            client: text(key),
+            drained_by_endpoint: true,
+            rerouted_by_front: true,
+            ..IncomingRequest::default()
+        };
         let (mut left, mut seen, mut tenant) = (None, Vec::new(), None);
         let groups = self.rules.names.borrow().groups;
         for pair in list.split(',') {
@@ -147,7 +151,7 @@
                 "g" => arrival.client = text(value),
                 "r" | "again" => arrival.returned |= value == "1",
                 "mid" => arrival.mid_flow = value == "1",
-                "at" => arrival.at = Some(ServerId(Arc::from(value))),
+                "at" => arrival.at = Some(EndpointId(Arc::from(value))),
                 "h" => arrival.load = Some(number()?).filter(|h| *h > 0.0),
                 _ => {}
             }
@@ -170,7 +174,7 @@
     }
 }
 
-impl Drop for LineFront {
+impl Drop for LineProtocol {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             self.rules.open.borrow_mut().remove(&id);
@@ -189,7 +193,7 @@
     Some(line)
 }
 
-impl Front for LineFront {
+impl ClientProtocol for LineProtocol {
     fn patience(&self) -> Millis {
         self.patience
     }
@@ -210,21 +214,21 @@
                 reply.extend_from_slice(word);
                 continue;
             }
-            // Too long or malformed: nothing of it may reach a streamer.
+            // Too long or malformed: nothing of it may reach an endpoint.
             let Some(arrival) = self.parse(now, line) else {
                 // Not even to be read: whoever sends more than one line does not wait for its answer.
                 input.clear();
-                self.fixed(FixedResponse::Failed, reply);
+                self.fixed(LocalReply::Failed, reply);
                 return Arrive::Close;
             };
             self.first = line.to_owned();
             if !input.is_empty() && !self.speaks_early() {
-                // Hundreds of commands at once are no flow: after its line a client waits for the answer.
+                // Hundreds of commands at once are no connection: after its line a client waits for the answer.
                 input.clear();
-                self.fixed(FixedResponse::Failed, reply);
+                self.fixed(LocalReply::Failed, reply);
                 return Arrive::Close;
             }
-            return Arrive::Flow(arrival);
+            return Arrive::Connection(arrival);
         }
     }
 
@@ -232,7 +236,7 @@
         false
     }
 
-    fn forward(&mut self, left: Millis, out: &mut BytesMut) {
+    fn attempt(&mut self, left: Millis, out: &mut BytesMut) {
         let left = format!("d={:.0}", left.floor().max(1.0));
         let (head, list) = self.first.rsplit_once(' ').unwrap_or(("", &self.first));
         let pairs = list.split(',').map(|p| if p.starts_with("d=") { left.as_str() } else { p });
@@ -264,11 +268,11 @@
         Answer::Ended(Outcome::Error)
     }
 
-    fn fixed(&mut self, response: FixedResponse, reply: &mut BytesMut) {
+    fn fixed(&mut self, response: LocalReply, reply: &mut BytesMut) {
         let line = match response {
-            FixedResponse::Busy(Some(ms)) => format!("BUSY {:.0}\r\n", ms.max(0.0)),
-            FixedResponse::Busy(None) => "BUSY\r\n".into(),
-            FixedResponse::Failed => "ERR\r\n".into(),
+            LocalReply::Rejected(Some(ms)) => format!("BUSY {:.0}\r\n", ms.max(0.0)),
+            LocalReply::Rejected(None) => "BUSY\r\n".into(),
+            LocalReply::Failed => "ERR\r\n".into(),
         };
         reply.extend_from_slice(line.as_bytes());
     }
@@ -279,7 +283,7 @@
         }
     }
 
-    fn streamer_sent(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis> {
+    fn endpoint_sent(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis> {
         let mut trip = None;
         for part in bytes.split_inclusive(|b| *b == b'\n') {
             self.partial += part.len();
@@ -315,9 +319,9 @@
         self.asked
     }
 
-    fn carry(&self, now: Millis) -> Option<CarriedFront> {
+    fn carry(&self, now: Millis) -> Option<TransferredProtocol> {
         let id = self.id.clone()?;
-        Some(CarriedFront {
+        Some(TransferredProtocol {
             key: self.rules.open.borrow().get(&id)?.clone(),
             id,
             word: self.word.clone(),
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -13,50 +13,50 @@
 
 use crate::policy::api::{Millis, Outcome};
 use crate::relay::lifecycle::Operation;
-use crate::relay::{Arrival, FixedResponse};
+use crate::relay::{IncomingRequest, LocalReply};
 
-/// What has come of a client's bytes before its flow is placed.
+/// What has come of a client's bytes before its connection is placed.
 #[derive(Debug, PartialEq)]
 pub enum Arrive {
     /// More bytes are wanted.
     More,
-    /// A flow asks to be placed.
-    Flow(Arrival),
+    /// A connection asks to be placed.
+    Connection(IncomingRequest),
     /// Nothing more will come of this connection: write what is in the reply, then close.
     Close,
 }
 
-/// What has come of a streamer's bytes before the flow stands.
+/// What has come of an endpoint's bytes before the connection stands.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
     /// More bytes are wanted.
     More,
-    /// The streamer has taken the flow; all that is left in the input goes to the client.
+    /// The endpoint has taken the connection; all that is left in the input goes to the client.
     Up,
     /// The attempt has ended.
     Ended(Outcome),
 }
 
-/// What a front knows of a standing flow, for the process that serves next.
+/// What a front knows of a standing connection, for the process that serves next.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CarriedFront {
+pub struct TransferredProtocol {
     /// Its id and key.
     pub id: String,
     /// See above.
     pub key: String,
-    /// Start of the streamer's current line, and how many bytes of it have passed.
+    /// Start of the endpoint's current line, and how many bytes of it have passed.
     pub word: Vec<u8>,
     /// See above.
     pub partial: u64,
-    /// What the streamer's last whole line says of its end: served, or sent away.
+    /// What the endpoint's last whole line says of its end: served, or sent away.
     pub announced: Option<bool>,
     /// How long the client's oldest line has been without an answer.
     pub unanswered: Option<Millis>,
 }
 
-/// One client's side of the relay and, while a forward is out, its streamer's.
-pub trait Front {
-    /// How long a client may take, from accept, until its flow is known.
+/// One client's side of the relay and, while a forward is out, its endpoint's.
+pub trait ClientProtocol {
+    /// How long a client may take, from accept, until its connection is known.
     fn patience(&self) -> Millis;
 
     /// Takes bytes of a client that is not placed yet, and consumes those that it understands. Who asks how the
@@ -73,42 +73,42 @@
         true
     }
 
-    /// Starts a forward that is given up after `left`: writes what the streamer is to see first.
-    fn forward(&mut self, left: Millis, out: &mut BytesMut);
+    /// Starts a forward that is given up after `left`: writes what the endpoint is to see first.
+    fn attempt(&mut self, left: Millis, out: &mut BytesMut);
 
-    /// Whether the streamer has been given all that it needs to act, once `out` is written.
+    /// Whether the endpoint has been given all that it needs to act, once `out` is written.
     fn request_complete(&self) -> bool;
 
-    /// Takes bytes of the streamer until the flow stands or the attempt has ended. What is left in `input`
+    /// Takes bytes of the endpoint until the connection stands or the attempt has ended. What is left in `input`
     /// when it stands goes to the client.
     fn answer(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Answer;
 
-    /// How long a streamer that says nothing to a complete request may take until the flow counts as
+    /// How long an endpoint that says nothing to a complete request may take until the connection counts as
     /// standing; where nothing, it has to answer.
     fn up_when_quiet(&self) -> Option<Duration> {
         None
     }
 
-    /// Writes a fixed response.
-    fn fixed(&mut self, response: FixedResponse, reply: &mut BytesMut);
+    /// Writes a local reply.
+    fn fixed(&mut self, response: LocalReply, reply: &mut BytesMut);
 
     /// Whether this client can only be told by a reset.
     fn resets(&self) -> bool {
         false
     }
 
-    /// Sees bytes that a client of a standing flow has sent.
+    /// Sees bytes that a client of a standing connection has sent.
     fn client_sent(&mut self, now: Millis, bytes: &[u8]);
 
-    /// Sees bytes that the streamer has sent; gives a round trip when one was completed.
-    fn streamer_sent(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis>;
+    /// Sees bytes that the endpoint has sent; gives a round trip when one was completed.
+    fn endpoint_sent(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis>;
 
-    /// Bytes of the streamer since the last place at which the relay may put in a message of its own, where
+    /// Bytes of the endpoint since the last place at which the relay may put in a message of its own, where
     /// such places are known.
     fn partial(&self) -> Option<usize>;
 
-    /// How many of the streamer's last bytes are no whole message yet and better wait for the rest of it: the relay may
-    /// put in a message of its own before them, and a streamer that breaks leaves nothing half said.
+    /// How many of the endpoint's last bytes are no whole message yet and better wait for the rest of it: the relay may
+    /// put in a message of its own before them, and an endpoint that breaks leaves nothing half said.
     fn held(&self) -> usize {
         0
     }
@@ -116,7 +116,7 @@
     /// Since when a client's message is without an answer.
     fn unanswered_since(&self) -> Option<Millis>;
 
-    /// How long a streamer may leave bytes unacknowledged, where no message tells that it has vanished.
+    /// How long an endpoint may leave bytes unacknowledged, where no message tells that it has vanished.
     fn silence(&self) -> Option<Duration> {
         None
     }
@@ -125,15 +125,15 @@
     fn moved(&mut self, reply: &mut BytesMut);
 
     /// What the next process has to know to go on in this one's place; nothing where it could not.
-    fn carry(&self, _now: Millis) -> Option<CarriedFront> {
+    fn carry(&self, _now: Millis) -> Option<TransferredProtocol> {
         None
     }
 
-    /// What the streamer's last whole message says of the connection's end, if it does.
+    /// What the endpoint's last whole message says of the connection's end, if it does.
     fn announced(&self) -> Option<Outcome>;
 
-    /// What it means that the streamer has now ended the connection in good order.
-    fn streamer_end(&self) -> Outcome {
+    /// What it means that the endpoint has now ended the connection in good order.
+    fn endpoint_end(&self) -> Outcome {
         self.announced().unwrap_or(Outcome::Reset)
     }
 }
--- a/src/listener/rtmp/mod.rs
+++ b/src/listener/rtmp/mod.rs
@@ -1,10 +1,10 @@
 //! The second front: RTMP, for members' encoders and players.
 //!
-//! A flow is placed at its `connect` command. The path of its `app` is the group's key: the video and its
-//! language track. The flow's own key is `flow` in the query that may follow, which front and streamer can see
+//! A connection is placed at its `connect` command. The path of its `app` is the group's key: the video and its
+//! language track. The connection's own key is `connection` in the query that may follow, which front and endpoint can see
 //! as well, else the client's address. The relay shakes hands with both
-//! sides, hands the streamer the client's `connect` as it came and the client the streamer's reply as it
-//! came; from then on all bytes pass unchanged. It follows the chunks that the streamer sends, so that it can
+//! sides, hands the endpoint the client's `connect` as it came and the client the endpoint's reply as it
+//! came; from then on all bytes pass unchanged. It follows the chunks that the endpoint sends, so that it can
 //! tell the client to reconnect between two of them.
 
 mod chunks;
@@ -22,30 +22,30 @@
 use rml_rtmp::handshake::{Handshake, HandshakeProcessResult, PeerType};
 
 use self::chunks::{COMMAND, Malformed, Reader, write_command};
-use super::{Answer, Arrive, Front};
+use super::{Answer, Arrive, ClientProtocol};
 use crate::policy::api::*;
 use crate::relay::lifecycle::Operation;
-use crate::relay::{Arrival, FixedResponse};
+use crate::relay::{IncomingRequest, LocalReply};
 
 /// Most bytes from a client up to the end of its `connect`.
 const CONNECT_BYTES: usize = 4096;
 /// The answer to a client that has not said what it wants comes this much before it gives up.
 const MARGIN: Millis = 250.0;
-/// A mid-stream flow has no reply to wait for: a streamer that does not hold it resets it at once, and one
+/// A mid-stream connection has no reply to wait for: an endpoint that does not hold it resets it at once, and one
 /// that has not done so by then holds it.
 const HELD_AFTER: Duration = Duration::from_millis(100);
-/// RTMP has no message that is answered at once: a streamer that leaves bytes unacknowledged for so long
+/// RTMP has no message that is answered at once: an endpoint that leaves bytes unacknowledged for so long
 /// has vanished.
 const SILENCE: Duration = Duration::from_secs(5);
-/// So much of a chunk waits for its end: the size that most streamers set, with the longest header.
+/// So much of a chunk waits for its end: the size that most endpoints set, with the longest header.
 const HELD_BYTES: usize = 4096 + 18;
 /// Chunk size of a sender that has not set one.
 const FIRST_CHUNK: usize = 128;
 
-/// What the listener's settings say of every flow.
+/// What the listener's settings say of every connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RtmpSettings {
-    /// The class of all its flows.
+    /// The class of all its connections.
     pub class: String,
     /// When clients give up, from accept.
     pub give_up: Millis,
@@ -56,21 +56,21 @@
     Start,
     Handshake(Box<Handshake>),
     Connect(Reader),
-    /// Its flow is known; the transaction of its `connect`.
+    /// Its connection is known; the transaction of its `connect`.
     Known(f64),
     /// A mid-stream arrival: its keys. It has no handshake, no `connect`, and no chunk boundary is known.
     MidStream(String, String),
 }
 
-/// The streamer's side while a forward is out.
-enum Forward {
+/// The endpoint's side while a forward is out.
+enum Attempt {
     Handshake(Box<Handshake>),
     /// The client's `connect` is written; bytes of the reply that were read.
     Reply(Reader, usize),
 }
 
 /// One client that speaks RTMP.
-pub struct RtmpFront {
+pub struct RtmpProtocol {
     settings: RtmpSettings,
     client: SocketAddr,
     trusted: bool,
@@ -80,16 +80,16 @@
     greeted: bool,
     /// All chunks up to the end of `connect`, as they came.
     first: Vec<u8>,
-    forward: Option<Forward>,
-    /// Follows what the streamer sends; nothing once it was no chunk stream.
+    attempt: Option<Attempt>,
+    /// Follows what the endpoint sends; nothing once it was no chunk stream.
     down: Result<Reader, Malformed>,
-    streamer_moves: bool,
+    endpoint_moves: bool,
 }
 
-impl RtmpFront {
+impl RtmpProtocol {
     /// A front for one connection from an address, which may be a trusted front's.
     pub fn new(settings: RtmpSettings, client: SocketAddr, trusted: bool) -> Self {
-        RtmpFront {
+        RtmpProtocol {
             settings,
             client,
             trusted,
@@ -97,21 +97,21 @@
             stage: Stage::Start,
             greeted: false,
             first: Vec::new(),
-            forward: None,
+            attempt: None,
             down: Ok(Reader::default()),
-            streamer_moves: false,
+            endpoint_moves: false,
         }
     }
 
-    fn arrival(&self, now: Millis, client: String, group: String) -> Arrival {
+    fn arrival(&self, now: Millis, client: String, group: String) -> IncomingRequest {
         let accepted = self.accepted.unwrap_or(now);
-        Arrival {
+        IncomingRequest {
             class: self.settings.class.clone(),
             client: Some(Key(client.into())),
             group: Some(Key(group.into())).filter(|g| !g.0.is_empty()),
             deadline: accepted + self.settings.give_up,
-            spent: now - accepted,
-            ..Arrival::default()
+            setup_time_used: now - accepted,
+            ..IncomingRequest::default()
         }
     }
 
@@ -123,11 +123,15 @@
             };
             let _ = input.split_to(length);
             self.client = header.client.unwrap_or(self.client);
-            if let Some((flow, group)) = header.mid_stream {
-                let arrival = self.arrival(now, flow.clone(), group.clone());
-                self.stage = Stage::MidStream(flow, group);
+            if let Some((connection, group)) = header.mid_stream {
+                let arrival = self.arrival(now, connection.clone(), group.clone());
+                self.stage = Stage::MidStream(connection, group);
                 self.down = Err(Malformed);
-                return Ok(Some(Arrive::Flow(Arrival { mid_flow: true, holder_only: true, ..arrival })));
+                return Ok(Some(Arrive::Connection(IncomingRequest {
+                    mid_flow: true,
+                    holder_only: true,
+                    ..arrival
+                })));
             }
         }
         self.stage = Stage::Handshake(Box::new(Handshake::new(PeerType::Server)));
@@ -154,9 +158,9 @@
                     self.stage = Stage::Known(transaction);
                     let (path, query) = app.split_once('?').unwrap_or((app, ""));
                     let named = query.split('&').find_map(|p| p.strip_prefix("flow="));
-                    let flow = named.map_or_else(|| self.client.to_string(), str::to_owned);
+                    let connection = named.map_or_else(|| self.client.to_string(), str::to_owned);
                     let group = path.trim_matches('/').to_owned();
-                    return Ok(Arrive::Flow(self.arrival(now, flow, group)));
+                    return Ok(Arrive::Connection(self.arrival(now, connection, group)));
                 }
                 Some(_) => {}
             }
@@ -212,7 +216,7 @@
     }
 }
 
-impl Front for RtmpFront {
+impl ClientProtocol for RtmpProtocol {
     fn patience(&self) -> Millis {
         (self.settings.give_up - MARGIN).max(0.0)
     }
@@ -247,43 +251,43 @@
                 Ok(None) => {}
                 Err(Malformed) => {
                     debug!("{}: not RTMP, or no connect command", self.client);
-                    self.fixed(FixedResponse::Failed, reply);
+                    self.fixed(LocalReply::Failed, reply);
                     return Arrive::Close;
                 }
             }
         }
     }
 
-    fn forward(&mut self, _left: Millis, out: &mut BytesMut) {
-        if let Stage::MidStream(flow, group) = &self.stage {
-            return proxy::write_mid_stream(out, flow, group);
+    fn attempt(&mut self, _left: Millis, out: &mut BytesMut) {
+        if let Stage::MidStream(connection, group) = &self.stage {
+            return proxy::write_mid_stream(out, connection, group);
         }
         let mut handshake = Box::new(Handshake::new(PeerType::Client));
         // It fails on nothing that is given here; an empty first packet would be answered by nothing.
         out.extend_from_slice(&handshake.generate_outbound_p0_and_p1().unwrap_or_default());
-        self.forward = Some(Forward::Handshake(handshake));
-        (self.down, self.streamer_moves) = (Ok(Reader::default()), false);
+        self.attempt = Some(Attempt::Handshake(handshake));
+        (self.down, self.endpoint_moves) = (Ok(Reader::default()), false);
     }
 
     fn request_complete(&self) -> bool {
-        matches!((&self.stage, &self.forward), (Stage::MidStream(..), _) | (_, Some(Forward::Reply(..))))
+        matches!((&self.stage, &self.attempt), (Stage::MidStream(..), _) | (_, Some(Attempt::Reply(..))))
     }
 
     fn answer(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Answer {
         if let Stage::MidStream(..) = self.stage {
             return Answer::Up;
         }
-        if let Some(Forward::Handshake(handshake)) = &mut self.forward {
+        if let Some(Attempt::Handshake(handshake)) = &mut self.attempt {
             match shake(handshake, input, out) {
                 Ok(false) => return Answer::More,
                 Ok(true) => {
                     out.extend_from_slice(&self.first);
-                    self.forward = Some(Forward::Reply(Reader::default(), 0));
+                    self.attempt = Some(Attempt::Reply(Reader::default(), 0));
                 }
                 Err(Malformed) => return Answer::Ended(Outcome::Error),
             }
         }
-        let Some(Forward::Reply(reader, read)) = &mut self.forward else { return Answer::More };
+        let Some(Attempt::Reply(reader, read)) = &mut self.attempt else { return Answer::More };
         loop {
             let Ok((taken, message)) = reader.next(&input[*read..]) else {
                 return Answer::Ended(Outcome::Error);
@@ -308,21 +312,21 @@
         matches!(self.stage, Stage::MidStream(..)).then_some(HELD_AFTER)
     }
 
-    fn fixed(&mut self, response: FixedResponse, reply: &mut BytesMut) {
+    fn fixed(&mut self, response: LocalReply, reply: &mut BytesMut) {
         // Before the handshake a client could not tell an answer from the handshake: it sees the end.
         if !self.greeted || self.resets() {
             return;
         }
         let transaction = if let Stage::Known(transaction) = self.stage { transaction } else { 1.0 };
         let object = match response {
-            FixedResponse::Busy(after) => {
+            LocalReply::Rejected(after) => {
                 let code = "NetConnection.Connect.Rejected";
                 let text = after.map_or("busy".into(), |ms| format!("busy: come again after {ms:.0} ms"));
                 let mut object = information("error", code, &text);
                 object.extend(after.map(|ms| ("retryAfterMs".to_owned(), Amf0Value::Number(ms))));
                 object
             }
-            FixedResponse::Failed => {
+            LocalReply::Failed => {
                 information("error", "NetConnection.Connect.Failed", "no streamer answered")
             }
         };
@@ -335,7 +339,7 @@
 
     fn client_sent(&mut self, _now: Millis, _bytes: &[u8]) {}
 
-    fn streamer_sent(&mut self, _now: Millis, bytes: &[u8]) -> Option<Millis> {
+    fn endpoint_sent(&mut self, _now: Millis, bytes: &[u8]) -> Option<Millis> {
         let mut at = 0;
         while let Ok(reader) = &mut self.down {
             match reader.next(&bytes[at..]) {
@@ -344,7 +348,7 @@
                     if message.kind == COMMAND {
                         let status = command(&message.body).filter(|(name, ..)| name == "onStatus");
                         let code = status.and_then(|(.., rest)| code(rest));
-                        self.streamer_moves |=
+                        self.endpoint_moves |=
                             code.is_some_and(|c| c == "NetConnection.Connect.ReconnectRequest");
                     }
                 }
@@ -381,12 +385,12 @@
     }
 
     fn announced(&self) -> Option<Outcome> {
-        self.streamer_moves.then_some(Outcome::Cancelled)
+        self.endpoint_moves.then_some(Outcome::Cancelled)
     }
 
-    fn streamer_end(&self) -> Outcome {
+    fn endpoint_end(&self) -> Outcome {
         match &self.down {
-            _ if self.streamer_moves => Outcome::Cancelled,
+            _ if self.endpoint_moves => Outcome::Cancelled,
             Ok(reader) if reader.partial() == 0 => Outcome::Ok,
             _ => Outcome::Reset,
         }
--- a/src/listener/rtmp/proxy.rs
+++ b/src/listener/rtmp/proxy.rs
@@ -1,5 +1,5 @@
 //! The PROXY protocol, version 2, as a trusted front speaks it before a client's bytes: whose connection it
-//! is and, where its packets have moved here mid-stream, the keys that find the streamer that holds it.
+//! is and, where its packets have moved here mid-stream, the keys that find the endpoint that holds it.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -8,7 +8,7 @@
 /// What a header begins with.
 pub const SIGNATURE: [u8; 12] = *b"\r\n\r\n\0\r\nQUIT\n";
 /// Type of the entry that marks a mid-stream arrival, in the range that the protocol leaves to applications.
-/// Its value is the flow's key, a space, and the group's key.
+/// Its value is the connection's key, a space, and the group's key.
 pub const MID_STREAM: u8 = 0xe0;
 /// Longest header.
 const LONGEST: usize = 1024;
@@ -18,7 +18,7 @@
 pub struct Header {
     /// The client, where the header names one.
     pub client: Option<SocketAddr>,
-    /// The flow's and the group's key of a mid-stream arrival.
+    /// The connection's and the group's key of a mid-stream arrival.
     pub mid_stream: Option<(String, String)>,
 }
 
@@ -51,8 +51,8 @@
         let value = entries.get(3..end).ok_or(())?;
         if head[0] == MID_STREAM {
             let text = std::str::from_utf8(value).map_err(|_| ())?;
-            let (flow, group) = text.split_once(' ').ok_or(())?;
-            header.mid_stream = Some((flow.to_owned(), group.to_owned()));
+            let (connection, group) = text.split_once(' ').ok_or(())?;
+            header.mid_stream = Some((connection.to_owned(), group.to_owned()));
         }
         entries = &entries[end..];
     }
@@ -60,8 +60,8 @@
 }
 
 /// Writes a header that marks a mid-stream arrival, without addresses.
-pub fn write_mid_stream(out: &mut BytesMut, flow: &str, group: &str) {
-    let value = format!("{flow} {group}");
+pub fn write_mid_stream(out: &mut BytesMut, connection: &str, group: &str) {
+    let value = format!("{connection} {group}");
     out.put_slice(&SIGNATURE);
     out.put_slice(&[0x21, 0x00]);
     out.put_u16((3 + value.len()) as u16);
--- a/src/listener/rtmp/tests.rs
+++ b/src/listener/rtmp/tests.rs
@@ -1,14 +1,14 @@
-//! What the front of RTMP makes of a streamer's reply, however it comes.
+//! What the front of RTMP makes of an endpoint's reply, however it comes.
 
 use super::*;
 
-/// A front whose `connect` is written to a streamer that has shaken hands.
-fn asked() -> RtmpFront {
+/// A front whose `connect` is written to an endpoint that has shaken hands.
+fn asked() -> RtmpProtocol {
     let settings = RtmpSettings { class: "live".into(), give_up: 1000.0 };
-    let mut front = RtmpFront::new(settings, ([127, 0, 0, 1], 1).into(), false);
-    front.stage = Stage::Known(1.0);
-    front.forward = Some(Forward::Reply(Reader::default(), 0));
-    front
+    let mut protocol = RtmpProtocol::new(settings, ([127, 0, 0, 1], 1).into(), false);
+    protocol.stage = Stage::Known(1.0);
+    protocol.attempt = Some(Attempt::Reply(Reader::default(), 0));
+    protocol
 }
 
 fn reply(name: &str, code: &str) -> Vec<u8> {
@@ -18,12 +18,12 @@
 }
 
 fn answered(reads: &[&[u8]]) -> (Answer, Vec<u8>) {
-    let (mut front, mut input) = (asked(), BytesMut::new());
+    let (mut protocol, mut input) = (asked(), BytesMut::new());
     let mut answer = Answer::More;
     for read in reads {
         assert_eq!(answer, Answer::More, "decided before its end");
         input.extend_from_slice(read);
-        answer = front.answer(&mut input, &mut BytesMut::new());
+        answer = protocol.answer(&mut input, &mut BytesMut::new());
     }
     (answer, input.to_vec())
 }
@@ -55,11 +55,14 @@
 /// Only a message says of the end what a reset leaves open.
 #[test]
 fn an_end_between_two_chunks_is_in_order_and_a_word_before_it_is_told() {
-    let mut front = asked();
-    assert_eq!((front.announced(), front.streamer_end()), (None, Outcome::Ok));
+    let mut protocol = asked();
+    assert_eq!((protocol.announced(), protocol.endpoint_end()), (None, Outcome::Ok));
     let bytes = reply("onStatus", "NetConnection.Connect.ReconnectRequest");
-    front.streamer_sent(0.0, &bytes[..20]);
-    assert_eq!((front.announced(), front.streamer_end()), (None, Outcome::Reset));
-    front.streamer_sent(0.0, &bytes[20..]);
-    assert_eq!((front.announced(), front.streamer_end()), (Some(Outcome::Cancelled), Outcome::Cancelled));
+    protocol.endpoint_sent(0.0, &bytes[..20]);
+    assert_eq!((protocol.announced(), protocol.endpoint_end()), (None, Outcome::Reset));
+    protocol.endpoint_sent(0.0, &bytes[20..]);
+    assert_eq!(
+        (protocol.announced(), protocol.endpoint_end()),
+        (Some(Outcome::Cancelled), Outcome::Cancelled)
+    );
 }
--- a/src/listener/tests.rs
+++ b/src/listener/tests.rs
@@ -1,25 +1,25 @@
-//! What the front of lines makes of a streamer's bytes, however they come.
+//! What the front of lines makes of an endpoint's bytes, however they come.
 
 use std::rc::Rc;
 
 use bytes::BytesMut;
 
-use super::line::{LineFront, LineRules};
-use super::{Answer, Front};
+use super::line::{LineProtocol, LineRules};
+use super::{Answer, ClientProtocol};
 use crate::policy::api::Outcome;
 
-fn front() -> LineFront {
-    LineFront::new(Rc::new(LineRules::default()), 1000.0)
+fn protocol() -> LineProtocol {
+    LineProtocol::new(Rc::new(LineRules::default()), 1000.0)
 }
 
 /// What comes of these reads, and what is left for the client.
 fn answered(reads: &[&[u8]]) -> (Answer, Vec<u8>) {
-    let (mut front, mut input) = (front(), BytesMut::new());
+    let (mut protocol, mut input) = (protocol(), BytesMut::new());
     let mut answer = Answer::More;
     for read in reads {
         assert_eq!(answer, Answer::More, "{reads:?} was decided before its end");
         input.extend_from_slice(read);
-        answer = front.answer(&mut input, &mut BytesMut::new());
+        answer = protocol.answer(&mut input, &mut BytesMut::new());
     }
     (answer, input.to_vec())
 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// The first line decides, whatever stands behind it; all of the streamer's bytes from `UP` on are the client's.
+/// The first line decides, whatever stands behind it; all of the endpoint's bytes from `UP` on are the client's.
 #[test]
 fn a_second_answer_behind_the_first_changes_nothing() {
     for second in ["UP 2\r\n", "BUSY\r\n", "ERR\r\n", "BYE\r\n", "half"] {
@@ -84,10 +84,10 @@
 /// passed on as it comes.
 #[test]
 fn half_a_line_is_held_and_an_endless_one_is_not() {
-    let mut front = front();
+    let mut protocol = protocol();
     let mut held = |bytes: &[u8]| {
-        front.streamer_sent(0.0, bytes);
-        front.held()
+        protocol.endpoint_sent(0.0, bytes);
+        protocol.held()
     };
     assert_eq!([held(b"one\r\nha"), held(b"lf"), held(b"\r"), held(b"\n"), held(b"\n")], [2, 4, 5, 0, 0]);
     assert_eq!([held(&[b'x'; 4095]), held(b"x"), held(&[b'x'; 9000]), held(b"\r\nab")], [4095, 0, 0, 2]);
@@ -95,10 +95,10 @@
 
 #[test]
 fn only_the_last_whole_line_announces_an_end() {
-    let mut front = front();
+    let mut protocol = protocol();
     let mut said = |bytes: &[u8]| {
-        front.streamer_sent(0.0, bytes);
-        front.announced()
+        protocol.endpoint_sent(0.0, bytes);
+        protocol.announced()
     };
     assert_eq!([said(b"BY"), said(b"E\r"), said(b"\n")], [None, None, Some(Outcome::Ok)]);
     assert_eq!([said(b"more"), said(b"\r\n")], [Some(Outcome::Ok), None]);
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 
 use clap::{Parser, Subcommand};
 use sandgw::config::{Config, ConfigError, Environment, Fault, new_application};
-use sandgw::help::advised;
+use sandgw::help::with_help;
 use sandgw::{logger, net};
 use sandgw_affinity_store::{Store, StoreError, commands};
 
@@ -18,7 +18,7 @@
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
-    /// Log more: what happens to each flow.
+    /// Log more: what happens to each connection.
     #[arg(short, long, global = true)]
     verbose: bool,
 }
@@ -45,7 +45,7 @@
 
 #[derive(Subcommand)]
 enum StateCommand {
-    /// Sum up what is kept: streamers by what they hold, and the largest groups.
+    /// Sum up what is kept: endpoints by what they hold, and the largest groups.
     Show {
         /// The folder.
         folder: PathBuf,
@@ -84,7 +84,7 @@
         json: bool,
     },
     /// Say of which form the file is, or move it to another one, before an older version starts on it.
-    Form {
+    SchemaVersion {
         /// The folder.
         folder: PathBuf,
         /// The form to move it to.
@@ -137,7 +137,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(faults) => {
-            faults.iter().for_each(|e| eprintln!("sandgw: {}", advised(e)));
+            faults.iter().for_each(|e| eprintln!("sandgw: {}", with_help(e)));
             ExitCode::FAILURE
         }
     }
@@ -220,8 +220,8 @@
             };
             say(json, format!("{lines} lines taken"), serde_json::json!({"lines": lines}));
         }
-        StateCommand::Form { folder, to } => {
-            let told = |e: StoreError| fault(&folder, format!("{e}; {}", e.advice()));
+        StateCommand::SchemaVersion { folder, to } => {
+            let told = |e: StoreError| fault(&folder, format!("{e}; {}", e.help()));
             let store = Store::existing(&folder).map_err(told)?;
             to.map(|form| store.move_to(form)).transpose().map_err(told)?;
             let (form, finalized) = (store.form().map_err(told)?, store.finalized().map_err(told)?);
@@ -251,7 +251,7 @@
     );
     text += "\nstreamer                          clients   groups     load\n";
     for row in &s.holders {
-        text += &format!("{:<32} {:>8} {:>8} {:>8.1}\n", row.streamer, row.clients, row.groups, row.load);
+        text += &format!("{:<32} {:>8} {:>8} {:>8.1}\n", row.endpoint, row.clients, row.groups, row.load);
     }
     text += "\ngroup                load  streamers\n";
     for row in &s.largest {
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,6 +1,6 @@
 //! Who may hold descriptors: every connection's are counted before they are opened.
 //!
-//! A connection that has not asked for anything takes one, a flow two: its client's and its streamer's. Since
+//! A connection that has not asked for anything takes one, a connection two: its client's and its endpoint's. Since
 //! nobody has to say anything to connect, those that have not asked only get what is left, and when nothing
 //! is, the one makes room of whom least is to be expected: progress tells, not age. A descriptor is opened only once
 //! the one that makes room for it is closed, however many ask in the same moment.
@@ -23,15 +23,15 @@
 pub const HANDOVER: usize = 8;
 /// Most callers of the operators' address at a time.
 pub const CALLERS: usize = 8;
-/// One part in so many is never given to flows: a newcomer must be heard before it can be refused.
+/// One part in so many is never given to connections: a newcomer must be heard before it can be refused.
 const UNHEARD: usize = 8;
-/// Descriptors are short when less than one part in so many is left for flows.
+/// Descriptors are short when less than one part in so many is left for connections.
 const SHORT: usize = 8;
 
 /// Who has come, or asked, so lately has his request on its way most likely.
 const FRESH: Duration = Duration::from_millis(100);
 
-/// How far a connection has come that is no flow.
+/// How far a connection has come that is no connection.
 #[derive(Clone, Copy)]
 struct Progress {
     /// It is in the middle of its request.
@@ -60,14 +60,14 @@
     used: Cell<usize>,
     /// Clients that were accepted and wait for a seat.
     waiting: Cell<usize>,
-    flows: Cell<usize>,
+    connections: Cell<usize>,
     next: Cell<u64>,
-    /// Connections that are no flow, with what tells them to make room.
+    /// Connections that are no connection, with what tells them to make room.
     idle: RefCell<BTreeMap<u64, (Progress, Rc<Notify>)>>,
     /// Those that were told to make room and are not gone yet.
     leaving: Cell<usize>,
     freed: Notify,
-    /// Tells flows that wait for their second descriptor to look again.
+    /// Tells connections that wait for their second descriptor to look again.
     given_back: Notify,
 }
 
@@ -79,7 +79,7 @@
             others: Cell::new(0),
             used: Cell::new(0),
             waiting: Cell::new(0),
-            flows: Cell::new(0),
+            connections: Cell::new(0),
             next: Cell::new(0),
             idle: RefCell::default(),
             leaving: Cell::new(0),
@@ -111,8 +111,8 @@
         self.most.saturating_sub(self.others.get()).max(LEAST)
     }
 
-    /// Flows that there are descriptors for.
-    fn most_flows(&self) -> usize {
+    /// Connections that there are descriptors for.
+    fn most_connections(&self) -> usize {
         (self.limit() - self.limit() / UNHEARD) / 2
     }
 
@@ -120,7 +120,7 @@
     pub async fn seat(self: &Rc<Self>) -> Seat {
         self.waiting.set(self.waiting.get() + 1);
         while self.used.get() >= self.limit() {
-            // Flows leave room for others, so somebody is there or already on the way out.
+            // Connections leave room for others, so somebody is there or already on the way out.
             self.clear();
             self.freed.notified().await;
         }
@@ -129,7 +129,7 @@
         let seat = Seat {
             admission: self.clone(),
             id: self.next.get(),
-            flow: Cell::new(false),
+            connection: Cell::new(false),
             room: Rc::default(),
         };
         self.next.set(seat.id + 1);
@@ -137,17 +137,17 @@
         seat
     }
 
-    /// A seat for a flow that another process of this relay has passed, with its two descriptors.
+    /// A seat for a connection that another process of this relay has passed, with its two descriptors.
     pub fn adopt(self: &Rc<Self>) -> Seat {
         self.others.set(self.others.get().saturating_sub(2));
         self.used.set(self.used.get() + 2);
-        self.flows.set(self.flows.get() + 1);
+        self.connections.set(self.connections.get() + 1);
         let id = self.next.get();
         self.next.set(id + 1);
-        Seat { admission: self.clone(), id, flow: Cell::new(true), room: Rc::default() }
+        Seat { admission: self.clone(), id, connection: Cell::new(true), room: Rc::default() }
     }
 
-    /// Tells one of those that are no flow to make room, if there is any.
+    /// Tells one of those that are no connection to make room, if there is any.
     pub fn clear(&self) {
         let (mut idle, now) = (self.idle.borrow_mut(), Instant::now());
         let first = idle.iter().min_by_key(|(_, (progress, _))| progress.order(now)).map(|(id, _)| *id);
@@ -186,12 +186,12 @@
 pub struct Seat {
     admission: Rc<Admission>,
     id: u64,
-    flow: Cell<bool>,
+    connection: Cell<bool>,
     room: Rc<Notify>,
 }
 
 impl Seat {
-    /// What is notified when this connection is to make room. It never is while it is a flow.
+    /// What is notified when this connection is to make room. It never is while it is a connection.
     pub fn room(&self) -> Rc<Notify> {
         self.room.clone()
     }
@@ -206,13 +206,13 @@
     /// once this returns.
     pub async fn ask(&self) -> bool {
         let a = &self.admission;
-        let most = a.most_flows();
+        let most = a.most_connections();
         // One that was told to make room is on its way out.
-        if a.flows.get() >= most || a.idle.borrow_mut().remove(&self.id).is_none() {
+        if a.connections.get() >= most || a.idle.borrow_mut().remove(&self.id).is_none() {
             return false;
         }
-        self.flow.set(true);
-        a.flows.set(a.flows.get() + 1);
+        self.connection.set(true);
+        a.connections.set(a.connections.get() + 1);
         a.used.set(a.used.get() + 1);
         if a.settled().await {
             return true;
@@ -222,17 +222,17 @@
         false
     }
 
-    /// Whether hardly any flow more would get a descriptor.
+    /// Whether hardly any connection more would get a descriptor.
     pub fn is_short(&self) -> bool {
-        let most = self.admission.most_flows();
-        self.admission.flows.get() * SHORT > most * (SHORT - 1)
+        let most = self.admission.most_connections();
+        self.admission.connections.get() * SHORT > most * (SHORT - 1)
     }
 
-    /// The flow has ended and its streamer's connection with it; the client's last word is still to go out.
+    /// The connection has ended and its endpoint's connection with it; the client's last word is still to go out.
     pub fn answered(&self) {
-        if self.flow.replace(false) {
+        if self.connection.replace(false) {
             let a = &self.admission;
-            a.flows.set(a.flows.get() - 1);
+            a.connections.set(a.connections.get() - 1);
             a.release(1);
             a.idle.borrow_mut().insert(self.id, (Progress::now(false), self.room.clone()));
         }
--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -8,7 +8,7 @@
 use sandgw_affinity::Restored;
 use sandgw_affinity_store::writer::Writer;
 use sandgw_affinity_store::{Opened, Store, StoreError};
-use sandgw_schema_version::Form;
+use sandgw_schema_version::SchemaVersion;
 
 use super::{Shared, span};
 use crate::policy::api::Millis;
@@ -24,13 +24,13 @@
     folder: PathBuf,
     store: Option<Store>,
     /// The form below which it may not go.
-    pub finalized: Form,
+    pub finalized: SchemaVersion,
 }
 
 /// Opens the store. A folder that can't be used is refused: it is the operator's to mend. A file that can't be read
 /// is set aside and a disk that fails is waited for; the relay starts without what they hold. One of a form to come,
 /// or finalized at a form over `most`, is refused and left as it is.
-pub fn open(folder: &Path, most: Form) -> io::Result<Kept> {
+pub fn open(folder: &Path, most: SchemaVersion) -> io::Result<Kept> {
     let kept = |store, finalized| Kept { folder: folder.to_owned(), store, finalized };
     let opened = Store::open(folder).map(Opened::noted).and_then(|store| {
         let finalized = readable(&store, most)?;
@@ -43,20 +43,20 @@
             | StoreError::Folder(_)
             | StoreError::Future { .. }
             | StoreError::Finalized { .. }),
-        ) => Err(io::Error::other(format!("{}: {e}; {}", folder.display(), e.advice()))),
+        ) => Err(io::Error::other(format!("{}: {e}; {}", folder.display(), e.help()))),
         Err(e) => {
             error!("state.folder: {}: {e}; starting without it", folder.display());
-            Ok(kept(None, Form::FIRST))
+            Ok(kept(None, SchemaVersion::FIRST))
         }
     }
 }
 
 /// What is finalized, if this process reads it; where it writes form 1 only, the file is moved to that.
-fn readable(store: &Store, most: Form) -> Result<Form, StoreError> {
+fn readable(store: &Store, most: SchemaVersion) -> Result<SchemaVersion, StoreError> {
     let (finalized, newest) = (store.finalized()?, most.number().into());
-    let readable = Form::new(finalized).ok().filter(|f| *f <= most);
+    let readable = SchemaVersion::new(finalized).ok().filter(|f| *f <= most);
     let finalized = readable.ok_or(StoreError::Finalized { finalized, most: newest })?;
-    if most == Form::FIRST && store.move_to(newest)? {
+    if most == SchemaVersion::FIRST && store.move_to(newest)? {
         info!("state.folder: the file is of form {most} again");
     }
     Ok(finalized)
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -1,4 +1,4 @@
-//! Drives one client's connection and its streamer's: through placing, forwards and standing.
+//! Drives one client's connection and its endpoint's: through placing, forwards and standing.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -19,24 +19,25 @@
 use super::accept::Seat;
 use super::pool::Pooled;
 use super::{Shared, local_shortage, span};
-use crate::listener::{Answer, Arrive, Front};
+use crate::listener::{Answer, Arrive, ClientProtocol};
+use crate::policy::api::RequestId;
 use crate::policy::api::{Key, Millis, Outcome};
 use crate::relay::handover::Message;
-use crate::relay::transfer::CarriedFlow;
-use crate::relay::{Arrival, Attempt, FixedResponse, FlowCommand, FlowId};
+use crate::relay::transfer::TransferredConnection;
+use crate::relay::{Attempt, ConnectionCommand, IncomingRequest, LocalReply};
 
 /// How long a last word may take to reach a client, and the client to close after it.
 const LINGER: Duration = Duration::from_millis(500);
 /// Most that a client may go on sending after its last word before it is cut off, which is all the same to one
 /// that sends at full speed what nobody reads.
 const LINGER_BYTES: usize = 64 * 1024;
-/// Most that is read of a streamer that was left.
+/// Most that is read of an endpoint that was left.
 const LEFT_BYTES: usize = 1024 * 1024;
 /// Most that is read at once of a connection that has to make room.
 const UNREAD: usize = 4096;
 /// How long one side may go on after the other has ended, or take nothing of what the other has left it.
 const HALF_OPEN: Duration = Duration::from_secs(3);
-/// A streamer that has left a message unanswered for so long is silent: it has vanished, and its client is
+/// An endpoint that has left a message unanswered for so long is silent: it has vanished, and its client is
 /// told to move. The rules want that within 7 s of the silence, and clients speak only every 2 s.
 const SILENCE: Millis = 4500.0;
 /// How often a message without an answer counts as slow.
@@ -44,21 +45,21 @@
 /// How often it is looked whether a client has left whose bytes there is no more room for: what it has sent stands
 /// before its end.
 const LOOK: Duration = Duration::from_millis(40);
-/// How long a client that is told to move is kept for the end of a message that the streamer has begun.
+/// How long a client that is told to move is kept for the end of a message that the endpoint has begun.
 const BOUNDARY: Duration = Duration::from_millis(500);
 
 /// Serves a client until its connection has ended, or has to make room for another.
-pub async fn serve<F: Front>(shared: Rc<Shared>, client: TcpStream, front: F, seat: Seat) {
+pub async fn serve<F: ClientProtocol>(shared: Rc<Shared>, client: TcpStream, protocol: F, seat: Seat) {
     let accepted = shared.clock.now();
     let _ = client.set_nodelay(true);
     let (input, reply) = (shared.pool.get(), shared.pool.get());
     let room = seat.room();
-    let mut session = Session { shared, client, front, input, reply, seat, answered: false };
+    let mut session = Session { shared, client, protocol, input, reply, seat, answered: false };
     let ended = tokio::select! {
         biased;
         () = room.notified() => {
             if !session.answered {
-                session.front.fixed(FixedResponse::Busy(session.shared.retry_after()), &mut session.reply);
+                session.protocol.fixed(LocalReply::Rejected(session.shared.retry_after()), &mut session.reply);
             }
             session.make_room()
         }
@@ -69,36 +70,36 @@
     }
 }
 
-/// Goes on with a flow that stood at the process before.
-pub async fn adopt<F: Front>(shared: Rc<Shared>, passed: Passed<F>, seat: Seat) {
-    let Passed { flow, front, client, streamer, up, down } = passed;
+/// Goes on with a connection that stood at the process before.
+pub async fn adopt<F: ClientProtocol>(shared: Rc<Shared>, passed: Passed<F>, seat: Seat) {
+    let Passed { connection, protocol, client, upstream, up, down } = passed;
     let (mut input, mut first, reply) = (shared.pool.get(), shared.pool.get(), shared.pool.get());
     input.extend_from_slice(&up);
     first.extend_from_slice(&down);
     let (sender, mut commands) = unbounded_channel();
-    let id = shared.relay.borrow_mut().adopt(shared.clock.now(), flow);
-    shared.flows.borrow_mut().insert(id, sender);
+    let id = shared.relay.borrow_mut().adopt(shared.clock.now(), connection);
+    shared.connections.borrow_mut().insert(id, sender);
     let _registered = Registered { shared: shared.clone(), id };
     shared.settle();
     let room = seat.room();
-    let mut session = Session { shared, client, front, input, reply, seat, answered: true };
+    let mut session = Session { shared, client, protocol, input, reply, seat, answered: true };
     let ended = tokio::select! {
         biased;
         // Once it has ended, it may be told to while it is waited for to close.
         () = room.notified() => session.make_room(),
-        ended = session.stand(id, streamer, first, &mut commands) => ended,
+        ended = session.stand(id, upstream, first, &mut commands) => ended,
     };
     if let Err(e) = ended {
         debug!("client: {e}");
     }
 }
 
-/// A standing flow on its way from one process to the next.
+/// A standing connection on its way from one process to the next.
 pub struct Passed<F> {
-    pub flow: CarriedFlow,
-    pub front: F,
+    pub connection: TransferredConnection,
+    pub protocol: F,
     pub client: TcpStream,
-    pub streamer: TcpStream,
+    pub upstream: TcpStream,
     pub up: Vec<u8>,
     pub down: Vec<u8>,
 }
@@ -106,7 +107,7 @@
 struct Session<F> {
     shared: Rc<Shared>,
     client: TcpStream,
-    front: F,
+    protocol: F,
     /// From the client, not yet understood or forwarded.
     input: Pooled,
     /// For the client.
@@ -116,15 +117,15 @@
     answered: bool,
 }
 
-/// Takes a flow's entry out of the command table when its driver ends, however it ends.
+/// Takes a connection's entry out of the command table when its driver ends, however it ends.
 struct Registered {
     shared: Rc<Shared>,
-    id: FlowId,
+    id: RequestId,
 }
 
 impl Drop for Registered {
     fn drop(&mut self) {
-        self.shared.flows.borrow_mut().remove(&self.id);
+        self.shared.connections.borrow_mut().remove(&self.id);
         self.shared.core(|relay, now| {
             relay.left(now, self.id);
             relay.ended(now, self.id, Outcome::Cancelled);
@@ -132,23 +133,23 @@
     }
 }
 
-impl<F: Front> Session<F> {
+impl<F: ClientProtocol> Session<F> {
     async fn run(&mut self, accepted: Millis) -> io::Result<()> {
-        let limit = self.shared.clock.at(accepted + self.front.patience());
+        let limit = self.shared.clock.at(accepted + self.protocol.patience());
         let mut spoken = false;
         let mut arrival = loop {
             let now = self.shared.clock.now();
             let does = self.shared.relay.borrow().operation();
-            let arrive = self.front.arrive(now, does, &mut self.input, &mut self.reply);
+            let arrive = self.protocol.arrive(now, does, &mut self.input, &mut self.reply);
             let written = timeout_at(limit, self.client.write_all_buf(&mut *self.reply)).await;
             match arrive {
                 _ if written.is_err() => return Ok(()),
-                Arrive::Flow(arrival) => break arrival,
+                Arrive::Connection(arrival) => break arrival,
                 Arrive::Close => return self.close().await,
                 Arrive::More => written??,
             }
             if spoken {
-                self.seat.heard(self.front.has_begun(&self.input));
+                self.seat.heard(self.protocol.has_begun(&self.input));
             }
             match timeout_at(limit, more(&self.client, &mut self.input)).await {
                 Ok(Ok(n)) if n > 0 => spoken = true,
@@ -156,18 +157,18 @@
                 // Its line came in the very moment: it is heard, not answered unread.
                 Err(_) if matches!(self.input.look(&self.client), Ok(Some(n)) if n > 0) => spoken = true,
                 Err(_) => {
-                    self.front.fixed(FixedResponse::Failed, &mut self.reply);
+                    self.protocol.fixed(LocalReply::Failed, &mut self.reply);
                     return self.close().await;
                 }
             }
         };
         if !self.seat.ask().await {
-            self.front.fixed(FixedResponse::Busy(self.shared.retry_after()), &mut self.reply);
+            self.protocol.fixed(LocalReply::Rejected(self.shared.retry_after()), &mut self.reply);
             return self.close().await;
         }
         // Its end may have come with its line, before either was read: nothing is sent for it.
-        if has_gone(&self.client, &mut self.input, self.front.speaks_early()) {
-            self.front.fixed(FixedResponse::Failed, &mut self.reply);
+        if has_gone(&self.client, &mut self.input, self.protocol.speaks_early()) {
+            self.protocol.fixed(LocalReply::Failed, &mut self.reply);
             return self.close().await;
         }
         arrival.descriptors_short = self.seat.is_short();
@@ -176,27 +177,27 @@
         let about = log_enabled!(Level::Debug).then(|| described(&arrival)).unwrap_or_default();
         let (sender, mut commands) = unbounded_channel();
         let id = self.shared.relay.borrow_mut().arrive(self.shared.clock.now(), arrival);
-        self.shared.flows.borrow_mut().insert(id, sender);
+        self.shared.connections.borrow_mut().insert(id, sender);
         debug!("flow {} arrives: {about}", id.0);
         let _registered = Registered { shared: self.shared.clone(), id };
         self.shared.settle();
         match self.place(id, deadline, &mut commands).await? {
-            Placed::Up(streamer, first) => {
+            Placed::Up(upstream, first) => {
                 let now = self.shared.clock.now();
-                self.front.client_sent(now, &self.input);
-                self.front.streamer_sent(now, &first);
-                self.stand(id, streamer, first, &mut commands).await
+                self.protocol.client_sent(now, &self.input);
+                self.protocol.endpoint_sent(now, &first);
+                self.stand(id, upstream, first, &mut commands).await
             }
             Placed::Answered(response) => {
                 debug!("flow {}: answered {response:?}", id.0);
-                self.front.fixed(response, &mut self.reply);
+                self.protocol.fixed(response, &mut self.reply);
                 self.close().await
             }
             Placed::Left => {
                 // At once: its place is another's while it is waited for to close.
                 self.shared.core(|relay, now| relay.left(now, id));
                 // It may have ended its sending only, and still read.
-                self.front.fixed(FixedResponse::Failed, &mut self.reply);
+                self.protocol.fixed(LocalReply::Failed, &mut self.reply);
                 self.close().await
             }
         }
@@ -205,13 +206,13 @@
     /// Carries out forwards until one stands, or an answer is given, or the client leaves.
     async fn place(
         &mut self,
-        id: FlowId,
+        id: RequestId,
         deadline: Millis,
-        commands: &mut UnboundedReceiver<FlowCommand>,
+        commands: &mut UnboundedReceiver<ConnectionCommand>,
     ) -> io::Result<Placed> {
         let shared = self.shared.clone();
         let limit = shared.clock.at(deadline);
-        let early = self.front.speaks_early();
+        let early = self.protocol.speaks_early();
         loop {
             // Of what has come together the client's end counts first: nothing may begin after it.
             let command = tokio::select! {
@@ -224,20 +225,20 @@
                 }
             };
             let attempt = match command {
-                Some(FlowCommand::Forward(attempt)) => attempt,
-                Some(FlowCommand::Answer(response)) => return Ok(Placed::Answered(response)),
-                Some(FlowCommand::Move | FlowCommand::Pass) => continue,
+                Some(ConnectionCommand::StartAttempt(attempt)) => attempt,
+                Some(ConnectionCommand::Reply(response)) => return Ok(Placed::Answered(response)),
+                Some(ConnectionCommand::Migrate | ConnectionCommand::Transfer) => continue,
                 None => return Ok(Placed::Left),
             };
-            let target = &attempt.target;
+            let endpoint = &attempt.endpoint;
             let sent = shared.clock.now();
             let connected = connect(&shared, &attempt);
             let waited = meanwhile(&self.client, &mut self.input, early, (commands, limit), connected).await;
             let waited = match waited {
                 Waited::Done(Ok(_)) if has_gone(&self.client, &mut self.input, early) => Waited::Left,
-                Waited::Done(Ok((address, streamer))) => match may_begin(&shared, &attempt, address) {
+                Waited::Done(Ok((address, upstream))) => match may_begin(&shared, &attempt, address) {
                     Ok(()) => {
-                        let exchanged = exchange(&shared, &mut self.front, streamer, attempt.until);
+                        let exchanged = exchange(&shared, &mut self.protocol, upstream, attempt.until);
                         meanwhile(&self.client, &mut self.input, early, (commands, limit), exchanged).await
                     }
                     Err(outcome) => Waited::Done(Err(outcome)),
@@ -249,16 +250,21 @@
             };
             match waited {
                 Waited::Left => return Ok(Placed::Left),
-                // The core has answered for a flow that was overdue.
+                // The core has answered for a connection that was overdue.
                 Waited::Answered(response) => return Ok(Placed::Answered(response)),
                 Waited::Overdue => shared.core(|relay, now| relay.overdue(now, id)),
-                Waited::Done(Ok((streamer, first))) => {
-                    debug!("flow {}: stands at {} after {:.0} ms", id.0, target.0, shared.clock.now() - sent);
+                Waited::Done(Ok((upstream, first))) => {
+                    debug!(
+                        "flow {}: stands at {} after {:.0} ms",
+                        id.0,
+                        endpoint.0,
+                        shared.clock.now() - sent
+                    );
                     shared.core(|relay, now| relay.established(now, id, now - sent));
-                    return Ok(Placed::Up(streamer, first));
+                    return Ok(Placed::Up(upstream, first));
                 }
                 Waited::Done(Err(outcome)) => {
-                    debug!("flow {}: {} {outcome:?}", id.0, target.0);
+                    debug!("flow {}: {} {outcome:?}", id.0, endpoint.0);
                     shared.core(|relay, now| relay.ended(now, id, outcome));
                 }
             }
@@ -269,7 +275,7 @@
     async fn close(&mut self) -> io::Result<()> {
         self.seat.answered();
         self.answered = true;
-        last_word(&self.client, &self.front, &mut self.input, &mut self.reply).await
+        last_word(&self.client, &self.protocol, &mut self.input, &mut self.reply).await
     }
 
     /// Writes the last word and closes at once: somebody else waits for the descriptor. What has come by now is read
@@ -288,53 +294,56 @@
         Ok(())
     }
 
-    /// Ends a flow whose client's last word is in the reply. Its streamer's connection is read to its end as well: a
+    /// Ends a connection whose client's last word is in the reply. Its endpoint's connection is read to its end as well: a
     /// reset would take along what the client has sent just before.
-    async fn leave(&mut self, streamer: TcpStream) -> io::Result<()> {
+    async fn leave(&mut self, upstream: TcpStream) -> io::Result<()> {
         self.answered = true;
-        let Session { client, front, input, reply, seat, shared, .. } = self;
+        let Session { client, protocol, input, reply, seat, shared, .. } = self;
         let mut rest = shared.pool.get();
         let let_go = async move {
-            // It fails only where the streamer has ended as well.
-            let _ = SockRef::from(&streamer).shutdown(Shutdown::Write);
-            read_out(&streamer, &mut rest, LEFT_BYTES).await;
-            drop(streamer);
+            // It fails only where the endpoint has ended as well.
+            let _ = SockRef::from(&upstream).shutdown(Shutdown::Write);
+            read_out(&upstream, &mut rest, LEFT_BYTES).await;
+            drop(upstream);
             seat.answered();
         };
-        let (ended, ()) = tokio::join!(last_word(client, front, input, reply), let_go);
+        let (ended, ()) = tokio::join!(last_word(client, protocol, input, reply), let_go);
         ended
     }
 
-    /// Gives the flow to the process that serves now, with descriptors of its own; whether it could.
-    fn pass(&self, id: FlowId, streamer: &TcpStream, up: &Pipe, down: &Pipe) -> bool {
-        let flow = self.shared.relay.borrow().carry_flow(id);
-        let Some((flow, front)) = flow.zip(self.front.carry(self.shared.clock.now())) else { return false };
-        let both = [self.client.as_fd().try_clone_to_owned(), streamer.as_fd().try_clone_to_owned()];
-        let [Ok(client), Ok(streamer)] = both else { return false };
-        let message = Message::Flow {
-            flow: Box::new(flow),
-            front: Box::new(front),
+    /// Gives the connection to the process that serves now, with descriptors of its own; whether it could.
+    fn pass(&self, id: RequestId, upstream: &TcpStream, up: &Pipe, down: &Pipe) -> bool {
+        let connection = self.shared.relay.borrow().carry_connection(id);
+        let Some((connection, protocol)) = connection.zip(self.protocol.carry(self.shared.clock.now()))
+        else {
+            return false;
+        };
+        let both = [self.client.as_fd().try_clone_to_owned(), upstream.as_fd().try_clone_to_owned()];
+        let [Ok(client), Ok(upstream)] = both else { return false };
+        let message = Message::Connection {
+            connection: Box::new(connection),
+            protocol: Box::new(protocol),
             up: up.bytes().into(),
             down: down.bytes().into(),
         };
         debug!("flow {}: passed on", id.0);
-        self.shared.passing.0.send((message, [client, streamer])).is_ok()
+        self.shared.passing.0.send((message, [client, upstream])).is_ok()
     }
 
-    /// Takes what the client of a standing flow has to say; whether there was anything.
+    /// Takes what the client of a standing connection has to say; whether there was anything.
     fn listen(&mut self, up: &mut Pipe) -> io::Result<bool> {
         let n = up.fill(&self.client, &self.shared)?;
-        self.front.client_sent(self.shared.clock.now(), up.last(n));
+        self.protocol.client_sent(self.shared.clock.now(), up.last(n));
         Ok(n > 0 || up.eof)
     }
 
     /// Passes everything on, both ways, until both sides have ended.
     async fn stand(
         &mut self,
-        id: FlowId,
-        streamer: TcpStream,
+        id: RequestId,
+        upstream: TcpStream,
         first: Pooled,
-        commands: &mut UnboundedReceiver<FlowCommand>,
+        commands: &mut UnboundedReceiver<ConnectionCommand>,
     ) -> io::Result<()> {
         let shared = self.shared.clone();
         let input = std::mem::replace(&mut self.input, shared.pool.get());
@@ -343,14 +352,14 @@
             debug!("flow {}: stood, {outcome:?}", id.0);
             shared.core(|relay, now| relay.ended(now, id, outcome));
         };
-        // Takes what the streamer has to say; whether there was anything. Where it has broken the connection, all that it
+        // Takes what the endpoint has to say; whether there was anything. Where it has broken the connection, all that it
         // had said before was read by then.
-        let hear = |front: &mut F, down: &mut Pipe, broken: &mut bool| {
-            let n = down.fill(&streamer, &shared).unwrap_or_else(|_| {
+        let hear = |protocol: &mut F, down: &mut Pipe, broken: &mut bool| {
+            let n = down.fill(&upstream, &shared).unwrap_or_else(|_| {
                 (*broken, down.eof) = (true, true);
                 0
             });
-            if let Some(trip) = front.streamer_sent(shared.clock.now(), down.last(n)) {
+            if let Some(trip) = protocol.endpoint_sent(shared.clock.now(), down.last(n)) {
                 shared.core(|relay, _| relay.round_trip(id, trip));
             }
             n > 0 || down.eof
@@ -358,17 +367,17 @@
         let mut slow = Slow::default();
         let mut half_open = None;
         let mut moving: Option<(Outcome, Instant)> = None;
-        // The streamer's connection was reset. What it had said before is still to be read and passed on.
+        // The endpoint's connection was reset. What it had said before is still to be read and passed on.
         let mut broken = false;
-        // The core knows how the streamer's connection has ended.
+        // The core knows how the endpoint's connection has ended.
         let mut told = false;
         loop {
             let before = (up.len(), down.len());
-            if up.flush(&streamer, 0).is_err() {
+            if up.flush(&upstream, 0).is_err() {
                 up.cut();
                 broken |= !down.eof;
             }
-            let announced = self.front.announced();
+            let announced = self.protocol.announced();
             if down.eof && !told {
                 // Known at once, however long the client takes to end its side.
                 told = true;
@@ -376,34 +385,34 @@
                     Some(outcome) => outcome,
                     None if broken => Outcome::Reset,
                     None if up.eof => Outcome::Cancelled,
-                    None => self.front.streamer_end(),
+                    None => self.protocol.endpoint_end(),
                 });
             }
-            // The streamer's own word goes before the relay's.
+            // The endpoint's own word goes before the relay's.
             moving = moving.filter(|_| !down.eof || announced.is_none());
-            // Of a flow that moves, a place at which its client can be told is kept once there is one.
-            let place = self.front.partial().filter(|partial| moving.is_some() && *partial <= down.len());
+            // Of a connection that moves, a place at which its client can be told is kept once there is one.
+            let place = self.protocol.partial().filter(|partial| moving.is_some() && *partial <= down.len());
             let held = match place {
                 Some(partial) => partial,
                 None if down.eof && !broken && moving.is_none() => 0,
-                None => self.front.held(),
+                None => self.protocol.held(),
             };
             if down.flush(&self.client, held).is_err() {
                 ended(announced.unwrap_or(Outcome::Cancelled));
-                return reset(&streamer);
+                return reset(&upstream);
             }
             let in_order = moving.is_none() && !broken;
-            let ends = in_order && (up.ends_now(&streamer) | down.ends_now(&self.client));
+            let ends = in_order && (up.ends_now(&upstream) | down.ends_now(&self.client));
             if up.shut && down.shut {
                 return Ok(());
             }
             let over = down.shut && up.cut || broken && down.eof && down.len() <= held && moving.is_none();
             if over || half_open.is_some_and(|at| Instant::now() >= at) {
-                // The client's side ends the way that the streamer's was announced to end, or did.
+                // The client's side ends the way that the endpoint's was announced to end, or did.
                 if broken && announced.is_none() {
                     return reset(&self.client);
                 }
-                return self.leave(streamer).await;
+                return self.leave(upstream).await;
             }
             let one_sided = up.eof || down.eof || broken;
             let takes = up.eof && up.len() < before.0 || (down.eof || broken) && down.len() < before.1;
@@ -416,29 +425,29 @@
                     let client = if up.takes() { self.listen(&mut up) } else { Ok(false) };
                     let Ok(client) = client else {
                         ended(announced.unwrap_or(Outcome::Cancelled));
-                        return reset(&streamer);
+                        return reset(&upstream);
                     };
-                    let said = down.takes() && hear(&mut self.front, &mut down, &mut broken);
+                    let said = down.takes() && hear(&mut self.protocol, &mut down, &mut broken);
                     if client || said {
                         tokio::task::yield_now().await;
                         continue;
                     }
                 }
-                let whole = self.front.partial().and_then(|partial| down.len().checked_sub(partial));
+                let whole = self.protocol.partial().and_then(|partial| down.len().checked_sub(partial));
                 if whole.is_some() || Instant::now() >= limit {
                     ended(announced.unwrap_or(outcome));
                     if let Some(whole) = whole {
-                        // What the streamer has begun to say is left out: it can't end any more.
+                        // What the endpoint has begun to say is left out: it can't end any more.
                         self.reply.extend_from_slice(&down.bytes()[..whole]);
                         if announced.is_none() {
-                            self.front.moved(&mut self.reply);
+                            self.protocol.moved(&mut self.reply);
                         }
                     }
-                    return self.leave(streamer).await;
+                    return self.leave(upstream).await;
                 }
             }
             let waits = down.len() <= held && !one_sided;
-            let unanswered = self.front.unanswered_since().filter(|_| waits);
+            let unanswered = self.protocol.unanswered_since().filter(|_| waits);
             let slow_at = slow.next(unanswered).map(|at| shared.clock.at(at));
             let limit = moving.map(|(_, limit)| limit);
             let wake = [half_open, slow_at, limit].into_iter().flatten().min();
@@ -446,22 +455,22 @@
                 ready = self.client.readable(), if up.takes() => {
                     if ready.and_then(|()| self.listen(&mut up)).is_err() {
                         ended(announced.unwrap_or(Outcome::Cancelled));
-                        return reset(&streamer);
+                        return reset(&upstream);
                     }
                 }
-                _ = streamer.readable(), if down.takes() => {
-                    hear(&mut self.front, &mut down, &mut broken);
+                _ = upstream.readable(), if down.takes() => {
+                    hear(&mut self.protocol, &mut down, &mut broken);
                 }
                 _ = self.client.writable(), if down.len() > held => {}
-                _ = streamer.writable(), if up.len() > 0 => {}
+                _ = upstream.writable(), if up.len() > 0 => {}
                 command = commands.recv(), if moving.is_none() => match command {
-                    Some(FlowCommand::Move) if !down.eof => {
+                    Some(ConnectionCommand::Migrate) if !down.eof => {
                         moving = Some((Outcome::Cancelled, Instant::now() + BOUNDARY));
                         // What has arrived is known only once the driver has looked.
                         tokio::task::yield_now().await;
                     }
                     // One that is ending ends here.
-                    Some(FlowCommand::Pass) if !one_sided && self.pass(id, &streamer, &up, &down) => {
+                    Some(ConnectionCommand::Transfer) if !one_sided && self.pass(id, &upstream, &up, &down) => {
                         return Ok(());
                     }
                     _ => {}
@@ -482,12 +491,12 @@
     }
 }
 
-/// What has become of a flow that asked to be placed.
+/// What has become of a connection that asked to be placed.
 enum Placed {
-    /// It stands: its streamer, and the first bytes for its client.
+    /// It stands: its endpoint, and the first bytes for its client.
     Up(TcpStream, Pooled),
-    /// No streamer takes it.
-    Answered(FixedResponse),
+    /// No endpoint takes it.
+    Answered(LocalReply),
     /// Its client has ended the connection, or its sending on it, or does not wait for its answer.
     Left,
 }
@@ -518,7 +527,7 @@
     }
 }
 
-/// One direction of a standing flow. It holds a buffer only while it has bytes, and takes no more while the
+/// One direction of a standing connection. It holds a buffer only while it has bytes, and takes no more while the
 /// receiver is slower than the sender.
 struct Pipe {
     buffer: Option<Pooled>,
@@ -591,13 +600,13 @@
 
 /// What is left to do for a client once its answer is in the reply: what it sends is read to its end, for a while, or the
 /// close would be a reset that may take the answer along. Nothing of it is understood any more.
-async fn last_word<F: Front>(
+async fn last_word<F: ClientProtocol>(
     client: &TcpStream,
-    front: &F,
+    protocol: &F,
     input: &mut Pooled,
     reply: &mut Pooled,
 ) -> io::Result<()> {
-    if front.resets() {
+    if protocol.resets() {
         return reset(client);
     }
     let written = async {
@@ -629,8 +638,8 @@
     let _ = timeout(LINGER, to_end).await;
 }
 
-/// What the log says of a flow that arrives.
-fn described(a: &Arrival) -> String {
+/// What the log says of a connection that arrives.
+fn described(a: &IncomingRequest) -> String {
     let key = |key: &Option<Key>| key.as_ref().map_or("-".into(), |k| k.0.clone());
     let (client, group) = (key(&a.client), key(&a.group));
     format!("client {client}, group {group}, mid-flow {}, returned {}", a.mid_flow, a.returned)
@@ -678,7 +687,7 @@
 enum Waited<T> {
     Done(T),
     Left,
-    Answered(FixedResponse),
+    Answered(LocalReply),
     Overdue,
 }
 
@@ -687,7 +696,7 @@
     client: &TcpStream,
     input: &mut Pooled,
     early: bool,
-    (commands, limit): (&mut UnboundedReceiver<FlowCommand>, Instant),
+    (commands, limit): (&mut UnboundedReceiver<ConnectionCommand>, Instant),
     work: impl Future<Output = T>,
 ) -> Waited<T> {
     let mut work = pin!(work);
@@ -696,9 +705,9 @@
             biased;
             () = gone(client, input, early) => return Waited::Left,
             command = commands.recv() => match command {
-                Some(FlowCommand::Answer(response)) => return Waited::Answered(response),
+                Some(ConnectionCommand::Reply(response)) => return Waited::Answered(response),
                 None => return Waited::Left,
-                // Nothing else is for a flow whose attempt is out.
+                // Nothing else is for a connection whose attempt is out.
                 Some(_) => {}
             },
             done = &mut work => return Waited::Done(done),
@@ -707,16 +716,16 @@
     }
 }
 
-/// Connects to an attempt's streamer: where that is now, and the connection.
+/// Connects to an attempt's endpoint: where that is now, and the connection.
 async fn connect(shared: &Rc<Shared>, attempt: &Attempt) -> Result<(SocketAddr, TcpStream), Outcome> {
-    let address = shared.target_group.borrow().address(&attempt.target).ok_or(Outcome::NotSent)?;
+    let address = shared.endpoint_list.borrow().address(&attempt.endpoint).ok_or(Outcome::NotSent)?;
     let now = shared.clock.now();
     let (left, begin) = (span(attempt.until - now), span(attempt.begin_by - now));
     let limit = span(shared.config.borrow().settings.connect_timeout).min(left);
     match timeout(limit.min(begin), TcpStream::connect(address)).await {
-        Ok(Ok(streamer)) => Ok((address, streamer)),
+        Ok(Ok(upstream)) => Ok((address, upstream)),
         Ok(Err(e)) if local_shortage(&e) => Err(Outcome::NotSent),
-        // Too late to begin is no fault of the streamer's, which may be there a moment later.
+        // Too late to begin is no fault of the endpoint's, which may be there a moment later.
         Err(_) if begin < limit => Err(Outcome::NotSent),
         Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
     }
@@ -727,42 +736,42 @@
 fn may_begin(shared: &Shared, attempt: &Attempt, address: SocketAddr) -> Result<(), Outcome> {
     let now = shared.clock.now();
     let in_time = now < attempt.until.min(attempt.begin_by);
-    let there = shared.target_group.borrow().address(&attempt.target) == Some(address);
+    let there = shared.endpoint_list.borrow().address(&attempt.endpoint) == Some(address);
     // What was ready and no longer is would get something new while it leaves. One that was leaving already gets back
     // what it holds.
-    let leaves = attempt.was_ready && !shared.relay.borrow().is_ready(&attempt.target);
+    let leaves = attempt.was_ready && !shared.relay.borrow().is_ready(&attempt.endpoint);
     if in_time && there && !leaves { Ok(()) } else { Err(Outcome::NotSent) }
 }
 
-/// Asks a streamer that is connected: the connection with its first bytes for the client, or how the attempt ended.
+/// Asks an endpoint that is connected: the connection with its first bytes for the client, or how the attempt ended.
 /// Dropped, it gives the attempt up.
-async fn exchange<F: Front>(
+async fn exchange<F: ClientProtocol>(
     shared: &Rc<Shared>,
-    front: &mut F,
-    mut streamer: TcpStream,
+    protocol: &mut F,
+    mut upstream: TcpStream,
     until: Millis,
 ) -> Result<(TcpStream, Pooled), Outcome> {
-    let _ = streamer.set_nodelay(true);
-    if let Some(silence) = front.silence() {
-        // Where it can't be set, a vanished streamer is noticed later.
-        let _ = SockRef::from(&streamer).set_tcp_user_timeout(Some(silence));
+    let _ = upstream.set_nodelay(true);
+    if let Some(silence) = protocol.silence() {
+        // Where it can't be set, a vanished endpoint is noticed later.
+        let _ = SockRef::from(&upstream).set_tcp_user_timeout(Some(silence));
     }
     let (mut input, mut out) = (shared.pool.get(), shared.pool.get());
-    front.forward(until - shared.clock.now(), &mut out);
+    protocol.attempt(until - shared.clock.now(), &mut out);
     let mut whole = false;
     let exchanged = async {
         loop {
             // Before the last byte is written nothing can have run there.
             let broken = |whole| if whole { Outcome::Reset } else { Outcome::ConnectFailed };
-            streamer.write_all_buf(&mut *out).await.map_err(|_| broken(whole))?;
-            whole |= front.request_complete();
-            let quiet = front.up_when_quiet().unwrap_or(Duration::MAX);
-            match timeout(quiet, more(&streamer, &mut input)).await {
+            upstream.write_all_buf(&mut *out).await.map_err(|_| broken(whole))?;
+            whole |= protocol.request_complete();
+            let quiet = protocol.up_when_quiet().unwrap_or(Duration::MAX);
+            match timeout(quiet, more(&upstream, &mut input)).await {
                 Ok(Ok(n)) if n > 0 => {}
                 Ok(_) => return Err(broken(whole)),
                 Err(_) => return Ok(()),
             }
-            match front.answer(&mut input, &mut out) {
+            match protocol.answer(&mut input, &mut out) {
                 Answer::More if input.room() == 0 => return Err(Outcome::Error),
                 Answer::More => {}
                 Answer::Up => return Ok(()),
@@ -771,5 +780,5 @@
         }
     };
     timeout_at(shared.clock.at(until), exchanged).await.unwrap_or(Err(Outcome::TimedOut))?;
-    Ok((streamer, input))
+    Ok((upstream, input))
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -9,16 +9,16 @@
 use super::http_call::fetch;
 use super::{Shared, span};
 use crate::discovery::{CallError, RETRY};
-use crate::help::Advice;
-use crate::policy::api::{Discovery, ListKind, Millis, ServerEntry};
+use crate::help::Help;
+use crate::policy::api::{Discovery, EndpointEntry, ListKind, Millis};
 use crate::relay::Relay;
 
-/// Least time between two watches that are followed by another call without the module's pause. A service that answers
+/// Least time between two watches that are followed by another call without the load balancer's pause. A service that answers
 /// calls and breaks every watch would be asked without end.
 const ANEW_EVERY: Millis = 3000.0;
 
-/// Watches whenever the module asks for it, until a call fails; and at once where discovery has moved. Where lists are
-/// pushed the module asks for nothing: an agent on this machine has what was sent to it, and is watched all the time.
+/// Watches whenever the load balancer asks for it, until a call fails; and at once where discovery has moved. Where lists are
+/// pushed the load balancer asks for nothing: an agent on this machine has what was sent to it, and is watched all the time.
 pub async fn watch(shared: Rc<Shared>) {
     let pushed = || shared.config.borrow().settings.discovery == Discovery::Pushed;
     if pushed() {
@@ -33,8 +33,8 @@
         // The next call follows an answer at once: within 200 ms it continues the same watch.
         loop {
             let address = shared.config.borrow().discovery;
-            let request = shared.target_group.borrow_mut().request();
-            let limit = span(shared.target_group.borrow().timeout());
+            let request = shared.endpoint_list.borrow_mut().request();
+            let limit = span(shared.endpoint_list.borrow().timeout());
             let asked = shared.clock.now();
             let answer = tokio::select! {
                 biased;
@@ -57,10 +57,10 @@
                 }
                 Err(e) => {
                     let took = shared.clock.now() - asked;
-                    warn!("discovery at {address}: {e}, after {took:.0} ms; {}", e.advice());
-                    let going = shared.target_group.borrow_mut().broken();
+                    warn!("discovery at {address}: {e}, after {took:.0} ms; {}", e.help());
+                    let going = shared.endpoint_list.borrow_mut().broken();
                     if moved || pushed() {
-                        // What an agent has counts as told. After a move the module may have backed off from the old
+                        // What an agent has counts as told. After a move the load balancer may have backed off from the old
                         // place for longer than there is time.
                         tokio::time::sleep(span(RETRY)).await;
                         continue;
@@ -70,8 +70,8 @@
                     if going && (silent || now - anew > ANEW_EVERY) {
                         // The service may be well: what a silent or broken watch hides counts as told soon.
                         anew = now;
-                        let relays = shared.config.borrow().settings.balancers;
-                        let pause = span(shared.target_group.borrow_mut().anew(relays, silent));
+                        let relays = shared.config.borrow().settings.relay_count;
+                        let pause = span(shared.endpoint_list.borrow_mut().anew(relays, silent));
                         shared.core(Relay::unwatched);
                         tokio::select! {
                             () = shared.moved.notified() => moved = true,
@@ -91,9 +91,9 @@
     shared: &Rc<Shared>,
     address: SocketAddr,
     asked: &str,
-) -> Result<(ListKind, Vec<ServerEntry>), CallError> {
+) -> Result<(ListKind, Vec<EndpointEntry>), CallError> {
     // A connection for each call: a kept one that discovery has dropped would fail a call for nothing.
     let stream = TcpStream::connect(address).await?;
     let body = fetch(stream, &address.to_string(), asked).await?;
-    Ok(shared.target_group.borrow_mut().answer(&body)?)
+    Ok(shared.endpoint_list.borrow_mut().answer(&body)?)
 }
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -7,12 +7,12 @@
 use log::{debug, info, warn};
 use sandgw_cluster::drain_gossip::Answer;
 use sandgw_maintenance::call::Call;
-use sandgw_maintenance::plan::Streamer;
-use sandgw_maintenance::{Desk, Row, WindowId, codec};
+use sandgw_maintenance::plan::Endpoint;
+use sandgw_maintenance::{MaintenanceService, Row, WindowId, codec};
 
 use super::{Shared, until};
 use crate::config::Config;
-use crate::policy::api::{ListKind, Millis, ServerEntry, ServerState};
+use crate::policy::api::{EndpointEntry, EndpointState, ListKind, Millis};
 use crate::relay::lifecycle::Refusal;
 
 /// A caller waits so long at the most for what the office says, and is told meanwhile that it waits.
@@ -21,16 +21,16 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// The desk, where there is a section for it.
-pub fn desk(config: &Config, now: Millis) -> Option<Desk> {
+pub fn desk(config: &Config, now: Millis) -> Option<MaintenanceService> {
     let own = config.maintenance.as_ref()?;
-    let tier = (config.settings.me, config.peers.len().max(1) as u32);
+    let tier = (config.settings.local_index, config.peers.len().max(1) as u32);
     let (floors, voters, may) = (own.floors.clone(), own.voters.clone(), own.may_override.clone());
-    Some(Desk::new(tier, floors, own.timing, voters, may, now as u64))
+    Some(MaintenanceService::new(tier, floors, own.timing, voters, may, now as u64))
 }
 
 impl Shared {
     /// Has the desk do something, then sends and says what comes of it.
-    fn at_desk<T>(&self, f: impl FnOnce(&mut Desk, u64) -> T) -> Option<T> {
+    fn at_desk<T>(&self, f: impl FnOnce(&mut MaintenanceService, u64) -> T) -> Option<T> {
         let mut desk = self.desk.as_ref()?.borrow_mut();
         let result = f(&mut desk, self.clock.now() as u64);
         for (peer, message) in desk.take_sends() {
@@ -43,7 +43,7 @@
     }
 
     /// News of the list, for the core and for the desk; `asked` is when the call was made that it answers.
-    pub(super) fn listed(self: &Rc<Self>, kind: ListKind, entries: Vec<ServerEntry>, asked: Millis) {
+    pub(super) fn listed(self: &Rc<Self>, kind: ListKind, entries: Vec<EndpointEntry>, asked: Millis) {
         self.at_desk(|desk, now| {
             let plan = desk.plan();
             if matches!(kind, ListKind::Full | ListKind::Cached) {
@@ -51,8 +51,8 @@
             }
             for e in &entries {
                 match e.state {
-                    ServerState::Gone => plan.gone(&e.id.0),
-                    _ => plan.put(&streamer(e)),
+                    EndpointState::Removed => plan.gone(&e.id.0),
+                    _ => plan.put(&endpoint(e)),
                 }
             }
             // What was held last may be old.
@@ -60,7 +60,7 @@
                 plan.confirmed(now);
             }
         });
-        let revision = self.target_group.borrow().held().0;
+        let revision = self.endpoint_list.borrow().held().0;
         let whole = kind == ListKind::Full;
         self.core(|relay, now| match revision.filter(|_| whole || kind == ListKind::Delta) {
             Some(revision) => relay.answered(now, Answer { revision, asked, whole }, entries),
@@ -110,12 +110,12 @@
     format!("{} {}: {}", row.id, row.what, row.standing)
 }
 
-fn streamer(e: &ServerEntry) -> Streamer {
-    Streamer {
+fn endpoint(e: &EndpointEntry) -> Endpoint {
+    Endpoint {
         id: e.id.0.to_string(),
-        hall: e.zone.0.to_string(),
+        zone: e.zone.0.to_string(),
         size: (e.weight.max(0.0) * 1000.0) as u64,
-        ready: e.state == ServerState::Ready,
+        ready: e.state == EndpointState::Ready,
         started: e.started.max(0.0) as u64,
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -26,8 +26,8 @@
 
 use log::{error, info, warn};
 use sandgw_affinity_store::writer::Writer;
-use sandgw_maintenance::Desk;
-use sandgw_schema_version::{Form, Range};
+use sandgw_maintenance::MaintenanceService;
+use sandgw_schema_version::{SchemaVersion, SupportedVersions};
 use tokio::net::{TcpListener, TcpSocket, UdpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, mpsc, watch};
@@ -35,12 +35,13 @@
 
 use self::accept::{Admission, HANDOVER, Seat};
 use crate::config::{Config, ConfigError};
-use crate::discovery::TargetGroup;
-use crate::help::advised;
-use crate::listener::line::{LineFront, LineNames, LineRules};
-use crate::listener::rtmp::RtmpFront;
+use crate::discovery::EndpointList;
+use crate::help::with_help;
+use crate::listener::line::{LineNames, LineProtocol, LineRules};
+use crate::listener::rtmp::RtmpProtocol;
+use crate::policy::api::RequestId;
 use crate::policy::api::{ListKind, Millis};
-use crate::relay::{Command, FlowCommand, FlowId, Relay};
+use crate::relay::{Command, ConnectionCommand, Relay};
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -49,7 +50,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// A shortage of descriptors is over when there has been none for so long.
 const SHORTAGE_OVER: Duration = Duration::from_secs(5);
-/// How often round trips are summed up for the module.
+/// How often round trips are summed up for the load balancer.
 const TICK: Duration = Duration::from_secs(1);
 
 /// Unix time in milliseconds, that never goes back.
@@ -77,23 +78,23 @@
     Duration::try_from_secs_f64(millis.max(0.0) / 1000.0).unwrap_or(Duration::MAX / 4)
 }
 
-/// A standing flow on its way to the next process.
+/// A standing connection on its way to the next process.
 type Passing = (crate::relay::handover::Message, [OwnedFd; 2]);
 
 /// What the drivers share.
 struct Shared {
     clock: Clock,
     relay: RefCell<Relay>,
-    flows: RefCell<HashMap<FlowId, mpsc::UnboundedSender<FlowCommand>>>,
-    target_group: RefCell<TargetGroup>,
+    connections: RefCell<HashMap<RequestId, mpsc::UnboundedSender<ConnectionCommand>>>,
+    endpoint_list: RefCell<EndpointList>,
     pool: Rc<pool::Pool>,
-    /// The module asks for the list.
+    /// The load balancer asks for the list.
     watch: Notify,
     /// Discovery is at another address.
     moved: Notify,
     peers: OnceCell<UdpSocket>,
     /// Between messages and datagrams, where forms are on; and what may have changed in it.
-    post: Option<RefCell<sandgw_schema_version::versioned_channel::Post>>,
+    post: Option<RefCell<sandgw_schema_version::versioned_channel::VersionedChannel>>,
     forms: Notify,
     /// The tier was finalized at a form that this process can't read.
     left_behind: Cell<bool>,
@@ -106,14 +107,14 @@
     terminated: Cell<bool>,
     /// Nothing is left to do for a process that has handed over.
     over: Notify,
-    /// Standing flows on their way to the next process, with their client's and their streamer's descriptors.
+    /// Standing connections on their way to the next process, with their client's and their endpoint's descriptors.
     passing: (mpsc::UnboundedSender<Passing>, RefCell<Option<mpsc::UnboundedReceiver<Passing>>>),
     /// What the next process is to have, by key and address.
     sockets: RefCell<Vec<(String, OwnedFd)>>,
     /// Writes behind what is to last, where there is a folder for it.
     keeper: Option<Writer>,
     /// Maintenance windows, where the configuration has a section for them.
-    desk: Option<RefCell<Desk>>,
+    desk: Option<RefCell<MaintenanceService>>,
     /// As read last, less what is taken at the next start only.
     config: RefCell<Config>,
     rules: Rc<LineRules>,
@@ -137,19 +138,19 @@
         let commands = self.relay.borrow_mut().take_commands();
         for command in commands {
             match command {
-                Command::Flow(id, command) => {
-                    // A flow whose driver has ended needs nothing more.
-                    let _ = self.flows.borrow().get(&id).map(|flow| flow.send(command));
+                Command::Connection(id, command) => {
+                    // A connection whose driver has ended needs nothing more.
+                    let _ = self.connections.borrow().get(&id).map(|connection| connection.send(command));
                 }
-                Command::Timer { after, token } => {
+                Command::SetTimer { after, token } => {
                     let shared = self.clone();
                     spawn_local(async move {
                         tokio::time::sleep(span(after)).await;
                         shared.core(|relay, now| relay.timer(now, token));
                     });
                 }
-                Command::Watch => self.watch.notify_one(),
-                Command::Tell { peer, message } => self.tell(peer, &message),
+                Command::Subscribe => self.watch.notify_one(),
+                Command::SendToPeer { peer, message } => self.tell(peer, &message),
             }
         }
     }
@@ -235,7 +236,7 @@
     }
 }
 
-/// Takes a new configuration at every SIGHUP, whole or not at all; flows stand whatever it says.
+/// Takes a new configuration at every SIGHUP, whole or not at all; connections stand whatever it says.
 async fn reload(shared: Rc<Shared>, mut signal: Signal, load: impl Fn() -> Result<Config, Vec<ConfigError>>) {
     while signal.recv().await.is_some() {
         let new = load().and_then(|new| shared.config.borrow().whole(new));
@@ -250,13 +251,13 @@
                     warn!("SIGHUP: changed, but taken at the next start only: {}", left.join(", "));
                 }
                 if before != now {
-                    shared.target_group.borrow_mut().moved();
+                    shared.endpoint_list.borrow_mut().moved();
                     shared.core(Relay::moved);
                     shared.moved.notify_one();
                 }
             }
             Err(faults) => {
-                faults.iter().for_each(|e| error!("{}", advised(e)));
+                faults.iter().for_each(|e| error!("{}", with_help(e)));
                 error!("SIGHUP: the configuration has faults, and the old one is kept");
             }
         }
@@ -270,7 +271,7 @@
         (config.settings.clone(), config.classes.clone())
     };
     if let Some(post) = &shared.post {
-        post.borrow_mut().ladder.renumber(settings.me, settings.balancers);
+        post.borrow_mut().ladder.renumber(settings.local_index, settings.relay_count);
     }
     shared.core(|relay, now| relay.retune(now, settings, &classes));
     shared.rules.renew(line_names(&shared.relay.borrow(), &shared.config.borrow()));
@@ -297,14 +298,14 @@
     let _too_large = signal(SignalKind::from_raw(libc::SIGXFSZ))?;
     let named = |what: &'static str| move |e: io::Error| io::Error::new(e.kind(), format!("{what}: {e}"));
     let clock = Clock::new();
-    let most = config.forms.map_or(Form::FIRST, Range::newest);
+    let most = config.forms.map_or(SchemaVersion::FIRST, SupportedVersions::newest);
     let kept = config
         .state
         .as_ref()
         .map(|s| affinity_store::open(&s.folder, most))
         .transpose()
         .map_err(named("state.folder"))?;
-    let finalized = kept.as_ref().map_or(Form::FIRST, |kept| kept.finalized);
+    let finalized = kept.as_ref().map_or(SchemaVersion::FIRST, |kept| kept.finalized);
     let post = schema_version::post(&config, finalized, &clock)?;
     let own = if config.handover.is_some() { HANDOVER } else { 0 };
     let mut relay = Relay::new(config.settings.clone(), config.classes.clone(), config.seed, clock.now());
@@ -312,13 +313,13 @@
     let names = line_names(&relay, &config);
     let desk = maintenance::desk(&config, clock.now()).map(RefCell::new);
     let known = std::mem::take(&mut config.known);
-    let target_group = std::mem::take(&mut config.target_group);
+    let endpoint_list = std::mem::take(&mut config.endpoint_list);
     let (sender, passing) = mpsc::unbounded_channel();
     let shared = Rc::new(Shared {
         clock,
         relay: RefCell::new(relay),
-        flows: RefCell::default(),
-        target_group: RefCell::default(),
+        connections: RefCell::default(),
+        endpoint_list: RefCell::default(),
         pool: Rc::default(),
         watch: Notify::new(),
         moved: Notify::new(),
@@ -359,11 +360,11 @@
         socket.writable().await?;
     }
     if !shared.relay.borrow().is_listed() {
-        *shared.target_group.borrow_mut() = target_group;
+        *shared.endpoint_list.borrow_mut() = endpoint_list;
         shared.listed(ListKind::Cached, known, shared.clock.now());
     }
     let seed = shared.config.borrow().seed;
-    shared.target_group.borrow_mut().reseed(seed);
+    shared.endpoint_list.borrow_mut().reseed(seed);
     let handed_over = old.is_some();
     while let Some(mut before) = old.take() {
         match takeover::take(&shared, &mut before).await {
@@ -398,10 +399,10 @@
             shared.gate.subscribe(),
             listener,
             move |client, from, seat| {
-                // Read for each flow: all of it but the address may be new.
+                // Read for each connection: all of it but the address may be new.
                 let Some(rtmp) = of.config.borrow().rtmp.clone() else { return };
-                let front = RtmpFront::new(rtmp.settings, from, rtmp.trusted.contains(&from.ip()));
-                spawn_local(connection::serve(of.clone(), client, front, seat));
+                let protocol = RtmpProtocol::new(rtmp.settings, from, rtmp.trusted.contains(&from.ip()));
+                spawn_local(connection::serve(of.clone(), client, protocol, seat));
             },
         ));
     }
@@ -413,8 +414,8 @@
             shared.gate.subscribe(),
             listener,
             move |client, _, seat| {
-                let front = LineFront::new(of.rules.clone(), of.config.borrow().limits.first_line);
-                spawn_local(connection::serve(of.clone(), client, front, seat));
+                let protocol = LineProtocol::new(of.rules.clone(), of.config.borrow().limits.first_line);
+                spawn_local(connection::serve(of.clone(), client, protocol, seat));
             },
         ));
     }
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 
 use log::{debug, error, info, warn};
-use sandgw_schema_version::version_advertisement::Word;
-use sandgw_schema_version::version_negotiator::Ladder;
-use sandgw_schema_version::versioned_channel::Post;
-use sandgw_schema_version::{Form, FormError};
+use sandgw_schema_version::version_advertisement::VersionAdvertisement;
+use sandgw_schema_version::version_negotiator::VersionNegotiator;
+use sandgw_schema_version::versioned_channel::VersionedChannel;
+use sandgw_schema_version::{SchemaVersion, SchemaVersionError};
 use tokio::time::{Instant, timeout_at};
 
 use super::{Clock, Shared, span};
@@ -24,15 +24,19 @@
 
 /// What stands between messages and datagrams, where the configuration turns forms on. It fails where the folder
 /// is finalized at what this process can't read.
-pub fn post(config: &Config, finalized: Form, clock: &Clock) -> io::Result<Option<RefCell<Post>>> {
+pub fn post(
+    config: &Config,
+    finalized: SchemaVersion,
+    clock: &Clock,
+) -> io::Result<Option<RefCell<VersionedChannel>>> {
     let Some(range) = config.forms else { return Ok(None) };
-    let of = (config.settings.me, config.settings.balancers);
-    let ladder = Ladder::new(range, finalized, of, config.seed, clock.now()).map_err(refused)?;
-    Ok(Some(RefCell::new(Post::new(ladder))))
+    let of = (config.settings.local_index, config.settings.relay_count);
+    let ladder = VersionNegotiator::new(range, finalized, of, config.seed, clock.now()).map_err(refused)?;
+    Ok(Some(RefCell::new(VersionedChannel::new(ladder))))
 }
 
-fn refused(e: FormError) -> io::Error {
-    io::Error::other(format!("forms: {e}; {}", e.advice()))
+fn refused(e: SchemaVersionError) -> io::Error {
+    io::Error::other(format!("forms: {e}; {}", e.help()))
 }
 
 /// Reads a datagram of a relay, and answers it where it asks for a word; nothing of what is no message.
@@ -40,10 +44,10 @@
     let Some(post) = &shared.post else { return peers::decode(text) };
     match receive(shared, post, peer, text) {
         Ok(message) => message,
-        Err(e @ FormError::Finalized { .. }) => {
+        Err(e @ SchemaVersionError::Finalized { .. }) => {
             // It started while nobody told it, or the tier was finalized over it: once is enough for a log.
             if !shared.left_behind.replace(true) {
-                error!("forms: relay {peer}: {e}; {}", e.advice());
+                error!("forms: relay {peer}: {e}; {}", e.help());
             }
             None
         }
@@ -56,10 +60,10 @@
 
 fn receive(
     shared: &Shared,
-    post: &RefCell<Post>,
+    post: &RefCell<VersionedChannel>,
     peer: u32,
     text: &str,
-) -> Result<Option<Message>, FormError> {
+) -> Result<Option<Message>, SchemaVersionError> {
     let (now, mut out) = (shared.clock.now(), Vec::new());
     let before = post.borrow().ladder.form(now);
     let received = post.borrow_mut().receive(now, peer, text, &mut out);
@@ -73,12 +77,13 @@
 /// Asks others what is finalized before anything is served; it fails where this process can't read that.
 pub async fn enquire(shared: &Rc<Shared>) -> io::Result<()> {
     let (Some(post), Some(socket)) = (&shared.post, shared.peers.get()) else { return Ok(()) };
-    let (me, relays) = (shared.config.borrow().settings.me, shared.config.borrow().settings.balancers);
+    let (local_index, relays) =
+        (shared.config.borrow().settings.local_index, shared.config.borrow().settings.relay_count);
     let mut buffer = [0; peers::BUFFER];
     for wait in LISTENS {
         let word = post.borrow().ladder.word(shared.clock.now()).text() + "|?";
         let step = ((relays - 1) / ASKED).max(1);
-        let asked = (0..ASKED.min(relays - 1)).map(|n| (me + 1 + n * step) % relays);
+        let asked = (0..ASKED.min(relays - 1)).map(|n| (local_index + 1 + n * step) % relays);
         asked.for_each(|peer| shared.post_to(peer, &word));
         let until = Instant::now() + span(wait);
         while let Ok(received) = timeout_at(until, socket.recv_from(&mut buffer)).await {
@@ -89,7 +94,7 @@
             let Some((peer, text)) = peer.zip(text) else { continue };
             match receive(shared, post, peer as u32, text) {
                 Ok(Some(message)) => shared.core(|relay, now| relay.told(now, peer as u32, message)),
-                Err(e @ FormError::Finalized { .. }) => return Err(refused(e)),
+                Err(e @ SchemaVersionError::Finalized { .. }) => return Err(refused(e)),
                 _ => {}
             }
         }
@@ -118,13 +123,14 @@
 }
 
 /// Says what the tier writes now where that is new, and has the folder moved to it.
-fn follow(shared: &Shared, at: &mut Option<(Form, Form, bool)>, now: Millis) {
+fn follow(shared: &Shared, at: &mut Option<(SchemaVersion, SchemaVersion, bool)>, now: Millis) {
     let Some(post) = &shared.post else { return };
     let (form, finalized, range, known) = {
         let ladder = &post.borrow().ladder;
         // While it only waits for signs of others, the folder stays as it is found.
-        let known =
-            ladder.sign(now).is_some() || ladder.waits(now) <= 0.0 || ladder.range().newest() == Form::FIRST;
+        let known = ladder.sign(now).is_some()
+            || ladder.waits(now) <= 0.0
+            || ladder.range().newest() == SchemaVersion::FIRST;
         (ladder.form(now), ladder.finalized(), ladder.range(), known)
     };
     if at.replace((form, finalized, known)) == Some((form, finalized, known)) {
@@ -153,7 +159,7 @@
 /// Takes what the process before knew of the tier's forms. It fails where this one can't read what is finalized.
 pub(super) fn resume(shared: &Shared, listened: Millis, word: &str) -> io::Result<()> {
     let Some(post) = &shared.post else { return Ok(()) };
-    let resumed = Word::read(word)
+    let resumed = VersionAdvertisement::read(word)
         .and_then(|(word, _)| post.borrow_mut().ladder.resume(shared.clock.now(), listened, &word));
     resumed.map_err(refused)
 }
@@ -167,7 +173,7 @@
 /// Ends the possibility to go back.
 pub(super) fn finalize(shared: &Shared) -> Result<String, Refusal> {
     let post = shared.post.as_ref().ok_or(Refusal::Unknown)?;
-    let form = post.borrow_mut().ladder.finalize(shared.clock.now()).map_err(Refusal::Form)?;
+    let form = post.borrow_mut().ladder.finalize(shared.clock.now()).map_err(Refusal::SchemaVersion)?;
     warn!("operators: finalize: nothing is written below form {form} any more");
     shared.forms.notify_one();
     Ok(format!("finalized {form}"))
--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -24,14 +24,14 @@
 
 use super::{Shared, connection, span};
 use crate::discovery::ListError;
-use crate::listener::CarriedFront;
-use crate::listener::line::LineFront;
+use crate::listener::TransferredProtocol;
+use crate::listener::line::LineProtocol;
 use crate::policy::api::ListKind;
 use crate::relay::handover::{
-    ANOTHER_FORM, Elder, ElderStep, FLOWS, FORM, Frames, MEMBERS, Message, RECORDS, SOCKETS, Successor,
-    SuccessorStep, agreed, encode,
+    ANOTHER_FORM, CONNECTIONS, ElderStep, FORM, Frames, MEMBERS, Message, PredecessorProcess, RECORDS,
+    SOCKETS, Successor, SuccessorStep, agreed, encode,
 };
-use crate::relay::transfer::{Carried, CarriedFlow};
+use crate::relay::transfer::{LearnedState, TransferredConnection};
 
 /// The socket's name in the folder.
 const NAME: &str = "sandgw-handover";
@@ -223,8 +223,8 @@
             Message::Sockets(keys) => {
                 handed.extend(keys.into_iter().zip(old.link.take()));
             }
-            // The list comes first: what was learned is of its streamers.
-            Message::Carried(piece) => {
+            // The list comes first: what was learned is of its endpoints.
+            Message::LearnedState(piece) => {
                 known(shared, list.take()).map_err(refused)?;
                 shared.core(|relay, now| relay.carried(now, piece));
             }
@@ -239,7 +239,7 @@
 /// Takes the list as the running process holds it. Nobody is asked for it again, nor for clients and groups.
 fn known(shared: &Rc<Shared>, list: Option<(Option<u64>, Vec<Value>)>) -> Result<(), ListError> {
     let Some((revision, members)) = list else { return Ok(()) };
-    let entries = shared.target_group.borrow_mut().handed(revision, members)?;
+    let entries = shared.endpoint_list.borrow_mut().handed(revision, members)?;
     shared.core(|relay, now| match revision {
         Some(revision) => relay.answered(now, Answer { revision, asked: now, whole: true }, entries),
         None => relay.list(now, ListKind::Full, entries),
@@ -262,7 +262,7 @@
             Message::Yield { descriptors, standby, cold_in } => {
                 shared.admission.set_others(descriptors as usize);
                 shared.core(|relay, now| {
-                    relay.carried(now, Carried::pause(cold_in));
+                    relay.carried(now, LearnedState::pause(cold_in));
                     if let Some(span) = standby.filter(|span| *span >= 0.0) {
                         relay.stand_by(now - span);
                     }
@@ -288,8 +288,8 @@
         match message {
             Message::Held { descriptors } => shared.admission.set_others(descriptors as usize),
             Message::Records(records) => restore(&shared, records),
-            Message::Flow { flow, front, up, down } => {
-                let passed = adopt(&shared, old.link.take(), *flow, *front, (up, down));
+            Message::Connection { connection, protocol, up, down } => {
+                let passed = adopt(&shared, old.link.take(), *connection, *protocol, (up, down));
                 if let Err(e) = passed {
                     warn!("hand-over: a flow is lost: {e}");
                 }
@@ -302,22 +302,22 @@
     shared.predecessor.set(false);
 }
 
-/// Goes on with a standing flow of the process before.
+/// Goes on with a standing connection of the process before.
 fn adopt(
     shared: &Rc<Shared>,
     sockets: Vec<OwnedFd>,
-    flow: CarriedFlow,
-    front: CarriedFront,
+    connection: TransferredConnection,
+    protocol: TransferredProtocol,
     (up, down): (Vec<u8>, Vec<u8>),
 ) -> io::Result<()> {
     let stream = |socket: OwnedFd| TcpStream::from_std(socket.into());
     let mut sockets = sockets.into_iter();
-    let (Some(client), Some(streamer)) = (sockets.next(), sockets.next()) else {
+    let (Some(client), Some(endpoint)) = (sockets.next(), sockets.next()) else {
         return Err(io::Error::other("it came without its sockets"));
     };
-    let (client, streamer) = (stream(client)?, stream(streamer)?);
-    let front = LineFront::adopt(shared.rules.clone(), shared.clock.now(), front);
-    let passed = connection::Passed { flow, front, client, streamer, up, down };
+    let (client, endpoint) = (stream(client)?, stream(endpoint)?);
+    let protocol = LineProtocol::adopt(shared.rules.clone(), shared.clock.now(), protocol);
+    let passed = connection::Passed { connection, protocol, client, upstream: endpoint, up, down };
     tokio::task::spawn_local(connection::adopt(shared.clone(), passed, shared.admission.adopt()));
     Ok(())
 }
@@ -346,7 +346,7 @@
                 warn!("hand-over: refused to another user's process");
                 continue;
             }
-            let mut elder = Elder::default();
+            let mut elder = PredecessorProcess::default();
             let ended = {
                 let mut hand = std::pin::pin!(hand(&shared, &mut elder, Link::new(stream)));
                 loop {
@@ -366,7 +366,7 @@
                 shared.relay.borrow_mut().take_back();
                 shared.gate.send_replace(true);
             }
-            if elder == Elder::HandedOver {
+            if elder == PredecessorProcess::HandedOver {
                 // The path was the other's.
                 break;
             }
@@ -381,7 +381,7 @@
 
 /// Waits until nothing is left of a process that has no successor to tell of it any more.
 async fn ending(shared: &Rc<Shared>) {
-    // A flow that is told to pass now stays: there is no way any more.
+    // A connection that is told to pass now stays: there is no way any more.
     drop(shared.passing.1.borrow_mut().take());
     while !is_over(shared) {
         tokio::time::sleep(REPORT).await;
@@ -404,7 +404,7 @@
     Ok(listener)
 }
 
-/// Takes the flows that pass while there is somebody to take them; gives their way back when dropped.
+/// Takes the connections that pass while there is somebody to take them; gives their way back when dropped.
 struct Passing<'a>(&'a Shared, Option<mpsc::UnboundedReceiver<super::Passing>>);
 
 impl Passing<'_> {
@@ -413,20 +413,20 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.1.as_ref().is_none_or(|flows| flows.is_empty())
+        self.1.as_ref().is_none_or(|connections| connections.is_empty())
     }
 }
 
 impl Drop for Passing<'_> {
     fn drop(&mut self) {
         // What was on its way has nowhere to go: its client is better cut off than left waiting.
-        while self.1.as_mut().is_some_and(|flows| flows.try_recv().is_ok()) {}
+        while self.1.as_mut().is_some_and(|connections| connections.try_recv().is_ok()) {}
         *self.0.passing.1.borrow_mut() = self.1.take();
     }
 }
 
 /// One hand-over; it returns when the new process is gone or is given up.
-async fn hand(shared: &Rc<Shared>, elder: &mut Elder, mut link: Link) -> io::Result<()> {
+async fn hand(shared: &Rc<Shared>, elder: &mut PredecessorProcess, mut link: Link) -> io::Result<()> {
     let name = shared.config.borrow().name.clone();
     let mut told = 0;
     let mut passing = Passing(shared, shared.passing.1.borrow_mut().take());
@@ -436,14 +436,14 @@
             Some(patience) => timeout(span(patience), link.next()).await??,
             None => tokio::select! {
                 message = link.next() => message?,
-                Some((flow, sockets)) = passing.next() => {
-                    link.send(&flow, &sockets.each_ref().map(AsFd::as_fd)).await?;
+                Some((connection, sockets)) = passing.next() => {
+                    link.send(&connection, &sockets.each_ref().map(AsFd::as_fd)).await?;
                     continue;
                 }
                 _ = interval.tick() => {
                     report(shared, &mut link, &mut told).await?;
                     if shared.terminated.get() {
-                        shared.core(|relay, _| relay.pass(FLOWS));
+                        shared.core(|relay, _| relay.pass(CONNECTIONS));
                     }
                     if passing.is_empty() && is_over(shared) {
                         info!("hand-over: nothing is left here, ending");
@@ -500,7 +500,7 @@
 async fn snapshot(shared: &Rc<Shared>, link: &mut Link) -> io::Result<()> {
     let discovery = shared.config.borrow().discovery.to_string();
     let (revision, members) = {
-        let list = shared.target_group.borrow();
+        let list = shared.endpoint_list.borrow();
         let (revision, members) = list.held();
         (revision, members.map(Value::to_string).collect::<Vec<_>>())
     };
@@ -512,7 +512,7 @@
     }
     let carried = shared.relay.borrow().carry(shared.clock.now());
     for piece in carried {
-        link.send(&Message::Carried(piece), &[]).await?;
+        link.send(&Message::LearnedState(piece), &[]).await?;
     }
     shared.relay.borrow_mut().keep();
     while let Some(records) = next_changes(shared) {
--- a/src/policy/api.rs
+++ b/src/policy/api.rs
@@ -1,4 +1,4 @@
-//! The module's interface: settings, events and actions, in the field's terms.
+//! The load balancer's interface: settings, events and actions, in the field's terms.
 //!
 //! Times are milliseconds on a monotonic clock of arbitrary origin. Ids are opaque: the policy
 //! compares and hashes them, and reads nothing else from them.
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 
 use sandgw_affinity::Limits;
-pub use sandgw_affinity::codec::Piece;
-pub use sandgw_quota::usage_gossip::Told;
+pub use sandgw_affinity::codec::ClusterMessage;
+pub use sandgw_quota::usage_gossip::UsageReport;
 
-pub use crate::relay::quotas::ShareSettings;
+pub use crate::relay::quotas::QuotaSettings;
 
 /// Milliseconds, as a point on the balancer's clock or as a span.
 pub type Millis = f64;
@@ -21,7 +21,7 @@
 
 /// One server; stays the same when its process restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerId(pub Arc<str>);
+pub struct EndpointId(pub Arc<str>);
 
 /// A client key or a group key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -41,7 +41,7 @@
 
 /// Which servers drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatGroup {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -52,13 +52,13 @@
 
 /// What repeating a request may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Repeating is harmless.
     Safe,
     /// Repeats are dropped within a group of servers for a while.
     Keyed {
         /// The servers that share what they have seen.
-        group: RepeatGroup,
+        group: DeduplicationScope,
         /// How long they remember, from the first send that may have run.
         window: Millis,
     },
@@ -70,13 +70,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Its effect when repeated.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Wanted set-up time.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// Wanted time of a message on an open connection.
-    pub message_aim: Option<Millis>,
+    pub message_latency_objective: Option<Millis>,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// How the server list reaches this balancer.
@@ -84,7 +84,7 @@
 pub enum Discovery {
     /// Changes arrive unasked.
     Pushed,
-    /// Only after [`Action::Watch`].
+    /// Only after [`Action::Subscribe`].
     OnRequest,
 }
 
@@ -107,13 +107,13 @@
     /// How the server list arrives.
     pub discovery: Discovery,
     /// Balancers that serve the same servers, this one included.
-    pub balancers: u32,
+    pub relay_count: u32,
     /// Number of this one among them, from 0.
-    pub me: u32,
+    pub local_index: u32,
     /// Whether balancers may send each other messages.
     pub peers: bool,
     /// Packets pass through: when the set of balancers changes, open connections arrive at another one.
-    pub passes: bool,
+    pub packet_passthrough: bool,
     /// Most attempts of one request.
     pub max_attempts: u32,
     /// A connection not established by then has failed.
@@ -123,19 +123,19 @@
     /// Most that a client heeds of a retry hint; `None` where hints do not reach it.
     pub max_retry_after: Option<Millis>,
     /// An unwatched list older than this counts as known to be stale.
-    pub ask_every: Millis,
+    pub list_max_age: Millis,
     /// Share of its capacity that a starting server has at the least.
-    pub cold_from: f64,
+    pub cold_capacity_fraction: f64,
     /// A server is warm after this long at the latest.
-    pub warm_within: Millis,
+    pub warm_up_time: Millis,
     /// A cold server falls over when sent more than this multiple of its present capacity.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Budget of further attempts; `None` where none is stated.
     pub budget: Option<Budget>,
     /// What the tables of clients and groups may take up; relays and their numbers are those above.
     pub memory: Limits,
     /// Members' shares of the tier, and whether they are kept to.
-    pub shares: ShareSettings,
+    pub shares: QuotaSettings,
 }
 
 impl Default for Settings {
@@ -143,43 +143,43 @@
         Settings {
             classes: Vec::new(),
             discovery: Discovery::Pushed,
-            balancers: 1,
-            me: 0,
+            relay_count: 1,
+            local_index: 0,
             peers: false,
-            passes: false,
+            packet_passthrough: false,
             max_attempts: 3,
             connect_timeout: 250.0,
             resolution: 1.0,
             max_retry_after: None,
-            ask_every: 10_000.0,
-            cold_from: 0.1,
-            warm_within: 20_000.0,
-            fall_multiple: 2.0,
+            list_max_age: 10_000.0,
+            cold_capacity_fraction: 0.1,
+            warm_up_time: 20_000.0,
+            overload_multiple: 2.0,
             budget: None,
             memory: Limits::default(),
-            shares: ShareSettings::default(),
+            shares: QuotaSettings::default(),
         }
     }
 }
 
 /// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServerState {
+pub enum EndpointState {
     /// Takes work.
     Ready,
     /// Completes work, takes nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerEntry {
+pub struct EndpointEntry {
     /// The server.
-    pub id: ServerId,
+    pub id: EndpointId,
     /// Its state.
-    pub state: ServerState,
+    pub state: EndpointState,
     /// Listed size, comparable across servers.
     pub weight: f64,
     /// When its process last started; 0 when long past.
@@ -202,7 +202,7 @@
     /// A call failed or the subscription dropped; nothing is said of the servers.
     Failed,
     /// Some entries as another balancer's word has them; no call was answered.
-    Word,
+    Gossip,
 }
 
 /// A request as it arrives.
@@ -219,7 +219,7 @@
     /// When the client gives up.
     pub deadline: Millis,
     /// How much of the wanted set-up time was used before the request could be read.
-    pub spent: Millis,
+    pub setup_time_used: Millis,
     /// Expected load, in work (ms) a second.
     pub load: Option<f64>,
     /// Packets of an open connection that now arrive here.
@@ -227,7 +227,7 @@
     /// The client was here before: it retries, or comes again after a break or a move.
     pub returned: bool,
     /// A server that drains sends it away by itself.
-    pub sent_away: bool,
+    pub drained_by_endpoint: bool,
 }
 
 impl Request {
@@ -270,11 +270,11 @@
 
 /// News about an established connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum Measurement {
     /// Its load now, in work (ms) a second.
     Load(f64),
     /// How long a message takes at its server now.
-    Delay(Millis),
+    MessageDelay(Millis),
 }
 
 /// What balancers tell each other: how many connections of each group have arrived lately, largest first.
@@ -288,9 +288,9 @@
     /// Slot of the group's key in the table, and its arrivals.
     pub sizes: Vec<(u32, f64)>,
     /// In place of all that, what the balancers' tables of clients and groups tell each other.
-    pub memory: Option<Piece>,
-    /// In place of all that, members' use of the tier. It is for the core, not for the module.
-    pub shares: Option<Told>,
+    pub memory: Option<ClusterMessage>,
+    /// In place of all that, members' use of the tier. It is for the core, not for the load balancer.
+    pub shares: Option<UsageReport>,
 }
 
 impl Message {
@@ -305,19 +305,19 @@
     Settings(Box<Settings>),
     /// News of the server list.
     List {
-        /// What `servers` contains.
+        /// What `endpoints` contains.
         kind: ListKind,
         /// The entries.
-        servers: Vec<ServerEntry>,
+        endpoints: Vec<EndpointEntry>,
     },
     /// A request arrived.
     Request(Request),
     /// A connection that was already routed through here at the start.
-    Open {
+    ExistingConnection {
         /// The request behind it; its attempt 0 counts as made.
         request: Request,
         /// The server that holds it.
-        server: ServerId,
+        endpoint: EndpointId,
     },
     /// An attempt's connection stands.
     Established {
@@ -329,35 +329,35 @@
         elapsed: Millis,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptId,
         /// Its server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// How.
         outcome: Outcome,
         /// The request is finished.
         finished: bool,
     },
     /// The client left, nothing more is owed.
-    Expired(RequestId),
+    ClientGone(RequestId),
     /// News about an established connection.
-    Progress {
+    Measured {
         /// The request.
         request: RequestId,
         /// The news.
-        note: Note,
+        note: Measurement,
     },
     /// A message from another balancer.
-    Told {
+    PeerMessage {
         /// Its number.
         peer: u32,
         /// The message.
         message: Message,
     },
-    /// A timer set by [`Action::Timer`] is due.
+    /// A timer set by [`Action::SetTimer`] is due.
     Timer(u64),
 }
 
@@ -365,18 +365,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
-    Send {
+    StartAttempt {
         /// The request.
         request: RequestId,
         /// Where to.
-        server: ServerId,
+        endpoint: EndpointId,
         /// When to give the attempt up.
         until: Millis,
         /// Before when it has to begin: a connection may take its time to come up.
         begin_by: Millis,
     },
     /// Final answer: rejected, a retry is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client ought to wait.
@@ -385,18 +385,18 @@
     /// Final answer: failed, nothing is promised.
     Fail(RequestId),
     /// Ask the client of an open connection to come again.
-    Move(RequestId),
+    Migrate(RequestId),
     /// Ask for [`Event::Timer`].
-    Timer {
+    SetTimer {
         /// From now.
         after: Millis,
         /// Comes back with the event.
         token: u64,
     },
     /// Subscribe to changes of the list.
-    Watch,
+    Subscribe,
     /// Send a message to another balancer, where [`Settings::peers`] allows it.
-    Tell {
+    SendToPeer {
         /// Its number.
         peer: u32,
         /// The message.
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -1,16 +1,16 @@
-//! The tables of clients and groups beside the module: what is remembered over restarts, with its exchange
+//! The tables of clients and groups beside the load balancer: what is remembered over restarts, with its exchange
 //! between relays. Bookkeeping only; what follows from it is decided in `rules.rs`.
 
 use std::collections::BTreeMap;
 
-use sandgw_affinity::codec::Piece;
+use sandgw_affinity::codec::ClusterMessage;
 use sandgw_affinity::endpoint_registry::State;
-use sandgw_affinity::replication::{Sends, Tier};
+use sandgw_affinity::replication::{Replication, Sends};
 use sandgw_affinity::{Affinity, Changes, Figures, Limits, Record, Restored};
-use sandgw_cluster::load_aggregation::{Census, Tag, View};
-use sandgw_cluster::location_gossip::News;
-use sandgw_cluster::overload_gossip::Storm;
-use sandgw_cluster::poll_scheduler::{Among, Asking};
+use sandgw_cluster::load_aggregation::{ClusterLoad, LoadAggregation, Tag};
+use sandgw_cluster::location_gossip::LocationGossip;
+use sandgw_cluster::overload_gossip::OverloadGossip;
+use sandgw_cluster::poll_scheduler::{ClusterView, PollScheduler};
 
 use crate::policy::api::*;
 use crate::policy::state::Sample;
@@ -21,16 +21,16 @@
 /// Where clients and groups are held, as far as it is known.
 pub(crate) struct Memory {
     affinity: Affinity,
-    tier: Tier,
-    news: News,
-    census: Census,
-    asking: Asking,
-    storm: Storm,
-    among: Among,
+    tier: Replication,
+    news: LocationGossip,
+    census: LoadAggregation,
+    asking: PollScheduler,
+    storm: OverloadGossip,
+    among: ClusterView,
     /// Whether the list has to be asked for.
     asks: bool,
     /// Whether clients' places matter, and whether others may be told.
-    passes: bool,
+    packet_passthrough: bool,
     peers: bool,
     learned: bool,
     sends: Sends,
@@ -45,11 +45,12 @@
 impl Memory {
     /// Empty tables.
     pub fn new(settings: &Settings, seed: u64, now: Millis) -> Self {
-        let limits = Limits { relays: settings.balancers, me: settings.me, ..settings.memory };
-        let (affinity, tier) = (Affinity::new(limits, now), Tier::new(seed));
-        let (passes, peers) = (settings.passes, settings.peers);
-        let (news, census, sends) = (News::default(), Census::default(), Sends::new());
-        let (asking, storm) = (Asking::new(seed), Storm::new(seed));
+        let limits =
+            Limits { relays: settings.relay_count, local_index: settings.local_index, ..settings.memory };
+        let (affinity, tier) = (Affinity::new(limits, now), Replication::new(seed));
+        let (packet_passthrough, peers) = (settings.packet_passthrough, settings.peers);
+        let (news, census, sends) = (LocationGossip::default(), LoadAggregation::default(), Sends::new());
+        let (asking, storm) = (PollScheduler::new(seed), OverloadGossip::new(seed));
         let (among, asks) = (among(settings), asks(settings));
         Memory {
             affinity,
@@ -60,7 +61,7 @@
             storm,
             among,
             asks,
-            passes,
+            packet_passthrough,
             peers,
             learned: false,
             sends,
@@ -69,24 +70,24 @@
 
     /// Takes new settings; what the tables may take up stays as it was.
     pub fn retune(&mut self, settings: &Settings) {
-        (self.passes, self.peers) = (settings.passes, settings.peers);
+        (self.packet_passthrough, self.peers) = (settings.packet_passthrough, settings.peers);
         (self.among, self.asks) = (among(settings), asks(settings));
-        self.affinity.renumber(settings.balancers, settings.me);
+        self.affinity.renumber(settings.relay_count, settings.local_index);
     }
 
     /// Takes news of the list. With the list as last held, which is the first, the others are asked.
-    pub fn list(&mut self, now: Millis, kind: ListKind, entries: &[ServerEntry]) {
-        let state = |e: &ServerEntry| match e.state {
-            ServerState::Ready => State::Ready,
-            ServerState::Draining => State::Draining,
-            ServerState::Gone => State::Gone,
+    pub fn list(&mut self, now: Millis, kind: ListKind, entries: &[EndpointEntry]) {
+        let state = |e: &EndpointEntry| match e.state {
+            EndpointState::Ready => State::Ready,
+            EndpointState::Draining => State::Draining,
+            EndpointState::Removed => State::Removed,
         };
         let entries = entries.iter().map(|e| (&e.id.0, e.started, state(e)));
         self.affinity.list(now, matches!(kind, ListKind::Full | ListKind::Cached), entries);
         match kind {
             ListKind::Full | ListKind::Delta => self.asking.answered(now, &self.among, &mut self.sends),
             ListKind::Cached if self.asks => self.asking.start(now, &self.among),
-            ListKind::Cached | ListKind::Failed | ListKind::Word => {}
+            ListKind::Cached | ListKind::Failed | ListKind::Gossip => {}
         }
         if kind == ListKind::Cached && self.peers {
             self.tier.recover(&self.affinity, now, &mut self.sends);
@@ -99,52 +100,57 @@
     }
 
     /// A set-up has come late at a server.
-    pub fn late(&mut self, now: Millis, server: &ServerId) {
-        let of = (self.among.me, self.among.relays);
-        self.storm.late(now, crate::policy::hashing::tag(&server.0), of, &mut self.sends);
+    pub fn late(&mut self, now: Millis, endpoint: &EndpointId) {
+        let of = (self.among.local_index, self.among.relays);
+        self.storm.late(now, crate::policy::hashing::tag(&endpoint.0), of, &mut self.sends);
     }
 
     /// Another balancer's set-up has come late; whether that is common to all servers.
-    pub fn warned(&mut self, now: Millis, server: Tag) -> bool {
-        self.storm.heard(now, server)
+    pub fn warned(&mut self, now: Millis, endpoint: Tag) -> bool {
+        self.storm.heard(now, endpoint)
     }
 
     /// A connection has come to stand. Where, is told to the others.
-    pub fn opened(&mut self, now: Millis, request: &Request, load: f64, server: &ServerId) {
-        // Of one that arrived mid-flow too: who keeps its place may have started again since.
-        if (self.stands(now, request, load, server) || self.passes && request.mid_flow) && self.peers {
+    pub fn opened(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) {
+        // Of one that arrived mid-connection too: who keeps its place may have started again since.
+        if (self.stands(now, request, load, endpoint) || self.packet_passthrough && request.mid_flow)
+            && self.peers
+        {
             self.news.tell(now, Affinity::client(&request.client_key()));
         }
     }
 
     /// A connection stands, since before the start or as of now; whether its client's place is news. Those of before
     /// the start are told to who asks only: all at once they would be many messages.
-    pub fn stands(&mut self, now: Millis, request: &Request, load: f64, server: &ServerId) -> bool {
+    pub fn stands(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) -> bool {
         if let Some(group) = &request.group {
-            self.affinity.place(now, crate::policy::hashing::hash(group.0.as_bytes()), &server.0, load);
+            self.affinity.place(now, crate::policy::hashing::hash(group.0.as_bytes()), &endpoint.0, load);
         }
-        self.passes && self.affinity.note(now, Affinity::client(&request.client_key()), &server.0)
+        self.packet_passthrough
+            && self.affinity.note(now, Affinity::client(&request.client_key()), &endpoint.0)
     }
 
     /// The ready server that a client's connection stands at, if that is known.
-    pub fn holder(&self, request: &Request) -> Option<ServerId> {
-        self.affinity.session(Affinity::client(&request.client_key())).map(ServerId)
+    pub fn holder(&self, request: &Request) -> Option<EndpointId> {
+        self.affinity.session(Affinity::client(&request.client_key())).map(EndpointId)
     }
 
-    /// In how long to look again for the holder of a connection that arrives mid-flow, where others are asked for it.
+    /// In how long to look again for the holder of a connection that arrives mid-connection, where others are asked for it.
     pub fn ask(&mut self, now: Millis, request: &Request) -> Option<Millis> {
         let client = Affinity::client(&request.client_key());
         self.peers.then(|| self.news.ask(&self.affinity, now, client, &mut self.sends))?
     }
 
     /// Takes another balancer's piece.
-    pub fn told(&mut self, now: Millis, peer: u32, piece: Piece) {
+    pub fn told(&mut self, now: Millis, peer: u32, piece: ClusterMessage) {
         match piece {
-            Piece::Where(clients) => self.news.answer(&self.affinity, peer, &clients, &mut self.sends),
-            Piece::Calls { each, took } => {
+            ClusterMessage::LocationQuery(clients) => {
+                self.news.answer(&self.affinity, peer, &clients, &mut self.sends)
+            }
+            ClusterMessage::PollRate { each, took } => {
                 self.asking.told(now, f64::from(each), f64::from(took), &self.among);
             }
-            Piece::Loads { total, rows } => self.census.answered(peer, total, &rows),
+            ClusterMessage::ClusterLoads { total, rows } => self.census.answered(peer, total, &rows),
             piece => self.tier.told(&mut self.affinity, now, peer, piece, &mut self.sends),
         }
     }
@@ -152,21 +158,21 @@
     /// Takes what another balancer holds, and answers it with what all hold.
     pub fn heard(&mut self, now: Millis, peer: u32, rows: Vec<(Tag, u8)>, sizes: &BTreeMap<Tag, f64>) {
         let relays = self.affinity.limits().relays;
-        if self.peers && Census::holds(relays) {
+        if self.peers && LoadAggregation::holds(relays) {
             let size = |tag| sizes.get(&tag).copied().unwrap_or_default();
             self.census.answer(now, peer, relays, rows, size, &mut self.sends);
         }
     }
 
-    /// A flow has come; others may be told what stands here, by server.
+    /// A connection has come; others may be told what stands here, by server.
     pub fn came(&mut self) {
         self.census.came();
     }
 
     /// Tells what stands here where that is due; gives what all balancers hold, once it is known anew.
-    pub fn census(&mut self, now: Millis, holds: impl FnOnce() -> Vec<(Tag, f64)>) -> Option<View> {
-        let of = (self.affinity.limits().me, self.affinity.limits().relays);
-        if !self.peers || !Census::holds(of.1) {
+    pub fn census(&mut self, now: Millis, holds: impl FnOnce() -> Vec<(Tag, f64)>) -> Option<ClusterLoad> {
+        let of = (self.affinity.limits().local_index, self.affinity.limits().relays);
+        if !self.peers || !LoadAggregation::holds(of.1) {
             return None;
         }
         self.census.tell(now, of, holds, &mut self.sends);
@@ -182,17 +188,19 @@
     /// What is to be sent, and the timer that it wants.
     pub fn act(&mut self, now: Millis, token: u64, out: &mut Actions) {
         if self.asking.due(now) {
-            out.push(Action::Watch);
+            out.push(Action::Subscribe);
         }
         if !self.peers {
             self.sends.clear();
         }
         let message = |piece| Message { memory: Some(piece), ..Message::default() };
-        out.extend(self.sends.drain(..).map(|(peer, piece)| Action::Tell { peer, message: message(piece) }));
+        out.extend(
+            self.sends.drain(..).map(|(peer, piece)| Action::SendToPeer { peer, message: message(piece) }),
+        );
         let timers =
             self.tier.timer(now).into_iter().chain(self.news.timer(now)).chain(self.census.timer(now));
         let timers = timers.chain(self.asking.timer(now));
-        out.extend(timers.map(|after| Action::Timer { after, token }));
+        out.extend(timers.map(|after| Action::SetTimer { after, token }));
     }
 
     /// The groups' sizes, once after others or a store have told of them, by slot: as a sample of as many arrivals as
@@ -239,9 +247,9 @@
 }
 
 /// Among whom the list is asked for.
-fn among(settings: &Settings) -> Among {
-    let (relays, me) = (settings.balancers, settings.me);
-    Among { relays, me, step: settings.connect_timeout, most: settings.ask_every / 2.0 }
+fn among(settings: &Settings) -> ClusterView {
+    let (relays, local_index) = (settings.relay_count, settings.local_index);
+    ClusterView { relays, local_index, step: settings.connect_timeout, most: settings.list_max_age / 2.0 }
 }
 
 fn asks(settings: &Settings) -> bool {
