--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -1,7 +1,7 @@
 //! The policy: where each connection goes, and what happens when that fails.
 //!
 //! The interface (settings, events, actions, ids) is in `interface.rs`, what is remembered in `state.rs`.
-//! A [`Balancer`] is a state machine without I/O: it is handed events with the time and appends actions.
+//! A [`LoadBalancer`] is a state machine without I/O: it is handed events with the time and appends actions.
 //!
 //! Ordinary path: the group key, else the client key, points into a Maglev table that every balancer
 //! builds alike from the ready servers of its list. All exceptions walk on along the table from that
@@ -11,15 +11,15 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use sandgw_affinity::replication::ALL_TOLD;
-use sandgw_cluster::concurrency_limit::Pace;
+use sandgw_affinity::replication::FULL_MESH_RELAYS;
+use sandgw_cluster::concurrency_limit::ConcurrencyLimit;
 use sandgw_cluster::rebalance;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::policy::api::*;
 use crate::policy::cluster_state::Memory;
 use crate::policy::hashing::*;
-use crate::policy::state::{Conn, Ledger, Mean, Pool, Recent, Sample, Server, Stage, spread};
+use crate::policy::state::{Conn, Endpoint, Ledger, Mean, Pool, Recent, Sample, Stage, spread};
 
 /// A server may carry this multiple of its fair share before its keys overflow along the table.
 const BOUND: f64 = 1.25;
@@ -64,12 +64,12 @@
 
 /// The decisions of one balancer.
 #[derive(Default)]
-pub struct Balancer {
+pub struct LoadBalancer {
     pub(crate) settings: Settings,
     seed: u64,
     pub(crate) ledger: Ledger,
     /// Servers in the table, sorted by id, the table (positions in `ring`), and the sum of weights.
-    pub(crate) ring: Vec<ServerId>,
+    pub(crate) ring: Vec<EndpointId>,
     table: Vec<u16>,
     weights: f64,
     /// Servers of each group, as positions in `ring`, with the load that each is to take.
@@ -84,10 +84,10 @@
     mean: Mean,
     /// Messages are told to be slow where they are: caps follow that better than weights can tell.
     pub(crate) hears: bool,
-    /// Where clients and groups are held: for those that arrive mid-flow, and for a plan after a restart.
+    /// Where clients and groups are held: for those that arrive mid-connection, and for a plan after a restart.
     pub(crate) memory: Memory,
     /// How many set-ups may be out at once while a fault is common to all servers.
-    pub(crate) pace: Pace,
+    pub(crate) pace: ConcurrencyLimit,
     /// Whether own connections broke off lately by a server's fault (dropped, moved off: 1) or not (-1).
     faults: f64,
     /// The steps in which clients of leaving servers are told are under way: one row of them for all.
@@ -103,11 +103,18 @@
     further: Recent,
 }
 
-impl Balancer {
+impl LoadBalancer {
     /// A balancer without any state but its settings. Its first event is the list as last held.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         let memory = Memory::new(&settings, seed, now);
-        Balancer { settings, seed, memory, began: now, pace: Pace::new(now), ..Balancer::default() }
+        LoadBalancer {
+            settings,
+            seed,
+            memory,
+            began: now,
+            pace: ConcurrencyLimit::new(now),
+            ..LoadBalancer::default()
+        }
     }
 
     /// Takes one event and appends the actions that follow from it.
@@ -116,12 +123,12 @@
             Event::Settings(settings) => {
                 self.memory.retune(&settings);
                 if settings.discovery != self.settings.discovery {
-                    out.push(Action::Watch);
+                    out.push(Action::Subscribe);
                 }
                 (self.settings, self.planned_at) = (*settings, f64::NEG_INFINITY);
             }
             Event::List { kind: ListKind::Failed, .. } => self.memory.unlisted(now),
-            Event::List { kind, servers } => self.list(now, kind, servers, out),
+            Event::List { kind, endpoints } => self.list(now, kind, endpoints, out),
             Event::Request(mut request) => {
                 let id = request.id;
                 // Two readings of the clock early, so that the last attempt's outcome is answered in time.
@@ -129,26 +136,26 @@
                 self.taken.add(now);
                 self.count(now, &request, out);
                 self.memory.came();
-                let conn = self.conn(now, request, Stage::Waiting);
+                let conn = self.conn(now, request, Stage::Queued);
                 self.ledger.conns.insert(id, conn);
                 self.advance(now, id, 0.0, out);
             }
-            Event::Open { request, server } => {
+            Event::ExistingConnection { request, endpoint } => {
                 let id = request.id;
-                let conn = Conn { attempts: 1, ..self.conn(now, request, Stage::Open) };
-                self.memory.stands(now, &conn.request, conn.load, &server);
+                let conn = Conn { attempts: 1, ..self.conn(now, request, Stage::Established) };
+                self.memory.stands(now, &conn.request, conn.load, &endpoint);
                 self.ledger.conns.insert(id, conn);
-                self.ledger.hold(id, server);
+                self.ledger.hold(id, endpoint);
             }
             Event::Established { request, attempt, elapsed: e } => self.opened(now, request, attempt, e),
-            Event::Ended { request, attempt, server, outcome, finished } => {
+            Event::AttemptEnded { request, attempt, endpoint, outcome, finished } => {
                 if self.ledger.conns.get(&request).is_some_and(|c| c.attempts == attempt.0 + 1) {
-                    self.ended(now, request, server, (outcome, finished), out);
+                    self.ended(now, request, endpoint, (outcome, finished), out);
                 }
             }
-            Event::Expired(id) => self.forget(id),
-            Event::Progress { request, note } => self.note(now, request, note, out),
-            Event::Told { peer, message } => self.told(now, peer, message, out),
+            Event::ClientGone(id) => self.forget(id),
+            Event::Measured { request, note } => self.note(now, request, note, out),
+            Event::PeerMessage { peer, message } => self.told(now, peer, message, out),
             Event::Timer(LEAVE) => self.leave(now, out),
             Event::Timer(TELL) => self.memory.due(now),
             Event::Timer(token) => self.advance(now, RequestId(token), 0.0, out),
@@ -165,80 +172,86 @@
         self.drain_queue(now, out);
     }
 
-    fn list(&mut self, now: Millis, kind: ListKind, entries: Vec<ServerEntry>, out: &mut Actions) {
+    fn list(&mut self, now: Millis, kind: ListKind, entries: Vec<EndpointEntry>, out: &mut Actions) {
         self.memory.list(now, kind, &entries);
-        let servers = &mut self.ledger.servers;
+        let endpoints = &mut self.ledger.endpoints;
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            servers.values_mut().for_each(|s| s.state = ServerState::Gone);
+            endpoints.values_mut().for_each(|s| s.state = EndpointState::Removed);
         }
         let mut resized = false;
         for e in entries {
-            match servers.get_mut(&e.id) {
+            match endpoints.get_mut(&e.id) {
                 // Not `!=`: a start that was inferred here is a little later than the listed one.
                 Some(s) if e.started <= s.started => s.state = e.state,
                 Some(s) => {
                     // A new process: what was learned of the old one is void; its connections end alone.
                     let (conns, load, before) = (std::mem::take(&mut s.conns), s.load, s.weight);
-                    *s = Server { conns, load, ..Server::new(&e) };
+                    *s = Endpoint { conns, load, ..Endpoint::new(&e) };
                     // In a running process the listed size may follow its load: the table would never rest.
                     resized |= s.weight != before;
                 }
-                None => drop(servers.insert(e.id.clone(), Server::new(&e))),
+                None => drop(endpoints.insert(e.id.clone(), Endpoint::new(&e))),
             }
         }
-        servers.retain(|_, s| s.state != ServerState::Gone || !s.conns.is_empty());
+        endpoints.retain(|_, s| s.state != EndpointState::Removed || !s.conns.is_empty());
         let mut leaves = false;
-        for s in servers.values_mut() {
+        for s in endpoints.values_mut() {
             let before = s.leaves;
-            s.leaves = (s.state != ServerState::Ready).then(|| before.unwrap_or(now));
-            let told = |id: &RequestId| self.ledger.conns.get(id).is_some_and(|c| !c.request.sent_away);
+            s.leaves = (s.state != EndpointState::Ready).then(|| before.unwrap_or(now));
+            let told =
+                |id: &RequestId| self.ledger.conns.get(id).is_some_and(|c| !c.request.drained_by_endpoint);
             leaves |= before.is_none() && s.leaves.is_some() && s.conns.iter().any(told);
         }
         if leaves && !std::mem::replace(&mut self.leaving, true) {
-            out.push(Action::Timer { after: LEAVE_STEP, token: LEAVE });
+            out.push(Action::SetTimer { after: LEAVE_STEP, token: LEAVE });
         }
-        let ready = || servers.iter().filter(|(_, s)| s.state == ServerState::Ready);
+        let ready = || endpoints.iter().filter(|(_, s)| s.state == EndpointState::Ready);
         let weighty = ready().any(|(_, s)| s.weight > 0.0);
         let ring = ready().filter(|(_, s)| s.weight > 0.0 || !weighty).map(|(id, _)| id);
         if resized || !ring.clone().eq(self.ring.iter()) {
             (self.ring, self.table) = (ring.cloned().collect(), Vec::new());
         }
         self.planned_at = f64::NEG_INFINITY;
-        self.weights = self.ring.iter().map(|id| self.ledger.servers[id].weight).sum();
+        self.weights = self.ring.iter().map(|id| self.ledger.endpoints[id].weight).sum();
     }
 
     /// Tells the next share of the clients of servers that leave to come again: evenly, since all of them at
     /// once would fall on few others.
     fn leave(&mut self, now: Millis, out: &mut Actions) {
         let mut more = false;
-        for (id, s) in &self.ledger.servers {
+        for (id, s) in &self.ledger.endpoints {
             let Some(since) = s.leaves else { continue };
-            let open = self.ledger.clients(id, |c| c.stage == Stage::Open && !c.request.sent_away);
+            let open =
+                self.ledger.clients(id, |c| c.stage == Stage::Established && !c.request.drained_by_endpoint);
             let steps = ((since + LEAVE_WITHIN - now) / LEAVE_STEP).floor().max(1.0);
             let share = (open.len() as f64 / steps).ceil() as usize;
-            out.extend(open.into_iter().take(share).map(Action::Move));
+            out.extend(open.into_iter().take(share).map(Action::Migrate));
             // One that is still being set up there stands later.
-            more |= !self.ledger.clients(id, |c| !c.request.sent_away).is_empty();
+            more |= !self.ledger.clients(id, |c| !c.request.drained_by_endpoint).is_empty();
         }
         self.leaving = more;
         if more {
-            out.push(Action::Timer { after: LEAVE_STEP, token: LEAVE });
+            out.push(Action::SetTimer { after: LEAVE_STEP, token: LEAVE });
         }
     }
 
     /// Has some own clients of servers that carry too much of what all hold come again, in calm times.
     fn level(&mut self, now: Millis, out: &mut Actions) {
-        let few = self.ledger.told < self.ledger.total * FEW * f64::from(self.settings.balancers);
-        if few || self.pace.queued() || self.ledger.servers.values().any(|s| s.state != ServerState::Ready) {
+        let few = self.ledger.told < self.ledger.total * FEW * f64::from(self.settings.relay_count);
+        if few
+            || self.pace.queued()
+            || self.ledger.endpoints.values().any(|s| s.state != EndpointState::Ready)
+        {
             return;
         }
-        let each = self.ring.iter().map(|id| &self.ledger.servers[id]);
+        let each = self.ring.iter().map(|id| &self.ledger.endpoints[id]);
         let each: Vec<_> = each.map(|s| (s.told, s.weight * self.warmth(now, s))).collect();
         for (at, share) in rebalance::shares(&each).into_iter().enumerate().filter(|(_, share)| *share > 0.0)
         {
             let since = now - SETTLED;
-            let own = self.ledger.clients(&self.ring[at], |c| c.stage == Stage::Open && c.sent < since);
-            out.extend(own.into_iter().filter(|_| self.random() < share).map(Action::Move));
+            let own =
+                self.ledger.clients(&self.ring[at], |c| c.stage == Stage::Established && c.sent < since);
+            out.extend(own.into_iter().filter(|_| self.random() < share).map(Action::Migrate));
         }
     }
 
@@ -281,9 +294,11 @@
 
     fn told(&mut self, now: Millis, peer: u32, message: Message, out: &mut Actions) {
         match message.memory {
-            Some(Piece::Holds(rows)) => self.memory.heard(now, peer, rows, &self.ledger.sizes()),
-            Some(Piece::Late(server)) => {
-                if self.memory.warned(now, server) {
+            Some(ClusterMessage::LoadReport(rows)) => {
+                self.memory.heard(now, peer, rows, &self.ledger.sizes())
+            }
+            Some(ClusterMessage::OverloadNotice(endpoint)) => {
+                if self.memory.warned(now, endpoint) {
                     self.pace.warned(now, self.ledger.trying, 2.0 * self.settings.connect_timeout);
                 }
             }
@@ -296,9 +311,9 @@
     /// servers, since every server that holds any of a group pays for it once. All in the fleet's terms.
     fn replan(&mut self, now: Millis) {
         let (mut sample, own, mut times) = (self.sample.clone(), self.sample.total(), 1.0_f64);
-        let balancers = f64::from(self.settings.balancers);
+        let relay_count = f64::from(self.settings.relay_count);
         // A sample of nearly all connections is what it is; the smaller it is, the more is by chance.
-        let chance = (balancers / own.max(1.0)).min(1.0);
+        let chance = (relay_count / own.max(1.0)).min(1.0);
         // An answer of less than the own sample is of a peer that has just started.
         if let Some(least) = self.pool.pooled.sizes.last().filter(|_| self.pool.pooled.total > own) {
             // A group that the answer had no place for is no larger than those that it names.
@@ -307,17 +322,17 @@
             sample.0.extend(self.pool.pooled.sizes.iter().filter(|(_, n)| *n > 0.0).copied());
         }
         // After a restart the own count says little yet of what the others go on carrying.
-        let (counted, (known, belief)) = (self.ledger.total.max(1.0) * balancers, self.memory.fleet(now));
+        let (counted, (known, belief)) = (self.ledger.total.max(1.0) * relay_count, self.memory.fleet(now));
         let fleet = counted + (known - counted).max(0.0) * belief;
         let unit = fleet / (own * times + PRIOR * times.sqrt() * chance);
         let mut groups: Vec<(u32, f64)> = sample.0.iter().map(|(group, n)| (*group, n * unit)).collect();
         groups.sort_by_cached_key(|(group, n)| (Reverse(n.log2().round() as i64), *group));
-        let servers = || self.ring.iter().map(|id| &self.ledger.servers[id]);
-        let power = |s: &Server| s.weight * self.warmth(now, s);
-        let all = servers().map(power).sum::<f64>().max(f64::MIN_POSITIVE);
+        let endpoints = || self.ring.iter().map(|id| &self.ledger.endpoints[id]);
+        let power = |s: &Endpoint| s.weight * self.warmth(now, s);
+        let all = endpoints().map(power).sum::<f64>().max(f64::MIN_POSITIVE);
         let share = fleet / all;
-        let per_server = self.ledger.per_server(self.ring.len());
-        let bounds = servers().map(|s| bound(share * power(s)).min(s.cap(now, per_server) * balancers));
+        let per_endpoint = self.ledger.per_endpoint(self.ring.len());
+        let bounds = endpoints().map(|s| bound(share * power(s)).min(s.cap(now, per_endpoint) * relay_count));
         let bounds: Vec<f64> = bounds.collect();
         let mut room = bounds.clone();
         let mut plan = BTreeMap::new();
@@ -347,14 +362,14 @@
     }
 
     /// Wanted set-up time: at most half of what its client waits, which is all that is known without a class.
-    fn aim(&self, conn: &Conn) -> Millis {
-        let wanted = self.class(&conn.request).map_or(f64::INFINITY, |c| c.aim);
+    fn latency_objective(&self, conn: &Conn) -> Millis {
+        let wanted = self.class(&conn.request).map_or(f64::INFINITY, |c| c.latency_objective);
         wanted.min((conn.request.deadline - conn.came) / 2.0)
     }
 
     /// Worth for the load that it brings.
-    fn worth(&self, conn: &Conn) -> f64 {
-        self.class(&conn.request).map_or(0.0, |c| c.worth) / conn.load.max(f64::MIN_POSITIVE)
+    fn priority_weight(&self, conn: &Conn) -> f64 {
+        self.class(&conn.request).map_or(0.0, |c| c.priority_weight) / conn.load.max(f64::MIN_POSITIVE)
     }
 
     /// Whether one more attempt beyond a request's first is within the budget, where one is stated: asked for
@@ -370,44 +385,51 @@
     /// have another attempt then, so that its client knows.
     fn advance(&mut self, now: Millis, id: RequestId, pause: Millis, out: &mut Actions) {
         let affordable = self.within_budget(now);
-        let Some(conn) = self.ledger.conns.get(&id).filter(|c| c.stage == Stage::Waiting) else { return };
+        let Some(conn) = self.ledger.conns.get(&id).filter(|c| c.stage == Stage::Queued) else { return };
         // A class that the settings do not name may be of any kind.
-        let repeat = self.class(&conn.request).map_or(Repeat::Unsafe, |c| c.repeat);
+        let repeat = self.class(&conn.request).map_or(Idempotency::Unsafe, |c| c.repeat);
         let limit = conn.request.deadline;
         let begin_by = match (repeat, &conn.ran) {
-            (_, None) | (Repeat::Safe, _) => f64::INFINITY,
-            (Repeat::Keyed { window, .. }, Some((sent, ..))) => sent + window,
-            (Repeat::Unsafe, Some(_)) => f64::NEG_INFINITY,
+            (_, None) | (Idempotency::Safe, _) => f64::INFINITY,
+            (Idempotency::Keyed { window, .. }, Some((sent, ..))) => sent + window,
+            (Idempotency::Unsafe, Some(_)) => f64::NEG_INFINITY,
         };
         let repeatable = now + pause < begin_by;
-        let spent = conn.attempts > 0 && !affordable;
+        let setup_time_used = conn.attempts > 0 && !affordable;
         // A refusal promises that a retry is harmless; any server may get that retry.
-        let everywhere = matches!(repeat, Repeat::Safe | Repeat::Keyed { group: RepeatGroup::All, .. });
+        let everywhere =
+            matches!(repeat, Idempotency::Safe | Idempotency::Keyed { group: DeduplicationScope::All, .. });
         let harmless = conn.ran.is_none() || (everywhere && repeatable);
-        if now + pause >= limit || !repeatable || spent || conn.attempts >= self.settings.max_attempts {
+        if now + pause >= limit
+            || !repeatable
+            || setup_time_used
+            || conn.attempts >= self.settings.max_attempts
+        {
             return self.refuse(id, harmless, out);
         }
         if pause > 0.0 {
-            return out.push(Action::Timer { after: pause, token: id.0 });
+            return out.push(Action::SetTimer { after: pause, token: id.0 });
         }
-        let (trying, aim) = (self.ledger.trying, self.aim(conn));
+        let (trying, latency_objective) = (self.ledger.trying, self.latency_objective(conn));
         // One that goes on where it stands sets nothing up.
         let mid_flow = conn.request.mid_flow && conn.attempts == 0;
-        let next = if mid_flow { 0.0 } else { self.pace.next(now, trying, aim) };
+        let next = if mid_flow { 0.0 } else { self.pace.next(now, trying, latency_objective) };
         if next > 0.0 {
             // Held only while its turn is expected in time for a set-up, by how fast they go and who waits.
             self.queue.remove(&id);
-            if now + self.pace.expected(now, trying, self.queue.len(), aim) + aim > limit {
+            if now + self.pace.expected(now, trying, self.queue.len(), latency_objective) + latency_objective
+                > limit
+            {
                 return self.refuse(id, harmless, out);
             }
             self.queue.insert(id);
-            return out.push(Action::Timer { after: next.min(limit - now), token: id.0 });
+            return out.push(Action::SetTimer { after: next.min(limit - now), token: id.0 });
         }
         self.queue.remove(&id);
         // Filled when first needed: a large fleet that restarts changes its list many times between requests.
         if self.table.is_empty() {
-            let servers = &self.ledger.servers;
-            let weights: Vec<_> = self.ring.iter().map(|id| (&*id.0, servers[id].weight)).collect();
+            let endpoints = &self.ledger.endpoints;
+            let weights: Vec<_> = self.ring.iter().map(|id| (&*id.0, endpoints[id].weight)).collect();
             self.table = fill(&weights);
         }
         if now - self.planned_at > self.settings.connect_timeout {
@@ -419,44 +441,47 @@
             && conn.attempts == 0
             && let Some(after) = self.memory.ask(now, &conn.request)
         {
-            return out.push(Action::Timer { after, token: id.0 });
+            return out.push(Action::SetTimer { after, token: id.0 });
         }
-        let Some(server) = self.choose(now, conn, repeat) else {
+        let Some(endpoint) = self.choose(now, conn, repeat) else {
             // Nowhere to go. One that is skipped, cold or at its cap may take it soon; beyond the wanted time
             // nothing says that one will: the client hears so at once, and when to come back.
             let look = self.settings.connect_timeout / LOOKS;
-            if now + look > conn.came + aim {
+            if now + look > conn.came + latency_objective {
                 return self.refuse(id, harmless, out);
             }
             self.ledger.conns.entry(id).and_modify(|c| c.tried.clear());
             return self.advance(now, id, look, out);
         };
         // What cannot be tried again is waited for; a slow set-up everywhere stretches the time-out.
-        let patient = repeat == Repeat::Unsafe || self.pace.common(now);
+        let patient = repeat == Idempotency::Unsafe || self.pace.common(now);
         // What a slow handshake has used of the set-up time is gone, for the first attempt.
-        let spent = if conn.attempts == 0 { conn.request.spent } else { 0.0 };
-        let patience =
-            if patient { f64::INFINITY } else { aim.min((aim - spent).max(self.settings.connect_timeout)) };
+        let setup_time_used = if conn.attempts == 0 { conn.request.setup_time_used } else { 0.0 };
+        let patience = if patient {
+            f64::INFINITY
+        } else {
+            latency_objective.min((latency_objective - setup_time_used).max(self.settings.connect_timeout))
+        };
         if conn.attempts > 0 {
             self.further.add(now);
         }
-        self.ledger.carry(now, self.settings.warm_within);
-        if self.warmth(now, &self.ledger.servers[&server]) < 1.0 {
+        self.ledger.carry(now, self.settings.warm_up_time);
+        if self.warmth(now, &self.ledger.endpoints[&endpoint]) < 1.0 {
             self.next_cold = now + self.cold_pause(now, &self.ring);
         }
-        self.ledger.send(id, server.clone(), now);
+        self.ledger.send(id, endpoint.clone(), now);
         self.pace.sent(now, self.seed);
-        out.push(Action::Send { request: id, server, until: limit.min(now + patience), begin_by });
+        out.push(Action::StartAttempt { request: id, endpoint, until: limit.min(now + patience), begin_by });
     }
 
     /// The final answer of a request that no server is to get.
     fn refuse(&mut self, id: RequestId, harmless: bool, out: &mut Actions) {
-        let refuse = Action::Refuse { request: id, retry_after: self.settings.max_retry_after };
+        let refuse = Action::Reject { request: id, retry_after: self.settings.max_retry_after };
         self.forget(id);
         out.push(if harmless { refuse } else { Action::Fail(id) });
     }
 
-    fn choose(&self, now: Millis, conn: &Conn, repeat: Repeat) -> Option<ServerId> {
+    fn choose(&self, now: Millis, conn: &Conn, repeat: Idempotency) -> Option<EndpointId> {
         let (mut walk, mut planned) = self.walk(&conn.request);
         let again = conn.request.returned && !conn.request.mid_flow && self.faults >= 0.0;
         if again && walk.len() > 1 && !self.ledger.crowded(now) {
@@ -468,14 +493,18 @@
             planned = planned.max(skip + 1);
         }
         let id = |i: &usize| &self.ring[walk[*i]];
-        let server = |i: &usize| &self.ledger.servers[id(i)];
+        let endpoint = |i: &usize| &self.ledger.endpoints[id(i)];
         let (key, pause) =
             (unit(&conn.request.client_key()), LazyCell::new(|| self.cold_pause(now, &self.ring)));
         let may = |i: &usize| {
-            let s = server(i);
+            let s = endpoint(i);
             let remembers = match (repeat, &conn.ran) {
-                (Repeat::Keyed { group: RepeatGroup::Zone, .. }, Some((_, zone, _))) => s.zone == *zone,
-                (Repeat::Keyed { group: RepeatGroup::Cell, .. }, Some((_, _, cell))) => s.cell == *cell,
+                (Idempotency::Keyed { group: DeduplicationScope::Zone, .. }, Some((_, zone, _))) => {
+                    s.zone == *zone
+                }
+                (Idempotency::Keyed { group: DeduplicationScope::Cell, .. }, Some((_, _, cell))) => {
+                    s.cell == *cell
+                }
                 _ => true,
             };
             let warm = self.warmth(now, s) >= 1.0 || self.warm_enough(now, id(i), key, || *pause);
@@ -487,7 +516,7 @@
             // Where it is not known, the table most likely chose its holder, whatever its state is now.
             return self.memory.holder(&conn.request).or(first);
         }
-        up.retain(|i| now >= server(i).skip_until);
+        up.retain(|i| now >= endpoint(i).skip_until);
         if up.is_empty() {
             // When all look failed the fault is more likely common to them, or here: use them all the same.
             return first;
@@ -497,60 +526,62 @@
         let among = if up[0] < planned { planned } else { walk.len() };
         // A server at its cap gets nothing until it has worked off what it holds; its requests are held.
         // Under one connection a cap is a share of the keys: many balancers would send one each.
-        let share = |s: &Server| if s.conns.is_empty() { conn.load * key } else { conn.load };
-        let room = |s: &Server| s.load + share(s) <= s.cap(now, self.ledger.per_server(self.ring.len()));
-        up.retain(|i| room(server(i)));
+        let share = |s: &Endpoint| if s.conns.is_empty() { conn.load * key } else { conn.load };
+        let room = |s: &Endpoint| s.load + share(s) <= s.cap(now, self.ledger.per_endpoint(self.ring.len()));
+        up.retain(|i| room(endpoint(i)));
         // The plan knows groups, not who else is here: of what one server has too much, the next has less. A
         // copy is better than to be held until the client gives up, where there is room to spare.
         let spare = !self.hears && !self.ledger.crowded(now);
         let each = if spare { self.ledger.total.max(1.0) / self.power } else { f64::INFINITY };
-        let fits = |s: &Server| s.load <= EVEN * each * s.weight * self.warmth(now, s) + 1.0;
-        let calm = |i: &&usize| server(i).calm(now);
+        let fits = |s: &Endpoint| s.load <= EVEN * each * s.weight * self.warmth(now, s) + 1.0;
+        let calm = |i: &&usize| endpoint(i).calm(now);
         // What all balancers hold there, where that is known, says more than the own part of it.
         let known = now - self.ledger.told_at < TOLD_FOR;
-        let fair = |s: &Server| self.ledger.told / self.power * s.weight * self.warmth(now, s);
-        let bears = |s: &Server| !known || s.told + conn.load <= bound(fair(s));
-        let well = |i: &&usize| calm(i) && bears(server(i));
+        let fair = |s: &Endpoint| self.ledger.told / self.power * s.weight * self.warmth(now, s);
+        let bears = |s: &Endpoint| !known || s.told + conn.load <= bound(fair(s));
+        let well = |i: &&usize| calm(i) && bears(endpoint(i));
         if !(spare || known) || up.iter().any(|i| *i < among && well(&i)) {
             up.retain(|i| *i < among);
         }
-        let best = up.iter().find(|i| well(i) && fits(server(i))).or(up.iter().find(well));
+        let best = up.iter().find(|i| well(i) && fits(endpoint(i))).or(up.iter().find(well));
         let best = best.or(up.iter().find(calm)).or(up.first());
         best.map(|i| id(i).clone())
     }
 
     /// Share of its capacity that a server has at the least.
-    fn warmth(&self, now: Millis, s: &Server) -> f64 {
-        let (from, within) = (self.settings.cold_from.min(1.0), self.settings.warm_within.max(1.0));
+    fn warmth(&self, now: Millis, s: &Endpoint) -> f64 {
+        let (from, within) =
+            (self.settings.cold_capacity_fraction.min(1.0), self.settings.warm_up_time.max(1.0));
         let age = if s.started > 0.0 { (now - s.started) / within } else { 1.0 };
         (from + (1.0 - from) * age).clamp(from, 1.0)
     }
 
     /// A cold server takes a share of the keys that grows as it warms, at the pace of all, 2.5 times its own.
-    fn warm_enough(&self, now: Millis, id: &ServerId, key: f64, pause: impl Fn() -> Millis) -> bool {
-        let s = &self.ledger.servers[id];
-        let (warmth, within) = (self.warmth(now, s), self.settings.warm_within);
+    fn warm_enough(&self, now: Millis, id: &EndpointId, key: f64, pause: impl Fn() -> Millis) -> bool {
+        let s = &self.ledger.endpoints[id];
+        let (warmth, within) = (self.warmth(now, s), self.settings.warm_up_time);
         let own = || self.cold_pause(now, std::slice::from_ref(id));
         // The first send is paced too, at each balancer's own point: else all send at once, or in a storm.
-        let phase = || spread(xxh3_64_with_seed(&[], s.started.to_bits()), self.settings.me);
+        let phase = || spread(xxh3_64_with_seed(&[], s.started.to_bits()), self.settings.local_index);
         let point = || s.started.max(self.began) + phase() * own().min(within).max(pause());
         // A start that lies far ahead is of a wrong clock: it says only that the server may be cold.
         let first = || if s.started - now < within { point() } else { now };
         // Many balancers send one each now and then. The pace bounds them; a share of the keys besides
         // has all others crowd on the servers that are warm.
-        let share = if self.settings.balancers > ALL_TOLD { 1.0 } else { warmth };
+        let share = if self.settings.relay_count > FULL_MESH_RELAYS { 1.0 } else { warmth };
         key < share && now >= self.next_cold.max(first()).max(s.sent + own() / 2.5)
     }
 
     /// Pause between own sends to the cold ones of these: as others are filled, in the time that they take
     /// to warm, more slowly the colder they are. All balancers see like shares: the sum keeps the fall rule.
     /// Split by server it would be under one connection a warm-up; all of one budget may fall on one server.
-    fn cold_pause(&self, now: Millis, of: &[ServerId]) -> Millis {
-        let each = of.iter().map(|id| &self.ledger.servers[id]);
+    fn cold_pause(&self, now: Millis, of: &[EndpointId]) -> Millis {
+        let each = of.iter().map(|id| &self.ledger.endpoints[id]);
         let warmths = each.map(|s| (s.weight, self.warmth(now, s))).filter(|(_, warmth)| *warmth < 1.0);
         let cold: f64 = warmths.map(|(weight, warmth)| weight * warmth).sum();
         let usual = self.ledger.carried.max(1.0) * cold / self.weights.max(f64::MIN_POSITIVE);
-        self.settings.warm_within / (COLD_PACE * usual * self.settings.fall_multiple).max(f64::MIN_POSITIVE)
+        self.settings.warm_up_time
+            / (COLD_PACE * usual * self.settings.overload_multiple).max(f64::MIN_POSITIVE)
     }
 
     // --- how attempts end ---
@@ -561,45 +592,45 @@
     }
 
     fn opened(&mut self, now: Millis, id: RequestId, attempt: AttemptId, elapsed: Millis) {
-        let current = |c: &&Conn| c.attempts == attempt.0 + 1 && c.stage == Stage::Trying;
+        let current = |c: &&Conn| c.attempts == attempt.0 + 1 && c.stage == Stage::Attempting;
         let Some(conn) = self.ledger.conns.get(&id).filter(current) else { return };
-        let (anew, aim) = (!conn.request.mid_flow, self.aim(conn));
-        let server = conn.server.clone();
-        server.iter().for_each(|at| self.memory.opened(now, &conn.request, conn.load, at));
-        match &server {
-            Some(at) if anew && elapsed > aim => self.late(now, at),
-            _ if anew => self.pace.in_time(now, elapsed / aim),
+        let (anew, latency_objective) = (!conn.request.mid_flow, self.latency_objective(conn));
+        let endpoint = conn.endpoint.clone();
+        endpoint.iter().for_each(|at| self.memory.opened(now, &conn.request, conn.load, at));
+        match &endpoint {
+            Some(at) if anew && elapsed > latency_objective => self.late(now, at),
+            _ if anew => self.pace.in_time(now, elapsed / latency_objective),
             _ => {}
         }
-        if let Some(s) = server.as_ref().and_then(|id| self.ledger.servers.get_mut(id)) {
+        if let Some(s) = endpoint.as_ref().and_then(|id| self.ledger.endpoints.get_mut(id)) {
             s.failures = 0;
             if anew {
                 s.set_up(now, elapsed, QUICKEST_OF);
             }
-            if std::mem::take(&mut s.down) && s.started < now - self.settings.warm_within {
+            if std::mem::take(&mut s.down) && s.started < now - self.settings.warm_up_time {
                 // The list is late: a server that was down and answers has just started, and is cold.
                 s.started = now;
             }
         }
-        self.ledger.stage(id, Stage::Open);
+        self.ledger.stage(id, Stage::Established);
         // What set-ups take longer here than at most others is the work piled up, which messages wait behind
         // as well. What the store adds is common to all.
         let usual = self.ledger.usual_setup(&self.ring, now - SETUP_KNOWN);
-        let (hears, per_server) = (self.hears, self.ledger.per_server(self.ring.len()));
-        let s = server.filter(|_| anew).and_then(|id| self.ledger.servers.get_mut(&id));
+        let (hears, per_endpoint) = (self.hears, self.ledger.per_endpoint(self.ring.len()));
+        let s = endpoint.filter(|_| anew).and_then(|id| self.ledger.endpoints.get_mut(&id));
         // Alone no sign to cut a cap by: one odd set-up of one that has just started would starve it.
-        if let Some(s) = s.filter(|s| s.setup.1 - usual > usual.max(LAG * aim)) {
-            s.slow(now, per_server, hears);
+        if let Some(s) = s.filter(|s| s.setup.1 - usual > usual.max(LAG * latency_objective)) {
+            s.slow(now, per_endpoint, hears);
         }
     }
 
-    fn ended(&mut self, now: Millis, id: RequestId, at: ServerId, end: (Outcome, bool), out: &mut Actions) {
+    fn ended(&mut self, now: Millis, id: RequestId, at: EndpointId, end: (Outcome, bool), out: &mut Actions) {
         let (outcome, finished) = end;
-        let Some(conn) = self.ledger.conns.get_mut(&id).filter(|c| c.stage != Stage::Waiting) else { return };
-        let (open, sent) = (conn.stage == Stage::Open, conn.sent);
+        let Some(conn) = self.ledger.conns.get_mut(&id).filter(|c| c.stage != Stage::Queued) else { return };
+        let (open, sent) = (conn.stage == Stage::Established, conn.sent);
         if outcome.may_have_run() && !open && conn.ran.is_none() {
-            let server = self.ledger.servers.get(&at);
-            conn.ran = Some(server.map_or_else(Default::default, |s| (sent, s.zone.clone(), s.cell)));
+            let endpoint = self.ledger.endpoints.get(&at);
+            conn.ran = Some(endpoint.map_or_else(Default::default, |s| (sent, s.zone.clone(), s.cell)));
         }
         conn.tried.push(at.clone());
         // Clients that leave of themselves, as in a storm of reconnects, come again without a server's fault.
@@ -608,14 +639,14 @@
             Outcome::Cancelled if open => self.faults -= (1.0 + self.faults) / 8.0,
             _ => {}
         }
-        let per_server = self.ledger.per_server(self.ring.len());
+        let per_endpoint = self.ledger.per_endpoint(self.ring.len());
         let busy = matches!(outcome, Outcome::TimedOut | Outcome::Error);
         if busy && !open {
             self.late(now, &at);
         }
-        if let Some(s) = self.ledger.servers.get_mut(&at) {
+        if let Some(s) = self.ledger.endpoints.get_mut(&at) {
             if outcome == Outcome::Reset {
-                s.jam(now, per_server, CUT);
+                s.jam(now, per_endpoint, CUT);
             }
             s.down |= outcome == Outcome::ConnectFailed && !open;
             let late = outcome == Outcome::TimedOut && !self.pace.common(now);
@@ -629,7 +660,7 @@
             return self.forget(id);
         }
         self.ledger.release(id);
-        self.ledger.stage(id, Stage::Waiting);
+        self.ledger.stage(id, Stage::Queued);
         let Some(conn) = self.ledger.conns.get(&id) else { return };
         if open {
             self.forget(id);
@@ -637,7 +668,7 @@
         }
         // What answers late or with errors is busy, often a store behind all servers: another attempt at once
         // would add to the jam. Jittered, longer with every attempt, and within half of the time left.
-        let step = self.aim(conn) * f64::from(conn.attempts) / 2.0;
+        let step = self.latency_objective(conn) * f64::from(conn.attempts) / 2.0;
         let left = conn.request.deadline - now;
         let paced = busy || outcome == Outcome::Reset;
         let pause = if paced { (step * (0.5 + self.random())).min(left / 2.0) } else { 0.0 };
@@ -645,20 +676,22 @@
     }
 
     /// A late set-up or an error.
-    fn late(&mut self, now: Millis, server: &ServerId) {
-        let (at, within) = (hash(server.0.as_bytes()), self.settings.connect_timeout);
+    fn late(&mut self, now: Millis, endpoint: &EndpointId) {
+        let (at, within) = (hash(endpoint.0.as_bytes()), self.settings.connect_timeout);
         self.pace.late(now, at, self.ledger.trying, within);
-        self.memory.late(now, server);
+        self.memory.late(now, endpoint);
     }
 
     /// Lets waiting requests go as far as the window is open, the worthiest first.
     fn drain_queue(&mut self, now: Millis, out: &mut Actions) {
         loop {
-            let worth = |id: &RequestId| self.ledger.conns.get(id).map_or(f64::INFINITY, |c| self.worth(c));
-            let best = self.queue.iter().rev().max_by(|a, b| worth(a).total_cmp(&worth(b)));
+            let priority_weight =
+                |id: &RequestId| self.ledger.conns.get(id).map_or(f64::INFINITY, |c| self.priority_weight(c));
+            let best =
+                self.queue.iter().rev().max_by(|a, b| priority_weight(a).total_cmp(&priority_weight(b)));
             let Some(id) = best.copied() else { return };
-            let aim = self.ledger.conns.get(&id).map_or(0.0, |c| self.aim(c));
-            if self.pace.next(now, self.ledger.trying, aim) > 0.0 {
+            let latency_objective = self.ledger.conns.get(&id).map_or(0.0, |c| self.latency_objective(c));
+            if self.pace.next(now, self.ledger.trying, latency_objective) > 0.0 {
                 return;
             }
             self.queue.remove(&id);
@@ -666,31 +699,37 @@
         }
     }
 
-    fn note(&mut self, now: Millis, id: RequestId, note: Note, out: &mut Actions) {
-        let per_server = self.ledger.per_server(self.ring.len());
+    fn note(&mut self, now: Millis, id: RequestId, note: Measurement, out: &mut Actions) {
+        let per_endpoint = self.ledger.per_endpoint(self.ring.len());
         let Some(conn) = self.ledger.conns.get(&id) else { return };
         match note {
-            Note::Load(level) => {
+            Measurement::Load(level) => {
                 self.mean.add(level);
                 if let Some(mean) = self.mean.get() {
                     self.ledger.reload(id, level / mean);
                 }
             }
-            Note::Delay(level) => {
-                let aims = self.settings.classes.iter().filter_map(|c| c.message_aim);
-                let aim = aims.fold(f64::INFINITY, f64::min);
+            Measurement::MessageDelay(level) => {
+                let aims = self.settings.classes.iter().filter_map(|c| c.message_latency_objective);
+                let latency_objective = aims.fold(f64::INFINITY, f64::min);
                 self.hears = true;
-                let Some(server) = conn.server.clone().filter(|_| level > aim / 3.0) else { return };
-                let Some(s) = self.ledger.servers.get_mut(&server) else { return };
-                s.slow(now, per_server, true);
-                if level > aim {
-                    s.jam(now, per_server, CUT.min(2.0 * aim / level));
+                let Some(endpoint) = conn.endpoint.clone().filter(|_| level > latency_objective / 3.0) else {
+                    return;
+                };
+                let Some(s) = self.ledger.endpoints.get_mut(&endpoint) else { return };
+                s.slow(now, per_endpoint, true);
+                if level > latency_objective {
+                    s.jam(now, per_endpoint, CUT.min(2.0 * latency_objective / level));
                     // Nothing on this server is worth anything: the clients that give least for their load
                     // are asked to come again. A share of own load, so that many balancers do not empty it.
-                    if self.random() < SHED * self.ledger.servers[&server].load {
-                        let worth = |id: &RequestId| self.worth(&self.ledger.conns[id]);
-                        let open = self.ledger.clients(&server, |c| c.stage == Stage::Open).into_iter();
-                        out.extend(open.min_by(|a, b| worth(a).total_cmp(&worth(b))).map(Action::Move));
+                    if self.random() < SHED * self.ledger.endpoints[&endpoint].load {
+                        let priority_weight = |id: &RequestId| self.priority_weight(&self.ledger.conns[id]);
+                        let open =
+                            self.ledger.clients(&endpoint, |c| c.stage == Stage::Established).into_iter();
+                        out.extend(
+                            open.min_by(|a, b| priority_weight(a).total_cmp(&priority_weight(b)))
+                                .map(Action::Migrate),
+                        );
                         // It will leave by itself, too: both together count as a fault.
                         self.faults += (1.0 - self.faults) / 4.0;
                     }
@@ -711,16 +750,16 @@
 }
 
 /// Fills the table: servers take turns, each claims its next free preferred slot.
-pub(crate) fn fill(servers: &[(&str, f64)]) -> Vec<u16> {
-    let most = servers.iter().map(|(_, w)| *w).fold(0.0, f64::max);
+pub(crate) fn fill(endpoints: &[(&str, f64)]) -> Vec<u16> {
+    let most = endpoints.iter().map(|(_, w)| *w).fold(0.0, f64::max);
     // Turns a round are the listed weight, scaled by a power of two so that the largest has one to two.
     let scale = (-most.log2().floor()).exp2();
     let turns = |w: f64| if most > 0.0 { w * scale } else { 1.0 };
     let m = SLOTS as u64;
     let start = |id: &str| u64::from(slot(id.as_bytes()));
     let skip = |id: &str| xxh3_64_with_seed(id.as_bytes(), SECOND) % (m - 1) + 1;
-    let mut at: Vec<_> = servers.iter().map(|(id, w)| (start(id), skip(id), turns(*w), 0.0)).collect();
-    let mut table = vec![u16::MAX; if servers.is_empty() { 0 } else { SLOTS }];
+    let mut at: Vec<_> = endpoints.iter().map(|(id, w)| (start(id), skip(id), turns(*w), 0.0)).collect();
+    let mut table = vec![u16::MAX; if endpoints.is_empty() { 0 } else { SLOTS }];
     // What is claimed, a bit a slot: it stays in the nearest cache, which the table does not fit.
     let mut claimed = vec![0_u64; SLOTS / 64 + 1];
     let mut free = table.len();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -6,4 +6,4 @@
 pub(crate) mod load_balancer;
 pub(crate) mod state;
 
-pub use load_balancer::Balancer;
+pub use load_balancer::LoadBalancer;
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use sandgw_cluster::load_aggregation::{Tag, View};
+use sandgw_cluster::load_aggregation::{ClusterLoad, Tag};
 
 use crate::policy::api::*;
 use crate::policy::hashing::{fraction, tag};
@@ -17,11 +17,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// No attempt is out.
-    Waiting,
+    Queued,
     /// An attempt is out.
-    Trying,
+    Attempting,
     /// It stands; only its end is still to come.
-    Open,
+    Established,
 }
 
 /// A request that still lacks its final answer, or an open connection.
@@ -33,10 +33,10 @@
     /// Attempts made.
     pub attempts: u32,
     /// Server of the latest attempt while it is out or open, and when it was sent.
-    pub server: Option<ServerId>,
+    pub endpoint: Option<EndpointId>,
     pub sent: Millis,
     /// Servers that failed this request.
-    pub tried: Vec<ServerId>,
+    pub tried: Vec<EndpointId>,
     /// First attempt that may have run: when it was sent, zone and cell of its server.
     pub ran: Option<(Millis, Zone, u64)>,
     /// Load counted for it, in mean connections.
@@ -46,8 +46,8 @@
 impl Conn {
     /// One that no attempt was made for.
     pub fn new(came: Millis, request: Request, stage: Stage, load: f64) -> Self {
-        let (attempts, server, sent, tried, ran) = (0, None, 0.0, Vec::new(), None);
-        Conn { request, came, stage, attempts, server, sent, tried, ran, load }
+        let (attempts, endpoint, sent, tried, ran) = (0, None, 0.0, Vec::new(), None);
+        Conn { request, came, stage, attempts, endpoint, sent, tried, ran, load }
     }
 }
 
@@ -58,8 +58,8 @@
 }
 
 /// What is known of a server.
-pub(crate) struct Server {
-    pub state: ServerState,
+pub(crate) struct Endpoint {
+    pub state: EndpointState,
     /// What stands for it in what balancers tell each other of loads.
     pub tag: Tag,
     pub weight: f64,
@@ -89,9 +89,9 @@
     pub leaves: Option<Millis>,
 }
 
-impl Server {
-    pub fn new(e: &ServerEntry) -> Self {
-        Server {
+impl Endpoint {
+    pub fn new(e: &EndpointEntry) -> Self {
+        Endpoint {
             state: e.state,
             tag: tag(&e.id.0),
             weight: if e.weight.is_finite() && e.weight >= 0.0 { e.weight } else { 1.0 },
@@ -113,22 +113,22 @@
         }
     }
 
-    /// Most own load that it seems to manage: grows while it is calm, by a share of `per_server` too.
-    pub fn cap(&self, now: Millis, per_server: f64) -> f64 {
+    /// Most own load that it seems to manage: grows while it is calm, by a share of `per_endpoint` too.
+    pub fn cap(&self, now: Millis, per_endpoint: f64) -> f64 {
         let calm = (now - self.slow_at - SLOW_FOR).max(0.0) / 1000.0;
-        let grown = || (self.cap + per_server) * REGROW.powf(calm) - per_server;
+        let grown = || (self.cap + per_endpoint) * REGROW.powf(calm) - per_endpoint;
         if self.cap.is_finite() { grown() } else { self.cap }
     }
 
     /// Its messages or set-ups are slow; `bounds`: it is to take no more than it has.
-    pub fn slow(&mut self, now: Millis, per_server: f64, bounds: bool) {
-        let cap = if bounds { self.cap(now, per_server).min(self.load) } else { self.cap };
+    pub fn slow(&mut self, now: Millis, per_endpoint: f64, bounds: bool) {
+        let cap = if bounds { self.cap(now, per_endpoint).min(self.load) } else { self.cap };
         (self.cap, self.slow_at) = (cap, now);
     }
 
     /// It carries more than it manages: messages come too late to be worth anything, or it sheds.
-    pub fn jam(&mut self, now: Millis, per_server: f64, cut: f64) {
-        (self.cap, self.slow_at) = (self.cap(now, per_server), now);
+    pub fn jam(&mut self, now: Millis, per_endpoint: f64, cut: f64) {
+        (self.cap, self.slow_at) = (self.cap(now, per_endpoint), now);
         if now - self.cut_at > SLOW_FOR {
             (self.cap, self.cut_at) = (self.cap.min(self.load) * cut, now);
         }
@@ -192,16 +192,16 @@
         let seen = sample.total();
         let due =
             self.untold > 1.0 + seen / 3.0 && self.asked.is_none_or(|at| now - at > settings.connect_timeout);
-        if seen > f64::from(settings.balancers) {
+        if seen > f64::from(settings.relay_count) {
             self.pooled = Message::default();
         } else if settings.peers && due {
             // No answer to the last one: it may be down, and the next in number adds up.
             let next = self.collector + u32::from(self.asked.is_some());
-            self.collector = next % settings.balancers;
+            self.collector = next % settings.relay_count;
             (self.untold, self.asked) = (0.0, None);
-            if self.collector != settings.me {
+            if self.collector != settings.local_index {
                 self.asked = Some(now);
-                return Some(Action::Tell { peer: self.collector, message: sample.message(false) });
+                return Some(Action::SendToPeer { peer: self.collector, message: sample.message(false) });
             }
         }
         None
@@ -211,12 +211,12 @@
     pub fn told(&mut self, peer: u32, message: Message, own: &Sample, settings: &Settings) -> Option<Action> {
         if message.answer && peer == self.collector {
             (self.pooled, self.asked) = (message, None);
-        } else if !message.answer && peer < settings.balancers {
+        } else if !message.answer && peer < settings.relay_count {
             self.samples.insert(peer, message.sizes);
             let mut sum = own.clone();
             self.samples.values().flatten().for_each(|(group, n)| *sum.0.entry(*group).or_default() += n);
             self.pooled = sum.message(true);
-            return Some(Action::Tell { peer, message: self.pooled.clone() });
+            return Some(Action::SendToPeer { peer, message: self.pooled.clone() });
         }
         None
     }
@@ -260,7 +260,7 @@
 
 /// Servers and connections, with the sums over them kept up to date.
 pub(crate) struct Ledger {
-    pub servers: BTreeMap<ServerId, Server>,
+    pub endpoints: BTreeMap<EndpointId, Endpoint>,
     pub conns: BTreeMap<RequestId, Conn>,
     /// Load of all own connections.
     pub total: f64,
@@ -277,7 +277,7 @@
 impl Default for Ledger {
     fn default() -> Self {
         Ledger {
-            servers: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             conns: BTreeMap::new(),
             total: 0.0,
             trying: 0,
@@ -291,15 +291,15 @@
 
 impl Ledger {
     /// Counts a connection at a server.
-    pub fn hold(&mut self, id: RequestId, server: ServerId) {
+    pub fn hold(&mut self, id: RequestId, endpoint: EndpointId) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        if let Some(s) = self.servers.get_mut(&server) {
+        if let Some(s) = self.endpoints.get_mut(&endpoint) {
             s.conns.insert(id);
             s.load += conn.load;
             s.told += conn.load;
         }
         self.total += conn.load;
-        conn.server = Some(server);
+        conn.endpoint = Some(endpoint);
     }
 
     /// Follows the load that stands: up at once, down within a span.
@@ -311,74 +311,74 @@
 
     /// What stands here, by the tags of its servers.
     pub fn holds(&self) -> Vec<(Tag, f64)> {
-        let held = self.servers.values().filter(|s| !s.conns.is_empty());
+        let held = self.endpoints.values().filter(|s| !s.conns.is_empty());
         held.map(|s| (s.tag, s.load)).collect()
     }
 
     /// Own connections at a server, those of them that are wanted.
-    pub fn clients(&self, server: &ServerId, wanted: impl Fn(&Conn) -> bool) -> Vec<RequestId> {
-        let ids = self.servers.get(server).into_iter().flat_map(|s| &s.conns).copied();
+    pub fn clients(&self, endpoint: &EndpointId, wanted: impl Fn(&Conn) -> bool) -> Vec<RequestId> {
+        let ids = self.endpoints.get(endpoint).into_iter().flat_map(|s| &s.conns).copied();
         ids.filter(|id| self.conns.get(id).is_some_and(&wanted)).collect()
     }
 
     /// Own connections that fall to each of so many servers, at most one: one more at each of many balancers is too
     /// much.
-    pub fn per_server(&self, servers: usize) -> f64 {
-        (self.total / servers.max(1) as f64).min(1.0)
+    pub fn per_endpoint(&self, endpoints: usize) -> f64 {
+        (self.total / endpoints.max(1) as f64).min(1.0)
     }
 
     /// Whether over a third of the servers that hold own connections are slow: the load is too high for all, and a
     /// further copy of a group would cost its new server more than it gains.
     pub fn crowded(&self, now: Millis) -> bool {
-        let held = self.servers.values().filter(|s| !s.conns.is_empty());
+        let held = self.endpoints.values().filter(|s| !s.conns.is_empty());
         let well = held.map(|s| if s.calm(now) { 1 } else { -2 });
         well.sum::<i32>() < 0
     }
 
     /// Sizes of servers by their tags.
     pub fn sizes(&self) -> BTreeMap<Tag, f64> {
-        self.servers.values().map(|s| (s.tag, s.weight)).collect()
+        self.endpoints.values().map(|s| (s.tag, s.weight)).collect()
     }
 
     /// Takes what all balancers hold; of servers that are not named there is little.
-    pub fn hear(&mut self, now: Millis, view: &View) {
+    pub fn hear(&mut self, now: Millis, view: &ClusterLoad) {
         (self.told, self.told_at) = (view.total, now);
-        for s in self.servers.values_mut() {
+        for s in self.endpoints.values_mut() {
             s.told = view.loads.get(&s.tag).copied().unwrap_or(0.0);
         }
     }
 
     /// The median of what set-ups take at these servers; endless where none is known since then.
-    pub fn usual_setup(&self, servers: &[ServerId], since: Millis) -> Millis {
-        let known = servers.iter().filter_map(|id| self.servers.get(id)).map(|s| s.setup);
+    pub fn usual_setup(&self, endpoints: &[EndpointId], since: Millis) -> Millis {
+        let known = endpoints.iter().filter_map(|id| self.endpoints.get(id)).map(|s| s.setup);
         let mut all: Vec<Millis> = known.filter(|(at, _)| *at > since).map(|(_, setup)| setup).collect();
         all.sort_by(f64::total_cmp);
         all.get(all.len() / 2).copied().unwrap_or(f64::INFINITY)
     }
 
     /// Counts an attempt that is sent now.
-    pub fn send(&mut self, id: RequestId, server: ServerId, now: Millis) {
+    pub fn send(&mut self, id: RequestId, endpoint: EndpointId, now: Millis) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.attempts += 1;
             conn.sent = now;
         }
-        if let Some(s) = self.servers.get_mut(&server) {
+        if let Some(s) = self.endpoints.get_mut(&endpoint) {
             s.sent = now;
         }
-        self.stage(id, Stage::Trying);
-        self.hold(id, server);
+        self.stage(id, Stage::Attempting);
+        self.hold(id, endpoint);
     }
 
     /// Takes a connection off its server.
     pub fn release(&mut self, id: RequestId) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Some(server) = conn.server.take() else { return };
-        if let Some(s) = self.servers.get_mut(&server) {
+        let Some(endpoint) = conn.endpoint.take() else { return };
+        if let Some(s) = self.endpoints.get_mut(&endpoint) {
             s.conns.remove(&id);
             // Sums of many small numbers drift: an empty server starts again from nothing.
             s.load = if s.conns.is_empty() { 0.0 } else { (s.load - conn.load).max(0.0) };
-            if s.conns.is_empty() && s.state == ServerState::Gone {
-                self.servers.remove(&server);
+            if s.conns.is_empty() && s.state == EndpointState::Removed {
+                self.endpoints.remove(&endpoint);
             }
         }
         self.total = (self.total - conn.load).max(0.0);
@@ -389,8 +389,8 @@
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let change = load - conn.load;
         conn.load = load;
-        if let Some(server) = &conn.server {
-            if let Some(s) = self.servers.get_mut(server) {
+        if let Some(endpoint) = &conn.endpoint {
+            if let Some(s) = self.endpoints.get_mut(endpoint) {
                 s.load = (s.load + change).max(0.0);
             }
             self.total = (self.total + change).max(0.0);
@@ -400,15 +400,15 @@
     /// Moves a connection to another stage.
     pub fn stage(&mut self, id: RequestId, stage: Stage) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        self.trying -= u32::from(conn.stage == Stage::Trying);
-        self.trying += u32::from(stage == Stage::Trying);
+        self.trying -= u32::from(conn.stage == Stage::Attempting);
+        self.trying += u32::from(stage == Stage::Attempting);
         conn.stage = stage;
     }
 
     /// Drops a connection and all that was counted for it.
     pub fn forget(&mut self, id: RequestId) {
         self.release(id);
-        self.stage(id, Stage::Waiting);
+        self.stage(id, Stage::Queued);
         self.conns.remove(&id);
     }
 }
--- a/src/properties.rs
+++ b/src/properties.rs
@@ -1,5 +1,5 @@
-//! The rules as properties of whole relays: several of them with their balancers, streamers and clients in virtual
-//! time, over runs of events drawn from fixed seeds. Streamers drain, go, crash and come back cold; relays are
+//! The rules as properties of whole relays: several of them with their balancers, endpoints and clients in virtual
+//! time, over runs of events drawn from fixed seeds. Endpoints drain, go, crash and come back cold; relays are
 //! killed and start anew, one or most of them; clients storm and leave in bursts; lists come late, whole, in changes or
 //! not at all; a relay is short of descriptors for a while. Then all trouble ends, and the run has to come to rest.
 //! Every test looks at one rule over the same runs.
@@ -14,40 +14,40 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 
-use crate::discovery::{ListError, TargetGroup};
+use crate::discovery::{EndpointList, ListError};
 use crate::policy::api::*;
-use crate::relay::{Arrival, Command, FixedResponse, FlowCommand, FlowId, Relay};
-use crate::tests::{START, entry, server, settings};
+use crate::relay::{Command, ConnectionCommand, IncomingRequest, LocalReply, Relay};
+use crate::tests::{START, endpoint, entry, settings};
 
 const RUNS: u64 = 48;
 /// Threads that play them.
 const THREADS: usize = 3;
 const RELAYS: usize = 4;
-/// Large tiers, in which each relay meets a flow in seconds, how many runs of each, and new flows a second on all
-/// relays: of what warm streamers can take two fifths, at a hundred relays and more a fifth.
+/// Large tiers, in which each relay meets a connection in seconds, how many runs of each, and new connections a second on all
+/// relays: of what warm endpoints can take two fifths, at a hundred relays and more a fifth.
 const LARGE: [(usize, u64, f64); 5] =
     [(20, 24, 40.0), (30, 24, 40.0), (32, 4, 40.0), (100, 12, 20.0), (312, 2, 20.0)];
 /// The same at three fifths and two fifths, for the fall rule alone.
 const FULLER: [(usize, u64, f64); 3] = [(20, 24, 60.0), (30, 24, 60.0), (100, 12, 40.0)];
-const STREAMERS: usize = 8;
+const ENDPOINTS: usize = 8;
 const CLASSES: [&str; 5] = ["safe", "all", "zone", "cell", "unsafe"];
 /// Trouble and arrivals last for so long; then the clients leave.
 const TROUBLE: Millis = 14_000.0;
 const CALM: Millis = 12_000.0;
-/// New flows a second on all relays, and how long they stand: half of what warm streamers can take.
+/// New connections a second on all relays, and how long they stand: half of what warm endpoints can take.
 const RATE: f64 = 40.0;
 const LIFE: Millis = 8_000.0;
-/// New flows a second that a warm streamer can take for good, by which the fall rule is measured.
+/// New connections a second that a warm endpoint can take for good, by which the fall rule is measured.
 const CAPACITY: f64 = 12.0;
 const FALL: Millis = 1_000.0;
-/// Slack for chance of the fall rule: of four relays in flows, of a large tier two roots of the budget and two flows.
+/// Slack for chance of the fall rule: of four relays in connections, of a large tier two roots of the budget and two connections.
 const SLACK: f64 = 2.0;
 const ROOTS: f64 = 2.0;
-const FLOWS: f64 = 2.0;
+const CONNECTIONS: f64 = 2.0;
 const RETRY_AFTER: Millis = 1_500.0;
 const ANSWER_SLACK: Millis = 8.0;
 const STOP_WITHIN: Millis = 1_000.0;
-/// A streamer's clients are told within this of the notice, and one that came to stand since within a step.
+/// An endpoint's clients are told within this of the notice, and one that came to stand since within a step.
 const TOLD_WITHIN: Millis = 1_300.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,46 +55,46 @@
     /// One final answer, in time, and none after it.
     OneAnswer,
     /// One forward out, five at the most, none after the answer.
-    OneForward,
-    /// Nothing new to a streamer a second after the news that it drains or has gone.
+    OneAttempt,
+    /// Nothing new to an endpoint a second after the news that it drains or has gone.
     Leaving,
-    /// All relays together spare a cold streamer.
+    /// All relays together spare a cold endpoint.
     Cold,
-    /// Clients are told to move before their streamer leaves.
+    /// Clients are told to move before their endpoint leaves.
     Told,
     /// What is given up is answered in the same call, and a refusal says when to come back.
     GivenUp,
-    /// Of a client that has left nothing is held, wherever its flow was.
+    /// Of a client that has left nothing is held, wherever its connection was.
     Left,
-    /// Once there is room everything returns to rest, and new flows are served.
+    /// Once there is room everything returns to rest, and new connections are served.
     Rest,
 }
 
 #[derive(Debug)]
 enum Due {
-    Arrival,
+    IncomingRequest,
     Arrive {
         at: usize,
         client: u32,
         returned: bool,
     },
-    Stands(usize, FlowId, u32),
-    Ends(usize, FlowId, u32, Outcome),
+    Stands(usize, RequestId, u32),
+    Ends(usize, RequestId, u32, Outcome),
     /// The attempt has had its time.
-    Late(usize, FlowId, u32),
+    Late(usize, RequestId, u32),
     /// The client has had its time.
-    Deadline(usize, FlowId),
-    /// A standing flow ends.
-    Close(usize, FlowId, Outcome),
+    Deadline(usize, RequestId),
+    /// A standing connection ends.
+    Close(usize, RequestId, Outcome),
     /// A client that waits gives up early.
-    Leaves(usize, FlowId),
+    Leaves(usize, RequestId),
     Timer(usize, u64),
-    List(usize, ListKind, Vec<ServerEntry>),
+    List(usize, ListKind, Vec<EndpointEntry>),
     Tell(usize, u32, Message),
     Trouble,
-    Storm(bool),
+    OverloadGossip(bool),
     Room(usize),
-    /// A streamer that drained or crashed has gone; whether its clients were to be told.
+    /// An endpoint that drained or crashed has gone; whether its clients were to be told.
     Gone(usize, bool),
     Back(usize),
     /// A relay that was killed starts as a new process.
@@ -103,7 +103,7 @@
 }
 
 impl Due {
-    /// Whether it ends with this relay's process: its flows, its timers and the news that is on the way to it.
+    /// Whether it ends with this relay's process: its connections, its timers and the news that is on the way to it.
     fn ends_with(&self, relay: usize) -> bool {
         match self {
             Due::Stands(at, ..)
@@ -121,19 +121,19 @@
     }
 }
 
-/// A flow as an independent observer keeps it.
+/// A connection as an independent observer keeps it.
 struct Book {
     client: u32,
     deadline: Millis,
     attempts: u32,
-    /// The attempt that is out: its streamer and when it was sent.
-    out: Option<(ServerId, Millis)>,
+    /// The attempt that is out: its endpoint and when it was sent.
+    out: Option<(EndpointId, Millis)>,
     /// Where it stands, and since when.
-    stands: Option<(ServerId, Millis)>,
+    stands: Option<(EndpointId, Millis)>,
     answered: bool,
     left: bool,
     moved: bool,
-    sent_away: bool,
+    drained_by_endpoint: bool,
     class: usize,
 }
 
@@ -141,12 +141,12 @@
     relay: Relay,
     /// Whether its process runs.
     up: bool,
-    books: BTreeMap<FlowId, Book>,
+    books: BTreeMap<RequestId, Book>,
     /// The list as it was last told.
-    held: BTreeMap<ServerId, ServerEntry>,
-    /// Streamers that it was told drain or have gone, since when; starts that it was told of.
-    leaving: BTreeMap<ServerId, Millis>,
-    starts: BTreeMap<ServerId, Millis>,
+    held: BTreeMap<EndpointId, EndpointEntry>,
+    /// Endpoints that it was told drain or have gone, since when; starts that it was told of.
+    leaving: BTreeMap<EndpointId, Millis>,
+    starts: BTreeMap<EndpointId, Millis>,
     /// Timers that are out, by token.
     armed: HashMap<u64, u32>,
     /// When its latest news of the list arrives: they keep their order.
@@ -155,38 +155,38 @@
 }
 
 struct Run {
-    /// New flows a second.
+    /// New connections a second.
     rate: f64,
     dice: StdRng,
     now: Millis,
     due: BTreeMap<(u64, u64), Due>,
     number: u64,
     stations: Vec<Station>,
-    streamers: Vec<(ServerState, Millis)>,
+    endpoints: Vec<(EndpointState, Millis)>,
     cold_sends: Vec<Vec<Millis>>,
     storm: bool,
     next_client: u32,
     broken: Vec<(Rule, String)>,
     /// How often each rule could have been broken.
     occasions: BTreeMap<Rule, u64>,
-    /// Clients that left while their flow was in the queue, was held otherwise, and was being set up.
+    /// Clients that left while their connection was in the queue, was held otherwise, and was being set up.
     left: [u64; 3],
     log: DefaultHasher,
 }
 
 /// A new process of a relay, as its settings have it.
-fn process(relays: usize, me: usize, seed: u64, now: Millis) -> Relay {
+fn process(relays: usize, local_index: usize, seed: u64, now: Millis) -> Relay {
     let settings = Settings {
-        balancers: relays as u32,
-        me: me as u32,
+        relay_count: relays as u32,
+        local_index: local_index as u32,
         peers: true,
         max_attempts: 5,
         connect_timeout: 200.0,
         resolution: 2.0,
         max_retry_after: Some(RETRY_AFTER),
-        cold_from: 0.31,
-        warm_within: 8_600.0,
-        fall_multiple: 3.0,
+        cold_capacity_fraction: 0.31,
+        warm_up_time: 8_600.0,
+        overload_multiple: 3.0,
         ..settings()
     };
     Relay::new(settings, CLASSES.map(str::to_owned).to_vec(), seed, now)
@@ -201,8 +201,8 @@
             due: BTreeMap::new(),
             number: 0,
             stations: Vec::new(),
-            streamers: vec![(ServerState::Ready, 0.0); STREAMERS],
-            cold_sends: vec![Vec::new(); STREAMERS],
+            endpoints: vec![(EndpointState::Ready, 0.0); ENDPOINTS],
+            cold_sends: vec![Vec::new(); ENDPOINTS],
             storm: false,
             next_client: 0,
             broken: Vec::new(),
@@ -210,9 +210,9 @@
             left: [0; 3],
             log: DefaultHasher::new(),
         };
-        for me in 0..relays {
+        for local_index in 0..relays {
             run.stations.push(Station {
-                relay: process(relays, me, seed * 64 + me as u64, START),
+                relay: process(relays, local_index, seed * 64 + local_index as u64, START),
                 up: true,
                 books: BTreeMap::new(),
                 held: BTreeMap::new(),
@@ -223,16 +223,17 @@
                 short: false,
             });
             let all = run.list();
-            run.hear(me, ListKind::Cached, all);
+            run.hear(local_index, ListKind::Cached, all);
         }
-        run.after(0.0, Due::Arrival);
+        run.after(0.0, Due::IncomingRequest);
         run.after(1_500.0, Due::Trouble);
         run.after(1_000.0, Due::Tick);
         run
     }
 
-    fn list(&self) -> Vec<ServerEntry> {
-        let listed = self.streamers.iter().enumerate().filter(|(_, (state, _))| *state != ServerState::Gone);
+    fn list(&self) -> Vec<EndpointEntry> {
+        let listed =
+            self.endpoints.iter().enumerate().filter(|(_, (state, _))| *state != EndpointState::Removed);
         listed.map(|(i, (state, started))| entry(i, *state, *started)).collect()
     }
 
@@ -261,7 +262,7 @@
         -mean * self.dice.random_range(1e-9..1.0_f64).ln()
     }
 
-    /// Calls a relay, carries out what it commands and sees that no flow is forgotten.
+    /// Calls a relay, carries out what it commands and sees that no connection is forgotten.
     fn call(&mut self, at: usize, call: impl FnOnce(&mut Relay, Millis)) {
         call(&mut self.stations[at].relay, self.now);
         for command in self.stations[at].relay.take_commands() {
@@ -271,18 +272,18 @@
         }
         let station = &self.stations[at];
         let waits = |b: &Book| !b.answered && !b.left && b.out.is_none() && b.stands.is_none();
-        let armed = |id: &FlowId| station.armed.get(&id.0).is_some_and(|n| *n > 0);
+        let armed = |id: &RequestId| station.armed.get(&id.0).is_some_and(|n| *n > 0);
         let lost = station.books.iter().find(|(id, b)| waits(b) && !armed(id)).map(|(id, _)| *id);
         self.look(Rule::GivenUp, lost.is_none(), || format!("{lost:?} is neither answered nor waited for"));
     }
 
     fn obey(&mut self, at: usize, command: Command) {
         match command {
-            Command::Flow(id, FlowCommand::Forward(attempt)) => {
-                self.forward(at, id, attempt.number, attempt.target, attempt.until);
+            Command::Connection(id, ConnectionCommand::StartAttempt(attempt)) => {
+                self.attempt(at, id, attempt.number, attempt.endpoint, attempt.until);
             }
-            Command::Flow(id, FlowCommand::Answer(response)) => self.answer(at, id, response),
-            Command::Flow(id, FlowCommand::Move) => {
+            Command::Connection(id, ConnectionCommand::Reply(response)) => self.answer(at, id, response),
+            Command::Connection(id, ConnectionCommand::Migrate) => {
                 let Some(book) = self.stations[at].books.get_mut(&id) else { return };
                 let stands = book.stands.is_some();
                 let client = book.client;
@@ -293,13 +294,13 @@
                 let to = self.dice.random_range(0..self.stations.len());
                 self.after(pause + 100.0, Due::Arrive { at: to, client, returned: true });
             }
-            Command::Timer { after, token } => {
+            Command::SetTimer { after, token } => {
                 *self.stations[at].armed.entry(token).or_default() += 1;
                 self.after(after.max(0.0), Due::Timer(at, token));
             }
             // No process hands over in these runs.
-            Command::Watch | Command::Flow(_, FlowCommand::Pass) => {}
-            Command::Tell { peer, message } => {
+            Command::Subscribe | Command::Connection(_, ConnectionCommand::Transfer) => {}
+            Command::SendToPeer { peer, message } => {
                 let delay = self.span(1.0, 30.0);
                 if self.dice.random_bool(0.9) {
                     self.after(delay, Due::Tell(peer as usize, at as u32, message));
@@ -308,36 +309,36 @@
         }
     }
 
-    fn forward(&mut self, at: usize, id: FlowId, attempt: u32, target: ServerId, until: Millis) {
+    fn attempt(&mut self, at: usize, id: RequestId, attempt: u32, endpoint: EndpointId, until: Millis) {
         let now = self.now;
-        let i: usize = target.0[1..].parse().expect("a streamer of these runs");
+        let i: usize = endpoint.0[1..].parse().expect("a streamer of these runs");
         let station = &mut self.stations[at];
         let Some(book) = station.books.get_mut(&id) else {
-            return self.break_rule(Rule::OneForward, format!("{id:?} is forwarded after its end"));
+            return self.break_rule(Rule::OneAttempt, format!("{id:?} is forwarded after its end"));
         };
         let free = book.out.is_none() && book.stands.is_none() && !book.answered && !book.left;
         let fits = free && book.attempts == attempt && attempt < 5 && until <= book.deadline;
         book.attempts += 1;
-        book.out = Some((target.clone(), now));
-        let told = station.leaving.get(&target).copied();
-        let knows = station.starts.get(&target) == Some(&self.streamers[i].1);
+        book.out = Some((endpoint.clone(), now));
+        let told = station.leaving.get(&endpoint).copied();
+        let knows = station.starts.get(&endpoint) == Some(&self.endpoints[i].1);
         let short = station.short;
-        self.look(Rule::OneForward, fits, || format!("{id:?} forwarded as attempt {attempt}, until {until}"));
+        self.look(Rule::OneAttempt, fits, || format!("{id:?} forwarded as attempt {attempt}, until {until}"));
         self.look(Rule::Leaving, told.is_none_or(|since| now - since <= STOP_WITHIN), || {
-            format!("{id:?} forwarded to {target:?}, told {told:?} that it leaves")
+            format!("{id:?} forwarded to {endpoint:?}, told {told:?} that it leaves")
         });
-        let (state, started) = self.streamers[i];
+        let (state, started) = self.endpoints[i];
         let age = now - started;
-        if started > 0.0 && age < 8_600.0 && knows && state == ServerState::Ready {
+        if started > 0.0 && age < 8_600.0 && knows && state == EndpointState::Ready {
             self.cold_sends[i].push(now);
             let lately = self.cold_sends[i].iter().filter(|sent| now - **sent < FALL).count() as f64;
             let warmth = 0.31 + 0.69 * age / 8_600.0;
             let most = 3.0 * warmth * CAPACITY * FALL / 1000.0;
             // Hundreds of relays send each by itself: the count is as uneven as that of any independent arrivals.
-            let chance = ROOTS * most.sqrt() + FLOWS;
+            let chance = ROOTS * most.sqrt() + CONNECTIONS;
             let most = most + if self.stations.len() > RELAYS { chance } else { SLACK };
             self.look(Rule::Cold, lately <= most, || {
-                format!("{lately} to {target:?}, {age:.0} ms old, of {most}")
+                format!("{lately} to {endpoint:?}, {age:.0} ms old, of {most}")
             });
         }
         self.after((until - now).max(0.0), Due::Late(at, id, attempt));
@@ -349,9 +350,9 @@
         let took = if calm { self.span(5.0, 40.0) } else { self.span(5.0, 400.0) };
         let ends = |outcome| Due::Ends(at, id, attempt, outcome);
         match (state, kind) {
-            (ServerState::Gone, 0..70) => self.after(1.0, ends(Outcome::ConnectFailed)),
-            (ServerState::Gone, _) => self.after(200.0, ends(Outcome::ConnectFailed)),
-            (ServerState::Draining, 0..60) => self.after(2.0, ends(Outcome::Rejected)),
+            (EndpointState::Removed, 0..70) => self.after(1.0, ends(Outcome::ConnectFailed)),
+            (EndpointState::Removed, _) => self.after(200.0, ends(Outcome::ConnectFailed)),
+            (EndpointState::Draining, 0..60) => self.after(2.0, ends(Outcome::Rejected)),
             _ if calm => self.after(took, Due::Stands(at, id, attempt)),
             (_, 0..6) => self.after(took, ends(Outcome::Error)),
             (_, 6..12) => self.after(2.0, ends(Outcome::Rejected)),
@@ -363,7 +364,7 @@
         }
     }
 
-    fn answer(&mut self, at: usize, id: FlowId, response: FixedResponse) {
+    fn answer(&mut self, at: usize, id: RequestId, response: LocalReply) {
         let now = self.now;
         let Some(book) = self.stations[at].books.get_mut(&id) else {
             return self.break_rule(Rule::OneAnswer, format!("{id:?} is answered after its end"));
@@ -375,10 +376,10 @@
         self.look(Rule::OneAnswer, fits, || {
             format!("{id:?} is answered {response:?} again, late or while out")
         });
-        if let FixedResponse::Busy(after) = response {
+        if let LocalReply::Rejected(after) = response {
             self.look(Rule::GivenUp, after == Some(RETRY_AFTER), || format!("{id:?} refused: {after:?}"));
         }
-        if class < 2 || matches!(response, FixedResponse::Busy(_)) {
+        if class < 2 || matches!(response, LocalReply::Rejected(_)) {
             let pause = RETRY_AFTER + self.span(0.0, 200.0);
             let to = self.dice.random_range(0..self.stations.len());
             self.after(pause, Due::Arrive { at: to, client, returned: true });
@@ -389,17 +390,17 @@
         let at = self.running(at);
         let class = [0, 0, 0, 0, 1, 2, 3, 4][self.dice.random_range(0..8)];
         let deadline = self.now + self.span(300.0, 3_000.0);
-        let sent_away = self.dice.random_bool(0.5);
+        let drained_by_endpoint = self.dice.random_bool(0.5);
         let key = |name: &str, n: u32| Some(Key(format!("{name}{n}").into()));
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             class: CLASSES[class].into(),
             client: key("client", client),
             // Some groups are far larger than others.
             group: key("group", (client % 12) * (client % 5)),
             deadline,
             returned,
-            sent_away,
-            ..Arrival::default()
+            drained_by_endpoint,
+            ..IncomingRequest::default()
         };
         let id = self.stations[at].relay.arrive(self.now, arrival);
         let book = Book {
@@ -411,7 +412,7 @@
             answered: false,
             left: false,
             moved: false,
-            sent_away,
+            drained_by_endpoint,
             class,
         };
         self.stations[at].books.insert(id, book);
@@ -423,19 +424,19 @@
         self.call(at, |_, _| {});
     }
 
-    /// Whether this attempt of a flow is still out; then it no longer is.
-    fn take_out(&mut self, at: usize, id: FlowId, attempt: u32) -> Option<(ServerId, Millis)> {
+    /// Whether this attempt of a connection is still out; then it no longer is.
+    fn take_out(&mut self, at: usize, id: RequestId, attempt: u32) -> Option<(EndpointId, Millis)> {
         let book = self.stations[at].books.get_mut(&id)?;
         book.out.take_if(|_| book.attempts == attempt + 1)
     }
 
-    fn end_attempt(&mut self, at: usize, id: FlowId, attempt: u32, outcome: Outcome) {
+    fn end_attempt(&mut self, at: usize, id: RequestId, attempt: u32, outcome: Outcome) {
         if self.take_out(at, id, attempt).is_none() {
             return;
         }
         self.call(at, |relay, now| relay.ended(now, id, outcome));
         let book = &self.stations[at].books[&id];
-        // A repeat might act twice: an unsafe flow that may have run is given up as well.
+        // A repeat might act twice: an unsafe connection that may have run is given up as well.
         let given_up = attempt + 1 >= 5 || (CLASSES[book.class] == "unsafe" && outcome.may_have_run());
         let answered = book.answered;
         if given_up {
@@ -443,22 +444,22 @@
         }
     }
 
-    /// Tells the relays of one streamer's state, each after a while of its own, in order.
+    /// Tells the relays of one endpoint's state, each after a while of its own, in order.
     fn tell(&mut self, i: usize) {
-        let (state, started) = self.streamers[i];
+        let (state, started) = self.endpoints[i];
         for at in 0..self.stations.len() {
             self.news(at, ListKind::Delta, vec![entry(i, state, started)]);
         }
     }
 
-    fn news(&mut self, at: usize, kind: ListKind, entries: Vec<ServerEntry>) {
+    fn news(&mut self, at: usize, kind: ListKind, entries: Vec<EndpointEntry>) {
         let delay = self.span(0.0, 400.0);
         let when = (self.now + delay).max(self.stations[at].news_at + 0.01);
         self.stations[at].news_at = when;
         self.after(when - self.now, Due::List(at, kind, entries));
     }
 
-    fn hear(&mut self, at: usize, kind: ListKind, entries: Vec<ServerEntry>) {
+    fn hear(&mut self, at: usize, kind: ListKind, entries: Vec<EndpointEntry>) {
         let (now, station) = (self.now, &mut self.stations[at]);
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             station.held.clear();
@@ -466,12 +467,12 @@
         station.held.extend(entries.iter().map(|e| (e.id.clone(), e.clone())));
         if kind == ListKind::Full {
             let named: BTreeSet<_> = entries.iter().map(|e| e.id.clone()).collect();
-            for id in (0..STREAMERS).map(server).filter(|id| !named.contains(id)) {
+            for id in (0..ENDPOINTS).map(endpoint).filter(|id| !named.contains(id)) {
                 station.leaving.entry(id).or_insert(now);
             }
         }
         for e in &entries {
-            if e.state == ServerState::Ready {
+            if e.state == EndpointState::Ready {
                 station.leaving.remove(&e.id);
                 station.starts.insert(e.id.clone(), e.started);
             } else {
@@ -481,10 +482,10 @@
         self.call(at, |relay, now| relay.list(now, kind, entries));
     }
 
-    /// Ends standing flows of a streamer, a share of them, and their clients come again.
+    /// Ends standing connections of an endpoint, a share of them, and their clients come again.
     fn cut(&mut self, i: usize, share: f64) {
         for at in 0..self.stations.len() {
-            let there = |b: &Book| b.stands.as_ref().is_some_and(|(id, _)| *id == server(i));
+            let there = |b: &Book| b.stands.as_ref().is_some_and(|(id, _)| *id == endpoint(i));
             let books = self.stations[at].books.iter().filter(|(_, b)| there(b));
             for id in books.map(|(id, _)| *id).collect::<Vec<_>>() {
                 if self.dice.random_bool(share) {
@@ -533,7 +534,7 @@
         if self.stations[at].up { at } else { up[self.dice.random_range(0..up.len())] }
     }
 
-    fn close(&mut self, at: usize, id: FlowId, outcome: Outcome) {
+    fn close(&mut self, at: usize, id: RequestId, outcome: Outcome) {
         let stood = self.stations[at].books.get_mut(&id).and_then(|b| b.stands.take());
         if stood.is_some() {
             self.stations[at].books.remove(&id);
@@ -542,13 +543,13 @@
     }
 
     fn trouble(&mut self) {
-        let i = self.dice.random_range(0..STREAMERS);
+        let i = self.dice.random_range(0..ENDPOINTS);
         let at = self.dice.random_range(0..self.stations.len());
-        let away = self.streamers.iter().filter(|(state, _)| *state != ServerState::Ready).count();
-        let up = self.streamers[i].0 == ServerState::Ready && away < STREAMERS / 2;
+        let away = self.endpoints.iter().filter(|(state, _)| *state != EndpointState::Ready).count();
+        let up = self.endpoints[i].0 == EndpointState::Ready && away < ENDPOINTS / 2;
         match self.dice.random_range(0..11) {
             0..3 if up => {
-                self.streamers[i].0 = ServerState::Draining;
+                self.endpoints[i].0 = EndpointState::Draining;
                 self.tell(i);
                 let leaves = self.span(2_500.0, 4_000.0);
                 self.after(leaves, Due::Gone(i, true));
@@ -560,8 +561,8 @@
                 self.after(1.0, Due::Back(i));
             }
             5 => {
-                self.after(0.0, Due::Storm(true));
-                self.after(1_500.0, Due::Storm(false));
+                self.after(0.0, Due::OverloadGossip(true));
+                self.after(1_500.0, Due::OverloadGossip(false));
             }
             6 => {
                 self.stations[at].short = true;
@@ -589,10 +590,10 @@
                 }
             }
             10 => {
-                // All clients that wait leave in one moment, whatever their flows wait for.
-                let flows =
+                // All clients that wait leave in one moment, whatever their connections wait for.
+                let connections =
                     |(at, s): (usize, &Station)| s.books.keys().map(move |id| (at, *id)).collect::<Vec<_>>();
-                let all: Vec<_> = self.stations.iter().enumerate().flat_map(flows).collect();
+                let all: Vec<_> = self.stations.iter().enumerate().flat_map(connections).collect();
                 all.into_iter().for_each(|(at, id)| self.leave(at, id));
             }
             _ => {}
@@ -601,27 +602,27 @@
 
     fn step(&mut self, due: Due) {
         match due {
-            Due::Arrival if self.now < START + TROUBLE => {
+            Due::IncomingRequest if self.now < START + TROUBLE => {
                 let (at, client) = (self.dice.random_range(0..self.stations.len()), self.next_client);
                 self.next_client += 1;
                 self.arrive(at, client, false);
                 let rate = if self.storm { 5.0 * self.rate } else { self.rate };
                 let pause = self.exponential(1000.0 / rate);
-                self.after(pause, Due::Arrival);
+                self.after(pause, Due::IncomingRequest);
             }
             Due::Arrive { at, client, returned } if self.now < START + TROUBLE => {
                 self.arrive(at, client, returned);
             }
             Due::Stands(at, id, attempt) => {
-                let Some((target, sent)) = self.take_out(at, id, attempt) else { return };
+                let Some((endpoint, sent)) = self.take_out(at, id, attempt) else { return };
                 let now = self.now;
-                let i: usize = target.0[1..].parse().expect("a streamer of these runs");
+                let i: usize = endpoint.0[1..].parse().expect("a streamer of these runs");
                 let Some(book) = self.stations[at].books.get_mut(&id) else { return };
-                if self.streamers[i].0 == ServerState::Gone {
-                    book.out = Some((target, sent));
+                if self.endpoints[i].0 == EndpointState::Removed {
+                    book.out = Some((endpoint, sent));
                     return self.end_attempt(at, id, attempt, Outcome::Reset);
                 }
-                book.stands = Some((target, now));
+                book.stands = Some((endpoint, now));
                 self.call(at, |relay, now| relay.established(now, id, now - sent));
                 let life = self.exponential(LIFE);
                 let outcome = if self.dice.random_bool(0.5) { Outcome::Ok } else { Outcome::Cancelled };
@@ -652,20 +653,20 @@
                 let pause = self.span(100.0, 900.0);
                 self.after(pause, Due::Trouble);
             }
-            Due::Storm(on) => self.storm = on,
+            Due::OverloadGossip(on) => self.storm = on,
             Due::Room(at) => self.stations[at].short = false,
             Due::Gone(i, told) => {
                 if told {
                     self.look_at_leaving(i);
                 }
-                self.streamers[i].0 = ServerState::Gone;
+                self.endpoints[i].0 = EndpointState::Removed;
                 self.tell(i);
                 self.cut(i, 1.0);
                 let back = self.span(500.0, 3_000.0);
                 self.after(back, Due::Back(i));
             }
-            Due::Back(i) if self.streamers[i].0 != ServerState::Ready => {
-                self.streamers[i] = (ServerState::Ready, self.now);
+            Due::Back(i) if self.endpoints[i].0 != EndpointState::Ready => {
+                self.endpoints[i] = (EndpointState::Ready, self.now);
                 self.cold_sends[i].clear();
                 self.tell(i);
             }
@@ -681,13 +682,13 @@
     }
 
     /// A client leaves, unless it is answered: then nothing is held of it, and all else is held as before.
-    fn leave(&mut self, at: usize, id: FlowId) {
+    fn leave(&mut self, at: usize, id: RequestId) {
         let station = &mut self.stations[at];
         let Some(book) = station.books.get_mut(&id) else { return };
         if book.answered || book.left || book.stands.is_some() {
             return;
         }
-        let queued = station.relay.balancer.queue.contains(&id);
+        let queued = station.relay.load_balancer.queue.contains(&id);
         let place = if queued { 0 } else { 1 + usize::from(book.out.is_some()) };
         (book.left, book.out) = (true, None);
         self.left[place] += 1;
@@ -696,27 +697,27 @@
         let open = || books.iter().filter(|(_, b)| !b.answered && !b.left);
         let out = open().filter(|(_, b)| b.out.is_some()).count();
         let held = open().filter(|(_, b)| b.out.is_some() || b.stands.is_some()).count();
-        let (ledger, queue) = (&relay.balancer.ledger, &relay.balancer.queue);
+        let (ledger, queue) = (&relay.load_balancer.ledger, &relay.load_balancer.queue);
         let alike = ledger.conns.keys().eq(open().map(|(id, _)| id))
             && queue.iter().all(|id| ledger.conns.contains_key(id))
             && ledger.trying as usize == out
             && (ledger.total - held as f64).abs() < 1e-6
-            && ledger.servers.values().map(|s| s.conns.len()).sum::<usize>() == held;
+            && ledger.endpoints.values().map(|s| s.conns.len()).sum::<usize>() == held;
         let (conns, trying, all) = (ledger.conns.len(), ledger.trying, open().count());
         self.look(Rule::Left, alike, || {
             format!("after {id:?} left {conns} flows are held, {trying} out, and not {all} with {out} out")
         });
     }
 
-    /// A streamer that drained leaves now: those of its clients that it does not send away itself were told.
+    /// An endpoint that drained leaves now: those of its clients that it does not send away itself were told.
     fn look_at_leaving(&mut self, i: usize) {
         let mut all = Vec::new();
         for (at, station) in self.stations.iter().enumerate() {
-            let told = station.leaving.get(&server(i)).is_some_and(|since| self.now - since > TOLD_WITHIN);
+            let told = station.leaving.get(&endpoint(i)).is_some_and(|since| self.now - since > TOLD_WITHIN);
             for (id, book) in &station.books {
                 let there =
-                    |(id, since): &(ServerId, Millis)| *id == server(i) && self.now - since > TOLD_WITHIN;
-                if told && !book.sent_away && book.stands.as_ref().is_some_and(there) {
+                    |(id, since): &(EndpointId, Millis)| *id == endpoint(i) && self.now - since > TOLD_WITHIN;
+                if told && !book.drained_by_endpoint && book.stands.as_ref().is_some_and(there) {
                     all.push((at, *id, book.moved));
                 }
             }
@@ -738,7 +739,7 @@
         self.now = end;
     }
 
-    /// All trouble has ended and no client is left: nothing is counted any more, and new flows are served.
+    /// All trouble has ended and no client is left: nothing is counted any more, and new connections are served.
     fn rest(&mut self) {
         self.until(START + TROUBLE + CALM);
         for at in 0..self.stations.len() {
@@ -748,7 +749,7 @@
             }
             let station = &self.stations[at];
             let (waiting, standing) = (station.books.len(), station.relay.standing());
-            let left = station.relay.balancer.at_rest();
+            let left = station.relay.load_balancer.at_rest();
             self.look(Rule::Rest, waiting == 0 && standing == 0 && left, || {
                 format!("relay {at}: {waiting} flows wait, {standing} stand; at rest: {left}")
             });
@@ -841,7 +842,7 @@
 
 #[test]
 fn one_forward_is_out_at_a_time_and_five_are_the_most() {
-    holds(Rule::OneForward, 10_000);
+    holds(Rule::OneAttempt, 10_000);
 }
 
 #[test]
@@ -854,7 +855,7 @@
     holds(Rule::Cold, 500);
 }
 
-/// The same where streamers have twice and three times as much to do.
+/// The same where endpoints have twice and three times as much to do.
 #[test]
 fn all_relays_together_spare_a_cold_streamer_in_fuller_tiers() {
     let runs = play_all(FULLER.into_iter().flat_map(seeded).collect());
@@ -885,11 +886,11 @@
 
 // --- the list, taken whole or not at all ---
 
-/// What a target group would do next: its call, and where streamers are.
-fn held(group: &TargetGroup) -> (String, Vec<Option<SocketAddr>>) {
+/// What an endpoint list would do next: its call, and where endpoints are.
+fn held(group: &EndpointList) -> (String, Vec<Option<SocketAddr>>) {
     let (revision, members) = group.held();
     let members: Vec<_> = members.collect();
-    (format!("{revision:?} {members:?}"), (0..9).map(|i| group.address(&server(i))).collect())
+    (format!("{revision:?} {members:?}"), (0..9).map(|i| group.address(&endpoint(i))).collect())
 }
 
 fn body(revision: u64, complete: bool, members: &[String]) -> String {
@@ -900,7 +901,7 @@
     format!(r#"{{"id":"s{i}","host_port":"127.0.0.1:{}","phase":"{phase}"{more}}}"#, 8000 + i)
 }
 
-fn asked(group: &mut TargetGroup, body: &str) -> Result<(ListKind, Vec<ServerEntry>), ListError> {
+fn asked(group: &mut EndpointList, body: &str) -> Result<(ListKind, Vec<EndpointEntry>), ListError> {
     group.request();
     group.answer(body.as_bytes())
 }
@@ -909,7 +910,7 @@
 #[test]
 fn a_list_is_taken_whole_or_not_at_all() {
     let mut dice = StdRng::seed_from_u64(1);
-    let mut group = TargetGroup::default();
+    let mut group = EndpointList::default();
     let all: Vec<_> = (0..6).map(|i| member(i, "Ready", r#","size":1.0,"up_since_ms":0"#)).collect();
     assert_eq!(asked(&mut group, &body(40, true, &all)).unwrap().0, ListKind::Full);
     let wrong = [
@@ -938,7 +939,7 @@
         assert_eq!(held(&group), before, "run {run} has left something behind");
     }
     let (kind, entries) = asked(&mut group, &body(41, false, &[member(7, "Ready", "")])).unwrap();
-    assert_eq!((kind, entries.len(), group.address(&server(7)).is_some()), (ListKind::Delta, 1, true));
+    assert_eq!((kind, entries.len(), group.address(&endpoint(7)).is_some()), (ListKind::Delta, 1, true));
 }
 
 /// The list as last held is gone on from with one call that is answered at once; one of a service that lies behind it
@@ -946,12 +947,12 @@
 #[test]
 fn the_first_call_goes_on_from_the_list_as_last_held_unless_the_service_lies_behind() {
     let known = serde_json::from_str(&body(50, true, &[member(1, "Ready", "")])).expect("a list");
-    let start = || TargetGroup::known(&known).expect("a list as last held").0;
+    let start = || EndpointList::known(&known).expect("a list as last held").0;
     let mut group = start();
     assert!(group.request().contains("?after=50&wait_ms=0"));
     let (kind, entries) = group.answer(body(52, false, &[member(2, "Ready", "")]).as_bytes()).unwrap();
     assert_eq!((kind, entries.len()), (ListKind::Delta, 1));
-    assert!(group.address(&server(1)).is_some() && group.address(&server(2)).is_some());
+    assert!(group.address(&endpoint(1)).is_some() && group.address(&endpoint(2)).is_some());
     let next = group.request();
     assert!(next.contains("?after=52&wait_ms=") && !next.contains("wait_ms=0"));
 
@@ -960,7 +961,7 @@
     assert!(group.answer(body(3, false, &[]).as_bytes()).is_err());
     assert!(!group.request().contains("after"));
     assert!(group.answer(body(3, true, &[member(2, "Ready", "")]).as_bytes()).is_ok());
-    assert!(group.address(&server(1)).is_none());
+    assert!(group.address(&endpoint(1)).is_none());
 }
 
 /// What a watch that has fallen silent misses counts as told 6 s later: it has to be noticed and asked anew well before,
@@ -970,7 +971,7 @@
     let mut latest: Millis = 0.0;
     let mut noticed = BTreeSet::new();
     for seed in 0..300 {
-        let mut group = TargetGroup::default();
+        let mut group = EndpointList::default();
         group.reseed(seed);
         assert!(asked(&mut group, &body(3, true, &[member(1, "Ready", "")])).is_ok());
         assert!(!group.request().contains("wait_ms=0"));
@@ -990,7 +991,7 @@
 /// versions of one service then stood for another's.
 #[test]
 fn changes_without_their_list_and_answers_of_the_old_place_are_refused() {
-    let mut group = TargetGroup::default();
+    let mut group = EndpointList::default();
     assert!(asked(&mut group, &body(3, false, &[member(1, "Ready", "")])).is_err());
     assert!(asked(&mut group, &body(90, true, &[member(1, "Ready", "")])).is_ok());
     group.request();
@@ -1003,15 +1004,15 @@
     assert!(!group.request().contains("after"));
 }
 
-/// Every deploy left the addresses of streamers that had gone.
+/// Every deploy left the addresses of endpoints that had gone.
 #[test]
 fn addresses_of_streamers_that_have_gone_are_let_go() {
-    let mut group = TargetGroup::default();
+    let mut group = EndpointList::default();
     asked(&mut group, &body(1, true, &[member(1, "Ready", ""), member(2, "Ready", "")])).unwrap();
     asked(&mut group, &body(2, false, &[member(1, "Gone", "")])).unwrap();
-    assert!(group.address(&server(1)).is_none() && group.address(&server(2)).is_some());
+    assert!(group.address(&endpoint(1)).is_none() && group.address(&endpoint(2)).is_some());
     asked(&mut group, &body(3, true, &[member(3, "Ready", "")])).unwrap();
-    assert!(group.address(&server(2)).is_none() && group.address(&server(3)).is_some());
+    assert!(group.address(&endpoint(2)).is_none() && group.address(&endpoint(3)).is_some());
 }
 
 #[test]
--- a/src/relay/classes.rs
+++ b/src/relay/classes.rs
@@ -1,17 +1,17 @@
-//! The places of classes. Flows, the core and the module hold a class by its position in the settings, so a position
+//! The places of classes. Connections, the core and the load balancer hold a class by its position in the settings, so a position
 //! must mean the same for as long as anybody holds it, whatever settings come in between.
 //!
-//! Fed each reading of the settings and the positions that flows hold; gives the classes by position, and the
+//! Fed each reading of the settings and the positions that connections hold; gives the classes by position, and the
 //! position of a name. It never moves a class.
 
 use std::collections::BTreeSet;
 
-use crate::policy::api::{Class, ClassId, Millis, Repeat};
+use crate::policy::api::{Class, ClassId, Idempotency, Millis};
 
-/// New flows may name a dropped class for so long: clients learn of new settings up to 1.2 s later, and some take
+/// New connections may name a dropped class for so long: clients learn of new settings up to 1.2 s later, and some take
 /// their time to write.
 const STILL_NAMED: Millis = 2000.0;
-/// Dropped classes that are kept though no flow here holds them: connections of theirs may arrive mid-flow.
+/// Dropped classes that are kept though no connection here holds them: connections of theirs may arrive mid-connection.
 const DROPPED_KEPT: usize = 8;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -29,7 +29,7 @@
 }
 
 impl Classes {
-    /// Takes the classes of new settings; `held` are the positions that flows hold.
+    /// Takes the classes of new settings; `held` are the positions that connections hold.
     pub fn renew(&mut self, now: Millis, names: &[String], classes: &[Class], held: &BTreeSet<ClassId>) {
         let listed: Vec<(&String, &Class)> = names.iter().zip(classes).collect();
         for place in self.places.iter_mut().flatten() {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Frees the places of dropped classes that no flow holds, but for the last few.
+    /// Frees the places of dropped classes that no connection holds, but for the last few.
     fn forget(&mut self, held: &BTreeSet<ClassId>) {
         let dropped = |p: &Option<Place>| p.as_ref().and_then(|p| p.dropped);
         let mut idle: Vec<(usize, Millis)> =
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Names that a flow may come with: each with until when a new one may, where it was dropped. One that arrives
-    /// mid-flow may come with any of them.
+    /// Names that a connection may come with: each with until when a new one may, where it was dropped. One that arrives
+    /// mid-connection may come with any of them.
     pub fn names(&self) -> Vec<(String, Option<Millis>)> {
         let until = |p: &Place| p.dropped.map(|at| at + STILL_NAMED);
         self.places.iter().flatten().map(|p| (p.name.clone(), until(p))).collect()
@@ -84,9 +84,14 @@
         self.places.get(class.0)?.as_ref().map(|p| p.name.as_str())
     }
 
-    /// The classes for the module, by position. A free place holds one that nobody can name.
+    /// The classes for the load balancer, by position. A free place holds one that nobody can name.
     pub fn by_position(&self) -> Vec<Class> {
-        let free = Class { repeat: Repeat::Unsafe, aim: f64::INFINITY, message_aim: None, worth: 0.0 };
+        let free = Class {
+            repeat: Idempotency::Unsafe,
+            latency_objective: f64::INFINITY,
+            message_latency_objective: None,
+            priority_weight: 0.0,
+        };
         self.places.iter().map(|p| p.as_ref().map_or_else(|| free.clone(), |p| p.class.clone())).collect()
     }
 }
--- a/src/relay/classes/tests.rs
+++ b/src/relay/classes/tests.rs
@@ -1,12 +1,17 @@
 use super::*;
 
-fn class(aim: Millis) -> Class {
-    Class { repeat: Repeat::Safe, aim, message_aim: None, worth: 1.0 }
+fn class(latency_objective: Millis) -> Class {
+    Class {
+        repeat: Idempotency::Safe,
+        latency_objective,
+        message_latency_objective: None,
+        priority_weight: 1.0,
+    }
 }
 
 fn renew(classes: &mut Classes, now: Millis, listed: &[(&str, Millis)], held: &[usize]) {
     let names: Vec<_> = listed.iter().map(|(name, _)| name.to_string()).collect();
-    let of: Vec<_> = listed.iter().map(|(_, aim)| class(*aim)).collect();
+    let of: Vec<_> = listed.iter().map(|(_, latency_objective)| class(*latency_objective)).collect();
     classes.renew(now, &names, &of, &held.iter().map(|i| ClassId(*i)).collect());
 }
 
--- a/src/relay/handover.rs
+++ b/src/relay/handover.rs
@@ -1,7 +1,7 @@
 //! How one process passes a relay to the next: the messages, and each side's steps. No socket: a driver sends what it
 //! is told to, and says what it has heard and when the other side is gone.
 //!
-//! One of the two accepts and places at any time. The old one ([`Elder`]) stops before it yields and takes accepting
+//! One of the two accepts and places at any time. The old one ([`PredecessorProcess`]) stops before it yields and takes accepting
 //! back only while the new one can't have begun; the new one ([`Successor`]) begins only once it is told that the
 //! relay is its own.
 
@@ -11,9 +11,9 @@
 use sandgw_affinity::Record;
 use serde::{Deserialize, Serialize};
 
-use crate::listener::CarriedFront;
+use crate::listener::TransferredProtocol;
 use crate::policy::api::Millis;
-use crate::relay::transfer::{Carried, CarriedFlow};
+use crate::relay::transfer::{LearnedState, TransferredConnection};
 
 /// The first form of the messages, which every process speaks. Two processes hand over in the newest that both read.
 pub const FORM: u32 = 1;
@@ -27,8 +27,8 @@
 pub const MEMBERS: usize = 64;
 /// Most sockets that are passed.
 pub const SOCKETS: usize = 8;
-/// Standing flows that are told to pass at a time.
-pub const FLOWS: usize = 64;
+/// Standing connections that are told to pass at a time.
+pub const CONNECTIONS: usize = 64;
 /// How long the old process waits for a new one's first word, until it has all, and for its claim.
 const FIRST_WORD: Millis = 1000.0;
 const ABSORBED: Millis = 10_000.0;
@@ -48,7 +48,7 @@
     },
     /// It can't be handed over now.
     Refused(String),
-    /// A part of the list of streamers, in discovery's form.
+    /// A part of the list of endpoints, in discovery's form.
     List {
         /// Where it is from.
         discovery: String,
@@ -59,8 +59,8 @@
     },
     /// Entries of clients and groups.
     Records(Vec<Record>),
-    /// What the module has learned.
-    Carried(Carried),
+    /// What the load balancer has learned.
+    LearnedState(LearnedState),
     /// Sockets, by their keys and addresses; the descriptors come beside it in this order.
     Sockets(Vec<String>),
     /// That was all.
@@ -73,20 +73,20 @@
         descriptors: u32,
         /// How long it has been on standby, if it is.
         standby: Option<Millis>,
-        /// How long from now no new connection may go to a cold streamer.
+        /// How long from now no new connection may go to a cold endpoint.
         cold_in: Millis,
     },
     /// The new process is ready to accept.
     Claim,
     /// It may: the old process never accepts again while the new one lives.
     Yours,
-    /// A standing flow; its client's and its streamer's descriptors come beside it.
-    Flow {
+    /// A standing connection; its client's and its endpoint's descriptors come beside it.
+    Connection {
         /// As the core has it.
-        flow: Box<CarriedFlow>,
+        connection: Box<TransferredConnection>,
         /// As its front has it.
-        front: Box<CarriedFront>,
-        /// Bytes on their way to the streamer.
+        protocol: Box<TransferredProtocol>,
+        /// Bytes on their way to the endpoint.
         up: Vec<u8>,
         /// Bytes on their way to the client.
         down: Vec<u8>,
@@ -182,7 +182,7 @@
 
 /// The old process's side of one hand-over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Elder {
+pub enum PredecessorProcess {
     /// Somebody has come who has not said what he is.
     #[default]
     Asked,
@@ -194,19 +194,23 @@
     HandedOver,
 }
 
-impl Elder {
+impl PredecessorProcess {
     /// Takes what the new process says to the relay of this name.
     pub fn hears(&mut self, message: &Message, name: &str) -> ElderStep {
         let (next, step) = match (*self, message) {
-            (Elder::Asked, Message::Hello { form, .. }) if *form < FORM => {
+            (PredecessorProcess::Asked, Message::Hello { form, .. }) if *form < FORM => {
                 return ElderStep::Refuse(ANOTHER_FORM);
             }
-            (Elder::Asked, Message::Hello { name: other, .. }) if other != name => {
+            (PredecessorProcess::Asked, Message::Hello { name: other, .. }) if other != name => {
                 return ElderStep::Refuse("it is another relay");
             }
-            (Elder::Asked, Message::Hello { .. }) => (Elder::Told, ElderStep::Snapshot),
-            (Elder::Told, Message::Take) => (Elder::Yielded, ElderStep::Yield),
-            (Elder::Yielded, Message::Claim) => (Elder::HandedOver, ElderStep::HandOver),
+            (PredecessorProcess::Asked, Message::Hello { .. }) => {
+                (PredecessorProcess::Told, ElderStep::Snapshot)
+            }
+            (PredecessorProcess::Told, Message::Take) => (PredecessorProcess::Yielded, ElderStep::Yield),
+            (PredecessorProcess::Yielded, Message::Claim) => {
+                (PredecessorProcess::HandedOver, ElderStep::HandOver)
+            }
             _ => return ElderStep::Refuse("out of turn"),
         };
         *self = next;
@@ -216,10 +220,10 @@
     /// How long the next word may take.
     pub fn patience(self) -> Option<Millis> {
         match self {
-            Elder::Asked => Some(FIRST_WORD),
-            Elder::Told => Some(ABSORBED),
-            Elder::Yielded => Some(CLAIMED),
-            Elder::HandedOver => None,
+            PredecessorProcess::Asked => Some(FIRST_WORD),
+            PredecessorProcess::Told => Some(ABSORBED),
+            PredecessorProcess::Yielded => Some(CLAIMED),
+            PredecessorProcess::HandedOver => None,
         }
     }
 
@@ -227,9 +231,9 @@
     /// it finishes what it has, unless the relay was still its own.
     pub fn takes_back(self, terminated: bool) -> bool {
         match self {
-            Elder::Asked | Elder::Told => false,
-            Elder::Yielded => true,
-            Elder::HandedOver => !terminated,
+            PredecessorProcess::Asked | PredecessorProcess::Told => false,
+            PredecessorProcess::Yielded => true,
+            PredecessorProcess::HandedOver => !terminated,
         }
     }
 }
@@ -269,14 +273,14 @@
         use Message::*;
         let (next, step) = match (*self, message) {
             (_, Refused(why)) => return SuccessorStep::Fail(format!("the running process refuses: {why}")),
-            (Successor::Asking, Forms { .. } | List { .. } | Records(_) | Carried(_) | Sockets(_)) => {
+            (Successor::Asking, Forms { .. } | List { .. } | Records(_) | LearnedState(_) | Sockets(_)) => {
                 (Successor::Asking, SuccessorStep::Absorb)
             }
             (Successor::Asking, Whole) => (Successor::Taking, SuccessorStep::Take),
             (Successor::Taking, Records(_)) => (Successor::Taking, SuccessorStep::Absorb),
             (Successor::Taking, Yield { .. }) => (Successor::Claiming, SuccessorStep::Claim),
             (Successor::Claiming, Yours) => (Successor::Owner, SuccessorStep::Serve),
-            (Successor::Owner, Records(_) | Flow { .. } | Held { .. }) => {
+            (Successor::Owner, Records(_) | Connection { .. } | Held { .. }) => {
                 (Successor::Owner, SuccessorStep::Absorb)
             }
             _ => return SuccessorStep::Fail("the running process speaks out of turn".into()),
--- a/src/relay/lifecycle.rs
+++ b/src/relay/lifecycle.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use sandgw_maintenance::{Refused, call};
-use sandgw_schema_version::FormError;
+use sandgw_schema_version::SchemaVersionError;
 
 use crate::policy::api::Millis;
 
@@ -48,20 +48,20 @@
     Cut,
     /// Something follows it.
     More,
-    /// The relay has no list of streamers yet.
+    /// The relay has no list of endpoints yet.
     NotReady,
     /// Another process serves in this one's place.
     HandedOver,
     /// Nothing can be made final now.
-    Form(FormError),
+    SchemaVersion(SchemaVersionError),
     /// A call about maintenance windows.
     Window(Refused),
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if let Refusal::Form(e) = self {
-            return write!(f, "{e}; {}", e.advice());
+        if let Refusal::SchemaVersion(e) = self {
+            return write!(f, "{e}; {}", e.help());
         }
         f.write_str(match self {
             Refusal::Empty => "an empty call; known are status, standby, active",
@@ -71,8 +71,8 @@
             Refusal::More => "one call to a connection",
             Refusal::NotReady => "not ready: no list of streamers yet",
             Refusal::HandedOver => "handed over: a new process serves in this one's place",
-            Refusal::Form(_) => "",
-            Refusal::Window(refused) => return write!(f, "{refused}; {}", refused.advice()),
+            Refusal::SchemaVersion(_) => "",
+            Refusal::Window(refused) => return write!(f, "{refused}; {}", refused.help()),
         })
     }
 }
@@ -142,13 +142,13 @@
     }
 }
 
-/// How many of so many flows that are still to be told are told now, so long after the relay was put on standby.
-pub fn moves_now(since: Millis, flows: usize) -> usize {
+/// How many of so many connections that are still to be told are told now, so long after the relay was put on standby.
+pub fn moves_now(since: Millis, connections: usize) -> usize {
     if since < MOVES_FROM {
         return 0;
     }
     let steps = ((MOVES_UNTIL - since) / MOVE_STEP).floor().max(1.0);
-    (flows as f64 / steps).ceil() as usize
+    (connections as f64 / steps).ceil() as usize
 }
 
 #[cfg(test)]
--- a/src/relay/lifecycle/tests.rs
+++ b/src/relay/lifecycle/tests.rs
@@ -49,18 +49,18 @@
 /// Whoever stands, and whoever comes to stand on the way, is told in time, and never many at once.
 #[test]
 fn all_are_told_in_steps_that_end_in_time() {
-    for flows in [0, 1, 2, 7, 100, 5000] {
-        let (mut left, mut at, mut most) = (flows, 0.0, 0);
+    for connections in [0, 1, 2, 7, 100, 5000] {
+        let (mut left, mut at, mut most) = (connections, 0.0, 0);
         while at <= MOVES_UNTIL {
             if at == 1500.0 {
-                left += flows / 10;
+                left += connections / 10;
             }
             let now = moves_now(at, left);
             assert!(now <= left && (now == 0 || at >= MOVES_FROM));
             (left, most, at) = (left - now, most.max(now), at + MOVE_STEP);
         }
-        assert_eq!(left, 0, "of {flows}");
-        assert!(most <= flows / 10 + 1, "{most} of {flows} at once");
+        assert_eq!(left, 0, "of {connections}");
+        assert!(most <= connections / 10 + 1, "{most} of {connections} at once");
     }
     assert_eq!(moves_now(MOVES_UNTIL + 1000.0, 3), 3, "those that come late are told at once");
 }
--- a/src/relay/quotas.rs
+++ b/src/relay/quotas.rs
@@ -1,12 +1,12 @@
-//! Members' shares, as the core asks about them: what the settings say, which signs of shortage the module gives, and
-//! the flows that are counted. The counting and the decision are in the crate `sandgw-shares`.
+//! Members' shares, as the core asks about them: what the settings say, which signs of shortage the load balancer gives, and
+//! the connections that are counted. The counting and the decision are in the crate `sandgw-shares`.
 
-use sandgw_quota::Shares;
-use sandgw_quota::policy::{Signs, Verdict};
-use sandgw_quota::tenants::Members;
+use sandgw_quota::QuotaManager;
+use sandgw_quota::policy::{ScarcitySignals, Verdict};
+use sandgw_quota::tenants::Tenants;
 use sandgw_quota::usage_table::{Place, Sends};
 
-use crate::Balancer;
+use crate::LoadBalancer;
 use crate::policy::api::*;
 
 /// Whether shares are kept to where no file of an operator says so. Nothing is counted or told where they are not.
@@ -14,22 +14,22 @@
 
 /// Members' shares in the settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ShareSettings {
+pub struct QuotaSettings {
     /// Who has a share.
-    pub members: Members,
-    /// What a flow beyond its member's share is worth, as a part of what it is worth within.
-    pub over_worth: f64,
+    pub members: Tenants,
+    /// What a connection beyond its member's share is worth, as a part of what it is worth within.
+    pub over_quota_weight: f64,
     /// Whether who is over its share is refused first where places are short.
     pub enforce: bool,
 }
 
-impl Default for ShareSettings {
+impl Default for QuotaSettings {
     fn default() -> Self {
-        ShareSettings { members: Members::default(), over_worth: 0.0, enforce: ENFORCED }
+        QuotaSettings { members: Tenants::default(), over_quota_weight: 0.0, enforce: ENFORCED }
     }
 }
 
-impl ShareSettings {
+impl QuotaSettings {
     /// Whether any member has a limit.
     pub fn has_limits(&self) -> bool {
         let all = (0..self.members.len()).filter_map(|at| self.members.get(at));
@@ -37,57 +37,58 @@
     }
 }
 
-/// What is counted of flows, where shares are kept to.
+/// What is counted of connections, where shares are kept to.
 #[derive(Default)]
-pub(crate) struct Counted(Option<Shares>);
+pub(crate) struct Counted(Option<QuotaManager>);
 
 impl Counted {
-    /// For these settings; nothing is counted where a flow beyond a share is worth as much as one within.
+    /// For these settings; nothing is counted where a connection beyond a share is worth as much as one within.
     pub fn new(settings: &Settings, now: Millis) -> Self {
         let shares = &settings.shares;
-        let counts = shares.enforce && shares.over_worth < 1.0 && shares.has_limits();
-        let place = Place { me: settings.me, relays: settings.balancers, peers: settings.peers };
-        Counted(counts.then(|| Shares::new(shares.members.clone(), place, now)))
+        let counts = shares.enforce && shares.over_quota_weight < 1.0 && shares.has_limits();
+        let place =
+            Place { local_index: settings.local_index, relays: settings.relay_count, peers: settings.peers };
+        Counted(counts.then(|| QuotaManager::new(shares.members.clone(), place, now)))
     }
 
-    /// Whether a flow that comes is refused. One that is not counts until [`Counted::ended`].
+    /// Whether a connection that comes is refused. One that is not counts until [`Counted::ended`].
     pub fn refuses(
         &mut self,
         now: Millis,
         member: &str,
         returned: bool,
-        signs: impl FnOnce() -> Signs,
+        signs: impl FnOnce() -> ScarcitySignals,
     ) -> bool {
         self.0.as_mut().is_some_and(|s| s.came(now, member, returned, signs()) == Verdict::Over)
     }
 
-    /// A flow is taken that stands already.
+    /// A connection is taken that stands already.
     pub fn kept(&mut self, member: &str) {
         self.0.iter_mut().for_each(|s| s.kept(member));
     }
 
-    /// A flow has come to stand.
+    /// A connection has come to stand.
     pub fn stands(&mut self, member: &str) {
         self.0.iter_mut().for_each(|s| s.stands(member));
     }
 
-    /// A flow has ended.
+    /// A connection has ended.
     pub fn ended(&mut self, member: &str, stood: bool) {
         self.0.iter_mut().for_each(|s| s.ended(member, stood));
     }
 
-    /// A streamer has turned a flow away.
+    /// An endpoint has turned a connection away.
     pub fn turned_away(&mut self, now: Millis) {
         self.0.iter_mut().for_each(|s| s.turned_away(now));
     }
 
-    /// The module has refused a flow without any attempt.
+    /// The load balancer has refused a connection without any attempt.
     pub fn refused(&mut self, now: Millis) {
         self.0.iter_mut().for_each(|s| s.refused(now));
     }
 
     /// Takes another relay's datagram.
-    pub fn told(&mut self, now: Millis, peer: u32, told: Told, out: &mut Sends) {
+    pub fn told(&mut self, now: Millis, peer: u32, told: UsageReport, out: &mut Sends) {
         if let Some(shares) = &mut self.0 {
             shares.told(now, peer, told, out);
         }
@@ -98,21 +99,21 @@
         self.0.as_mut().map(|s| s.due(now, out))
     }
 
-    /// Flows refused so far.
+    /// Connections refused so far.
     pub fn refusals(&self) -> u64 {
-        self.0.as_ref().map_or(0, Shares::refusals)
+        self.0.as_ref().map_or(0, QuotaManager::refusals)
     }
 }
 
-impl Balancer {
+impl LoadBalancer {
     /// Signs that places are short: the window of set-ups is cut, or no server has room by what is known of it.
-    pub(crate) fn signs(&self, now: Millis) -> Signs {
-        let each = self.ledger.per_server(self.ring.len());
+    pub(crate) fn signs(&self, now: Millis) -> ScarcitySignals {
+        let each = self.ledger.per_endpoint(self.ring.len());
         let room =
-            |id: &ServerId| self.ledger.servers.get(id).is_some_and(|s| s.load + 1.0 <= s.cap(now, each));
-        Signs {
+            |id: &EndpointId| self.ledger.endpoints.get(id).is_some_and(|s| s.load + 1.0 <= s.cap(now, each));
+        ScarcitySignals {
             window: !self.queue.is_empty() || self.pace.common(now),
-            streamers: !self.ring.iter().any(room) || self.ledger.crowded(now),
+            endpoints: !self.ring.iter().any(room) || self.ledger.crowded(now),
             descriptors: false,
         }
     }
--- a/src/relay/transfer.rs
+++ b/src/relay/transfer.rs
@@ -1,31 +1,31 @@
-//! What the module has learned of streamers and groups, as one process hands it to the next: bookkeeping only.
+//! What the load balancer has learned of endpoints and groups, as one process hands it to the next: bookkeeping only.
 //!
 //! Times are carried as ages, since the two processes' clocks need not agree. What comes in is checked as anything
-//! from outside is; what is known of streamers that the list does not name is passed over.
+//! from outside is; what is known of endpoints that the list does not name is passed over.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
 use crate::policy::api::*;
-use crate::policy::load_balancer::Balancer;
+use crate::policy::load_balancer::LoadBalancer;
 
-/// Streamers and groups in one piece at the most.
+/// Endpoints and groups in one piece at the most.
 const PIECE: usize = 256;
 
-/// A piece of what the module has learned.
+/// A piece of what the load balancer has learned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Carried {
-    /// How long from now no new connection may go to a cold streamer.
+pub struct LearnedState {
+    /// How long from now no new connection may go to a cold endpoint.
     pub cold_in: Millis,
     /// Whether messages are told to be slow.
     hears: bool,
-    servers: Vec<Learned>,
+    endpoints: Vec<Learned>,
     /// Arrivals of groups, by slot.
     groups: Vec<(u32, f64)>,
 }
 
-/// What is known of one streamer.
+/// What is known of one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Learned {
     id: String,
@@ -40,31 +40,31 @@
     setup: (Millis, Millis),
 }
 
-/// A standing flow.
+/// A standing connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CarriedFlow {
+pub struct TransferredConnection {
     /// Its class, by name.
     pub class: String,
-    /// Its streamer.
-    pub target: String,
+    /// Its endpoint.
+    pub endpoint: String,
     pub(crate) client: Option<String>,
     pub(crate) group: Option<String>,
     pub(crate) load: Option<f64>,
-    pub(crate) sent_away: bool,
-    pub(crate) led_elsewhere: bool,
+    pub(crate) drained_by_endpoint: bool,
+    pub(crate) rerouted_by_front: bool,
 }
 
-impl Carried {
-    /// Nothing but how long from now no new connection may go to a cold streamer.
+impl LearnedState {
+    /// Nothing but how long from now no new connection may go to a cold endpoint.
     pub fn pause(cold_in: Millis) -> Self {
-        Carried { cold_in, ..Carried::default() }
+        LearnedState { cold_in, ..LearnedState::default() }
     }
 }
 
-impl Balancer {
+impl LoadBalancer {
     /// All that was learned, in pieces.
-    pub(crate) fn carry(&self, now: Millis) -> Vec<Carried> {
-        let learned = self.ledger.servers.iter().map(|(id, s)| Learned {
+    pub(crate) fn carry(&self, now: Millis) -> Vec<LearnedState> {
+        let learned = self.ledger.endpoints.iter().map(|(id, s)| Learned {
             id: id.0.to_string(),
             started: s.started,
             cap: s.cap,
@@ -75,29 +75,29 @@
             down: s.down,
             setup: (now - s.setup.0, s.setup.1),
         });
-        let servers: Vec<_> = learned.collect();
+        let endpoints: Vec<_> = learned.collect();
         let groups: Vec<_> = self.sample.0.iter().map(|(group, n)| (*group, *n)).collect();
-        let piece = |servers: &[Learned], groups: &[(u32, f64)]| Carried {
+        let piece = |endpoints: &[Learned], groups: &[(u32, f64)]| LearnedState {
             cold_in: self.next_cold - now,
             hears: self.hears,
-            servers: servers.to_vec(),
+            endpoints: endpoints.to_vec(),
             groups: groups.to_vec(),
         };
-        let mut pieces: Vec<_> = servers.chunks(PIECE).map(|s| piece(s, &[])).collect();
+        let mut pieces: Vec<_> = endpoints.chunks(PIECE).map(|s| piece(s, &[])).collect();
         pieces.extend(groups.chunks(PIECE).map(|g| piece(&[], g)));
         pieces
     }
 
     /// Takes a piece, after the list.
-    pub(crate) fn carried(&mut self, now: Millis, piece: Carried) {
-        // No pause is longer than a warm-up: a foreign number must not close cold streamers for ever.
-        let within = self.settings.warm_within;
+    pub(crate) fn carried(&mut self, now: Millis, piece: LearnedState) {
+        // No pause is longer than a warm-up: a foreign number must not close cold endpoints for ever.
+        let within = self.settings.warm_up_time;
         if piece.cold_in.is_finite() && piece.cold_in <= within {
             self.next_cold = self.next_cold.max(now + piece.cold_in);
         }
         self.hears |= piece.hears;
-        for learned in piece.servers {
-            let Some(s) = self.ledger.servers.get_mut(&ServerId(Arc::from(learned.id.as_str()))) else {
+        for learned in piece.endpoints {
+            let Some(s) = self.ledger.endpoints.get_mut(&EndpointId(Arc::from(learned.id.as_str()))) else {
                 continue;
             };
             let past = [learned.slow_for, learned.cut_for, learned.setup.0].iter().all(|age| *age >= 0.0);
--- a/src/schema_status.rs
+++ b/src/schema_status.rs
@@ -1,13 +1,13 @@
 //! How a relay names forms of shared state to its operators: texts only, the decisions are in `sandgw-forms`.
 
 use sandgw_schema_version::Millis;
-use sandgw_schema_version::versioned_channel::Post;
+use sandgw_schema_version::versioned_channel::VersionedChannel;
 
 /// Relays that a line names at the most.
 const NAMED: usize = 8;
 
 /// What the call `forms` is answered: one line.
-pub fn status(post: &Post, now: Millis) -> String {
+pub fn status(post: &VersionedChannel, now: Millis) -> String {
     let (ladder, counts) = (&post.ladder, post.counts());
     let (form, range, finalized) = (ladder.form(now), ladder.range(), ladder.finalized());
     let mut line = format!("writes form {form}, reads {range}, finalized {finalized}");
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! Translation between the simulator's wire and the module's interface; no decisions.
+//! Translation between the simulator's wire and the load balancer's interface; no decisions.
 //!
 //! One JSON array a line: a batch opens with `ROUND`, holds one event a line and closes with `GO`;
 //! the reply holds one action a line and closes with `FINISHED`.
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 
 use sandgw_affinity::codec::VERSION;
-use sandgw_quota::tenants::{Member, Members};
+use sandgw_quota::tenants::{Tenant, Tenants};
 use sandgw_quota::usage_gossip::KIND;
 use serde_json::{Value, json};
 use thiserror::Error;
 
-use crate::Balancer;
-use crate::help::advice;
+use crate::LoadBalancer;
+use crate::help::help;
 use crate::policy::api::*;
 
 /// What was wrong with the input, and in which batch.
@@ -85,7 +85,7 @@
         /// What it must be.
         wanted: &'static str,
     },
-    /// An entry of a list of streamers that can't be read.
+    /// An entry of a list of endpoints that can't be read.
     #[error("MEMBERSHIP: an entry must be an array")]
     Entry,
 }
@@ -94,7 +94,7 @@
     faults.iter().map(SettingError::to_string).collect::<Vec<_>>().join("; ")
 }
 
-advice!(WireFault {
+help!(WireFault {
     NotJson: "not a JSON line" => "see that nothing but the simulator writes to standard input",
     NotMessage: "a message must" => "look at the version of the simulator: each line is an array behind a name",
     Order: "ROUND" => "look at the simulator: a batch opens with ROUND and closes with GO",
@@ -108,7 +108,7 @@
 });
 
 struct Instance {
-    balancer: Balancer,
+    load_balancer: LoadBalancer,
     classes: Vec<String>,
 }
 
@@ -174,10 +174,10 @@
             let boot = fields.at(2)?;
             let settings = settings(boot).map_err(WireFault::Settings)?;
             let classes = class_names(boot);
-            let made = catch_unwind(AssertUnwindSafe(|| Balancer::new(settings, seed, now)));
+            let made = catch_unwind(AssertUnwindSafe(|| LoadBalancer::new(settings, seed, now)));
             match made {
-                Ok(balancer) => {
-                    self.instances.insert(who.to_owned(), Instance { balancer, classes });
+                Ok(load_balancer) => {
+                    self.instances.insert(who.to_owned(), Instance { load_balancer, classes });
                 }
                 Err(cause) => push_line(&mut self.reply, &json!(["PANIC", who, panic_text(&*cause)])),
             }
@@ -191,8 +191,8 @@
             }
             let Some(event) = event(fields, &instance.classes)? else { return Ok(()) };
             let actions = &mut self.actions;
-            let balancer = &mut instance.balancer;
-            if let Err(cause) = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions))) {
+            let load_balancer = &mut instance.load_balancer;
+            if let Err(cause) = catch_unwind(AssertUnwindSafe(|| load_balancer.handle(now, event, actions))) {
                 push_line(&mut self.reply, &json!(["PANIC", who, panic_text(&*cause)]));
                 return Ok(());
             }
@@ -265,8 +265,8 @@
         self.whole(1).map(RequestId)
     }
 
-    fn server(&self, i: usize) -> Result<ServerId, WireFault> {
-        self.text(i).map(|t| ServerId(Arc::from(t)))
+    fn endpoint(&self, i: usize) -> Result<EndpointId, WireFault> {
+        self.text(i).map(|t| EndpointId(Arc::from(t)))
     }
 
     fn attempt(&self, i: usize) -> Result<AttemptId, WireFault> {
@@ -288,7 +288,7 @@
     }
 }
 
-/// Reads an event; nothing of those that say nothing to the module.
+/// Reads an event; nothing of those that say nothing to the load balancer.
 fn event(f: &Fields, classes: &[String]) -> Result<Option<Event>, WireFault> {
     let class = |i| f.text(i).map(|name| classes.iter().position(|c| c == name).map(ClassId));
     Ok(Some(match f.name {
@@ -300,8 +300,8 @@
                 mid_flow: marks & 8 != 0,
                 returned: marks & (2 | 16) != 0,
                 deadline: f.number(5)?,
-                spent: 0.0,
-                sent_away: true,
+                setup_time_used: 0.0,
+                drained_by_endpoint: true,
                 group: f.key(6)?,
                 class: class(7)?,
                 client: f.key(8)?,
@@ -309,39 +309,39 @@
         }
         "OPEN" => {
             let marks = f.number_or(8, 0.0)? as u64;
-            Event::Open {
+            Event::ExistingConnection {
                 request: Request {
                     id: f.id()?,
                     class: class(2)?,
                     client: f.key(4)?,
                     deadline: f.number(5)?,
-                    spent: 0.0,
-                    sent_away: true,
+                    setup_time_used: 0.0,
+                    drained_by_endpoint: true,
                     load: load(f.number_or(6, 0.0)?, marks),
                     group: f.key(7)?,
                     mid_flow: false,
                     returned: marks & (2 | 16) != 0,
                 },
-                server: f.server(9)?,
+                endpoint: f.endpoint(9)?,
             }
         }
         "OPENED" => Event::Established { request: f.id()?, elapsed: f.number(2)?, attempt: f.attempt(3)? },
-        "CLOSED_ATTEMPT" => Event::Ended {
+        "CLOSED_ATTEMPT" => Event::AttemptEnded {
             request: f.id()?,
-            server: f.server(2)?,
+            endpoint: f.endpoint(2)?,
             attempt: f.attempt(4)?,
             outcome: f.outcome(5)?,
             finished: f.flag(6)?,
         },
-        "EXPIRED" => Event::Expired(f.id()?),
+        "EXPIRED" => Event::ClientGone(f.id()?),
         "PROGRESS" => {
             let level = f.number(5)?;
             let note = match f.whole(4)? {
-                1 => Note::Load(level / 1000.0),
-                2 => Note::Delay(level),
+                1 => Measurement::Load(level / 1000.0),
+                2 => Measurement::MessageDelay(level),
                 _ => return Err(f.wrong(4, "a known kind of note")),
             };
-            Event::Progress { request: f.id()?, note }
+            Event::Measured { request: f.id()?, note }
         }
         "TICK_DUE" => Event::Timer(f.whole(1)?),
         "MEMBERSHIP" => {
@@ -353,13 +353,15 @@
                 _ => return Err(f.wrong(1, "a known kind of list")),
             };
             let entries = f.at(3)?.as_array().map(Vec::as_slice).unwrap_or_default();
-            Event::List { kind, servers: entries.iter().map(entry).collect::<Result<_, _>>()? }
+            Event::List { kind, endpoints: entries.iter().map(entry).collect::<Result<_, _>>()? }
         }
-        // Never asked for: the module does not probe.
+        // Never asked for: the load balancer does not probe.
         "HEALTH" => return Ok(None),
         // Whatever a peer may send, it is no fault of the wire.
         "MAIL" => match message(f.text(2)?).filter(|message| message.shares.is_none()) {
-            Some(message) => Event::Told { peer: u32::try_from(f.whole(1)?).unwrap_or(u32::MAX), message },
+            Some(message) => {
+                Event::PeerMessage { peer: u32::try_from(f.whole(1)?).unwrap_or(u32::MAX), message }
+            }
             None => return Ok(None),
         },
         other => return Err(WireFault::Unknown(other.to_owned())),
@@ -370,18 +372,18 @@
     (marks & 1 != 0 && hint > 0.0).then_some(hint)
 }
 
-fn entry(value: &Value) -> Result<ServerEntry, WireFault> {
+fn entry(value: &Value) -> Result<EndpointEntry, WireFault> {
     let values = value.as_array().ok_or(WireFault::Entry)?;
     let f = Fields { name: "MEMBERSHIP entry", values };
-    Ok(ServerEntry {
+    Ok(EndpointEntry {
         cell: f.number_or(0, 0.0)? as u64,
         weight: f.number_or(1, 1.0)?,
-        id: f.server(3)?,
+        id: f.endpoint(3)?,
         started: f.number_or(4, 0.0)?,
         state: match f.whole(5)? {
-            0 => ServerState::Gone,
-            1 => ServerState::Ready,
-            2 => ServerState::Draining,
+            0 => EndpointState::Removed,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
             _ => return Err(f.wrong(5, "a known state")),
         },
         zone: Zone(f.at(6)?.as_str().unwrap_or_default().into()),
@@ -397,11 +399,11 @@
 /// Reads a message of a peer; nothing of one that is too long, of another version or malformed.
 pub(crate) fn message(text: &str) -> Option<Message> {
     if text.starts_with(VERSION) {
-        let memory = Some(Piece::read(text)?);
+        let memory = Some(ClusterMessage::read(text)?);
         return Some(Message { memory, ..Message::default() });
     }
     if text.starts_with(KIND) {
-        let shares = Some(Told::read(text)?);
+        let shares = Some(UsageReport::read(text)?);
         return Some(Message { shares, ..Message::default() });
     }
     let mut words = text.split(' ').filter(|_| text.len() <= MESSAGE_BYTES);
@@ -476,7 +478,7 @@
     /// A value where a list is read.
     #[error("{0} is no list")]
     NotList(Value),
-    /// No number, or one that the module can't work with.
+    /// No number, or one that the load balancer can't work with.
     #[error("{value} is no number from {least} to {most}")]
     Number {
         /// What stands there.
@@ -508,10 +510,10 @@
     NoWindow,
     /// Members that can't be told apart.
     #[error("members: {0}")]
-    Members(sandgw_quota::tenants::MembersError),
+    Tenants(sandgw_quota::tenants::TenantsError),
 }
 
-advice!(SettingFault {
+help!(SettingFault {
     NotObject: "must be an object" => "write it as a table of keys",
     NotList: "is no list" => "put the values in [ ]",
     Number: "is no number from" => "choose a number in that range, without quotes",
@@ -520,7 +522,7 @@
         rules.resendSpanMs there is none",
     Truth: "is neither true nor false" => "write true or false, without quotes",
     Word: "is none of" => "choose one of these words, in quotes",
-    Members: "members:" => "give each member one entry with a name of its own; shares are counted for 200 at the most",
+    Tenants: "members:" => "give each member one entry with a name of its own; shares are counted for 200 at the most",
     NoWindow: "is missing, and the class is keyed" => "say for how long repeats are dropped, or make the class unsafe",
 });
 
@@ -528,7 +530,7 @@
 const LONGEST: Millis = 3_600_000.0;
 
 /// Reads values of the settings; what is wrong goes to the faults and reads as absent. A figure misread, or one
-/// that the module can't work with, would break a rule in silence or stop the relay much later.
+/// that the load balancer can't work with, would break a rule in silence or stop the relay much later.
 #[derive(Default)]
 struct Checked {
     faults: Vec<SettingError>,
@@ -585,7 +587,7 @@
 
     /// Members and their shares. A figure that is missing is no limit, and so is a rate of nothing: what is stated in
     /// whole numbers reads so for a member that is small.
-    fn shares(&mut self, boot: &Value, absent: ShareSettings) -> ShareSettings {
+    fn shares(&mut self, boot: &Value, absent: QuotaSettings) -> QuotaSettings {
         let connections = &boot["domain"]["tenantQuotaConnections"];
         let realms = list(boot, "realms");
         if !connections.is_null() && !connections.is_array() {
@@ -600,26 +602,26 @@
             let name = format!("tenantQuotaConnections[{i}]");
             let open = self.figure(&connections[i], "domain.", &name, f64::INFINITY, of);
             let per_s = quota(per_s).filter(|n| *n > 0.0);
-            Member { name: string(realm, "name"), connections: quota(open), per_s }
+            Tenant { name: string(realm, "name"), connections: quota(open), per_s }
         };
         let named: Vec<_> = realms.iter().enumerate().map(&mut member).collect();
-        let members = Members::new(named).unwrap_or_else(|e| {
-            self.fault("", "realms", SettingFault::Members(e));
-            Members::default()
+        let members = Tenants::new(named).unwrap_or_else(|e| {
+            self.fault("", "realms", SettingFault::Tenants(e));
+            Tenants::default()
         });
-        let over_worth = self.number(boot, "", "overShareWorth", 0.0, (0.0, 1e9));
-        ShareSettings { members, over_worth, ..absent }
+        let over_quota_weight = self.number(boot, "", "overShareWorth", 0.0, (0.0, 1e9));
+        QuotaSettings { members, over_quota_weight, ..absent }
     }
 
     fn class(&mut self, boot: &Value, i: usize, lane: &Value) -> Class {
         let path = format!("lanes[{i}].");
         let repeat = match self.word(lane, &path, "semantics", &["safe", "keyed", "unsafe"]) {
-            Some(0) => Repeat::Safe,
-            Some(1) => Repeat::Keyed {
+            Some(0) => Idempotency::Safe,
+            Some(1) => Idempotency::Keyed {
                 group: match self.word(lane, &path, "group", &["all", "zone", "cell"]) {
-                    Some(0) => RepeatGroup::All,
-                    Some(1) => RepeatGroup::Zone,
-                    _ => RepeatGroup::Cell,
+                    Some(0) => DeduplicationScope::All,
+                    Some(1) => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Cell,
                 },
                 window: {
                     if lane["windowMs"].is_null() {
@@ -628,16 +630,20 @@
                     self.number(lane, &path, "windowMs", 0.0, (0.0, LONGEST))
                 },
             },
-            _ => Repeat::Unsafe,
+            _ => Idempotency::Unsafe,
         };
         let limit = self.number(lane, &path, "hardLimitMs", 1000.0, (1.0, LONGEST));
-        let aim = list(&boot["domain"], "messageAimMs").get(i).filter(|aim| !aim.is_null());
-        let message_aim = aim.map(|aim| self.figure(aim, "domain.", "messageAimMs", 1000.0, (1.0, LONGEST)));
+        let latency_objective = list(&boot["domain"], "messageAimMs")
+            .get(i)
+            .filter(|latency_objective| !latency_objective.is_null());
+        let message_latency_objective = latency_objective.map(|latency_objective| {
+            self.figure(latency_objective, "domain.", "messageAimMs", 1000.0, (1.0, LONGEST))
+        });
         Class {
             repeat,
-            aim: self.number(lane, &path, "aimMs", limit, (1.0, LONGEST)),
-            message_aim,
-            worth: self.number(lane, &path, "worth", 1.0, (0.0, 1e9)),
+            latency_objective: self.number(lane, &path, "aimMs", limit, (1.0, LONGEST)),
+            message_latency_objective,
+            priority_weight: self.number(lane, &path, "worth", 1.0, (0.0, 1e9)),
         }
     }
 }
@@ -669,18 +675,18 @@
         Some(0) => Discovery::OnRequest,
         _ => Discovery::Pushed,
     };
-    let balancers = read.whole(boot, "", "nInstances", 1, (1, 65_536));
+    let relay_count = read.whole(boot, "", "nInstances", 1, (1, 65_536));
     let retry_after = read.truth(limits, "limits.", "retryAfter");
     let max_retry_after = read.number(limits, "limits.", "maxRetryAfterMs", 0.0, (0.0, LONGEST));
     let settings = Settings {
         classes,
         discovery,
-        balancers,
-        me: read.whole(boot, "", "me", 0, (0, balancers - 1)),
+        relay_count,
+        local_index: read.whole(boot, "", "me", 0, (0, relay_count - 1)),
         peers: read.truth(limits, "limits.", "peerMessages"),
-        passes: boot["domain"]["mode"].as_str() == Some("pass"),
+        packet_passthrough: boot["domain"]["mode"].as_str() == Some("pass"),
         max_attempts: read.whole(limits, "limits.", "maxAttempts", d.max_attempts, (1, 1000)),
-        // What waits for a streamer waits so long between two looks: nothing would never end.
+        // What waits for an endpoint waits so long between two looks: nothing would never end.
         connect_timeout: read.number(
             limits,
             "limits.",
@@ -690,10 +696,16 @@
         ),
         resolution: read.number(boot, "", "resolutionMs", d.resolution, (0.0, 1000.0)),
         max_retry_after: retry_after.then_some(max_retry_after),
-        ask_every: read.number(rules, "rules.", "askEveryMs", d.ask_every, (100.0, LONGEST)),
-        cold_from: read.number(rules, "rules.", "coldFrom", d.cold_from, (0.0, 1.0)),
-        warm_within: read.number(rules, "rules.", "warmWithinMs", d.warm_within, (0.0, LONGEST)),
-        fall_multiple: read.number(rules, "rules.", "tipMultiple", d.fall_multiple, (0.01, 1e6)),
+        list_max_age: read.number(rules, "rules.", "askEveryMs", d.list_max_age, (100.0, LONGEST)),
+        cold_capacity_fraction: read.number(
+            rules,
+            "rules.",
+            "coldFrom",
+            d.cold_capacity_fraction,
+            (0.0, 1.0),
+        ),
+        warm_up_time: read.number(rules, "rules.", "warmWithinMs", d.warm_up_time, (0.0, LONGEST)),
+        overload_multiple: read.number(rules, "rules.", "tipMultiple", d.overload_multiple, (0.01, 1e6)),
         budget,
         memory: d.memory,
         shares: read.shares(boot, d.shares),
@@ -719,12 +731,14 @@
 
 fn encode(who: &str, action: Action) -> Value {
     match action {
-        Action::Send { request, server, until, .. } => json!(["DELIVER", who, request.0, &*server.0, until]),
-        Action::Refuse { request, retry_after } => json!(["NOT_NOW", who, request.0, retry_after]),
+        Action::StartAttempt { request, endpoint, until, .. } => {
+            json!(["DELIVER", who, request.0, &*endpoint.0, until])
+        }
+        Action::Reject { request, retry_after } => json!(["NOT_NOW", who, request.0, retry_after]),
         Action::Fail(request) => json!(["FAIL", who, request.0]),
-        Action::Move(request) => json!(["MOVE", who, request.0]),
-        Action::Timer { after, token } => json!(["ARM", who, after, token]),
-        Action::Tell { peer, message } => json!(["MEMO_TO", who, peer, message_text(&message)]),
-        Action::Watch => json!(["TAIL", who, true]),
+        Action::Migrate(request) => json!(["MOVE", who, request.0]),
+        Action::SetTimer { after, token } => json!(["ARM", who, after, token]),
+        Action::SendToPeer { peer, message } => json!(["MEMO_TO", who, peer, message_text(&message)]),
+        Action::Subscribe => json!(["TAIL", who, true]),
     }
 }
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -9,7 +9,7 @@
 
 use sandgw_affinity_store::writer::Written;
 
-use crate::policy::api::ServerState;
+use crate::policy::api::EndpointState;
 use crate::relay::Relay;
 
 /// iso.org.dod.internet.private.enterprises.32473.1: the example enterprise of RFC 5612.
@@ -34,12 +34,12 @@
         )))
     };
     let c = relay.counters();
-    let scalars = [c.flows, c.established, c.busy, c.failed, c.moves];
+    let scalars = [c.connections, c.established, c.busy, c.failed, c.moves];
     for (i, n) in (1..).zip(scalars) {
         put(&[1, i, 0], counter(n));
     }
     put(&[1, 6, 0], gauge(relay.standing()));
-    for (i, n) in (1..).zip(c.forwards) {
+    for (i, n) in (1..).zip(c.attempts) {
         put(&[2, 1, 2, i], counter(n));
     }
     let a = relay.affinity();
@@ -50,22 +50,22 @@
     for (i, n) in (4..).zip(totals) {
         put(&[5, i, 0], counter(n));
     }
-    for row in relay.targets() {
+    for row in relay.endpoints() {
         // The id is the index, as its length and its bytes: it needs no column of its own to be read.
         let id = row.id.0.as_bytes();
         let index: Vec<u32> =
             std::iter::once(id.len() as u32).chain(id.iter().map(|b| u32::from(*b))).collect();
         let state = match row.state {
-            ServerState::Ready => 1,
-            ServerState::Draining => 2,
-            ServerState::Gone => 3,
+            EndpointState::Ready => 1,
+            EndpointState::Draining => 2,
+            EndpointState::Removed => 3,
         };
         put(
             &[&[3, 1, 2][..], &index].concat(),
             ObjectSyntax::Simple(SimpleSyntax::Integer(Integer::from(state))),
         );
         put(&[&[3, 1, 3][..], &index].concat(), gauge(row.standing));
-        put(&[&[3, 1, 4][..], &index].concat(), counter(row.forwards));
+        put(&[&[3, 1, 4][..], &index].concat(), counter(row.attempts));
     }
     view
 }
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module alone: the table, the four rules over generated events, and each failure found.
+//! Tests of the load balancer alone: the table, the four rules over generated events, and each failure found.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,9 +8,9 @@
 
 use crate::policy::api::*;
 use crate::policy::hashing::SLOTS;
-use crate::policy::load_balancer::{Balancer, fill};
-use crate::policy::state::Server;
-use crate::relay::{Arrival, Command, FixedResponse, FlowCommand, FlowId, Relay};
+use crate::policy::load_balancer::{LoadBalancer, fill};
+use crate::policy::state::Endpoint;
+use crate::relay::{Command, ConnectionCommand, IncomingRequest, LocalReply, Relay};
 
 // --- the table ---
 
@@ -28,8 +28,8 @@
 fn table_is_full_and_fair() {
     for n in [1, 2, 3, 12, 100] {
         let names = names(n);
-        let servers: Vec<_> = names.iter().map(|id| (id.as_str(), 1.0)).collect();
-        let table = fill(&servers);
+        let endpoints: Vec<_> = names.iter().map(|id| (id.as_str(), 1.0)).collect();
+        let table = fill(&endpoints);
         assert_eq!(table.len(), SLOTS);
         let counts = shares(&table, n);
         assert!(counts.iter().max().unwrap() - counts.iter().min().unwrap() <= 1, "{n} servers: {counts:?}");
@@ -64,46 +64,46 @@
 
 // --- a small world around one balancer ---
 
-impl Balancer {
+impl LoadBalancer {
     /// Nothing is counted of any connection any more.
     pub(crate) fn at_rest(&self) -> bool {
         let ledger = &self.ledger;
-        let empty = |s: &Server| s.conns.is_empty() && s.load == 0.0 && s.state != ServerState::Gone;
+        let empty = |s: &Endpoint| s.conns.is_empty() && s.load == 0.0 && s.state != EndpointState::Removed;
         ledger.conns.is_empty()
             && ledger.trying == 0
-            && ledger.servers.values().all(empty)
+            && ledger.endpoints.values().all(empty)
             && ledger.total.abs() < 1e-6
     }
 }
 
-pub(crate) fn server(i: usize) -> ServerId {
-    ServerId(Arc::from(format!("s{i}")))
+pub(crate) fn endpoint(i: usize) -> EndpointId {
+    EndpointId(Arc::from(format!("s{i}")))
 }
 
-pub(crate) fn entry(i: usize, state: ServerState, started: Millis) -> ServerEntry {
+pub(crate) fn entry(i: usize, state: EndpointState, started: Millis) -> EndpointEntry {
     let zone = Zone(Arc::from(if i.is_multiple_of(2) { "even" } else { "odd" }));
-    ServerEntry { id: server(i), state, weight: 1.0, started, zone, cell: (i % 3) as u64 }
+    EndpointEntry { id: endpoint(i), state, weight: 1.0, started, zone, cell: (i % 3) as u64 }
 }
 
-fn class(repeat: Repeat) -> Class {
-    Class { repeat, aim: 300.0, message_aim: Some(60.0), worth: 1.0 }
+fn class(repeat: Idempotency) -> Class {
+    Class { repeat, latency_objective: 300.0, message_latency_objective: Some(60.0), priority_weight: 1.0 }
 }
 
-fn keyed(group: RepeatGroup) -> Class {
-    class(Repeat::Keyed { group, window: 900.0 })
+fn keyed(group: DeduplicationScope) -> Class {
+    class(Idempotency::Keyed { group, window: 900.0 })
 }
 
 pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Repeat::Safe),
-            keyed(RepeatGroup::All),
-            keyed(RepeatGroup::Zone),
-            keyed(RepeatGroup::Cell),
-            class(Repeat::Unsafe),
+            class(Idempotency::Safe),
+            keyed(DeduplicationScope::All),
+            keyed(DeduplicationScope::Zone),
+            keyed(DeduplicationScope::Cell),
+            class(Idempotency::Unsafe),
         ],
         discovery: Discovery::OnRequest,
-        balancers: 3,
+        relay_count: 3,
         max_attempts: 4,
         resolution: 4.0,
         ..Settings::default()
@@ -111,7 +111,7 @@
 }
 
 struct Attempt {
-    server: ServerId,
+    endpoint: EndpointId,
     sent: Millis,
     until: Millis,
     open: bool,
@@ -129,13 +129,13 @@
 }
 
 struct World {
-    balancer: Balancer,
+    load_balancer: LoadBalancer,
     settings: Settings,
     now: Millis,
     asks: BTreeMap<RequestId, Ask>,
     timers: Vec<(Millis, u64)>,
-    list: BTreeMap<ServerId, ServerEntry>,
-    cold_sends: BTreeMap<ServerId, Millis>,
+    list: BTreeMap<EndpointId, EndpointEntry>,
+    cold_sends: BTreeMap<EndpointId, Millis>,
     taken: Vec<Millis>,
     further: Vec<Millis>,
     log: Vec<Action>,
@@ -144,9 +144,9 @@
 pub(crate) const START: Millis = 100_000.0;
 
 impl World {
-    fn new(settings: Settings, servers: &[ServerEntry]) -> Self {
+    fn new(settings: Settings, endpoints: &[EndpointEntry]) -> Self {
         let mut world = World {
-            balancer: Balancer::new(settings.clone(), 7, START),
+            load_balancer: LoadBalancer::new(settings.clone(), 7, START),
             settings,
             now: START,
             asks: BTreeMap::new(),
@@ -157,16 +157,16 @@
             further: Vec::new(),
             log: Vec::new(),
         };
-        world.give_list(ListKind::Cached, servers);
+        world.give_list(ListKind::Cached, endpoints);
         world
     }
 
-    fn give_list(&mut self, kind: ListKind, servers: &[ServerEntry]) {
+    fn give_list(&mut self, kind: ListKind, endpoints: &[EndpointEntry]) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.list.clear();
         }
-        self.list.extend(servers.iter().map(|e| (e.id.clone(), e.clone())));
-        self.handle(Event::List { kind, servers: servers.to_vec() });
+        self.list.extend(endpoints.iter().map(|e| (e.id.clone(), e.clone())));
+        self.handle(Event::List { kind, endpoints: endpoints.to_vec() });
     }
 
     fn ask(&mut self, id: u64, class: Option<usize>, group: Option<&str>, client: &str, within: Millis) {
@@ -176,8 +176,8 @@
             client: Some(Key(Arc::from(client))),
             group: group.map(|g| Key(Arc::from(g))),
             deadline: self.now + within,
-            spent: 0.0,
-            sent_away: true,
+            setup_time_used: 0.0,
+            drained_by_endpoint: true,
             load: None,
             mid_flow: false,
             returned: false,
@@ -194,7 +194,7 @@
 
     fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
+        self.load_balancer.handle(self.now, event, &mut out);
         for action in &out {
             self.check(action);
         }
@@ -203,7 +203,7 @@
 
     fn check(&mut self, action: &Action) {
         match action {
-            Action::Send { request, server, until, .. } => {
+            Action::StartAttempt { request, endpoint, until, .. } => {
                 let ask = self.asks.get_mut(request).expect("a send for a request that was never given");
                 assert!(!ask.answered && !ask.over, "a send after the end");
                 assert!(ask.attempts.iter().all(|a| a.ended.is_some()), "two attempts at once");
@@ -217,37 +217,42 @@
                     let allowed = budget.free + budget.share * taken as f64;
                     assert!(further as f64 <= allowed, "{further} further attempts of {allowed}");
                 }
-                let entry = self.list.get(server).expect("a send to a server that was never listed");
-                assert_eq!(entry.state, ServerState::Ready, "a send to a draining or gone server");
+                let entry = self.list.get(endpoint).expect("a send to a server that was never listed");
+                assert_eq!(entry.state, EndpointState::Ready, "a send to a draining or gone server");
                 let ran = ask.attempts.iter().find(|a| a.ended.is_some_and(Outcome::may_have_run));
                 if let Some(first) = ran {
                     match ask.class.map(|c| self.settings.classes[c].repeat) {
-                        Some(Repeat::Safe) => {}
-                        Some(Repeat::Keyed { group, window }) => {
+                        Some(Idempotency::Safe) => {}
+                        Some(Idempotency::Keyed { group, window }) => {
                             assert!(self.now - first.sent <= window, "a repeat after the window");
-                            let place = |id: &ServerId| {
+                            let place = |id: &EndpointId| {
                                 let i: usize = id.0[1..].parse().unwrap();
                                 match group {
-                                    RepeatGroup::All => 0,
-                                    RepeatGroup::Zone => i % 2,
-                                    RepeatGroup::Cell => i % 3,
+                                    DeduplicationScope::All => 0,
+                                    DeduplicationScope::Zone => i % 2,
+                                    DeduplicationScope::Cell => i % 3,
                                 }
                             };
-                            assert_eq!(place(&first.server), place(server), "a repeat outside of its group");
+                            assert_eq!(
+                                place(&first.endpoint),
+                                place(endpoint),
+                                "a repeat outside of its group"
+                            );
                         }
                         _ => panic!("an unsafe request was sent again"),
                     }
                 }
-                if entry.started > 0.0 && self.now - entry.started < self.settings.warm_within {
-                    let last = self.cold_sends.insert(server.clone(), self.now);
+                if entry.started > 0.0 && self.now - entry.started < self.settings.warm_up_time {
+                    let last = self.cold_sends.insert(endpoint.clone(), self.now);
                     let asks = self.asks.values();
                     let held = asks.filter(|a| a.attempts.iter().any(|a| a.ended.is_none())).count();
-                    let pause = self.settings.warm_within / self.settings.fall_multiple / (held + 1) as f64;
+                    let pause =
+                        self.settings.warm_up_time / self.settings.overload_multiple / (held + 1) as f64;
                     let gap = self.now - last.unwrap_or(f64::NEG_INFINITY);
                     assert!(gap >= pause * 0.9, "cold server sent to again after {gap} ms, {held} held");
                 }
                 let attempt = Attempt {
-                    server: server.clone(),
+                    endpoint: endpoint.clone(),
                     sent: self.now,
                     until: *until,
                     open: false,
@@ -255,26 +260,26 @@
                 };
                 self.asks.get_mut(request).unwrap().attempts.push(attempt);
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 self.answer(*request);
                 let ask = &self.asks[request];
                 let ran = ask.attempts.iter().any(|a| a.ended.is_some_and(Outcome::may_have_run));
                 let everywhere = match ask.class.map(|c| self.settings.classes[c].repeat) {
-                    Some(Repeat::Safe) => true,
-                    Some(Repeat::Keyed { group, .. }) => group == RepeatGroup::All,
+                    Some(Idempotency::Safe) => true,
+                    Some(Idempotency::Keyed { group, .. }) => group == DeduplicationScope::All,
                     _ => false,
                 };
                 assert!(!ran || everywhere, "a refusal of what may have run");
             }
             Action::Fail(request) => self.answer(*request),
-            Action::Move(request) => {
+            Action::Migrate(request) => {
                 assert!(self.asks[request].attempts.last().is_some_and(|a| a.open && a.ended.is_none()));
             }
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 assert!(*after >= 0.0);
                 self.timers.push((self.now + after, *token));
             }
-            Action::Watch | Action::Tell { .. } => {}
+            Action::Subscribe | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -305,14 +310,14 @@
         let attempt = AttemptId(ask.attempts.len() as u32 - 1);
         let last = ask.attempts.last_mut().unwrap();
         last.ended = Some(outcome);
-        let (server, finished) = (last.server.clone(), last.open || outcome == Outcome::Ok || ask.over);
+        let (endpoint, finished) = (last.endpoint.clone(), last.open || outcome == Outcome::Ok || ask.over);
         ask.over |= finished;
-        self.handle(Event::Ended { request: id, attempt, server, outcome, finished });
+        self.handle(Event::AttemptEnded { request: id, attempt, endpoint, outcome, finished });
     }
 
     fn expire(&mut self, id: RequestId) {
         self.asks.get_mut(&id).unwrap().over = true;
-        self.handle(Event::Expired(id));
+        self.handle(Event::ClientGone(id));
     }
 
     /// Lets time pass in readings of the clock: time-outs and timers come due.
@@ -337,12 +342,12 @@
             self.end(id, Outcome::Ok);
         }
         assert!(self.asks.values().all(|a| a.answered || a.over), "a request without an answer");
-        assert!(self.balancer.at_rest());
+        assert!(self.load_balancer.at_rest());
         assert!(self.timers.len() < 20, "timers pile up");
     }
 
-    fn sends(&self, id: u64) -> Vec<ServerId> {
-        self.asks[&RequestId(id)].attempts.iter().map(|a| a.server.clone()).collect()
+    fn sends(&self, id: u64) -> Vec<EndpointId> {
+        self.asks[&RequestId(id)].attempts.iter().map(|a| a.endpoint.clone()).collect()
     }
 }
 
@@ -391,7 +396,7 @@
 ];
 
 fn play(steps: &[Step], settings: Settings) -> Vec<Action> {
-    let ready: Vec<_> = (0..4).map(|i| entry(i, ServerState::Ready, 0.0)).collect();
+    let ready: Vec<_> = (0..4).map(|i| entry(i, EndpointState::Ready, 0.0)).collect();
     let mut world = World::new(settings, &ready);
     let mut next = 0;
     for step in steps {
@@ -426,22 +431,22 @@
             Step::List(i, state) => {
                 let now = world.now;
                 let entry = match state {
-                    0 => entry(i, ServerState::Draining, 0.0),
-                    1 => entry(i, ServerState::Gone, 0.0),
-                    2 => entry(i, ServerState::Ready, 0.0),
-                    _ => entry(i, ServerState::Ready, now),
+                    0 => entry(i, EndpointState::Draining, 0.0),
+                    1 => entry(i, EndpointState::Removed, 0.0),
+                    2 => entry(i, EndpointState::Ready, 0.0),
+                    _ => entry(i, EndpointState::Ready, now),
                 };
                 world.give_list(ListKind::Delta, &[entry]);
             }
             Step::Full(mask) => {
                 let some: Vec<_> = (0..6).filter(|i| mask & (1 << i) != 0).collect();
-                let some: Vec<_> = some.into_iter().map(|i| entry(i, ServerState::Ready, 0.0)).collect();
+                let some: Vec<_> = some.into_iter().map(|i| entry(i, EndpointState::Ready, 0.0)).collect();
                 world.give_list(ListKind::Full, &some);
             }
-            Step::ListFails => world.handle(Event::List { kind: ListKind::Failed, servers: Vec::new() }),
+            Step::ListFails => world.handle(Event::List { kind: ListKind::Failed, endpoints: Vec::new() }),
             Step::Slow(i, level) => {
                 if let Some(request) = world.out(i, true) {
-                    world.handle(Event::Progress { request, note: Note::Delay(level.into()) });
+                    world.handle(Event::Measured { request, note: Measurement::MessageDelay(level.into()) });
                 }
             }
         }
@@ -467,8 +472,8 @@
 
 // --- the ordinary path ---
 
-fn ready(n: usize) -> Vec<ServerEntry> {
-    (0..n).map(|i| entry(i, ServerState::Ready, 0.0)).collect()
+fn ready(n: usize) -> Vec<EndpointEntry> {
+    (0..n).map(|i| entry(i, EndpointState::Ready, 0.0)).collect()
 }
 
 #[test]
@@ -503,37 +508,37 @@
     world.ask(1, Some(4), Some("g"), "c", 700.0);
     world.ask(2, None, None, "c", 300.0);
     world.finish();
-    assert!(world.log.iter().any(|a| matches!(a, Action::Refuse { request: RequestId(1), .. })));
+    assert!(world.log.iter().any(|a| matches!(a, Action::Reject { request: RequestId(1), .. })));
     assert!(world.sends(1).is_empty());
 }
 
-/// The steps stopped once when no flow stood while one was still being set up: it was never told.
+/// The steps stopped once when no connection stood while one was still being set up: it was never told.
 #[test]
 fn clients_that_their_leaving_server_does_not_send_away_are_told_even_if_they_stand_later() {
     let mut world = World::new(settings(), &ready(1));
-    for (id, sent_away) in [(1, false), (2, true), (3, false)] {
+    for (id, drained_by_endpoint) in [(1, false), (2, true), (3, false)] {
         let request = RequestId(id);
         let (class, client, deadline) = (Some(ClassId(0)), None, world.now + 2000.0);
-        let (spent, load, mid_flow, returned, group) = (0.0, None, false, false, None);
-        let flow = Request {
+        let (setup_time_used, load, mid_flow, returned, group) = (0.0, None, false, false, None);
+        let connection = Request {
             id: request,
             class,
             client,
             group,
             deadline,
-            spent,
+            setup_time_used,
             load,
             mid_flow,
             returned,
-            sent_away,
+            drained_by_endpoint,
         };
-        world.arrive(flow);
+        world.arrive(connection);
     }
     world.establish(RequestId(1), 5.0);
     world.establish(RequestId(2), 5.0);
-    let leaving = [entry(0, ServerState::Draining, 0.0)];
-    world.handle(Event::List { kind: ListKind::Delta, servers: leaving.to_vec() });
-    let moved = |w: &World, id| w.log.contains(&Action::Move(RequestId(id)));
+    let leaving = [entry(0, EndpointState::Draining, 0.0)];
+    world.handle(Event::List { kind: ListKind::Delta, endpoints: leaving.to_vec() });
+    let moved = |w: &World, id| w.log.contains(&Action::Migrate(RequestId(id)));
     world.pass(150.0);
     world.end(RequestId(1), Outcome::Cancelled);
     world.pass(120.0);
@@ -550,18 +555,19 @@
         let mut world = World::new(settings(), &ready(6));
         for id in 0..240 {
             world.ask(id, Some(0), None, &format!("c{id}"), 2000.0);
-            world.balancer.ledger.conns.get_mut(&RequestId(id)).unwrap().request.sent_away = false;
+            world.load_balancer.ledger.conns.get_mut(&RequestId(id)).unwrap().request.drained_by_endpoint =
+                false;
             world.establish(RequestId(id), 5.0);
         }
-        let first: BTreeSet<_> = (0..240).filter(|id| world.sends(*id)[0] == server(0)).collect();
+        let first: BTreeSet<_> = (0..240).filter(|id| world.sends(*id)[0] == endpoint(0)).collect();
         let mut moved = BTreeSet::new();
         for step in 0..40 {
             if let Some(i) = [0].iter().chain(also).nth(step) {
-                world.give_list(ListKind::Delta, &[entry(*i, ServerState::Draining, 0.0)]);
+                world.give_list(ListKind::Delta, &[entry(*i, EndpointState::Draining, 0.0)]);
             }
             world.pass(10.0);
             for action in std::mem::take(&mut world.log) {
-                if let Action::Move(id) = action {
+                if let Action::Migrate(id) = action {
                     world.end(id, Outcome::Cancelled);
                     moved.extend(first.contains(&id.0).then_some(id.0));
                 }
@@ -578,16 +584,16 @@
 #[test]
 fn a_server_that_comes_back_larger_gets_a_larger_share() {
     let mut world = World::new(settings(), &ready(4));
-    let back = ServerEntry { weight: 3.0, ..entry(0, ServerState::Ready, world.now) };
+    let back = EndpointEntry { weight: 3.0, ..entry(0, EndpointState::Ready, world.now) };
     world.ask(1, Some(0), None, "c", 2000.0);
     world.end(RequestId(1), Outcome::Ok);
     world.give_list(ListKind::Delta, &[back]);
-    world.now += world.settings.warm_within;
+    world.now += world.settings.warm_up_time;
     for id in 1000..1400 {
         world.ask(id, Some(0), None, &format!("c{id}"), 2000.0);
         world.end(RequestId(id), Outcome::Ok);
     }
-    let share = (1000..1400).filter(|id| world.sends(*id)[0] == server(0)).count();
+    let share = (1000..1400).filter(|id| world.sends(*id)[0] == endpoint(0)).count();
     assert!((180..=220).contains(&share), "{share} of 400 go to half of the capacity");
 }
 
@@ -600,15 +606,15 @@
     other.ask(1, Some(0), Some("form"), "c", 2000.0);
     other.establish(RequestId(1), 5.0);
     // The holder is slow and at its cap by now; the open connection is still found there.
-    other.handle(Event::Progress { request: RequestId(1), note: Note::Delay(500.0) });
+    other.handle(Event::Measured { request: RequestId(1), note: Measurement::MessageDelay(500.0) });
     other.arrive(Request {
         id: RequestId(2),
         class: Some(ClassId(0)),
         client: Some(Key(Arc::from("c"))),
         group: Some(Key(Arc::from("form"))),
         deadline: other.now + 900.0,
-        spent: 0.0,
-        sent_away: true,
+        setup_time_used: 0.0,
+        drained_by_endpoint: true,
         load: None,
         mid_flow: true,
         returned: false,
@@ -663,7 +669,7 @@
         world.ask(id, Some(0), None, &format!("c{id}"), 2500.0);
     }
     assert_eq!(out(&world), before, "the window let new set-ups out");
-    assert!(world.balancer.ledger.servers.values().all(|s| s.failures == 0));
+    assert!(world.load_balancer.ledger.endpoints.values().all(|s| s.failures == 0));
 }
 
 /// Further attempts beyond the budget (5 in 10 s where 73 requests allowed 4.7): each is asked for, whatever
@@ -673,7 +679,7 @@
     let budget =
         |free, share| Settings { budget: Some(Budget { window: 2000.0, free, share }), ..settings() };
     let refused = |w: &World, id| {
-        let is = |a: &Action| matches!(a, Action::Refuse { request, .. } if *request == RequestId(id));
+        let is = |a: &Action| matches!(a, Action::Reject { request, .. } if *request == RequestId(id));
         w.log.iter().any(is)
     };
     let fails_over = |w: &mut World, id| {
@@ -730,10 +736,10 @@
     assert!(world.sends(1).len() < 4 && world.asks[&RequestId(1)].deadline > world.now);
     world.end(RequestId(1), Outcome::ConnectFailed);
     world.end(RequestId(1), Outcome::ConnectFailed);
-    assert!(matches!(world.log.last(), Some(Action::Refuse { request: RequestId(1), .. })));
+    assert!(matches!(world.log.last(), Some(Action::Reject { request: RequestId(1), .. })));
 }
 
-/// Flows for which there was no streamer were held until a moment before their clients gave up. What is not expected
+/// Connections for which there was no endpoint were held until a moment before their clients gave up. What is not expected
 /// to be placed within the wanted time is refused, and a place that comes free before is taken at once.
 #[test]
 fn a_flow_is_held_for_a_streamer_no_longer_than_its_set_up_may_take() {
@@ -741,7 +747,7 @@
         let mut world = World::new(settings(), &[]);
         let came = world.now;
         world.ask(1, Some(0), None, "c", deadline);
-        let refused = |w: &World| w.log.iter().any(|a| matches!(a, Action::Refuse { .. }));
+        let refused = |w: &World| w.log.iter().any(|a| matches!(a, Action::Reject { .. }));
         while !refused(&world) && world.now < came + deadline {
             world.pass(4.0);
         }
@@ -753,7 +759,7 @@
     let mut world = World::new(settings(), &[]);
     world.ask(1, None, None, "c", 3000.0);
     world.pass(1600.0);
-    assert!(matches!(world.log.last(), Some(Action::Refuse { .. })), "held to the end");
+    assert!(matches!(world.log.last(), Some(Action::Reject { .. })), "held to the end");
     let mut world = World::new(settings(), &[]);
     world.ask(1, Some(0), None, "c", 2000.0);
     world.pass(100.0);
@@ -775,8 +781,8 @@
                 client: Some(Key(Arc::from("c"))),
                 group: Some(Key(Arc::from("g"))),
                 deadline: world.now + 2000.0,
-                spent: 0.0,
-                sent_away: true,
+                setup_time_used: 0.0,
+                drained_by_endpoint: true,
                 load: None,
                 mid_flow,
                 returned: true,
@@ -806,19 +812,20 @@
         world.establish(RequestId(id), 5.0);
     }
     (0..60).for_each(|id| {
-        world.handle(Event::Progress { request: RequestId(id), note: Note::Delay(30.0) });
+        world.handle(Event::Measured { request: RequestId(id), note: Measurement::MessageDelay(30.0) });
     });
     (0..20).for_each(|id| world.end(RequestId(id), Outcome::Ok));
     assert!(comes_again(&mut world, 100..140, false) <= 1);
 }
 
 /// So many balancers with 240 connections to ten servers.
-fn fleet(balancers: u32) -> Vec<World> {
-    let of = Settings { balancers, ..settings() };
-    let mut worlds: Vec<_> =
-        (0..balancers).map(|me| World::new(Settings { me, ..of.clone() }, &ready(10))).collect();
+fn fleet(relay_count: u32) -> Vec<World> {
+    let of = Settings { relay_count, ..settings() };
+    let mut worlds: Vec<_> = (0..relay_count)
+        .map(|local_index| World::new(Settings { local_index, ..of.clone() }, &ready(10)))
+        .collect();
     for id in 0..240 {
-        let world = &mut worlds[(id % u64::from(balancers)) as usize];
+        let world = &mut worlds[(id % u64::from(relay_count)) as usize];
         world.ask(id, Some(0), None, &format!("c{id}"), 2000.0);
         world.establish(RequestId(id), 5.0);
     }
@@ -831,7 +838,7 @@
 fn servers_that_restart_together_are_filled_as_they_warm() {
     let mut worlds = fleet(240);
     for world in &mut worlds {
-        let back: Vec<_> = (0..4).map(|i| entry(i, ServerState::Ready, world.now)).collect();
+        let back: Vec<_> = (0..4).map(|i| entry(i, EndpointState::Ready, world.now)).collect();
         world.give_list(ListKind::Delta, &back);
     }
     // Half of all connections come again in the time that it takes to warm.
@@ -840,7 +847,7 @@
         worlds.iter_mut().for_each(|w| w.now += 20_000.0 / 120.0);
         let world = &mut worlds[(id % 240) as usize];
         world.ask(id, Some(0), None, &format!("d{id}"), 2000.0);
-        let cold = world.sends(id).iter().any(|s| (0..4).any(|i| *s == server(i)));
+        let cold = world.sends(id).iter().any(|s| (0..4).any(|i| *s == endpoint(i)));
         sent[usize::from(id >= 1060)] += usize::from(cold);
     }
     assert!(sent[0] <= 12 && (10..=30).contains(&sent[1]), "{sent:?} to servers that warm");
@@ -854,8 +861,8 @@
         world.ask(id, Some(0), Some("g"), &format!("c{id}"), 2000.0);
         world.establish(RequestId(id), 5.0);
     }
-    world.handle(Event::Progress { request: RequestId(0), note: Note::Delay(150.0) });
-    let moves = world.log.iter().filter(|a| matches!(a, Action::Move(_))).count();
+    world.handle(Event::Measured { request: RequestId(0), note: Measurement::MessageDelay(150.0) });
+    let moves = world.log.iter().filter(|a| matches!(a, Action::Migrate(_))).count();
     assert_eq!(moves, 1);
     world.ask(9, Some(0), Some("g"), "c", 1000.0);
     world.pass(100.0);
@@ -864,7 +871,7 @@
     world.end(RequestId(0), Outcome::Cancelled);
     world.end(RequestId(1), Outcome::Cancelled);
     world.pass(300.0);
-    assert_eq!(world.sends(9), [server(0)]);
+    assert_eq!(world.sends(9), [endpoint(0)]);
 }
 
 /// After a mass reconnect caps at their floor kept servers all but idle for half a minute; resets in one
@@ -877,10 +884,10 @@
         world.establish(RequestId(id), 5.0);
     }
     (0..4).for_each(|id| world.end(RequestId(id), Outcome::Reset));
-    assert_eq!(world.balancer.ledger.servers[&server(0)].cap, 3.0);
-    world.balancer.ledger.servers.get_mut(&server(0)).unwrap().cap = 0.5;
+    assert_eq!(world.load_balancer.ledger.endpoints[&endpoint(0)].cap, 3.0);
+    world.load_balancer.ledger.endpoints.get_mut(&endpoint(0)).unwrap().cap = 0.5;
     world.pass(12_000.0);
-    assert!(world.balancer.ledger.servers[&server(0)].cap(world.now, 1.0) > 1.5);
+    assert!(world.load_balancer.ledger.endpoints[&endpoint(0)].cap(world.now, 1.0) > 1.5);
 }
 
 /// A large group would outgrow one server; scattered over all it would cost each of them.
@@ -900,9 +907,9 @@
 /// the fleet. Sizes are told from a sample with a prior, and a client picks among the parts by a nested choice.
 #[test]
 fn many_balancers_with_few_connections_place_a_group_alike() {
-    let many = Settings { balancers: 200, ..settings() };
+    let many = Settings { relay_count: 200, ..settings() };
     let mut worlds: Vec<_> = (0..40).map(|_| World::new(many.clone(), &ready(80))).collect();
-    let mut used = BTreeMap::<ServerId, usize>::new();
+    let mut used = BTreeMap::<EndpointId, usize>::new();
     let (mut alike, mut of) = (0, 0);
     for (i, world) in worlds.iter_mut().enumerate() {
         // Each meets the group in another number among others: a twelfth to a third of what it sees.
@@ -930,17 +937,18 @@
 /// Other peers' answers and unknown senders change nothing; without leave nothing is sent.
 #[test]
 fn a_sample_goes_to_one_peer_and_its_answer_sizes_the_groups() {
-    let pool = Settings { balancers: 100, me: 7, peers: true, ..settings() };
+    let pool = Settings { relay_count: 100, local_index: 7, peers: true, ..settings() };
     let mut world = World::new(pool.clone(), &ready(40));
     for id in 0..3 {
         world.ask(id, Some(0), Some("g0"), &format!("c{id}"), 2000.0);
     }
-    let sample = |a: &&Action| matches!(a, Action::Tell { peer: 0, message } if message.memory.is_none());
+    let sample =
+        |a: &&Action| matches!(a, Action::SendToPeer { peer: 0, message } if message.memory.is_none());
     let tells = |w: &World| w.log.iter().filter(sample).count();
     assert_eq!(tells(&world), 1, "one sample while its answer is out");
     let group = |w: &World| {
         let told = w.log.iter().find_map(|a| match a {
-            Action::Tell { message, .. } => message.sizes.first().map(|(group, _)| *group),
+            Action::SendToPeer { message, .. } => message.sizes.first().map(|(group, _)| *group),
             _ => None,
         });
         told.unwrap()
@@ -955,15 +963,15 @@
         (from..from + 60).flat_map(|id| world.sends(id)).collect::<BTreeSet<_>>().len()
     };
     let mut stranger = World::new(pool.clone(), &ready(40));
-    stranger.handle(Event::Told { peer: 9, message: message.clone() });
+    stranger.handle(Event::PeerMessage { peer: 9, message: message.clone() });
     stranger.ask(1, Some(0), Some("g9"), "c", 2000.0);
-    assert!(stranger.balancer.ledger.servers.len() == 40);
+    assert!(stranger.load_balancer.ledger.endpoints.len() == 40);
     stranger.log.clear();
-    stranger.handle(Event::Told { peer: 100, message: Message::default() });
+    stranger.handle(Event::PeerMessage { peer: 100, message: Message::default() });
     assert!(stranger.log.is_empty(), "an answer to an unknown balancer");
     // Nor does an answer that counts less than the own sample, or nothing, change a placement.
     let (mut told, mut untold) = (World::new(pool.clone(), &ready(40)), World::new(pool.clone(), &ready(40)));
-    told.handle(Event::Told {
+    told.handle(Event::PeerMessage {
         peer: 0,
         message: Message { total: 0.0, sizes: vec![(9, 0.0)], ..message.clone() },
     });
@@ -972,15 +980,15 @@
         untold.ask(id, Some(0), Some(&format!("g{}", id % 3)), &format!("c{id}"), 2000.0);
         assert_eq!(told.sends(id), untold.sends(id));
     }
-    let peer = world.balancer.pool.collector;
-    world.handle(Event::Told { peer, message });
+    let peer = world.load_balancer.pool.collector;
+    world.handle(Event::PeerMessage { peer, message });
     assert!(spread(&mut world, 1000) > 10, "nine tenths of all connections need many servers");
     // A sample is answered with the sum, whatever it holds and however often it comes.
     world.log.clear();
     let sample = Message { answer: false, total: 5.0, sizes: vec![(77, 5.0)], ..Message::default() };
-    (0..2).for_each(|_| world.handle(Event::Told { peer: 3, message: sample.clone() }));
+    (0..2).for_each(|_| world.handle(Event::PeerMessage { peer: 3, message: sample.clone() }));
     let answer = world.log.last().cloned();
-    let Some(Action::Tell { peer: 3, message }) = answer else { panic!("no answer") };
+    let Some(Action::SendToPeer { peer: 3, message }) = answer else { panic!("no answer") };
     assert!(message.answer && message.sizes.contains(&(77, 5.0)));
     let mut alone = World::new(Settings { peers: false, ..pool }, &ready(40));
     (0..20).for_each(|id| alone.ask(id, Some(0), Some("g"), &format!("c{id}"), 2000.0));
@@ -991,22 +999,22 @@
 /// over. What a fleet sends it stays the same, however many balancers it is spread over.
 #[test]
 fn many_balancers_together_spare_a_cold_server() {
-    for balancers in [1u64, 4, 40, 240] {
-        let mut worlds = fleet(balancers as u32);
+    for relay_count in [1u64, 4, 40, 240] {
+        let mut worlds = fleet(relay_count as u32);
         // Server 0 restarts, and half as many connections more arrive in two seconds.
         for world in &mut worlds {
             let now = world.now;
-            world.give_list(ListKind::Delta, &[entry(0, ServerState::Ready, now)]);
+            world.give_list(ListKind::Delta, &[entry(0, EndpointState::Ready, now)]);
         }
         let mut sent = 0;
         for id in 1000..1120 {
             worlds.iter_mut().for_each(|w| w.now += 16.0);
-            let world = &mut worlds[(id % balancers) as usize];
+            let world = &mut worlds[(id % relay_count) as usize];
             world.ask(id, Some(0), None, &format!("d{id}"), 2000.0);
-            sent += usize::from(world.sends(id).contains(&server(0)));
+            sent += usize::from(world.sends(id).contains(&endpoint(0)));
         }
         // A warm server's part would be 12; it can do a tenth of that at first, and twice as much is borne.
-        assert!(sent <= 3, "{sent} to a cold server by {balancers} balancers");
+        assert!(sent <= 3, "{sent} to a cold server by {relay_count} balancers");
     }
 }
 
@@ -1016,12 +1024,12 @@
 fn many_balancers_do_not_all_begin_with_a_cold_server_at_once() {
     let mut worlds = fleet(240);
     let mut sent = 0;
-    for (me, world) in (0..).zip(&mut worlds) {
+    for (local_index, world) in (0..).zip(&mut worlds) {
         let now = world.now;
-        world.give_list(ListKind::Delta, &[entry(0, ServerState::Ready, now)]);
+        world.give_list(ListKind::Delta, &[entry(0, EndpointState::Ready, now)]);
         for id in 1000..1010 {
-            world.ask(id, Some(0), None, &format!("d{me}-{id}"), 2000.0);
-            sent += usize::from(world.sends(id).contains(&server(0)));
+            world.ask(id, Some(0), None, &format!("d{local_index}-{id}"), 2000.0);
+            sent += usize::from(world.sends(id).contains(&endpoint(0)));
         }
     }
     assert!(sent <= 3, "{sent} to a cold server in one moment");
@@ -1032,13 +1040,13 @@
 #[test]
 fn many_balancers_that_start_anew_do_not_all_begin_with_a_cold_server_at_once() {
     let mut list = ready(10);
-    list[0] = entry(0, ServerState::Ready, START - 15_000.0);
+    list[0] = entry(0, EndpointState::Ready, START - 15_000.0);
     let mut sent = 0;
-    for me in 0..240 {
-        let mut world = World::new(Settings { balancers: 240, me, ..settings() }, &list);
+    for local_index in 0..240 {
+        let mut world = World::new(Settings { relay_count: 240, local_index, ..settings() }, &list);
         for id in 1000..1010 {
-            world.ask(id, Some(0), None, &format!("d{me}-{id}"), 2000.0);
-            sent += usize::from(world.sends(id).contains(&server(0)));
+            world.ask(id, Some(0), None, &format!("d{local_index}-{id}"), 2000.0);
+            sent += usize::from(world.sends(id).contains(&endpoint(0)));
         }
     }
     assert!(sent <= 3, "{sent} to a cold server in one moment");
@@ -1053,16 +1061,16 @@
     world.pass(100.0);
     assert_eq!(world.sends(1).len(), 2);
     world.establish(RequestId(1), 5.0);
-    world.give_list(ListKind::Delta, &[entry(0, ServerState::Ready, 0.0)]);
+    world.give_list(ListKind::Delta, &[entry(0, EndpointState::Ready, 0.0)]);
     world.ask(2, Some(0), None, "c", 1000.0);
     world.ask(3, Some(0), None, "d", 1000.0);
     assert!(world.sends(2).is_empty() && world.sends(3).is_empty());
 }
 
-/// A streamer whose clock is wrong, and with it its start, got nothing until that time had come.
+/// An endpoint whose clock is wrong, and with it its start, got nothing until that time had come.
 #[test]
 fn a_start_far_ahead_counts_as_one_of_now() {
-    let ahead = entry(0, ServerState::Ready, START + 3_600_000.0);
+    let ahead = entry(0, EndpointState::Ready, START + 3_600_000.0);
     let mut world = World::new(settings(), &[ahead]);
     for id in 0..100 {
         world.ask(id, Some(0), None, &format!("c{id}"), 2000.0);
@@ -1076,13 +1084,13 @@
 #[test]
 fn a_failed_list_call_is_repeated_with_jitter() {
     let mut world = World::new(settings(), &ready(2));
-    assert!(world.log.contains(&Action::Watch));
+    assert!(world.log.contains(&Action::Subscribe));
     world.log.clear();
     for _ in 0..8 {
-        world.handle(Event::List { kind: ListKind::Failed, servers: Vec::new() });
-        let (before, ask_every) = (world.log.len(), world.settings.ask_every);
-        world.pass(ask_every / 2.0 + 8.0);
-        assert!(world.log[before..].contains(&Action::Watch));
+        world.handle(Event::List { kind: ListKind::Failed, endpoints: Vec::new() });
+        let (before, list_max_age) = (world.log.len(), world.settings.list_max_age);
+        world.pass(list_max_age / 2.0 + 8.0);
+        assert!(world.log[before..].contains(&Action::Subscribe));
     }
 }
 
@@ -1096,12 +1104,12 @@
         before.ask(id, Some(0), Some(&group), &format!("c{id}"), 2000.0);
         before.establish(RequestId(id), 5.0);
     }
-    let kept = before.balancer.memory.changes(before.now, usize::MAX).set;
+    let kept = before.load_balancer.memory.changes(before.now, usize::MAX).set;
     // A store that has lost some is given all of it again.
-    before.balancer.memory.keep();
-    let again = before.balancer.memory.changes(before.now, usize::MAX);
+    before.load_balancer.memory.keep();
+    let again = before.load_balancer.memory.changes(before.now, usize::MAX);
     assert!(again.set.len() == kept.len() && again.names.len() == 12, "{again:?}");
-    let places = |world: &mut World| -> Vec<ServerId> {
+    let places = |world: &mut World| -> Vec<EndpointId> {
         let place = |id: u64| {
             world.ask(id, Some(0), Some("large"), &format!("c{id}"), 2000.0);
             let at = world.sends(id)[0].clone();
@@ -1111,9 +1119,9 @@
         (1000..1040).map(place).collect()
     };
     let mut after = World::new(settings(), &ready(12));
-    after.balancer.memory.restore(after.now, kept.into_iter());
+    after.load_balancer.memory.restore(after.now, kept.into_iter());
     let mut fresh = World::new(settings(), &ready(12));
-    let set = |places: Vec<ServerId>| places.into_iter().collect::<BTreeSet<_>>();
+    let set = |places: Vec<EndpointId>| places.into_iter().collect::<BTreeSet<_>>();
     let held: BTreeSet<_> = (0..120).filter(|id| id % 3 == 0).flat_map(|id| before.sends(id)).collect();
     let (after, fresh) = (places(&mut after), set(places(&mut fresh)));
     let kept = after.iter().filter(|at| held.contains(*at)).count();
@@ -1124,7 +1132,7 @@
 
 // --- the core's tick ---
 
-/// On sockets nobody but the relay's own tick tells that a streamer's messages take long.
+/// On sockets nobody but the relay's own tick tells that an endpoint's messages take long.
 #[test]
 fn a_streamer_whose_round_trips_are_long_gets_nothing_new_until_they_are_short() {
     let mut relay = Relay::new(settings(), vec!["safe".into()], 7, START);
@@ -1133,36 +1141,40 @@
     let place = |relay: &mut Relay, client: u64| {
         let client = Some(Key(format!("c{client}").into()));
         let deadline = now.get() + 200.0;
-        let id =
-            relay.arrive(now.get(), Arrival { class: "safe".into(), client, deadline, ..Arrival::default() });
+        let id = relay.arrive(
+            now.get(),
+            IncomingRequest { class: "safe".into(), client, deadline, ..IncomingRequest::default() },
+        );
         let command = relay.take_commands().into_iter().find_map(|c| match c {
-            Command::Flow(of, FlowCommand::Forward(attempt)) if of == id => Some(attempt.target),
+            Command::Connection(of, ConnectionCommand::StartAttempt(attempt)) if of == id => {
+                Some(attempt.endpoint)
+            }
             _ => None,
         });
         (id, command)
     };
     let mut standing = Vec::new();
     for client in 0..40 {
-        let (id, target) = place(&mut relay, client);
+        let (id, endpoint) = place(&mut relay, client);
         relay.established(now.get(), id, 5.0);
-        standing.push((id, target.unwrap()));
+        standing.push((id, endpoint.unwrap()));
     }
-    let new_flows = |relay: &mut Relay, trip: Millis, clients: std::ops::Range<u64>| {
-        for (id, _) in standing.iter().filter(|(_, at)| *at == server(0)) {
+    let new_connections = |relay: &mut Relay, trip: Millis, clients: std::ops::Range<u64>| {
+        for (id, _) in standing.iter().filter(|(_, at)| *at == endpoint(0)) {
             relay.round_trip(*id, trip);
         }
         relay.tick(now.get());
         let placed = clients.filter_map(|client| {
-            let (id, target) = place(relay, client);
+            let (id, endpoint) = place(relay, client);
             relay.left(now.get(), id);
-            target
+            endpoint
         });
-        placed.filter(|at| *at == server(0)).count()
+        placed.filter(|at| *at == endpoint(0)).count()
     };
-    let before = new_flows(&mut relay, 1.0, 100..140);
-    let slow = new_flows(&mut relay, 50.0, 200..240);
+    let before = new_connections(&mut relay, 1.0, 100..140);
+    let slow = new_connections(&mut relay, 50.0, 200..240);
     now.set(START + 30_000.0);
-    let after = new_flows(&mut relay, 1.0, 300..340);
+    let after = new_connections(&mut relay, 1.0, 300..340);
     assert!(before > 10 && slow == 0 && after > 10, "{before} before, {slow} while slow, {after} after");
 }
 
@@ -1172,43 +1184,47 @@
 struct Core {
     relay: Relay,
     now: Millis,
-    told: Vec<(FlowId, FlowCommand)>,
+    told: Vec<(RequestId, ConnectionCommand)>,
 }
 
 impl Core {
-    fn new(classes: &[(&str, Repeat)], attempts: u32) -> Core {
+    fn new(classes: &[(&str, Idempotency)], attempts: u32) -> Core {
         let (settings, names) = named(classes, attempts);
         let mut relay = Relay::new(settings, names, 7, START);
         relay.list(START, ListKind::Cached, ready(6));
         Core { relay, now: START, told: Vec::new() }
     }
 
-    fn retune(&mut self, classes: &[(&str, Repeat)], attempts: u32) {
+    fn retune(&mut self, classes: &[(&str, Idempotency)], attempts: u32) {
         let (settings, names) = named(classes, attempts);
         self.relay.retune(self.now, settings, &names);
     }
 
-    fn arrive(&mut self, class: &str) -> FlowId {
+    fn arrive(&mut self, class: &str) -> RequestId {
         let deadline = self.now + 2000.0;
-        let id = self.relay.arrive(self.now, Arrival { class: class.into(), deadline, ..Arrival::default() });
+        let id = self.relay.arrive(
+            self.now,
+            IncomingRequest { class: class.into(), deadline, ..IncomingRequest::default() },
+        );
         self.take();
         id
     }
 
     fn take(&mut self) {
-        let flow = |c| if let Command::Flow(id, command) = c { Some((id, command)) } else { None };
-        self.told.extend(self.relay.take_commands().into_iter().filter_map(flow));
+        let connection =
+            |c| if let Command::Connection(id, command) = c { Some((id, command)) } else { None };
+        self.told.extend(self.relay.take_commands().into_iter().filter_map(connection));
     }
 
-    /// Ends all forwards of a flow like this; how many there were, and its answer.
-    fn fail(&mut self, id: FlowId, outcome: Outcome) -> (usize, FixedResponse) {
-        let mut forwards = 0;
+    /// Ends all forwards of a connection like this; how many there were, and its answer.
+    fn fail(&mut self, id: RequestId, outcome: Outcome) -> (usize, LocalReply) {
+        let mut attempts = 0;
         for _ in 0..100 {
             let own = self.told.iter().position(|(of, _)| *of == id);
             match own.map(|i| self.told.remove(i).1) {
-                Some(FlowCommand::Answer(response)) => return (forwards, response),
+                Some(ConnectionCommand::Reply(response)) => return (attempts, response),
                 Some(_) => {
-                    forwards += 1;
+                    attempts += 1;
                     self.relay.ended(self.now, id, outcome);
                 }
                 None => {
@@ -1222,37 +1238,37 @@
     }
 }
 
-fn named(classes: &[(&str, Repeat)], max_attempts: u32) -> (Settings, Vec<String>) {
+fn named(classes: &[(&str, Idempotency)], max_attempts: u32) -> (Settings, Vec<String>) {
     let names = classes.iter().map(|(name, _)| name.to_string()).collect();
     let classes = classes.iter().map(|(_, repeat)| class(*repeat)).collect();
     (Settings { classes, max_attempts, ..settings() }, names)
 }
 
-/// What a flow may do holds from its start to its end, wherever its class stands in the settings meanwhile.
+/// What a connection may do holds from its start to its end, wherever its class stands in the settings meanwhile.
 #[test]
 fn a_flow_keeps_the_class_that_it_came_with() {
-    let (safe, unsafe_) = (("safe", Repeat::Safe), ("once", Repeat::Unsafe));
+    let (safe, unsafe_) = (("safe", Idempotency::Safe), ("once", Idempotency::Unsafe));
     let mut core = Core::new(&[safe, unsafe_], 4);
     let (repeats, once) = (core.arrive("safe"), core.arrive("once"));
     // Turned round, then dropped, then back with the other's effect.
     core.retune(&[unsafe_, safe], 4);
-    core.retune(&[("new", Repeat::Safe)], 4);
-    core.retune(&[("new", Repeat::Safe), ("safe", Repeat::Unsafe), ("once", Repeat::Safe)], 4);
+    core.retune(&[("new", Idempotency::Safe)], 4);
+    core.retune(&[("new", Idempotency::Safe), ("safe", Idempotency::Unsafe), ("once", Idempotency::Safe)], 4);
     assert_eq!(core.fail(repeats, Outcome::Reset).0, 4, "a safe one may be sent again");
-    assert_eq!(core.fail(once, Outcome::Reset), (1, FixedResponse::Failed), "it may have acted");
+    assert_eq!(core.fail(once, Outcome::Reset), (1, LocalReply::Failed), "it may have acted");
     // Those who come now are bound by what is in force now.
     let (now_once, now_safe) = (core.arrive("safe"), core.arrive("once"));
-    assert_eq!(core.fail(now_once, Outcome::Reset), (1, FixedResponse::Failed));
+    assert_eq!(core.fail(now_once, Outcome::Reset), (1, LocalReply::Failed));
     assert_eq!(core.fail(now_safe, Outcome::Reset).0, 4);
 }
 
 #[test]
 fn the_number_of_attempts_binds_from_the_change_on_waiting_flows_too() {
-    let mut core = Core::new(&[("safe", Repeat::Safe)], 5);
+    let mut core = Core::new(&[("safe", Idempotency::Safe)], 5);
     let waiting = core.arrive("safe");
-    core.retune(&[("safe", Repeat::Safe)], 2);
+    core.retune(&[("safe", Idempotency::Safe)], 2);
     assert_eq!(core.fail(waiting, Outcome::ConnectFailed).0, 2);
-    core.retune(&[("safe", Repeat::Safe)], 6);
+    core.retune(&[("safe", Idempotency::Safe)], 6);
     let later = core.arrive("safe");
     assert_eq!(core.fail(later, Outcome::ConnectFailed).0, 6);
 }
@@ -1261,56 +1277,60 @@
 
 /// Moves of a balancer that holds 40 connections on the first of four servers, once it is told what so many hold
 /// there; with the third in this state, after a set-up that took so long.
-fn moves(told: u16, third: ServerState, took: Millis) -> usize {
-    let many = Settings { balancers: 100, me: 7, peers: true, ..settings() };
-    let (mut balancer, mut out) = (Balancer::new(many, 1, START), Actions::new());
+fn moves(told: u16, third: EndpointState, took: Millis) -> usize {
+    let many = Settings { relay_count: 100, local_index: 7, peers: true, ..settings() };
+    let (mut load_balancer, mut out) = (LoadBalancer::new(many, 1, START), Actions::new());
     let list =
-        |state| (0..4).map(|i| entry(i, if i == 2 { state } else { ServerState::Ready }, 0.0)).collect();
-    let full = |state| Event::List { kind: ListKind::Full, servers: list(state) };
-    balancer.handle(START, full(ServerState::Ready), &mut out);
+        |state| (0..4).map(|i| entry(i, if i == 2 { state } else { EndpointState::Ready }, 0.0)).collect();
+    let full = |state| Event::List { kind: ListKind::Full, endpoints: list(state) };
+    load_balancer.handle(START, full(EndpointState::Ready), &mut out);
     let request = |id| Request {
         id: RequestId(id),
         class: Some(ClassId(0)),
         client: None,
         group: None,
         deadline: START + 3000.0,
-        spent: 0.0,
+        setup_time_used: 0.0,
         load: None,
         mid_flow: false,
         returned: false,
-        sent_away: false,
+        drained_by_endpoint: false,
     };
     for id in 0..40 {
-        balancer.handle(START, Event::Open { request: request(id), server: server(0) }, &mut out);
+        load_balancer.handle(
+            START,
+            Event::ExistingConnection { request: request(id), endpoint: endpoint(0) },
+            &mut out,
+        );
     }
-    balancer.handle(START, Event::Request(request(50)), &mut out);
+    load_balancer.handle(START, Event::Request(request(50)), &mut out);
     let (request, attempt) = (RequestId(50), AttemptId(0));
-    balancer.handle(START + took, Event::Established { request, attempt, elapsed: took }, &mut out);
-    balancer.handle(START + 5000.0, full(third), &mut out);
+    load_balancer.handle(START + took, Event::Established { request, attempt, elapsed: took }, &mut out);
+    load_balancer.handle(START + 5000.0, full(third), &mut out);
     out.clear();
-    let tag = |i: usize| crate::policy::hashing::tag(&server(i).0);
+    let tag = |i: usize| crate::policy::hashing::tag(&endpoint(i).0);
     let rows = (0..4).map(|i| (tag(i), if i == 0 { told } else { told / 5 })).collect();
-    let piece = Piece::Loads { total: u32::from(told) * 8 / 5, rows };
+    let piece = ClusterMessage::ClusterLoads { total: u32::from(told) * 8 / 5, rows };
     let message = Message { memory: Some(piece), ..Message::default() };
-    balancer.handle(START + 6000.0, Event::Told { peer: 0, message }, &mut out);
-    out.iter().filter(|action| matches!(action, Action::Move(_))).count()
+    load_balancer.handle(START + 6000.0, Event::PeerMessage { peer: 0, message }, &mut out);
+    out.iter().filter(|action| matches!(action, Action::Migrate(_))).count()
 }
 
 #[test]
 fn clients_of_a_server_that_carries_too_much_are_moved_in_part() {
-    let moved = moves(4000, ServerState::Ready, 10.0);
+    let moved = moves(4000, EndpointState::Ready, 10.0);
     assert!((1..20).contains(&moved), "{moved} of 40");
 }
 
 /// Where a store behind all servers was slow, moved clients waited for it with all others.
 #[test]
 fn nobody_is_moved_behind_a_queue_or_beside_a_drain_or_by_the_word_of_a_few() {
-    assert_eq!(moves(4000, ServerState::Ready, 200.0), 0, "set-ups meet a queue");
-    assert_eq!(moves(4000, ServerState::Draining, 10.0), 0, "a server drains");
-    assert_eq!(moves(200, ServerState::Ready, 10.0), 0, "a collector that has just started");
+    assert_eq!(moves(4000, EndpointState::Ready, 200.0), 0, "set-ups meet a queue");
+    assert_eq!(moves(4000, EndpointState::Draining, 10.0), 0, "a server drains");
+    assert_eq!(moves(200, EndpointState::Ready, 10.0), 0, "a collector that has just started");
 }
 
-// --- the module's size ---
+// --- the load balancer's size ---
 
 #[test]
 fn the_module_stays_within_its_length() {
