--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What comes between two lines while a flow is placed: its client's end, its window, the list. A crossing is forced by
+//! What comes between two lines while a connection is placed: its client's end, its window, the list. A crossing is forced by
 //! stopping the process until both events are there, or by a stand-in that waits for the other one.
 
 mod common;
@@ -29,7 +29,7 @@
     }
 }
 
-/// A streamer whose connections do not come up until it is told: its queue of connections is full, so that the system
+/// An endpoint whose connections do not come up until it is told: its queue of connections is full, so that the system
 /// drops each attempt to connect, which is repeated after a second.
 struct Late {
     address: String,
@@ -130,9 +130,9 @@
 /// made for nobody.
 #[test]
 fn a_client_that_had_left_before_it_was_read_is_not_placed() {
-    let streamer = Streamer::lines("UP 1\r\n");
+    let endpoint = Endpoint::lines("UP 1\r\n");
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start(&discovery);
     for round in 0..4 {
         relay.signal("STOP");
@@ -148,12 +148,12 @@
         // Who comes after them is served, so all of them have been read.
         assert_eq!(relay.client().open(",g=after").line(), "UP 1");
     }
-    let seen = streamer.seen();
+    let seen = endpoint.seen();
     let placed = seen.iter().filter(|line| line.starts_with("OPEN") && !line.contains("g=after")).count();
     assert_eq!(placed, 0, "attempts for clients that had left: {seen:?}");
 }
 
-/// A connection to a streamer that comes up late, and the client's end, are there together: chance decided which of
+/// A connection to an endpoint that comes up late, and the client's end, are there together: chance decided which of
 /// them was looked at first, and the line was written for a client that had gone.
 #[test]
 fn an_attempt_whose_connection_comes_up_with_its_clients_end_does_not_begin() {
@@ -183,14 +183,14 @@
     format!("OPEN 5c0f{id:08x} 7f3a9c21e0b4d655 c=subtitle-stream,t=acme,d={deadline}{more}\r\n")
 }
 
-/// The window of a flow that may be repeated was looked at when the repeat was decided: a connection that came up later
+/// The window of a connection that may be repeated was looked at when the repeat was decided: a connection that came up later
 /// let it begin outside. It is given up when its window ends, and answered at once.
 #[test]
 fn a_repeat_whose_window_ends_while_it_connects_does_not_begin() {
     const WINDOW: Duration = Duration::from_millis(3400);
     let reset = Gate::default();
     let resets = reset.clone();
-    let first = Streamer::start(move |stream, log| {
+    let first = Endpoint::start(move |stream, log| {
         let mut line = String::new();
         let _ = BufReader::new(&stream).read_line(&mut line);
         note(log, line.trim_end());
@@ -228,13 +228,13 @@
     assert!(answers.iter().all(told), "{answers:?}");
 }
 
-/// The list changes while a connection is on its way: nothing begins at a streamer that leaves, or whose place
+/// The list changes while a connection is on its way: nothing begins at an endpoint that leaves, or whose place
 /// another has taken.
 #[test]
 fn an_attempt_does_not_begin_where_the_list_has_changed_while_it_connects() {
     for change in ["Terminating", "Gone", "moves"] {
         let late = Late::start("UP 1\r\n");
-        let elsewhere = Streamer::lines("UP 2\r\n");
+        let elsewhere = Endpoint::lines("UP 2\r\n");
         let discovery = Discovery::start();
         discovery.set("s-1", &late.address, "Ready", 0);
         let relay = with(&discovery, &PATIENT);
@@ -262,7 +262,7 @@
 fn no_further_attempt_begins_for_clients_that_leave_as_their_first_ends() {
     let answer = Gate::default();
     let answers = answer.clone();
-    let first = Streamer::start(move |stream, log| {
+    let first = Endpoint::start(move |stream, log| {
         let mut line = String::new();
         let _ = BufReader::new(&stream).read_line(&mut line);
         note(log, line.trim_end());
@@ -271,7 +271,7 @@
         drop(stream);
         note(log, "answered");
     });
-    let second = Streamer::lines("UP 2\r\n");
+    let second = Endpoint::lines("UP 2\r\n");
     let discovery = Discovery::start();
     discovery.set("s-1", &first.address, "Ready", 0);
     discovery.set("s-2", &second.address, "Ready", 0);
@@ -296,10 +296,10 @@
 }
 
 /// A client that ends its sending while it waits, or says more than its line, is answered at once, and its attempt is
-/// given up: the streamer sees the end.
+/// given up: the endpoint sees the end.
 #[test]
 fn an_attempt_is_given_up_as_soon_as_its_client_leaves() {
-    let streamer = Streamer::start(|stream, log| {
+    let endpoint = Endpoint::start(|stream, log| {
         let mut reader = BufReader::new(stream);
         let mut line = String::new();
         while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
@@ -309,12 +309,12 @@
         note(log, "end");
     });
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = with(&discovery, &PATIENT);
     for (n, way) in ["half", "whole", "reset", "speaks"].into_iter().enumerate() {
         let mut client = relay.client();
         client.send(&line_with(19_000, ""));
-        until("the attempt is out", || opens(&streamer.seen()) == n + 1);
+        until("the attempt is out", || opens(&endpoint.seen()) == n + 1);
         let left = Instant::now();
         match way {
             "half" => client.0.get_ref().shutdown(Shutdown::Write).unwrap(),
@@ -325,18 +325,18 @@
             }
             _ => assert_eq!(client.send("more\r\n").line(), "ERR"),
         }
-        until("it is given up", || streamer.seen().iter().filter(|l| *l == "end").count() == n + 1);
+        until("it is given up", || endpoint.seen().iter().filter(|l| *l == "end").count() == n + 1);
         assert!(left.elapsed() < LONG / 4, "{way}: {:?}", left.elapsed());
     }
-    assert_eq!(opens(&streamer.seen()), 4, "{:?}", streamer.seen());
+    assert_eq!(opens(&endpoint.seen()), 4, "{:?}", endpoint.seen());
 }
 
-/// A streamer answers, and again some milliseconds later, while other flows are placed: nobody gets the second answer,
+/// An endpoint answers, and again some milliseconds later, while other connections are placed: nobody gets the second answer,
 /// be it with the first one, on its own, or in place of the end of one that is cut in the middle.
 #[test]
 fn a_second_answer_reaches_nobody() {
     for first in ["BUSY\r\n", "ERR\r\n", "MOVE\r\n", "BYE\r\n", "UP", "BUSY 20\r\nUP 8\r\n"] {
-        let bad = Streamer::start(move |stream, log| {
+        let bad = Endpoint::start(move |stream, log| {
             let mut line = String::new();
             let _ = BufReader::new(&stream).read_line(&mut line);
             note(log, line.trim_end());
@@ -345,7 +345,7 @@
             let _ = (&stream).write_all(b"\r\nUP 9\r\n");
             let _ = (&stream).read(&mut [0]);
         });
-        let good = Streamer::lines("UP 1\r\n");
+        let good = Endpoint::lines("UP 1\r\n");
         let discovery = Discovery::start();
         discovery.set("s-1", &bad.address, "Ready", 0);
         discovery.set("s-2", &good.address, "Ready", 0);
@@ -377,13 +377,13 @@
 }
 
 /// Answers arrive as their attempts are given up for being late, and the process sees both at once: each client has one
-/// answer, and stands at one streamer at the most.
+/// answer, and stands at one endpoint at the most.
 #[test]
 fn an_answer_that_crosses_the_end_of_its_attempt_leaves_nothing_behind() {
     let answer = Gate::default();
     let answers = answer.clone();
     let echoes = |name: &'static str, late: Option<Gate>| {
-        Streamer::start(move |stream, log| {
+        Endpoint::start(move |stream, log| {
             let mut reader = BufReader::new(&stream);
             let mut line = String::new();
             let _ = reader.read_line(&mut line);
@@ -424,14 +424,14 @@
             other => assert!(other == "ERR" || other.starts_with("BUSY"), "{other}"),
         }
     }
-    let ended = |s: &Streamer| s.seen().iter().filter(|l| *l == "end").count();
-    for (streamer, here) in [(&first, at[0]), (&second, at[1])] {
-        until("all others are let go of", || opens(&streamer.seen()) - ended(streamer) == here);
+    let ended = |s: &Endpoint| s.seen().iter().filter(|l| *l == "end").count();
+    for (endpoint, here) in [(&first, at[0]), (&second, at[1])] {
+        until("all others are let go of", || opens(&endpoint.seen()) - ended(endpoint) == here);
     }
     assert!(out > 2 && at[0] + at[1] > 12, "{out} were out, {at:?} stand");
 }
 
-/// A streamer resets a request long after it has begun: it is tried again only where that may be, and once.
+/// An endpoint resets a request long after it has begun: it is tried again only where that may be, and once.
 #[test]
 fn a_reset_long_after_a_request_has_begun_is_repeated_only_where_it_may_be() {
     let window = "\"semantics\":\"keyed\",\"group\":\"all\",\"windowMs\":500.0";
@@ -440,14 +440,14 @@
     {
         let reset = Gate::default();
         let resets = reset.clone();
-        let first = Streamer::start(move |stream, log| {
+        let first = Endpoint::start(move |stream, log| {
             let mut line = String::new();
             let _ = BufReader::new(&stream).read_line(&mut line);
             note(log, line.trim_end());
             resets.pass();
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         });
-        let second = Streamer::lines("UP 2\r\n");
+        let second = Endpoint::lines("UP 2\r\n");
         let discovery = Discovery::start();
         discovery.set("s-1", &first.address, "Ready", 0);
         let relay = with(&discovery, &[PATIENT[0], PATIENT[1], ("\"semantics\":\"safe\"", semantics)]);
--- a/tests/burst.rs
+++ b/tests/burst.rs
@@ -1,4 +1,4 @@
-//! A burst of flows in a full house, in a file of its own: a process starts with as many places for descriptors as the
+//! A burst of connections in a full house, in a file of its own: a process starts with as many places for descriptors as the
 //! one that starts it has ever needed, and what the relay takes is read from its places.
 
 mod common;
@@ -8,14 +8,14 @@
 
 use common::*;
 
-/// All who are heard ask in the same moment: each flow takes a second descriptor, which somebody else has to give
+/// All who are heard ask in the same moment: each connection takes a second descriptor, which somebody else has to give
 /// back first. The process is stopped for so long that it reads all of them at once. Gives how many were served, and
 /// the process, which is told that it may hold so many and is held to `limit`; of one that is held to more, what it
 /// takes beyond what it is told is seen.
 fn burst(sockets: usize, limit: usize) -> (usize, Relay) {
-    let streamer = Streamer::lines("UP 1\r\n");
+    let endpoint = Endpoint::lines("UP 1\r\n");
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay =
         Relay::start_limited(&discovery, &format!("ulimit -n {limit}"), sockets as u32, &[host()], 0, "");
     let at_start = relay.descriptor_places();
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -14,7 +14,7 @@
 use sandgw::relay::handover::{FORM, Frames, Message, encode};
 use socket2::SockRef;
 
-/// A relay whose one streamer is the test itself.
+/// A relay whose one endpoint is the test itself.
 struct Stand {
     relay: Relay,
     listener: TcpListener,
@@ -37,38 +37,38 @@
         Stand { relay, listener, _discovery: discovery }
     }
 
-    /// One whose front can't lead packets elsewhere: on standby all flows are told to move.
+    /// One whose front can't lead packets elsewhere: on standby all connections are told to move.
     fn start_moving() -> Stand {
         Self::start_limited("sed -i 's/\"mode\":\"pass\"/\"mode\":\"hold\"/' \"$PROXY_CONFIG\"", 1024, "")
     }
 
-    /// Takes the next forward, whose first line the streamer has read.
+    /// Takes the next forward, whose first line the endpoint has read.
     fn forward(&self) -> Client {
         let stream = accepted(|| self.listener.set_nonblocking(true).and_then(|()| self.listener.accept()));
         self.listener.set_nonblocking(false).unwrap();
         stream.set_nonblocking(false).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
         stream.set_nodelay(true).unwrap();
-        let mut streamer = Client(BufReader::new(stream));
-        let line = streamer.line();
+        let mut endpoint = Client(BufReader::new(stream));
+        let line = endpoint.line();
         assert!(line.starts_with("OPEN "), "{line}");
-        streamer
+        endpoint
     }
 
-    /// Brings this client's flow to stand; its streamer.
+    /// Brings this client's connection to stand; its endpoint.
     fn place(&self, client: &mut Client) -> Client {
         client.open("");
-        let mut streamer = self.forward();
-        streamer.send("UP 1\r\n");
+        let mut endpoint = self.forward();
+        endpoint.send("UP 1\r\n");
         assert_eq!(client.line(), "UP 1");
-        streamer
+        endpoint
     }
 
-    /// A flow that stands: its client and its streamer.
-    fn flow(&self) -> (Client, Client) {
+    /// A connection that stands: its client and its endpoint.
+    fn connection(&self) -> (Client, Client) {
         let mut client = self.relay.client();
-        let streamer = self.place(&mut client);
-        (client, streamer)
+        let endpoint = self.place(&mut client);
+        (client, endpoint)
     }
 
     /// Stops the relay while this happens: when it goes on, all of it has arrived.
@@ -113,22 +113,22 @@
     }
 }
 
-// --- a standing flow ---
+// --- a standing connection ---
 
-/// A streamer's last word was taken along by the reset behind it, or its client was reset all the same.
+/// An endpoint's last word was taken along by the reset behind it, or its client was reset all the same.
 #[test]
 fn a_streamers_last_word_before_a_reset_ends_its_client_in_order() {
     let stand = Stand::start();
     for (word, outcome) in [("MOVE", "Cancelled"), ("BYE", "Ok")] {
-        // Both have arrived, with a line of the client's that its streamer does not read, or without.
+        // Both have arrived, with a line of the client's that its endpoint does not read, or without.
         for crossing in ["", "more\r\n"] {
             for _ in 0..4 {
-                let (mut client, mut streamer) = stand.flow();
+                let (mut client, mut endpoint) = stand.connection();
                 let stood = || stand.relay.log().matches(&format!("stood, {outcome}")).count();
                 let before = stood();
                 stand.meanwhile(|| {
-                    streamer.send(&format!("first\r\n{word}\r\n"));
-                    reset(streamer);
+                    endpoint.send(&format!("first\r\n{word}\r\n"));
+                    reset(endpoint);
                     client.send(crossing);
                 });
                 assert_eq!(lines(&mut client), ["first", word, "(end)"], "{word} across {crossing:?}");
@@ -138,16 +138,16 @@
     }
 }
 
-/// What a streamer has said before it was reset reaches its client, in whole lines; then the client is reset too.
+/// What an endpoint has said before it was reset reaches its client, in whole lines; then the client is reset too.
 #[test]
 fn the_lines_before_a_reset_reach_the_client_whole() {
     let stand = Stand::start();
     for crossing in ["", "more\r\n"] {
         for half in ["hal", "", "hal", ""].repeat(2) {
-            let (mut client, mut streamer) = stand.flow();
+            let (mut client, mut endpoint) = stand.connection();
             stand.meanwhile(|| {
-                streamer.send("one\r\ntwo\r\n").send(half);
-                reset(streamer);
+                endpoint.send("one\r\ntwo\r\n").send(half);
+                reset(endpoint);
                 client.send(crossing);
             });
             assert_eq!(lines(&mut client), ["one", "two", "(ConnectionReset)"], "across {crossing:?}");
@@ -155,7 +155,7 @@
     }
 }
 
-/// A client that is slow to read goes on sending to a streamer that has ended in good order: all that was said to it
+/// A client that is slow to read goes on sending to an endpoint that has ended in good order: all that was said to it
 /// still reaches it. It was reset at its second line, and what it had not read was lost.
 #[test]
 fn a_slow_client_gets_all_that_was_said_before_the_end() {
@@ -169,13 +169,13 @@
     stream.set_read_timeout(Some(LONG)).unwrap();
     stream.set_nodelay(true).unwrap();
     let mut client = Client(BufReader::with_capacity(1, stream));
-    let mut streamer = stand.place(&mut client);
-    streamer.send(&"a line\r\n".repeat(LINES)).send("BYE\r\n");
-    streamer.0.get_ref().shutdown(Shutdown::Write).unwrap();
+    let mut endpoint = stand.place(&mut client);
+    endpoint.send(&"a line\r\n".repeat(LINES)).send("BYE\r\n");
+    endpoint.0.get_ref().shutdown(Shutdown::Write).unwrap();
     client.send("read\r\n");
-    assert_eq!(streamer.line(), "read");
+    assert_eq!(endpoint.line(), "read");
     until("its end is known", || stand.relay.log().contains("stood, Ok"));
-    drop(streamer);
+    drop(endpoint);
     for _ in 0..4 {
         // The first is answered by a reset, and the next can't be sent on.
         client.send("unread\r\n");
@@ -185,37 +185,37 @@
     assert_eq!((heard.len(), &heard[heard.len() - 2..]), (LINES + 2, &["BYE".into(), "(end)".into()][..]));
 }
 
-/// Who has been served to its end and leaves before its streamer does has been served.
+/// Who has been served to its end and leaves before its endpoint does has been served.
 #[test]
 fn a_client_that_leaves_at_the_last_word_was_served() {
     let stand = Stand::start();
-    let (mut client, mut streamer) = stand.flow();
-    streamer.send("BYE\r\n");
+    let (mut client, mut endpoint) = stand.connection();
+    endpoint.send("BYE\r\n");
     assert_eq!(client.line(), "BYE");
     drop(client);
-    assert_eq!(streamer.line(), "(end)");
-    drop(streamer);
+    assert_eq!(endpoint.line(), "(end)");
+    drop(endpoint);
     until("it is known", || stand.relay.log().contains("stood, "));
     assert!(stand.relay.log().contains("stood, Ok"));
     // The same where the client resets.
-    let (mut client, mut streamer) = stand.flow();
-    streamer.send("BYE\r\n");
+    let (mut client, mut endpoint) = stand.connection();
+    endpoint.send("BYE\r\n");
     assert_eq!(client.line(), "BYE");
     reset(client);
-    assert_eq!(streamer.line(), "(ConnectionReset)");
+    assert_eq!(endpoint.line(), "(ConnectionReset)");
     until("it is known", || stand.relay.log().matches("stood, Ok").count() == 2);
 }
 
 // --- moves ---
 
-/// In the middle of a line of the streamer's no word could be put in: a client that was told to move at such a moment
+/// In the middle of a line of the endpoint's no word could be put in: a client that was told to move at such a moment
 /// was cut off without one.
 #[test]
 fn half_a_line_from_the_streamer_is_no_hindrance_to_a_move() {
     let stand = Stand::start_moving();
-    let (mut client, mut streamer) = stand.flow();
-    let (mut late, mut finishes) = stand.flow();
-    streamer.send("one\r\nhal");
+    let (mut client, mut endpoint) = stand.connection();
+    let (mut late, mut finishes) = stand.connection();
+    endpoint.send("one\r\nhal");
     assert_eq!(client.line(), "one");
     finishes.send("hal");
     finishes.send("f\r\n");
@@ -223,36 +223,36 @@
     assert_eq!(stand.relay.call(b"standby\n"), "done standby, 2 standing");
     assert_eq!(lines(&mut client), ["MOVE", "(end)"]);
     assert_eq!(lines(&mut late), ["MOVE", "(end)"]);
-    assert_eq!((lines(&mut streamer), lines(&mut finishes)), (vec!["(end)".into()], vec!["(end)".into()]));
+    assert_eq!((lines(&mut endpoint), lines(&mut finishes)), (vec!["(end)".into()], vec!["(end)".into()]));
 }
 
-/// A streamer that falls silent in the middle of a line: its client is told to move within 7 s, after whole lines.
+/// An endpoint that falls silent in the middle of a line: its client is told to move within 7 s, after whole lines.
 #[test]
 fn the_client_of_a_streamer_that_hangs_in_a_line_is_told_to_move() {
     let stand = Stand::start();
-    let (mut client, mut streamer) = stand.flow();
+    let (mut client, mut endpoint) = stand.connection();
     let start = Instant::now();
     client.send("anyone?\r\n");
-    streamer.send("a whole line\r\n");
+    endpoint.send("a whole line\r\n");
     assert_eq!(client.line(), "a whole line");
     client.send("and now?\r\n");
-    streamer.send("LOAD 2.5\r\nhal");
+    endpoint.send("LOAD 2.5\r\nhal");
     assert_eq!(lines(&mut client), ["LOAD 2.5", "MOVE", "(end)"]);
     assert!(start.elapsed() < Duration::from_secs(7), "after {:?}", start.elapsed());
 }
 
-/// Moved while its streamer has bytes unread and unsent: all lines of both that had arrived reach the other side, and
-/// the streamer's connection ends in order.
+/// Moved while its endpoint has bytes unread and unsent: all lines of both that had arrived reach the other side, and
+/// the endpoint's connection ends in order.
 #[test]
 fn a_move_takes_nothing_along() {
     const LINES: usize = 30_000;
     let stand = Stand::start_moving();
     forced(3, || {
         assert!(stand.relay.call(b"active\n").starts_with("done active"));
-        let (mut client, mut streamer) = stand.flow();
+        let (mut client, mut endpoint) = stand.connection();
         let start = Instant::now();
         assert!(stand.relay.call(b"standby\n").starts_with("done standby"));
-        let sender = streamer.0.get_ref().try_clone().unwrap();
+        let sender = endpoint.0.get_ref().try_clone().unwrap();
         let sent = thread::spawn(move || (&sender).write_all("a line\r\n".repeat(LINES).as_bytes()).is_ok());
         let crosses = stand.meanwhile(|| {
             let crosses = start.elapsed() < MOVES_FROM;
@@ -266,15 +266,15 @@
         }
         assert_eq!(heard[heard.len() - 2..], ["MOVE", "(end)"]);
         assert!(heard[..heard.len() - 2].iter().all(|line| line == "a line"));
-        assert_eq!(lines(&mut streamer), ["last", "(end)"], "after {} lines", heard.len());
+        assert_eq!(lines(&mut endpoint), ["last", "(end)"], "after {} lines", heard.len());
         assert!(sent.join().unwrap());
-        drop(streamer);
+        drop(endpoint);
         until("it is gone", || stand.relay.call(b"active\n") == "done active, 0 standing");
         true
     });
 }
 
-/// What a streamer has said of its end goes before the relay's own word: nobody is told twice, or told to come again
+/// What an endpoint has said of its end goes before the relay's own word: nobody is told twice, or told to come again
 /// once he has been served.
 #[test]
 fn a_last_word_that_has_arrived_goes_before_a_move() {
@@ -284,16 +284,16 @@
         forced(4, || {
             ends = !ends;
             assert!(stand.relay.call(b"active\n").starts_with("done active"));
-            let (mut client, mut streamer) = stand.flow();
+            let (mut client, mut endpoint) = stand.connection();
             let start = Instant::now();
             let stood = || stand.relay.log().matches(&format!("stood, {outcome}")).count();
             let before = stood();
             assert!(stand.relay.call(b"standby\n").starts_with("done standby"));
             let crosses = stand.meanwhile(|| {
                 let crosses = start.elapsed() < MOVES_FROM;
-                streamer.send(&format!("{word}\r\n"));
+                endpoint.send(&format!("{word}\r\n"));
                 if ends {
-                    streamer.0.get_ref().shutdown(Shutdown::Write).unwrap();
+                    endpoint.0.get_ref().shutdown(Shutdown::Write).unwrap();
                 }
                 thread::sleep(MOVES_BY.saturating_sub(start.elapsed()));
                 crosses
@@ -304,8 +304,8 @@
             }
             assert_eq!(heard, [word, "(end)"], "the streamer ends: {ends}");
             drop(client);
-            assert_eq!(lines(&mut streamer), ["(end)"]);
-            drop(streamer);
+            assert_eq!(lines(&mut endpoint), ["(end)"]);
+            drop(endpoint);
             until("the outcome is what was announced", || stood() > before);
             until("it is gone", || stand.relay.call(b"active\n") == "done active, 0 standing");
             true
@@ -313,7 +313,7 @@
     }
 }
 
-// --- answers and closes before a flow stands ---
+// --- answers and closes before a connection stands ---
 
 /// A client that sends on and on after its last word is not read for ever, and not reset at once either: the word has
 /// time to arrive.
@@ -407,7 +407,7 @@
         ("standby", &|| drop(stand.relay.call(b"standby\n"))),
     ];
     for (what, signal) in signals {
-        let mut flows = Vec::new();
+        let mut connections = Vec::new();
         let mut clients: Vec<_> = (0..6).map(|_| stand.relay.client()).collect();
         clients
             .iter_mut()
@@ -433,9 +433,9 @@
         clients[3].send(&whole(3));
         let sent = if what == "standby" { vec![0, 1, 3] } else { vec![0, 1, 2, 3, 6] };
         for _ in &sent {
-            let mut streamer = stand.forward();
-            streamer.send("UP 1\r\n");
-            flows.push(streamer);
+            let mut endpoint = stand.forward();
+            endpoint.send("UP 1\r\n");
+            connections.push(endpoint);
         }
         for n in sent {
             assert_eq!(clients[n].line(), "UP 1", "{what}: client {n}");
@@ -448,12 +448,12 @@
     }
 }
 
-/// Takes so many forwards; their streamers.
+/// Takes so many forwards; their endpoints.
 fn forwards(stand: &Stand, n: usize) -> Vec<Client> {
     let taken = (0..n).map(|_| {
-        let mut streamer = stand.forward();
-        streamer.send("UP 1\r\n");
-        streamer
+        let mut endpoint = stand.forward();
+        endpoint.send("UP 1\r\n");
+        endpoint
     });
     taken.collect()
 }
@@ -484,12 +484,12 @@
         }
         stand.relay.beside()
     });
-    let mut streamers = forwards(&stand, 5);
+    let mut endpoints = forwards(&stand, 5);
     until("the new process serves", || new.status().starts_with("done active"));
     clients[0].send(&whole(0)[9..]);
     clients[2].send(&whole(2));
     clients[7].send(&whole(7)[20..]);
-    streamers.extend(forwards(&stand, 3));
+    endpoints.extend(forwards(&stand, 3));
     for (n, client) in clients.iter_mut().enumerate() {
         assert_eq!(client.line(), "UP 1", "client {n}");
     }
@@ -498,7 +498,7 @@
     stand.relay.terminate();
     stand.relay.terminate();
     late.send(&whole(8));
-    streamers.extend(forwards(&stand, 1));
+    endpoints.extend(forwards(&stand, 1));
     assert_eq!(late.line(), "UP 1");
     clients.push(late);
     until("the old process ends", || stand.relay.has_ended());
@@ -506,51 +506,51 @@
     for client in &mut clients {
         client.send("on\r\n");
     }
-    for streamer in &mut streamers {
-        assert_eq!(streamer.line(), "on");
-        streamer.send("BYE\r\n").0.get_ref().shutdown(Shutdown::Write).unwrap();
+    for endpoint in &mut endpoints {
+        assert_eq!(endpoint.line(), "on");
+        endpoint.send("BYE\r\n").0.get_ref().shutdown(Shutdown::Write).unwrap();
     }
     for client in &mut clients {
         assert_eq!(lines(client), ["BYE", "(end)"]);
     }
 }
 
-/// What both sides say, and how they end, as their flow is on its way to the new process.
+/// What both sides say, and how they end, as their connection is on its way to the new process.
 #[test]
 fn a_flow_that_ends_or_is_half_way_through_a_line_as_it_passes_loses_nothing() {
     let (stand, _folder) = start_handed();
     let new = stand.relay.beside();
-    let mut flows: Vec<_> = (0..4).map(|_| stand.flow()).collect();
+    let mut connections: Vec<_> = (0..4).map(|_| stand.connection()).collect();
     until("the new process serves", || new.status().starts_with("done active"));
     let mut last = Vec::new();
     stand.meanwhile(|| {
         stand.relay.terminate();
-        for (client, streamer) in &mut flows {
+        for (client, endpoint) in &mut connections {
             client.send("to the stre");
-            streamer.send("to the cli");
+            endpoint.send("to the cli");
         }
-        let mut ends = flows.split_off(1).into_iter();
-        let (mut client, mut streamer) = ends.next().unwrap();
+        let mut ends = connections.split_off(1).into_iter();
+        let (mut client, mut endpoint) = ends.next().unwrap();
         client.send("amer\r\n");
-        streamer.send("ent\r\nBYE\r\n");
-        reset(streamer);
+        endpoint.send("ent\r\nBYE\r\n");
+        reset(endpoint);
         last.push((client, vec!["to the client", "BYE", "(end)"]));
-        let (client, mut streamer) = ends.next().unwrap();
-        streamer.send("ent\r\nMOVE\r\n");
-        drop(streamer);
+        let (client, mut endpoint) = ends.next().unwrap();
+        endpoint.send("ent\r\nMOVE\r\n");
+        drop(endpoint);
         last.push((client, vec!["to the client", "MOVE", "(end)"]));
-        let (client, streamer) = ends.next().unwrap();
-        reset(streamer);
+        let (client, endpoint) = ends.next().unwrap();
+        reset(endpoint);
         last.push((client, vec!["(ConnectionReset)"]));
     });
     for (client, ends) in &mut last {
         assert_eq!(lines(client), *ends);
     }
     until("the old process ends", || stand.relay.has_ended());
-    let (mut client, mut streamer) = flows.pop().unwrap();
+    let (mut client, mut endpoint) = connections.pop().unwrap();
     client.send("amer\r\n");
-    streamer.send("ent\r\n");
-    assert_eq!((client.line(), streamer.line()), ("to the client".into(), "to the streamer".into()));
+    endpoint.send("ent\r\n");
+    assert_eq!((client.line(), endpoint.line()), ("to the client".into(), "to the streamer".into()));
 }
 
 /// Hears what a process that hands over says, up to this.
@@ -590,7 +590,7 @@
     until("it is heard", || stand.relay.log().contains("SIGTERM"));
     drop(link);
     clients[2].send("d=5000\r\n");
-    let _streamers = forwards(&stand, 3);
+    let _endpoints = forwards(&stand, 3);
     for client in &mut clients {
         assert_eq!(client.line(), "UP 1");
     }
@@ -627,12 +627,12 @@
             last
         });
         hear_until(&mut link, &mut frames, |m| *m == Message::Yours);
-        let _streamer = forwards(&stand, 1);
+        let _endpoint = forwards(&stand, 1);
         assert_eq!(last.line(), "UP 1");
     }
 }
 
-/// A flow that came from the process before has its last word and is waited for to close, in a full house: it makes room
+/// A connection that came from the process before has its last word and is waited for to close, in a full house: it makes room
 /// at once for one that asks. Nobody told it, and who asked waited for as long as it might take to close.
 #[test]
 fn a_flow_of_the_process_before_that_has_ended_makes_room() {
@@ -645,7 +645,7 @@
         let more = format!("[relay]\nhandover = {:?}\n", folder.path());
         let stand = Stand::start_limited("true", SOCKETS, &more);
         until("it can be found", || folder.path().join("sandgw-handover").exists());
-        let flows: Vec<_> = (0..10).map(|_| stand.flow()).collect();
+        let connections: Vec<_> = (0..10).map(|_| stand.connection()).collect();
         let new = stand.relay.beside();
         until("the new process serves", || new.status().starts_with("done active"));
         stand.relay.terminate();
@@ -658,9 +658,9 @@
         };
         let mut halves: Vec<_> = (20..PLACES).map(half).collect();
         let start = Instant::now();
-        let ends = flows.into_iter().map(|(mut client, mut streamer)| {
-            streamer.send("BYE\r\n");
-            reset(streamer);
+        let ends = connections.into_iter().map(|(mut client, mut endpoint)| {
+            endpoint.send("BYE\r\n");
+            reset(endpoint);
             assert_eq!(lines(&mut client), ["BYE", "(end)"]);
             client
         });
@@ -670,9 +670,9 @@
         thread::sleep(RESTS);
         let asks = Instant::now();
         halves[0].send("d=5000\r\n");
-        let mut streamer = stand.forward();
+        let mut endpoint = stand.forward();
         let took = asks.elapsed();
-        streamer.send("UP 1\r\n");
+        endpoint.send("UP 1\r\n");
         assert_eq!(halves[0].line(), "UP 1");
         let crosses = asks - start < LINGERS / 2;
         least = if crosses { least.min(took) } else { least };
@@ -707,12 +707,12 @@
     });
     let listener = stand.listener.try_clone().unwrap();
     let placed = Arc::new(Mutex::new(Vec::new()));
-    let streamers = placed.clone();
+    let endpoints = placed.clone();
     thread::spawn(move || {
         for stream in listener.incoming() {
             let stream = stream.unwrap();
             (&stream).write_all(b"UP 1\r\n").unwrap();
-            streamers.lock().unwrap().push(stream);
+            endpoints.lock().unwrap().push(stream);
         }
     });
     let answers = clients.iter_mut().map(|client| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! The shared helper of the tests that start the real program: a relay as a process, and stand-ins for
-//! discovery, streamers and clients. Every relay has loopback addresses of its own, so that tests can't meet.
+//! discovery, endpoints and clients. Every relay has loopback addresses of its own, so that tests can't meet.
 
 #![allow(dead_code)]
 
@@ -61,13 +61,13 @@
         self.set_in(id, address, phase, up_since, "a")
     }
 
-    /// The same in a hall.
-    pub fn set_in(&self, id: &str, address: &str, phase: &str, up_since: u64, hall: &str) -> Instant {
+    /// The same in a zone.
+    pub fn set_in(&self, id: &str, address: &str, phase: &str, up_since: u64, zone: &str) -> Instant {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
         list.revision += 1;
         let entry = format!(
-            r#"{{"id":"{id}","host_port":"{address}","locality":"{hall}","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":{up_since}}}"#
+            r#"{{"id":"{id}","host_port":"{address}","locality":"{zone}","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":{up_since}}}"#
         );
         let revision = list.revision;
         list.members.insert(id.into(), (entry, revision));
@@ -116,14 +116,14 @@
     log.lock().unwrap().push((Instant::now(), text.into()));
 }
 
-/// A streamer that treats each connection as told.
-pub struct Streamer {
+/// An endpoint that treats each connection as told.
+pub struct Endpoint {
     pub address: String,
     pub log: Log,
 }
 
-impl Streamer {
-    pub fn start(serve: impl Fn(TcpStream, &Log) + Send + Sync + 'static) -> Streamer {
+impl Endpoint {
+    pub fn start(serve: impl Fn(TcpStream, &Log) + Send + Sync + 'static) -> Endpoint {
         let listener = TcpListener::bind((host(), 8443)).unwrap();
         let (address, log) = (listener.local_addr().unwrap().to_string(), Log::default());
         let (serve, seen) = (Arc::new(serve), log.clone());
@@ -133,12 +133,12 @@
                 thread::spawn(move || serve(stream.unwrap(), &seen));
             }
         });
-        Streamer { address, log }
+        Endpoint { address, log }
     }
 
     /// One that reads the first line, notes it and gives this answer; then returns lines until told `bye`.
-    pub fn lines(answer: &'static str) -> Streamer {
-        Streamer::start(move |stream, log| {
+    pub fn lines(answer: &'static str) -> Endpoint {
+        Endpoint::start(move |stream, log| {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
             let mut line = String::new();
             let mut writer = stream;
@@ -185,16 +185,16 @@
 "domain":{"mode":"pass","groups":true,"messageAimMs":[150.0]}}"#;
 
 /// The platform's file for a relay. What it knows of the list is what discovery has now.
-fn platform(line: &str, peers: &[String], me: usize, discovery: &Discovery, sockets: u32) -> String {
+fn platform(line: &str, peers: &[String], local_index: usize, discovery: &Discovery, sockets: u32) -> String {
     format!(
         r#"{{"name":"n0","limits":{{"sockets":{sockets}}},"listen":"{line}","ops":"{}","discovery":"{}","seed":"1","peer_listen":"{}","peers":{peers:?},
         "known":{},"settings":{}}}"#,
         line.replace("8443", "8444"),
         discovery.address,
-        peers[me],
+        peers[local_index],
         discovery.json(0),
         SETTINGS
-            .replace("\"me\":0", &format!("\"me\":{me}"))
+            .replace("\"me\":0", &format!("\"me\":{local_index}"))
             .replace("\"nInstances\":2", &format!("\"nInstances\":{}", peers.len().max(2)))
     )
 }
@@ -221,14 +221,20 @@
     }
 
     /// One of a tier, of which each has an address.
-    pub fn start_one(discovery: &Discovery, sockets: u32, tier: &[String], me: usize) -> Relay {
-        Self::start_more(discovery, sockets, tier, me, "")
+    pub fn start_one(discovery: &Discovery, sockets: u32, tier: &[String], local_index: usize) -> Relay {
+        Self::start_more(discovery, sockets, tier, local_index, "")
     }
 
     /// The same, with more in the application's file.
-    pub fn start_more(discovery: &Discovery, sockets: u32, tier: &[String], me: usize, more: &str) -> Relay {
+    pub fn start_more(
+        discovery: &Discovery,
+        sockets: u32,
+        tier: &[String],
+        local_index: usize,
+        more: &str,
+    ) -> Relay {
         // It is held to what it is told that it may hold.
-        Self::start_limited(discovery, &format!("ulimit -n {sockets}"), sockets, tier, me, more)
+        Self::start_limited(discovery, &format!("ulimit -n {sockets}"), sockets, tier, local_index, more)
     }
 
     /// The same, held to these limits whatever it is told.
@@ -237,10 +243,10 @@
         limits: &str,
         sockets: u32,
         tier: &[String],
-        me: usize,
+        local_index: usize,
         more: &str,
     ) -> Relay {
-        let (host, folder) = (&tier[me], tempfile::tempdir().unwrap());
+        let (host, folder) = (&tier[local_index], tempfile::tempdir().unwrap());
         let [line, rtmp, snmp, ops] = [8443, 1935, 1161, 8444].map(|port| format!("{host}:{port}"));
         let peers: Vec<_> = tier.iter().map(|host| format!("{host}:7946")).collect();
         let file = format!(
@@ -248,7 +254,7 @@
              [snmp]\nlisten = \"{snmp}\"\ncommunity = \"hall\"\n{more}"
         );
         std::fs::write(folder.path().join("app.toml"), file).unwrap();
-        let text = platform(&line, &peers, me, discovery, sockets);
+        let text = platform(&line, &peers, local_index, discovery, sockets);
         std::fs::write(folder.path().join("config.json"), text).unwrap();
         let child = command(folder.path(), limits).spawn().unwrap();
         let relay = Relay { child, line, rtmp, snmp, ops, folder };
@@ -261,10 +267,16 @@
     }
 
     /// One of a tier on a host of its own, that sees the others where sockets stand in for them.
-    pub fn start_seen(discovery: &Discovery, host: &str, seen: &[String], me: usize, more: &str) -> Relay {
+    pub fn start_seen(
+        discovery: &Discovery,
+        host: &str,
+        seen: &[String],
+        local_index: usize,
+        more: &str,
+    ) -> Relay {
         let mut tier = seen.to_vec();
-        tier[me] = host.to_owned();
-        Self::start_more(discovery, 256, &tier, me, more)
+        tier[local_index] = host.to_owned();
+        Self::start_more(discovery, 256, &tier, local_index, more)
     }
 
     /// What operators are answered when they send this, without its end.
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -35,7 +35,7 @@
     insta::assert_snapshot!(String::from_utf8(output.stderr).unwrap());
 }
 
-/// Figures that were taken once and deadly later: without a time to connect in, a flow that no streamer could take
+/// Figures that were taken once and deadly later: without a time to connect in, a connection that no endpoint could take
 /// was looked at again within itself until the stack was full; without a pause discovery was asked without end.
 #[test]
 fn settings_that_the_module_cannot_work_with_name_their_keys() {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -207,10 +207,10 @@
     }
 }
 
-/// What a stand-in and clients see of relays and two streamers.
+/// What a stand-in and clients see of relays and two endpoints.
 struct Tier {
     list: Discovery,
-    streamers: [Streamer; 2],
+    endpoints: [Endpoint; 2],
     services: Vec<Service>,
     relays: Vec<Relay>,
 }
@@ -229,33 +229,33 @@
     /// The same, where lists come in this way.
     fn start_as(relays: usize, connect_ms: u32, way: &str) -> Tier {
         let list = Discovery::start();
-        let streamers = ["UP 1\r\n", "UP 2\r\n"].map(Streamer::lines);
-        for (i, streamer) in streamers.iter().enumerate() {
-            list.set(&format!("s-{i}"), &streamer.address, "Ready", 0);
+        let endpoints = ["UP 1\r\n", "UP 2\r\n"].map(Endpoint::lines);
+        for (i, endpoint) in endpoints.iter().enumerate() {
+            list.set(&format!("s-{i}"), &endpoint.address, "Ready", 0);
         }
         let services: Vec<_> = (0..relays).map(|_| Service::start(&list)).collect();
         let hosts: Vec<_> = (0..relays).map(|_| host()).collect();
-        let start = |me: usize| {
-            let settings = settings(relays, me, connect_ms).replace("on_request", way);
-            let relay = Relay::start_more(&list, 1024, &hosts, me, &settings);
-            relay.configure(&relay.configuration().replace(&list.address, &services[me].address));
+        let start = |local_index: usize| {
+            let settings = settings(relays, local_index, connect_ms).replace("on_request", way);
+            let relay = Relay::start_more(&list, 1024, &hosts, local_index, &settings);
+            relay.configure(&relay.configuration().replace(&list.address, &services[local_index].address));
             relay
         };
         let relays = (0..relays).map(start).collect();
-        let tier = Tier { list, streamers, services, relays };
+        let tier = Tier { list, endpoints, services, relays };
         for service in &tier.services {
             until("the list is had, and watched", || service.told(2).is_some() && service.calls() > 1);
         }
         tier
     }
 
-    /// Lists the first streamer as one that drains; the list's revision then.
+    /// Lists the first endpoint as one that drains; the list's revision then.
     fn drain(&self) -> u64 {
-        self.list.set("s-0", &self.streamers[0].address, "Terminating", 0);
+        self.list.set("s-0", &self.endpoints[0].address, "Terminating", 0);
         self.list.revision()
     }
 
-    /// Each relay was answered in time, and sends nothing to the streamer that drains.
+    /// Each relay was answered in time, and sends nothing to the endpoint that drains.
     fn told(&self, back: Instant, revision: u64, within: Duration) {
         for (service, relay) in self.services.iter().zip(&self.relays) {
             until("it asks again", || service.told(revision).is_some());
@@ -263,7 +263,7 @@
             assert!(after < within + SLACK, "told {after:?} after discovery was back: {}", relay.log());
         }
         thread::sleep(Duration::from_secs(1));
-        let sent = || self.streamers[0].seen().iter().filter(|line| line.starts_with("OPEN")).count();
+        let sent = || self.endpoints[0].seen().iter().filter(|line| line.starts_with("OPEN")).count();
         let before = sent();
         for relay in &self.relays {
             for _ in 0..5 {
@@ -275,14 +275,14 @@
     }
 }
 
-fn settings(relays: usize, me: usize, connect_ms: u32) -> String {
+fn settings(relays: usize, local_index: usize, connect_ms: u32) -> String {
     let relays = relays.max(2);
     format!(
         r#"
 [settings]
 discovery = "on_request"
 nInstances = {relays}
-me = {me}
+me = {local_index}
 resolutionMs = 2.0
 realms = [{{ name = "acme" }}]
 lanes = [{{ name = "subtitle-stream", semantics = "safe", aimMs = 500.0, hardLimitMs = 3000.0, worth = 1.0 }}]
@@ -400,7 +400,7 @@
     let tier = Tier::start(1);
     for (n, odd) in all.into_iter().enumerate() {
         tier.services[0].set(Mode::Odd(odd));
-        tier.list.set("s-1", &tier.streamers[1].address, "Ready", n as u64);
+        tier.list.set("s-1", &tier.endpoints[1].address, "Ready", n as u64);
         let revision = tier.list.revision();
         let start = Instant::now();
         until("it is told", || tier.services[0].told(revision).is_some());
@@ -455,8 +455,8 @@
 #[test]
 fn a_service_that_moves_right_as_it_answers_is_asked_at_its_new_place() {
     let list = Discovery::start();
-    let streamer = Streamer::lines("UP 1\r\n");
-    list.set("s-0", &streamer.address, "Ready", 0);
+    let endpoint = Endpoint::lines("UP 1\r\n");
+    list.set("s-0", &endpoint.address, "Ready", 0);
     let services = [Service::start(&list), Service::start(&list)];
     let relay = Relay::start_more(&list, 1024, &[host()], 0, &settings(1, 0, 400));
     relay.configure(&relay.configuration().replace(&list.address, &services[1].address));
@@ -466,7 +466,7 @@
         let calls = next.calls();
         let text = relay.configuration().replace(&before.address, &next.address);
         // The change wakes the watch just as the signal comes: before it, or after.
-        let change = || list.set("s-0", &streamer.address, "Ready", n as u64);
+        let change = || list.set("s-0", &endpoint.address, "Ready", n as u64);
         if n % 4 < 2 {
             change();
         }
@@ -481,7 +481,7 @@
     }
 }
 
-/// The second of two watches that break within seconds is followed by the module's pause, of which there is time for.
+/// The second of two watches that break within seconds is followed by the load balancer's pause, of which there is time for.
 #[test]
 fn relays_are_told_in_time_where_two_watches_in_a_row_break() {
     for (odd, relays) in [(Odd::Reset, 1), (Odd::Unavailable, 4), (Odd::Cut, 4)] {
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -19,7 +19,7 @@
 const BAD: &str = "[relay]\nlisten = 5\ndiscovery = \"127.0.0.1:8500\"\nspeed = 1\n\
                    [[settings.lanes]]\nname = \"subtitle-stream\"\n[settings.limits]\nmaxAttempts = 0\n";
 
-/// An export: two streamers, three clients and a group.
+/// An export: two endpoints, three clients and a group.
 const KEPT: &str = r#"{"streamer":{"tag":"1286f81b","id":"s-1","started_ms":0.0}}
 {"streamer":{"tag":"f7324ac1","id":"s-2","started_ms":1760000000000.0}}
 {"client":{"key":"0000000000000001","holder":"1286f81b","at_ms":1760000100000.0}}
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,15 +6,15 @@
 use sandgw_test_cluster::fault_schedule::{Bounds, Fault, Script};
 use sandgw_test_cluster::load_clients::Plan;
 use sandgw_test_cluster::log::{Event, What};
-use sandgw_test_cluster::{Rig, Size};
+use sandgw_test_cluster::{Size, TestCluster};
 
 /// What a busy machine may be late by, in milliseconds.
 const GRACE: f64 = 1500.0;
 /// The floor of runs in which nine in ten are served in all.
 const HALF: f64 = 0.5;
 
-fn size(relays: usize, streamers: usize) -> Size {
-    let mut size = Size::new(env!("CARGO_BIN_EXE_sandgw"), relays, streamers);
+fn size(relays: usize, endpoints: usize) -> Size {
+    let mut size = Size::new(env!("CARGO_BIN_EXE_sandgw"), relays, endpoints);
     size.rules.grace_ms = GRACE;
     size.classes = vec!["stream", "query"];
     size
@@ -27,8 +27,8 @@
     Plan { classes: classes.into(), tenants: tenants.into(), ..Plan::default() }
 }
 
-async fn ready(size: Size) -> Rig {
-    let mut rig = Rig::new(size).await.unwrap();
+async fn ready(size: Size) -> TestCluster {
+    let mut rig = TestCluster::new(size).await.unwrap();
     rig.ready().await.unwrap();
     rig
 }
@@ -39,7 +39,7 @@
 
 /// The rules are kept, each third of the run, each class and each tenant was served this share of what it asked, and no
 /// relay has ended by itself.
-fn kept(rig: &mut Rig, floor: f64) {
+fn kept(rig: &mut TestCluster, floor: f64) {
     let verdict = rig.verdict();
     println!("{verdict}");
     assert!(verdict.breaches.is_empty(), "{verdict}");
@@ -89,9 +89,9 @@
 #[tokio::test]
 async fn clients_find_their_streamers_after_most_relays_were_killed_at_once() {
     let mut rig = ready(size(8, 8)).await;
-    // Clients are placed by five streamers and come back to eight: what the table says now is not where they are.
+    // Clients are placed by five endpoints and come back to eight: what the table says now is not where they are.
     for n in 0..3 {
-        rig.apply(&Fault::StreamerDies(n)).await.unwrap();
+        rig.apply(&Fault::EndpointDies(n)).await.unwrap();
     }
     wait(1000).await;
     let plan =
@@ -101,7 +101,7 @@
     let before = clients.results();
     assert!(before.standing >= 110, "{before:?}");
     for n in 0..3 {
-        rig.apply(&Fault::StreamerStarts(n)).await.unwrap();
+        rig.apply(&Fault::EndpointStarts(n)).await.unwrap();
     }
     wait(1000).await;
     let most: Vec<_> = (2..8).collect();
@@ -127,10 +127,10 @@
     assert!(sent > 0, "the relays tell each other nothing");
     rig.apply(&Fault::Cut((0..6).collect())).await.unwrap();
     rig.apply(&Fault::Drain(0, 1500.0)).await.unwrap();
-    rig.apply(&Fault::StreamerDies(1)).await.unwrap();
+    rig.apply(&Fault::EndpointDies(1)).await.unwrap();
     wait(3000).await;
     rig.apply(&Fault::Heal).await.unwrap();
-    rig.apply(&Fault::StreamerStarts(1)).await.unwrap();
+    rig.apply(&Fault::EndpointStarts(1)).await.unwrap();
     let results = clients.end(20_000.0).await;
     assert!(results.all.served * 10 >= results.all.all() * 9, "{results:?}");
     assert_eq!(rig.mesh.counts().too_long, 0);
@@ -179,7 +179,7 @@
 #[tokio::test]
 async fn rules_are_kept_through_a_drawn_script() {
     for seed in [1, 2] {
-        let bounds = Bounds { relays: 6, streamers: 6, length_ms: 20_000.0, faults: 10 };
+        let bounds = Bounds { relays: 6, endpoints: 6, length_ms: 20_000.0, faults: 10 };
         let script = Script::draw(seed, &bounds);
         let mut rig = ready(size(6, 6)).await;
         let plan = Plan { count: 500, over_ms: 20_000.0, stay_ms: 2000.0, seed, tries: 8, ..crowd() };
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -10,22 +10,22 @@
 
 use common::*;
 use sandgw::schema_status::status;
-use sandgw_schema_version::version_advertisement::Word;
-use sandgw_schema_version::version_negotiator::{Ladder, QUIET};
-use sandgw_schema_version::versioned_channel::Post;
-use sandgw_schema_version::{Form, Range};
+use sandgw_schema_version::version_advertisement::VersionAdvertisement;
+use sandgw_schema_version::version_negotiator::{QUIET, VersionNegotiator};
+use sandgw_schema_version::versioned_channel::VersionedChannel;
+use sandgw_schema_version::{SchemaVersion, SupportedVersions};
 
 const RELAYS: usize = 5;
 /// News of two clients' places, as the program of before forms had numbers wrote it.
 const NEWS: &[u8] = b"2AAIBAgMEAgEA/wMBAgD/AwIJCQkJAQMA/wMD";
 
-fn settings(me: usize) -> String {
+fn settings(local_index: usize) -> String {
     format!(
         r#"
 [settings]
 discovery = "on_request"
 nInstances = {RELAYS}
-me = {me}
+me = {local_index}
 resolutionMs = 2.0
 realms = [{{ name = "acme" }}]
 lanes = [{{ name = "subtitle-stream", semantics = "safe", aimMs = 500.0, hardLimitMs = 3000.0, worth = 1.0 }}]
@@ -38,7 +38,7 @@
 
 struct Tier {
     discovery: Discovery,
-    _streamers: Vec<Streamer>,
+    _endpoints: Vec<Endpoint>,
     hosts: Vec<String>,
     folders: Vec<tempfile::TempDir>,
 }
@@ -46,26 +46,26 @@
 impl Tier {
     fn new() -> Tier {
         let discovery = Discovery::start();
-        let streamers: Vec<_> = ["UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Streamer::lines).into();
-        for (i, streamer) in streamers.iter().enumerate() {
-            discovery.set(&format!("s-{i}"), &streamer.address, "Ready", 0);
+        let endpoints: Vec<_> = ["UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Endpoint::lines).into();
+        for (i, endpoint) in endpoints.iter().enumerate() {
+            discovery.set(&format!("s-{i}"), &endpoint.address, "Ready", 0);
         }
         let hosts = (0..RELAYS).map(|_| host()).collect();
         let folders = (0..RELAYS).map(|_| tempfile::tempdir().unwrap()).collect();
-        Tier { discovery, _streamers: streamers, hosts, folders }
+        Tier { discovery, _endpoints: endpoints, hosts, folders }
     }
 
-    fn text(&self, me: usize, forms: &str) -> String {
-        let folder = self.folders[me].path().join("kept").display().to_string();
-        format!("{forms}\n[state]\nfolder = {folder:?}\nflush_ms = 100\n{}", settings(me))
+    fn text(&self, local_index: usize, forms: &str) -> String {
+        let folder = self.folders[local_index].path().join("kept").display().to_string();
+        format!("{forms}\n[state]\nfolder = {folder:?}\nflush_ms = 100\n{}", settings(local_index))
     }
 
-    fn start(&self, me: usize, forms: &str) -> Relay {
-        Relay::start_more(&self.discovery, 1024, &self.hosts, me, &self.text(me, forms))
+    fn start(&self, local_index: usize, forms: &str) -> Relay {
+        Relay::start_more(&self.discovery, 1024, &self.hosts, local_index, &self.text(local_index, forms))
     }
 
-    fn folder(&self, me: usize) -> String {
-        state_form(&self.folders[me].path().join("kept"), &[])
+    fn folder(&self, local_index: usize) -> String {
+        state_form(&self.folders[local_index].path().join("kept"), &[])
     }
 }
 
@@ -126,7 +126,7 @@
             old.send_to(NEWS, format!("{host}:7946")).unwrap();
         }
     };
-    let relays: Vec<_> = (0..4).map(|me| tier.start(me, "[forms]")).collect();
+    let relays: Vec<_> = (0..4).map(|local_index| tier.start(local_index, "[forms]")).collect();
     let all: Vec<&Relay> = relays.iter().collect();
     all_say(&all, "writes form 1, reads 1 to 2, finalized 1");
     speak(&old);
@@ -171,8 +171,8 @@
     assert_eq!(relays[0].call(b"finalize\n"), "done finalized 2");
     all_say(&all, "finalized 2");
     // Who is pinned to form 1 does not start, by the others' word and by its own folder.
-    let refuses = |me: usize, folder: bool| {
-        let said = refused(&tier, me, folder);
+    let refuses = |local_index: usize, folder: bool| {
+        let said = refused(&tier, local_index, folder);
         assert!(said.contains("finalized at form 2") && said.contains("forms.most"), "{said}");
     };
     refuses(4, false);
@@ -193,10 +193,11 @@
 }
 
 /// What a process says that is pinned to form 1 and has to give up; with its folder or without.
-fn refused(tier: &Tier, me: usize, folder: bool) -> String {
+fn refused(tier: &Tier, local_index: usize, folder: bool) -> String {
     let files = tempfile::tempdir().unwrap();
-    let (host, forms) = (&tier.hosts[me], "[forms]\nmost = 1\n");
-    let more = if folder { tier.text(me, forms) } else { format!("{forms}{}", settings(me)) };
+    let (host, forms) = (&tier.hosts[local_index], "[forms]\nmost = 1\n");
+    let more =
+        if folder { tier.text(local_index, forms) } else { format!("{forms}{}", settings(local_index)) };
     let peers: Vec<_> = tier.hosts.iter().map(|host| format!("{host}:7946")).collect();
     let text = format!(
         "[relay]\nlisten = \"{host}:8443\"\ndiscovery = \"{}\"\npeer_listen = \"{host}:7946\"\npeers = {peers:?}\n{more}",
@@ -237,8 +238,9 @@
 
 #[test]
 fn a_line_says_what_is_waited_for_and_who_is_older() {
-    let range = Range::up_to(Form::SECOND).unwrap();
-    let mut post = Post::new(Ladder::new(range, Form::FIRST, (0, 40), 1, 0.0).unwrap());
+    let range = SupportedVersions::up_to(SchemaVersion::SECOND).unwrap();
+    let mut post =
+        VersionedChannel::new(VersionNegotiator::new(range, SchemaVersion::FIRST, (0, 40), 1, 0.0).unwrap());
     let counts = "; unread: 0 cut, 0 of forms to come";
     assert_eq!(
         status(&post, 4000.0),
@@ -246,7 +248,11 @@
     );
     let now = 2.0 * QUIET;
     assert_eq!(status(&post, now), format!("writes form 2, reads 1 to 2, finalized 1{counts}"));
-    let word = Word { range: Range::SILENT, finalized: Form::FIRST, older: Vec::new() };
+    let word = VersionAdvertisement {
+        range: SupportedVersions::SILENT,
+        finalized: SchemaVersion::FIRST,
+        older: Vec::new(),
+    };
     (1..12).for_each(|peer| post.ladder.told(now, peer, &word).unwrap());
     let line = status(&post, now + 3000.0);
     assert!(
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -19,7 +19,7 @@
 use sandgw::relay::handover::{ANOTHER_FORM, FORM, Frames, Message, encode};
 
 struct Fleet {
-    _streamer: Streamer,
+    _endpoint: Endpoint,
     _discovery: Discovery,
     folder: tempfile::TempDir,
     relay: Relay,
@@ -32,12 +32,12 @@
     }
 
     fn start_more(more: &str) -> Fleet {
-        let (streamer, discovery) = (Streamer::lines("UP 1\r\n"), Discovery::start());
-        discovery.set("s-1", &streamer.address, "Ready", 0);
+        let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
+        discovery.set("s-1", &endpoint.address, "Ready", 0);
         let folder = tempfile::tempdir().unwrap();
         let more = format!("[relay]\nhandover = {:?}\n{more}", folder.path());
         let relay = Relay::start_more(&discovery, 1024, &[host()], 0, &more);
-        let fleet = Fleet { _streamer: streamer, _discovery: discovery, folder, relay };
+        let fleet = Fleet { _endpoint: endpoint, _discovery: discovery, folder, relay };
         until("it can be found", || fleet.path().exists());
         fleet
     }
@@ -165,17 +165,17 @@
     new.terminate();
     until("the second ends", || new.has_ended());
     assert_eq!(held[0].send("on\r\n").line(), "on");
-    // They are as good as any: their streamer's end reaches them.
+    // They are as good as any: their endpoint's end reaches them.
     assert_eq!(held[0].send("bye\r\n").line(), "BYE");
     assert_eq!(held[0].line(), "(end)");
 }
 
-/// What was known of clients comes along: a connection that arrives mid-flow finds its streamer.
+/// What was known of clients comes along: a connection that arrives mid-connection finds its endpoint.
 #[test]
 fn clients_places_and_standby_are_handed_over() {
-    let streamers = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Streamer::lines);
+    let endpoints = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Endpoint::lines);
     let discovery = Discovery::start();
-    for (i, s) in streamers.iter().enumerate() {
+    for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
     let folder = tempfile::tempdir().unwrap();
@@ -325,8 +325,8 @@
 /// The platform holds the clients' socket: who connects before anybody listens is served, and none of the two binds.
 #[test]
 fn a_passed_socket_is_shared_by_both_processes() {
-    let (streamer, discovery) = (Streamer::lines("UP 1\r\n"), Discovery::start());
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let folder = tempfile::tempdir().unwrap();
     let listener = TcpListener::bind((host(), 8443)).unwrap();
     let line = listener.local_addr().unwrap().to_string();
@@ -376,8 +376,8 @@
 /// Descriptors count for both together: what the old process holds the new one does not give out.
 #[test]
 fn both_processes_share_one_limit_of_descriptors() {
-    let (streamer, discovery) = (Streamer::lines("UP 1\r\n"), Discovery::start());
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let folder = tempfile::tempdir().unwrap();
     let more = format!("[relay]\nhandover = {:?}\n", folder.path());
     let old = Relay::start_more(&discovery, 200, &[host()], 0, &more);
@@ -401,7 +401,7 @@
     assert!(start.elapsed() < LONG);
 }
 
-/// The new process dies after the old one was told to end: flows not passed yet go on where they are, and nothing is
+/// The new process dies after the old one was told to end: connections not passed yet go on where they are, and nothing is
 /// accepted there again.
 #[test]
 fn who_dies_while_flows_pass_takes_only_those_along() {
@@ -413,7 +413,7 @@
     asker.say(&Message::Claim);
     asker.hear_until(|m| *m == Message::Yours);
     fleet.relay.terminate();
-    asker.hear_until(|m| matches!(m, Message::Flow { .. }));
+    asker.hear_until(|m| matches!(m, Message::Connection { .. }));
     drop(asker);
     until("it is heard", || fleet.relay.log().contains("hand-over: "));
     let goes_on = |client: &mut Client| {
@@ -451,14 +451,20 @@
     asker.stream
 }
 
-/// A standing flow's message.
+/// A standing connection's message.
 fn passed(id: &str, up: Vec<u8>) -> Vec<u8> {
-    let flow = serde_json::json!({"class": "subtitle-stream", "target": "s-1", "client": id, "group": null,
+    let connection = serde_json::json!({"class": "subtitle-stream", "target": "s-1", "client": id, "group": null,
         "load": null, "sent_away": true, "led_elsewhere": true});
-    let front = serde_json::json!({"id": id, "key": id, "word": [], "partial": 0, "announced": null,
+    let protocol = serde_json::json!({"id": id, "key": id, "word": [], "partial": 0, "announced": null,
         "unanswered": null});
-    let (flow, front) = (serde_json::from_value(flow).unwrap(), serde_json::from_value(front).unwrap());
-    encode(&Message::Flow { flow: Box::new(flow), front: Box::new(front), up, down: Vec::new() })
+    let (connection, protocol) =
+        (serde_json::from_value(connection).unwrap(), serde_json::from_value(protocol).unwrap());
+    encode(&Message::Connection {
+        connection: Box::new(connection),
+        protocol: Box::new(protocol),
+        up,
+        down: Vec::new(),
+    })
 }
 
 fn send_with(link: &UnixStream, bytes: &[u8], sockets: [TcpStream; 2]) {
@@ -470,29 +476,29 @@
     assert_eq!(sent, Ok(bytes.len()));
 }
 
-/// The new process has no descriptor left for a flow's sockets: that flow is lost. It was not: what its message left
-/// unsaid was read together with the next flow and its sockets, which the first took for its own.
+/// The new process has no descriptor left for a connection's sockets: that connection is lost. It was not: what its message left
+/// unsaid was read together with the next connection and its sockets, which the first took for its own.
 #[test]
 fn a_flow_whose_sockets_found_no_room_takes_nobody_elses() {
-    let (streamer, discovery) = (Streamer::lines("UP 1\r\n"), Discovery::start());
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let folder = tempfile::tempdir().unwrap();
     let listener = UnixListener::bind(folder.path().join("sandgw-handover")).unwrap();
     let link = thread::spawn(move || hands_over(&listener));
     let more = format!("[relay]\nhandover = {:?}\n", folder.path());
     let new = Relay::start_more(&discovery, 1024, &[host()], 0, &more);
     let mut link = link.join().unwrap();
-    // The first flow's message is longer than what is read at once, and its sockets come with its first bytes.
-    let [(client, mut first), (to_streamer, mut at_first)] = [pair(), pair()];
+    // The first connection's message is longer than what is read at once, and its sockets come with its first bytes.
+    let [(client, mut first), (to_endpoint, mut at_first)] = [pair(), pair()];
     let message = passed("1", b"first\r\n".repeat(700));
     new.limit_descriptors(3);
-    send_with(&link, &message[..3000], [client, to_streamer]);
+    send_with(&link, &message[..3000], [client, to_endpoint]);
     assert!(first.line().starts_with('(') && at_first.line().starts_with('('), "its sockets were dropped");
     new.limit_descriptors(1024);
-    let [(client, mut second), (to_streamer, mut at_second)] = [pair(), pair()];
+    let [(client, mut second), (to_endpoint, mut at_second)] = [pair(), pair()];
     new.freeze();
     link.write_all(&message[3000..]).unwrap();
-    send_with(&link, &passed("2", Vec::new()), [client, to_streamer]);
+    send_with(&link, &passed("2", Vec::new()), [client, to_endpoint]);
     new.signal("CONT");
     second.send("second\r\n");
     assert_eq!(at_second.line(), "second");
--- a/tests/handover_messages.rs
+++ b/tests/handover_messages.rs
@@ -12,7 +12,7 @@
 
 /// One hand-over between two sides that are cut off from each other after so many messages: who accepts then.
 fn cut_after(messages: usize, terminated: bool) -> (bool, bool) {
-    let (mut elder, mut successor) = (Elder::default(), Successor::default());
+    let (mut elder, mut successor) = (PredecessorProcess::default(), Successor::default());
     let (mut elder_accepts, mut successor_accepts, mut sent) = (true, false, 0);
     let mut queue = std::collections::VecDeque::from([(true, hello())]);
     while let Some((to_elder, message)) = queue.pop_front() {
@@ -68,12 +68,12 @@
 
 #[test]
 fn who_speaks_out_of_turn_or_is_another_is_refused() {
-    let mut elder = Elder::default();
+    let mut elder = PredecessorProcess::default();
     assert!(matches!(elder.hears(&Message::Take, "n0"), ElderStep::Refuse(_)));
     assert!(matches!(elder.hears(&hello(), "n1"), ElderStep::Refuse("it is another relay")));
     let none = Message::Hello { form: 0, name: "n0".into() };
     assert!(matches!(elder.hears(&none, "n0"), ElderStep::Refuse(ANOTHER_FORM)));
-    assert_eq!(elder, Elder::Asked, "none of it counts");
+    assert_eq!(elder, PredecessorProcess::Asked, "none of it counts");
     // A form to come is met with the newest that is known here.
     assert_eq!(agreed(&Message::Hello { form: 9, name: String::new() }, 2), 2);
     assert_eq!(agreed(&hello(), 2), FORM);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,23 +1,24 @@
-//! Words of streamers that leave: what the core makes of them, and real processes that discovery can't all answer.
+//! Words of endpoints that leave: what the core makes of them, and real processes that discovery can't all answer.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use sandgw::policy::api::{
-    Class, Discovery, Key, Message, Millis, Piece, Repeat, ServerEntry, ServerId, ServerState, Settings, Zone,
+    Class, ClusterMessage, Discovery, EndpointEntry, EndpointId, EndpointState, Idempotency, Key, Message,
+    Millis, Settings, Zone,
 };
-use sandgw::relay::{Arrival, Attempt, Command, FlowCommand, Relay};
-use sandgw_affinity::codec::StreamerHash;
+use sandgw::relay::{Attempt, Command, ConnectionCommand, IncomingRequest, Relay};
+use sandgw_affinity::codec::EndpointHash;
 use sandgw_cluster::drain_gossip::Answer;
 use sandgw_test_cluster::fault_schedule::Fault;
 use sandgw_test_cluster::log::{Event, What};
-use sandgw_test_cluster::{Rig, Size};
+use sandgw_test_cluster::{Size, TestCluster};
 
 const START: Millis = 1000.0;
 
-fn entry(n: u64, state: ServerState) -> ServerEntry {
-    ServerEntry {
-        id: ServerId(format!("s{n}").into()),
+fn entry(n: u64, state: EndpointState) -> EndpointEntry {
+    EndpointEntry {
+        id: EndpointId(format!("s{n}").into()),
         state,
         weight: 1.0,
         started: 0.0,
@@ -26,18 +27,23 @@
     }
 }
 
-fn ready(n: u64) -> Vec<ServerEntry> {
-    (0..n).map(|n| entry(n, ServerState::Ready)).collect()
+fn ready(n: u64) -> Vec<EndpointEntry> {
+    (0..n).map(|n| entry(n, EndpointState::Ready)).collect()
 }
 
-/// One of 300 relays that holds four streamers as of version 40.
+/// One of 300 relays that holds four endpoints as of version 40.
 fn relay(peers: bool) -> Relay {
-    let class = Class { repeat: Repeat::Safe, aim: 500.0, message_aim: None, worth: 1.0 };
+    let class = Class {
+        repeat: Idempotency::Safe,
+        latency_objective: 500.0,
+        message_latency_objective: None,
+        priority_weight: 1.0,
+    };
     let settings = Settings {
         classes: vec![class],
         discovery: Discovery::OnRequest,
-        balancers: 300,
-        me: 7,
+        relay_count: 300,
+        local_index: 7,
         peers,
         ..Settings::default()
     };
@@ -52,10 +58,17 @@
     let mut all = BTreeSet::new();
     for client in 0..100 {
         let client = Some(Key(format!("c{client}").into()));
-        let arrival = Arrival { class: "safe".into(), client, deadline: now + 500.0, ..Arrival::default() };
+        let arrival = IncomingRequest {
+            class: "safe".into(),
+            client,
+            deadline: now + 500.0,
+            ..IncomingRequest::default()
+        };
         let id = relay.arrive(now, arrival);
         all.extend(relay.take_commands().into_iter().filter_map(|c| match c {
-            Command::Flow(_, FlowCommand::Forward(Attempt { target, .. })) => Some(target.0.to_string()),
+            Command::Connection(_, ConnectionCommand::StartAttempt(Attempt { endpoint, .. })) => {
+                Some(endpoint.0.to_string())
+            }
             _ => None,
         }));
         relay.left(now, id);
@@ -64,19 +77,19 @@
     all
 }
 
-fn word(revision: u64, streamers: &[u64]) -> Message {
-    let streamers = streamers.iter().map(|n| StreamerHash::of(&format!("s{n}"))).collect();
-    Message { memory: Some(Piece::Leaving { revision, streamers }), ..Message::default() }
+fn word(revision: u64, endpoints: &[u64]) -> Message {
+    let endpoints = endpoints.iter().map(|n| EndpointHash::of(&format!("s{n}"))).collect();
+    Message { memory: Some(ClusterMessage::Draining { revision, endpoints }), ..Message::default() }
 }
 
 /// To whom words or questions are sent.
-fn tells(relay: &mut Relay) -> Vec<(u32, Piece)> {
+fn tells(relay: &mut Relay) -> Vec<(u32, ClusterMessage)> {
     let told = |c| match c {
-        Command::Tell { peer, message } => message.memory.map(|piece| (peer, piece)),
+        Command::SendToPeer { peer, message } => message.memory.map(|piece| (peer, piece)),
         _ => None,
     };
     let mut all: Vec<_> = relay.take_commands().into_iter().filter_map(told).collect();
-    all.retain(|(_, piece)| matches!(piece, Piece::Leaving { .. } | Piece::Left(_)));
+    all.retain(|(_, piece)| matches!(piece, ClusterMessage::Draining { .. } | ClusterMessage::DrainQuery(_)));
     all
 }
 
@@ -92,7 +105,7 @@
     let told = tells(&mut relay);
     assert!(!told.is_empty() && told.len() <= 4, "{told:?}");
     assert!(told.iter().all(|(peer, _)| *peer != 7 && *peer < 300), "{told:?}");
-    assert!(!relay.is_ready(&ServerId("s2".into())));
+    assert!(!relay.is_ready(&EndpointId("s2".into())));
     assert_eq!(sent(&mut relay, START), names(&[0, 1, 3]));
     relay.told(START, 4, word(41, &[2]));
     assert!(tells(&mut relay).is_empty(), "a word is passed on once");
@@ -101,23 +114,24 @@
 #[test]
 fn a_client_that_stands_at_a_streamer_is_told_when_a_word_says_that_it_leaves() {
     let mut relay = relay(true);
-    let arrival = Arrival { class: "safe".into(), deadline: START + 500.0, ..Arrival::default() };
+    let arrival =
+        IncomingRequest { class: "safe".into(), deadline: START + 500.0, ..IncomingRequest::default() };
     let id = relay.arrive(START, arrival);
-    let target = relay.take_commands().into_iter().find_map(|c| match c {
-        Command::Flow(_, FlowCommand::Forward(Attempt { target, .. })) => {
-            Some(target.0[1..].parse().unwrap())
+    let endpoint = relay.take_commands().into_iter().find_map(|c| match c {
+        Command::Connection(_, ConnectionCommand::StartAttempt(Attempt { endpoint, .. })) => {
+            Some(endpoint.0[1..].parse().unwrap())
         }
         _ => None,
     });
     relay.established(START, id, 5.0);
-    relay.told(START, 3, word(41, &[target.expect("it is sent on")]));
+    relay.told(START, 3, word(41, &[endpoint.expect("it is sent on")]));
     let mut moved = false;
     for ms in 0..2000 {
         let now = START + f64::from(ms);
         for command in relay.take_commands() {
             match command {
-                Command::Timer { token, .. } => relay.timer(now, token),
-                Command::Flow(_, FlowCommand::Move) => moved = true,
+                Command::SetTimer { token, .. } => relay.timer(now, token),
+                Command::Connection(_, ConnectionCommand::Migrate) => moved = true,
                 _ => {}
             }
         }
@@ -131,12 +145,12 @@
     relay.answered(
         START,
         Answer { revision: 41, asked: START, whole: false },
-        vec![entry(1, ServerState::Draining)],
+        vec![entry(1, EndpointState::Draining)],
     );
     relay.told(START, 3, word(42, &[77]));
     relay.told(START, 3, word(42, &[1]));
     assert_eq!(sent(&mut relay, START), names(&[0, 2, 3]));
-    assert_eq!(relay.targets().count(), 4);
+    assert_eq!(relay.endpoints().count(), 4);
 }
 
 #[test]
@@ -155,7 +169,7 @@
     relay.answered(
         START,
         Answer { revision: 41, asked: START, whole: false },
-        vec![entry(1, ServerState::Draining)],
+        vec![entry(1, EndpointState::Draining)],
     );
     assert!(tells(&mut relay).is_empty());
 }
@@ -187,30 +201,31 @@
     let mut relay = relay(true);
     relay.told(START, 3, word(42, &[2]));
     let answer = Answer { revision: 41, asked: START - 1.0, whole: false };
-    relay.answered(START + 10.0, answer, vec![entry(0, ServerState::Gone)]);
+    relay.answered(START + 10.0, answer, vec![entry(0, EndpointState::Removed)]);
     assert_eq!(sent(&mut relay, START + 10.0), names(&[1, 3]));
     let answer = Answer { revision: 42, asked: START - 1.0, whole: false };
-    relay.answered(START + 20.0, answer, vec![entry(2, ServerState::Draining)]);
+    relay.answered(START + 20.0, answer, vec![entry(2, EndpointState::Draining)]);
     assert_eq!(sent(&mut relay, START + 20.0), names(&[1, 3]), "the list says so too");
     let answer = Answer { revision: 43, asked: START + 20.0, whole: false };
     relay.answered(START + 30.0, answer, Vec::new());
     assert_eq!(sent(&mut relay, START + 30.0), names(&[1, 3]), "and has not taken it back");
 }
 
-/// A streamer left as of version 41 and is back, started anew, as of 43: whatever way the words of its leaving cross the
+/// An endpoint left as of version 41 and is back, started anew, as of 43: whatever way the words of its leaving cross the
 /// own list's answers, it is sent to, and leaves again when it does.
 #[test]
 fn words_of_a_start_before_do_no_harm_to_a_streamer_that_is_back() {
-    let back = || ServerEntry { started: START - 100.0, ..entry(2, ServerState::Ready) };
+    let back = || EndpointEntry { started: START - 100.0, ..entry(2, EndpointState::Ready) };
     let answer = |revision| Answer { revision, asked: START - 1.0, whole: false };
     let (left, gone) = (|| word(41, &[2]), || word(42, &[2]));
-    let id = ServerId("s2".into());
+    let id = EndpointId("s2".into());
     type Step<'a> = &'a dyn Fn(&mut Relay);
     let tell: Step = &|relay| relay.told(START + 1.0, 3, left());
     let tell_gone: Step = &|relay| relay.told(START + 2.0, 4, gone());
     let hear_left: Step =
-        &|relay| relay.answered(START + 3.0, answer(41), vec![entry(2, ServerState::Draining)]);
-    let hear_gone: Step = &|relay| relay.answered(START + 4.0, answer(42), vec![entry(2, ServerState::Gone)]);
+        &|relay| relay.answered(START + 3.0, answer(41), vec![entry(2, EndpointState::Draining)]);
+    let hear_gone: Step =
+        &|relay| relay.answered(START + 4.0, answer(42), vec![entry(2, EndpointState::Removed)]);
     let hear_back: Step = &|relay| relay.answered(START + 5.0, answer(43), vec![back()]);
     let crossings: [&[Step]; 8] = [
         &[hear_back, tell, tell_gone],
@@ -228,7 +243,7 @@
         assert!(relay.is_ready(&id), "crossing {n}");
         relay.told(START + 20.0, 5, word(44, &[2]));
         assert!(!relay.is_ready(&id), "crossing {n}: it leaves again");
-        relay.answered(START + 30.0, answer(44), vec![entry(2, ServerState::Draining)]);
+        relay.answered(START + 30.0, answer(44), vec![entry(2, EndpointState::Draining)]);
         assert!(!relay.is_ready(&id), "crossing {n}: as the list says");
     }
 }
@@ -254,19 +269,23 @@
     let answer = |revision| Answer { revision, asked: START, whole: false };
     relay.answered(START, answer(41), Vec::new());
     tells(&mut relay);
-    relay.answered(START + 100.0, answer(42), vec![entry(1, ServerState::Draining)]);
+    relay.answered(START + 100.0, answer(42), vec![entry(1, EndpointState::Draining)]);
     assert!(tells(&mut relay).is_empty(), "in calm times");
-    relay.told(START + 200.0, 99, Message { memory: Some(Piece::Left(40)), ..Message::default() });
-    let [(99, Piece::Leaving { revision: 42, streamers })] = &tells(&mut relay)[..] else {
+    relay.told(
+        START + 200.0,
+        99,
+        Message { memory: Some(ClusterMessage::DrainQuery(40)), ..Message::default() },
+    );
+    let [(99, ClusterMessage::Draining { revision: 42, endpoints })] = &tells(&mut relay)[..] else {
         panic!("who asks is not answered")
     };
-    assert_eq!(*streamers, [StreamerHash::of("s1")]);
-    relay.answered(START + 300.0, answer(43), vec![entry(2, ServerState::Gone)]);
-    let [(99, Piece::Leaving { revision: 43, streamers })] = &tells(&mut relay)[..] else {
+    assert_eq!(*endpoints, [EndpointHash::of("s1")]);
+    relay.answered(START + 300.0, answer(43), vec![entry(2, EndpointState::Removed)]);
+    let [(99, ClusterMessage::Draining { revision: 43, endpoints })] = &tells(&mut relay)[..] else {
         panic!("who has asked is not told what is new")
     };
-    assert_eq!(*streamers, [StreamerHash::of("s2")]);
-    relay.answered(START + 60_000.0, answer(44), vec![entry(3, ServerState::Gone)]);
+    assert_eq!(*endpoints, [EndpointHash::of("s2")]);
+    relay.answered(START + 60_000.0, answer(44), vec![entry(3, EndpointState::Removed)]);
     assert!(tells(&mut relay).is_empty(), "a minute later");
 }
 
@@ -274,18 +293,18 @@
 const GRACE: f64 = 1500.0;
 
 fn attempts(events: &[Event], at: &str, since: f64) -> usize {
-    let attempt = |e: &&Event| matches!(&e.what, What::Attempt { streamer, .. } if **streamer == *at);
+    let attempt = |e: &&Event| matches!(&e.what, What::Attempt { endpoint, .. } if **endpoint == *at);
     events.iter().filter(|e| e.at > since).filter(attempt).count()
 }
 
 /// Discovery was down, and is back with a change and at a rate that has most relays wait for half a minute: by then
-/// all of them have stopped sending to the streamer that leaves.
+/// all of them have stopped sending to the endpoint that leaves.
 #[tokio::test]
 async fn relays_that_discovery_cannot_answer_in_time_know_by_word_what_has_left() {
     const RELAYS: usize = 20;
     let mut size = Size::new(env!("CARGO_BIN_EXE_sandgw"), RELAYS, 4);
     size.rules.grace_ms = GRACE;
-    let mut rig = Rig::new(size).await.unwrap();
+    let mut rig = TestCluster::new(size).await.unwrap();
     rig.ready().await.unwrap();
     let told = |events: &[Event], to: u64| {
         let told = |relay: usize| {
--- a/tests/line.rs
+++ b/tests/line.rs
@@ -9,14 +9,14 @@
 
 use common::*;
 
-fn one(streamer: &Streamer) -> (Discovery, Relay) {
+fn one(endpoint: &Endpoint) -> (Discovery, Relay) {
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start(&discovery);
     (discovery, relay)
 }
 
-/// The time left, in lines that a streamer has seen.
+/// The time left, in lines that an endpoint has seen.
 fn redacted(seen: Vec<String>) -> Vec<String> {
     let redact = |line: String| match line.split_once("d=") {
         Some((head, tail)) => {
@@ -32,8 +32,8 @@
 
 #[test]
 fn a_flow_is_placed_passes_lines_and_ends_with_its_streamer() {
-    let streamer = Streamer::lines("UP 17\r\n");
-    let (_discovery, relay) = one(&streamer);
+    let endpoint = Endpoint::lines("UP 17\r\n");
+    let (_discovery, relay) = one(&endpoint);
     let mut client = relay.client();
     client.send("PI").send("NG\r\nOPEN 9b1f 7f3a c=subtitle-stream,t=acme,d=20");
     assert_eq!(client.line(), "PONG");
@@ -42,13 +42,13 @@
     heard.push(client.send("on").send("e\r\n").line());
     heard.push(client.send("bye\r\n").line());
     heard.push(client.line());
-    insta::assert_debug_snapshot!((heard, redacted(streamer.seen())));
+    insta::assert_debug_snapshot!((heard, redacted(endpoint.seen())));
 }
 
 #[test]
 fn what_is_malformed_or_too_long_is_an_error_and_reaches_no_streamer() {
-    let streamer = Streamer::lines("UP 17\r\n");
-    let (_discovery, relay) = one(&streamer);
+    let endpoint = Endpoint::lines("UP 17\r\n");
+    let (_discovery, relay) = one(&endpoint);
     let long = format!("OPEN 1 2 c=subtitle-stream,t=acme,d=2000,x={}", "y".repeat(4096));
     let lines = [
         "HELLO",
@@ -75,8 +75,8 @@
         let answers = [client.send(line).send("\r\n").line(), client.line()];
         assert_eq!(answers, ["ERR", "(end)"], "{line}");
     }
-    assert_eq!(streamer.seen(), Vec::<String>::new());
-    // The id of another client's open flow, whatever else is said with it; it is free once that has ended.
+    assert_eq!(endpoint.seen(), Vec::<String>::new());
+    // The id of another client's open connection, whatever else is said with it; it is free once that has ended.
     let mut first = relay.client();
     assert_eq!(first.send("OPEN 5 2 c=subtitle-stream,t=acme,d=2000\r\n").line(), "UP 17");
     let again = || relay.client().send("OPEN 5 3 c=subtitle-stream,t=acme,d=2000\r\n").line();
@@ -89,50 +89,50 @@
 /// the longest silent makes room, each is ended in time, and what is turned away gets a `BUSY`.
 #[test]
 fn silent_connections_make_room_and_are_ended_in_time() {
-    let streamer = Streamer::lines("UP 1\r\n");
+    let endpoint = Endpoint::lines("UP 1\r\n");
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_with(&discovery, 96);
     let start = Instant::now();
     let mut silent: Vec<_> = (0..200).map(|_| relay.client()).collect();
-    let mut flow = relay.client();
-    assert_eq!(flow.send("OPEN 1 2 c=subtitle-stream,t=acme,d=3000\r\n").line(), "UP 1");
+    let mut connection = relay.client();
+    assert_eq!(connection.send("OPEN 1 2 c=subtitle-stream,t=acme,d=3000\r\n").line(), "UP 1");
     assert_eq!(silent[0].line(), "BUSY 1500", "the first to come has made room");
     // Half a line, and then nothing, is no more.
     silent[199].send("OPEN 7 7 c=subti");
     assert_eq!(silent[199].line(), "ERR");
     assert!(start.elapsed() < Duration::from_secs(6), "ended after {:?}", start.elapsed());
-    // Flows are bounded too: what is over that is refused, not left waiting.
-    let mut flows: Vec<_> = (10..60).map(|id| (id, relay.client())).collect();
-    let answers = flows
+    // Connections are bounded too: what is over that is refused, not left waiting.
+    let mut connections: Vec<_> = (10..60).map(|id| (id, relay.client())).collect();
+    let answers = connections
         .iter_mut()
         .map(|(id, client)| client.send(&format!("OPEN {id} 2 c=subtitle-stream,t=acme,d=3000\r\n")).line());
     let answers: Vec<_> = answers.collect();
     assert!(answers.iter().all(|a| a == "UP 1" || a == "BUSY 1500"), "{answers:?}");
     assert!(answers.contains(&"BUSY 1500".into()) && answers[0] == "UP 1", "{answers:?}");
-    // One after the other: however many flows stand, a newcomer is heard, if only to be refused.
+    // One after the other: however many connections stand, a newcomer is heard, if only to be refused.
     for _ in 0..20 {
         let mut client = relay.client();
         let answer = client.open("").line();
         assert!(answer == "UP 1" || answer == "BUSY 1500", "{answer}");
-        flows.push((0, client));
+        connections.push((0, client));
     }
-    assert_eq!(flow.send("still?\r\n").line(), "still?");
+    assert_eq!(connection.send("still?\r\n").line(), "still?");
 }
 
-/// Clients that stop reading hold a buffer each and no more, whatever their streamers send; when they read again they
-/// get all of it, and new flows are served.
+/// Clients that stop reading hold a buffer each and no more, whatever their endpoints send; when they read again they
+/// get all of it, and new connections are served.
 #[test]
 fn clients_that_stop_reading_cost_no_memory_and_get_all_of_it_later() {
     const BYTES: usize = 16 << 20;
-    let streamer = Streamer::start(|mut stream, _| {
+    let endpoint = Endpoint::start(|mut stream, _| {
         BufReader::new(stream.try_clone().unwrap()).read_line(&mut String::new()).unwrap();
         let line = [&b"x".repeat(4094)[..], b"\r\n"].concat();
         let _ = stream.write_all(b"UP 1\r\n");
         let _ = (0..BYTES / line.len()).try_for_each(|_| stream.write_all(&line));
         let _ = stream.write_all(b"BYE\r\n");
     });
-    let (_discovery, relay) = one(&streamer);
+    let (_discovery, relay) = one(&endpoint);
     let before = relay.memory();
     let mut clients: Vec<_> = (0..12).map(|_| relay.client()).collect();
     assert!(clients.iter_mut().all(|client| client.open("").line() == "UP 1"));
@@ -146,20 +146,20 @@
     assert_eq!(relay.client().open("").line(), "UP 1");
 }
 
-/// A process with fewer descriptors than it was told of: flows are refused with a wait, discovery is heard all the
-/// same, and with room again flows are served at once. The log had a line for each that made room for another.
+/// A process with fewer descriptors than it was told of: connections are refused with a wait, discovery is heard all the
+/// same, and with room again connections are served at once. The log had a line for each that made room for another.
 #[test]
 fn with_descriptors_again_flows_are_served_and_the_list_is_fresh() {
-    let streamers = [Streamer::lines("UP 1\r\n"), Streamer::lines("UP 2\r\n")];
+    let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamers[0].address, "Ready", 0);
+    discovery.set("s-1", &endpoints[0].address, "Ready", 0);
     let relay = Relay::start_limited(&discovery, "ulimit -n 40", 1024, &[host()], 0, "");
-    let mut flows = Vec::new();
+    let mut connections = Vec::new();
     let refused = loop {
         let mut client = relay.client();
         client.0.get_ref().set_read_timeout(Some(Duration::from_secs(4))).unwrap();
         match client.open("").line().as_str() {
-            "UP 1" => flows.push(client),
+            "UP 1" => connections.push(client),
             other => break other.to_owned(),
         }
     };
@@ -167,8 +167,8 @@
     assert!(["BUSY 1500", "(WouldBlock)"].contains(&refused.as_str()), "{refused}");
     // Discovery fails, its descriptor is free for others, and many wait to be accepted.
     discovery.down(true);
-    discovery.set("s-1", &streamers[0].address, "Terminating", 0);
-    discovery.set("s-2", &streamers[1].address, "Ready", 0);
+    discovery.set("s-1", &endpoints[0].address, "Terminating", 0);
+    discovery.set("s-2", &endpoints[1].address, "Ready", 0);
     let start = Instant::now();
     let mut silent = Vec::new();
     while start.elapsed() < Duration::from_secs(2) {
@@ -176,11 +176,11 @@
         thread::sleep(Duration::from_millis(50));
     }
     discovery.down(false);
-    let again = flows.split_off(flows.len() / 2);
+    let again = connections.split_off(connections.len() / 2);
     drop(silent);
     drop(again);
     until("a new flow goes where the new list says", || relay.client().open("").line() == "UP 2");
-    assert!(flows.iter_mut().all(|flow| flow.send("still?\r\n").line() == "still?"));
+    assert!(connections.iter_mut().all(|connection| connection.send("still?\r\n").line() == "still?"));
     let lines = relay.log().matches("accept: ").count();
     assert!((1..=2).contains(&lines), "{lines} lines for one shortage at two listeners: {}", relay.log());
 }
@@ -188,8 +188,8 @@
 /// A client that sends without end is cut off soon after its answer, and costs no memory.
 #[test]
 fn an_endless_line_is_answered_and_cut_off() {
-    let streamer = Streamer::lines("UP 1\r\n");
-    let (_discovery, relay) = one(&streamer);
+    let endpoint = Endpoint::lines("UP 1\r\n");
+    let (_discovery, relay) = one(&endpoint);
     let before = relay.memory();
     let clients: Vec<_> = (0..8).map(|_| relay.client()).collect();
     let senders = clients.into_iter().map(|client| {
@@ -209,26 +209,26 @@
 
 #[test]
 fn marks_reach_the_streamer_that_holds_the_connection() {
-    let streamers = [Streamer::lines("UP 1\r\n"), Streamer::lines("UP 2\r\n")];
+    let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamers[0].address, "Ready", 0);
-    discovery.set("s-2", &streamers[1].address, "Terminating", 0);
+    discovery.set("s-1", &endpoints[0].address, "Ready", 0);
+    discovery.set("s-2", &endpoints[1].address, "Terminating", 0);
     let relay = Relay::start(&discovery);
     let answers = [
         relay.client().open(",at=s-2").line(),
         relay.client().open(",g=1,mid=1").line(),
         relay.client().open(",at=s-9").line(),
     ];
-    insta::assert_debug_snapshot!((answers, streamers.map(|s| s.seen().len())));
+    insta::assert_debug_snapshot!((answers, endpoints.map(|s| s.seen().len())));
 }
 
 /// A refusal was once held back until near the deadline so that the client would not ask again: what the
 /// module has given up on is answered at once, with the time to come again.
 #[test]
 fn a_flow_that_no_streamer_takes_is_refused_at_once() {
-    let streamers = [(); 3].map(|()| Streamer::lines("BUSY\r\n"));
+    let endpoints = [(); 3].map(|()| Endpoint::lines("BUSY\r\n"));
     let discovery = Discovery::start();
-    for (i, s) in streamers.iter().enumerate() {
+    for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
     let relay = Relay::start(&discovery);
@@ -237,23 +237,23 @@
     let answer = client.send("OPEN 1 2 c=subtitle-stream,t=acme,d=19000\r\n").line();
     assert!(start.elapsed() < LONG / 2, "held for {:?}", start.elapsed());
     let sends: usize =
-        streamers.iter().map(|s| s.seen().iter().filter(|l| l.starts_with("OPEN")).count()).sum();
+        endpoints.iter().map(|s| s.seen().iter().filter(|l| l.starts_with("OPEN")).count()).sum();
     insta::assert_debug_snapshot!((answer, client.line(), sends));
 }
 
-/// An error, a reset and a refused connect each lead to the other streamer; never are two attempts out.
+/// An error, a reset and a refused connect each lead to the other endpoint; never are two attempts out.
 #[test]
 fn an_attempt_that_fails_is_followed_by_another() {
     for kind in ["error", "reset", "refused"] {
         let bad = match kind {
-            "error" => Streamer::lines("ERR\r\n"),
-            _ => Streamer::start(|stream, log| {
+            "error" => Endpoint::lines("ERR\r\n"),
+            _ => Endpoint::start(|stream, log| {
                 let mut byte = [0];
                 let _ = (&stream).read(&mut byte);
                 note(log, "OPEN");
             }),
         };
-        let good = Streamer::lines("UP 2\r\n");
+        let good = Endpoint::lines("UP 2\r\n");
         let discovery = Discovery::start();
         // Nobody listens at the third kind's address.
         let address = if kind == "refused" { format!("{}:1", host()) } else { bad.address.clone() };
@@ -267,14 +267,14 @@
     }
 }
 
-/// Nothing comes back from a streamer that vanished, and TCP does not notice: its clients are told to move.
+/// Nothing comes back from an endpoint that vanished, and TCP does not notice: its clients are told to move.
 #[test]
 fn the_client_of_a_silent_streamer_is_told_to_move() {
-    let streamer = Streamer::start(|stream, _| {
+    let endpoint = Endpoint::start(|stream, _| {
         (&stream).write_all(b"UP 1\r\n").unwrap();
         thread::sleep(LONG);
     });
-    let (_discovery, relay) = one(&streamer);
+    let (_discovery, relay) = one(&endpoint);
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
     let start = Instant::now();
@@ -285,55 +285,55 @@
 
 #[test]
 fn each_side_is_ended_the_way_the_other_ends() {
-    let streamer = Streamer::lines("UP 1\r\n");
-    let (_discovery, relay) = one(&streamer);
+    let endpoint = Endpoint::lines("UP 1\r\n");
+    let (_discovery, relay) = one(&endpoint);
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
     // A half-close: what was sent before it still comes back.
     client.send("last\r\n").0.get_mut().shutdown(Shutdown::Write).unwrap();
     assert_eq!(client.rest(), "last\r\n");
-    until("the streamer sees the end", || streamer.seen().contains(&"end".into()));
+    until("the streamer sees the end", || endpoint.seen().contains(&"end".into()));
     // A reset: the client sees a reset, not an end in good order.
-    let streamer = Streamer::start(|mut stream, _| {
+    let endpoint = Endpoint::start(|mut stream, _| {
         BufReader::with_capacity(1, &stream).read_line(&mut String::new()).unwrap();
         stream.write_all(b"UP 1\r\n").unwrap();
         // Closed with bytes unread, a connection is reset.
         let _ = stream.read(&mut [0; 5]);
     });
-    let (_discovery, relay) = one(&streamer);
+    let (_discovery, relay) = one(&endpoint);
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
     assert_eq!(client.send("more than five bytes\r\n").line(), "(ConnectionReset)");
 }
 
-/// Nothing new goes to a draining streamer later than a second after the notice.
+/// Nothing new goes to a draining endpoint later than a second after the notice.
 #[test]
 fn a_drain_notice_ends_new_forwards() {
-    let streamers = [Streamer::lines("UP 1\r\n"), Streamer::lines("UP 2\r\n")];
+    let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamers[0].address, "Ready", 0);
-    discovery.set("s-2", &streamers[1].address, "Ready", 0);
+    discovery.set("s-1", &endpoints[0].address, "Ready", 0);
+    discovery.set("s-2", &endpoints[1].address, "Ready", 0);
     let relay = Relay::start(&discovery);
     let mut group = 0;
     let mut place = || {
         group += 1;
         relay.client().open(&format!(",g={group}")).line()
     };
-    until("both are used", || streamers.iter().all(|s| !s.seen().is_empty()) || place_some(&relay));
-    let notice = discovery.set("s-2", &streamers[1].address, "Terminating", 0);
+    until("both are used", || endpoints.iter().all(|s| !s.seen().is_empty()) || place_some(&relay));
+    let notice = discovery.set("s-2", &endpoints[1].address, "Terminating", 0);
     while notice.elapsed() < Duration::from_millis(1200) {
         place();
     }
-    let later = |s: &Streamer| {
+    let later = |s: &Endpoint| {
         let log = s.log.lock().unwrap();
         let late = |at: &Instant| at.saturating_duration_since(notice) > Duration::from_secs(1);
         log.iter().filter(|(at, line)| late(at) && line.starts_with("OPEN")).count()
     };
-    assert!(later(&streamers[0]) > 0);
-    assert_eq!(later(&streamers[1]), 0);
+    assert!(later(&endpoints[0]) > 0);
+    assert_eq!(later(&endpoints[1]), 0);
 }
 
-/// A streamer that drains while a connect to it is on its way: what comes up more than a second after the notice must
+/// An endpoint that drains while a connect to it is on its way: what comes up more than a second after the notice must
 /// not be used. Its queue of connections is full, so the connect is repeated by the kernel after 1 s and 3 s.
 #[test]
 fn a_connect_that_comes_up_after_the_drain_notice_is_not_used() {
@@ -380,8 +380,8 @@
 /// SIGTERM announces a restart: clients keep arriving, and what stands is served until the kill.
 #[test]
 fn a_relay_serves_on_after_sigterm() {
-    let streamer = Streamer::lines("UP 1\r\n");
-    let (_discovery, relay) = one(&streamer);
+    let endpoint = Endpoint::lines("UP 1\r\n");
+    let (_discovery, relay) = one(&endpoint);
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
     relay.terminate();
@@ -394,11 +394,11 @@
 /// discovery service is asked at once for its whole list, whose versions have nothing to do with the old one's.
 #[test]
 fn sighup_takes_a_new_configuration_and_keeps_the_old_one_where_it_is_bad() {
-    let streamers = [Streamer::lines("UP 1\r\n"), Streamer::lines("UP 2\r\n")];
-    let (old, relay) = one(&streamers[0]);
+    let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
+    let (old, relay) = one(&endpoints[0]);
     // The old place is far ahead in its versions, and its watch is out.
     for _ in 0..50 {
-        old.set("s-1", &streamers[0].address, "Ready", 0);
+        old.set("s-1", &endpoints[0].address, "Ready", 0);
     }
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
@@ -407,19 +407,19 @@
     assert_eq!(relay.client().open("").line(), "UP 1");
 
     let new = Discovery::start();
-    new.set("s-2", &streamers[1].address, "Ready", 0);
+    new.set("s-2", &endpoints[1].address, "Ready", 0);
     new.down(true);
     let start = Instant::now();
     relay.reload(Some(&new));
-    // The first calls fail: it is asked again soon, whatever the module would wait by now.
+    // The first calls fail: it is asked again soon, whatever the load balancer would wait by now.
     thread::sleep(Duration::from_millis(700));
     new.down(false);
     until("the new list is used", || relay.client().open("").line() == "UP 2");
     assert!(start.elapsed() < Duration::from_secs(4), "used after {:?}", start.elapsed());
     assert_eq!(client.send("still?\r\n").line(), "still?");
     // Its watch goes on from there.
-    new.set("s-2", &streamers[1].address, "Terminating", 0);
-    new.set("s-1", &streamers[0].address, "Ready", 0);
+    new.set("s-2", &endpoints[1].address, "Terminating", 0);
+    new.set("s-1", &endpoints[0].address, "Ready", 0);
     until("a change is heard of", || relay.client().open("").line() == "UP 1");
 }
 
@@ -427,9 +427,9 @@
 /// was all that a relay ever knew.
 #[test]
 fn a_pushed_list_is_heard_of_from_the_agent() {
-    let streamers = [Streamer::lines("UP 1\r\n"), Streamer::lines("UP 2\r\n")];
+    let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamers[0].address, "Ready", 0);
+    discovery.set("s-1", &endpoints[0].address, "Ready", 0);
     let pushed = "sed -i s/on_request/pushed/ \"$PROXY_CONFIG\"";
     let relay = Relay::start_limited(&discovery, pushed, 1024, &[host()], 0, "");
     assert_eq!(relay.client().open("").line(), "UP 1");
@@ -437,16 +437,16 @@
     discovery.down(true);
     thread::sleep(Duration::from_millis(300));
     discovery.down(false);
-    discovery.set("s-2", &streamers[1].address, "Ready", 0);
-    discovery.set("s-1", &streamers[0].address, "Terminating", 0);
+    discovery.set("s-2", &endpoints[1].address, "Ready", 0);
+    discovery.set("s-1", &endpoints[0].address, "Terminating", 0);
     until("the new list is used", || relay.client().open("").line() == "UP 2");
 }
 
-/// A streamer that is short of power keeps answering messages at once on sockets; only its set-ups grow slow.
-/// It once kept its whole share of new flows.
+/// An endpoint that is short of power keeps answering messages at once on sockets; only its set-ups grow slow.
+/// It once kept its whole share of new connections.
 #[test]
 fn a_streamer_whose_set_ups_are_slow_gets_few_flows() {
-    let slow = Streamer::start(|stream, log| {
+    let slow = Endpoint::start(|stream, log| {
         let mut lines = BufReader::new(stream.try_clone().unwrap());
         lines.read_line(&mut String::new()).unwrap();
         note(log, "OPEN");
@@ -454,7 +454,7 @@
         (&stream).write_all(b"UP 1\r\n").unwrap();
         let _ = lines.read_line(&mut String::new());
     });
-    let quick = [(); 3].map(|()| Streamer::lines("UP 2\r\n"));
+    let quick = [(); 3].map(|()| Endpoint::lines("UP 2\r\n"));
     let discovery = Discovery::start();
     discovery.set("s-0", &slow.address, "Ready", 0);
     for (i, s) in quick.iter().enumerate() {
@@ -476,9 +476,9 @@
 /// from nothing. They once went where the table points, which was not where half of them were.
 #[test]
 fn a_mid_flow_arrival_finds_its_streamer_at_every_relay_of_the_tier() {
-    let streamers = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Streamer::lines);
+    let endpoints = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Endpoint::lines);
     let discovery = Discovery::start();
-    for (i, s) in streamers.iter().enumerate() {
+    for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
     let tier = [host(), host()];
@@ -504,13 +504,13 @@
     assert_eq!(again(&first), at, "at the relay that has started again");
 }
 
-/// On sockets nothing tells of a slow message: of the streamers of a large group some once carried far more
+/// On sockets nothing tells of a slow message: of the endpoints of a large group some once carried far more
 /// than their share, and messages came late there, while the others had room.
 #[test]
 fn large_groups_are_spread_evenly_over_their_streamers() {
-    let streamers = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Streamer::lines);
+    let endpoints = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Endpoint::lines);
     let discovery = Discovery::start();
-    for (i, s) in streamers.iter().enumerate() {
+    for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
     let relay = Relay::start(&discovery);
@@ -529,8 +529,8 @@
 /// New settings are in force at SIGHUP, and what stands is not touched by them.
 #[test]
 fn classes_come_and_go_with_the_configuration_and_a_faulty_one_changes_nothing() {
-    let streamer = Streamer::lines("UP 17\r\n");
-    let (_discovery, relay) = one(&streamer);
+    let endpoint = Endpoint::lines("UP 17\r\n");
+    let (_discovery, relay) = one(&endpoint);
     let open = |class: &str, more: &str| {
         let mut client = relay.client();
         let key = client.0.get_ref().local_addr().unwrap().port();
@@ -552,7 +552,7 @@
         relay.configure(wrong);
         assert_eq!(open("live", "").0, "UP 17", "after {wrong:?}");
     }
-    // It goes: who has not heard of that yet may name it a while longer, and mid-flow later too.
+    // It goes: who has not heard of that yet may name it a while longer, and mid-connection later too.
     relay.configure(&whole);
     assert_eq!(open("live", "").0, "UP 17");
     until("the dropped class is refused", || open("live", "").0 == "ERR");
@@ -572,9 +572,9 @@
 /// lost its place to those who came after it, or its time was up.
 #[test]
 fn a_slow_writer_is_served_in_a_crowd_that_never_finishes() {
-    let streamer = Streamer::lines("UP 17\r\n");
+    let endpoint = Endpoint::lines("UP 17\r\n");
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_with(&discovery, 128);
     let (answer, quick, ends) = thread::scope(|scope| {
         let crowd = ["", "PING\r\n", "OPEN 1 2 c=subtitle"].map(|says| {
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance windows through the real program: twelve relays in four halls, and faults between them.
+//! Maintenance windows through the real program: twelve relays in four zones, and faults between them.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const RELAYS: usize = 12;
 const LEASE: Duration = Duration::from_secs(4);
 
-/// Of twelve streamers in four halls eight are left.
+/// Of twelve endpoints in four zones eight are left.
 const SECTION: &str = r#"
 [maintenance]
 floor = 8.0
@@ -78,20 +78,23 @@
     fn start(section: &str) -> Tier {
         let discovery = Discovery::start();
         for n in 0..RELAYS {
-            Self::streamer(&discovery, n, "Ready");
+            Self::endpoint(&discovery, n, "Ready");
         }
         let (sockets, hosts): (Vec<UdpSocket>, Vec<String>) =
             (stand_ins(), (0..RELAYS).map(|_| host()).collect());
         let seen: Vec<String> = sockets.iter().map(|s| s.local_addr().unwrap().ip().to_string()).collect();
         let network = Network::start(sockets, &hosts);
-        let relays =
-            (0..RELAYS).map(|me| Relay::start_seen(&discovery, &hosts[me], &seen, me, section)).collect();
+        let relays = (0..RELAYS)
+            .map(|local_index| {
+                Relay::start_seen(&discovery, &hosts[local_index], &seen, local_index, section)
+            })
+            .collect();
         Tier { discovery, relays, network }
     }
 
-    fn streamer(discovery: &Discovery, n: usize, phase: &str) {
-        let hall = char::from(b'a' + (n / 3) as u8).to_string();
-        discovery.set_in(&format!("s-{n}"), "127.0.0.1:9", phase, 0, &hall);
+    fn endpoint(discovery: &Discovery, n: usize, phase: &str) {
+        let zone = char::from(b'a' + (n / 3) as u8).to_string();
+        discovery.set_in(&format!("s-{n}"), "127.0.0.1:9", phase, 0, &zone);
     }
 
     /// What a relay says to a call, without `done` where it is.
@@ -147,11 +150,11 @@
     assert!(!tier.network.told.lock().unwrap().iter().any(|(.., text)| text.starts_with("m1 ")));
     thread::sleep(LEASE);
 
-    // At three relays at once: a hall fits, of two that do not go together one waits.
+    // At three relays at once: a zone fits, of two that do not go together one waits.
     let says: Vec<String> = thread::scope(|scope| {
         let calls = [(2, "a"), (7, "b"), (11, "c")];
-        let asked = calls.map(|(relay, hall)| {
-            let call = format!("window hall {hall} all 60");
+        let asked = calls.map(|(relay, zone)| {
+            let call = format!("window hall {zone} all 60");
             let tier = &tier;
             scope.spawn(move || tier.call(relay, &call))
         });
@@ -249,18 +252,18 @@
     );
     let never = tier.call(4, "window hall nowhere all 10");
     assert!(never.starts_with("error no such hall in the list"), "{never}");
-    // Hall c drains and nobody has asked: two streamers of a sudden.
+    // Zone c drains and nobody has asked: two endpoints of a sudden.
     for n in [6, 7] {
-        Tier::streamer(&tier.discovery, n, "Terminating");
+        Tier::endpoint(&tier.discovery, n, "Terminating");
     }
     tier.until(1, "2 of hall c drain and nobody has asked for it");
     // Twelve less three leave nine: one more fits, a second does not.
     assert!(tier.call(4, "window streamer s-3 100").contains("granted until"));
     let says = tier.call(9, "window streamer s-4 100");
     assert!(says.contains("waits behind 0"), "{says}");
-    // The rest of the hall is lost: too little is left, and it is said.
+    // The rest of the zone is lost: too little is left, and it is said.
     for n in [6, 7, 8] {
-        Tier::streamer(&tier.discovery, n, "Gone");
+        Tier::endpoint(&tier.discovery, n, "Gone");
     }
     tier.until(1, "less than the floor");
     assert!(tier.call(9, "windows").contains("waits behind"));
@@ -269,7 +272,7 @@
     assert!(forced.contains("granted until"), "{forced}");
     // It is back, and the forced one done: the one that waited is through.
     for n in [6, 7, 8] {
-        Tier::streamer(&tier.discovery, n, "Ready");
+        Tier::endpoint(&tier.discovery, n, "Ready");
     }
     assert!(tier.call(9, &format!("done {}", id(&forced))).contains("closed"));
     tier.until(9, "streamer s-4: granted until");
--- a/tests/narrow.rs
+++ b/tests/narrow.rs
@@ -13,7 +13,7 @@
 
 use common::*;
 use sandgw_test_cluster::stub_discovery::Service;
-use sandgw_test_cluster::{Rig, Size, free_address};
+use sandgw_test_cluster::{Size, TestCluster, free_address};
 
 /// What a busy machine may be late by.
 const SLACK: Duration = Duration::from_secs(3);
@@ -32,7 +32,7 @@
 const READY: f64 = 10_000.0;
 
 /// Restarts all relays at once; how long each took until it answered `PING`, those that never did left out.
-async fn restarted(rig: &mut Rig) -> Vec<f64> {
+async fn restarted(rig: &mut TestCluster) -> Vec<f64> {
     rig.relays.iter_mut().for_each(|relay| relay.kill());
     let start = rig.log.now();
     rig.start(0.0).await.unwrap();
@@ -50,7 +50,7 @@
 async fn ready_whatever_discovery_does(service: Service, known: bool) {
     let mut size = Size::new(env!("CARGO_BIN_EXE_sandgw"), RESTARTED, 4);
     (size.service, size.known) = (service, known);
-    let mut rig = Rig::new(size).await.unwrap();
+    let mut rig = TestCluster::new(size).await.unwrap();
     let took = restarted(&mut rig).await;
     let (ready, service) = (took.iter().filter(|took| **took <= READY).count(), &rig.size.service);
     assert!(
@@ -86,7 +86,7 @@
             ready_whatever_discovery_does(mute.clone(), known).await;
         }
         // Nobody listens there.
-        let mut rig = Rig::new(Size::new(env!("CARGO_BIN_EXE_sandgw"), RESTARTED, 4)).await.unwrap();
+        let mut rig = TestCluster::new(Size::new(env!("CARGO_BIN_EXE_sandgw"), RESTARTED, 4)).await.unwrap();
         for relay in &mut rig.relays {
             relay.plan.discovery = free_address().unwrap();
         }
@@ -163,7 +163,7 @@
     answer == "UP 1" || answer == "UP 2" || answer == "BUSY 1500"
 }
 
-/// A flow's answer, which has to come whatever else goes on.
+/// A connection's answer, which has to come whatever else goes on.
 fn placed(relay: &Relay, what: &str) -> (Client, String) {
     let mut client = relay.client();
     client.0.get_ref().set_read_timeout(Some(LONG)).unwrap();
@@ -183,14 +183,14 @@
 
 fn filled(sockets: u32) {
     let _alone = alone();
-    let streamers = [Streamer::lines("UP 1\r\n"), Streamer::lines("UP 2\r\n")];
+    let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamers[0].address, "Ready", 0);
+    discovery.set("s-1", &endpoints[0].address, "Ready", 0);
     let relay = Arc::new(Relay::start_with(&discovery, sockets));
     let (watch, most) = most_descriptors(&relay);
     discovery.down(true);
-    discovery.set("s-2", &streamers[1].address, "Ready", 0);
-    discovery.set("s-1", &streamers[0].address, "Terminating", 0);
+    discovery.set("s-2", &endpoints[1].address, "Ready", 0);
+    discovery.set("s-1", &endpoints[0].address, "Terminating", 0);
     let crowd = crowd(&relay, 2 * sockets as usize);
     // Operators take their share as well.
     let _callers: Vec<TcpStream> = (0..12).map(|_| connect(&relay.ops)).collect();
@@ -214,9 +214,9 @@
     assert!(told < Duration::from_secs(7) + SLACK, "the list came after {told:?}");
     let after: Vec<_> = (0..20).map(|_| placed(&relay, "after the return").1).collect();
     assert!(after.iter().filter(|answer| *answer == "UP 2").count() >= 10, "{after:?}");
-    assert!(held.iter_mut().all(|flow| {
-        let _ = flow.0.get_mut().write_all(b"still?\r\n");
-        matches!(flow.line().as_str(), "still?" | "(end)")
+    assert!(held.iter_mut().all(|connection| {
+        let _ = connection.0.get_mut().write_all(b"still?\r\n");
+        matches!(connection.line().as_str(), "still?" | "(end)")
     }));
     drop(crowd);
     drop(watch);
@@ -243,9 +243,9 @@
 #[test]
 fn newcomers_who_make_room_for_each_other_are_answered() {
     let _alone = alone();
-    let streamer = Streamer::lines("UP 1\r\n");
+    let endpoint = Endpoint::lines("UP 1\r\n");
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_limited(&discovery, "ulimit -n 1024", 64, &[host()], 0, "");
     let mut answers = Vec::new();
     for _ in 0..4 {
@@ -267,9 +267,9 @@
 fn clients_that_leave_as_they_wait_for_a_descriptor_are_answered_and_not_placed() {
     const PLACES: usize = 32;
     let _alone = alone();
-    let streamer = Streamer::lines("UP 1\r\n");
+    let endpoint = Endpoint::lines("UP 1\r\n");
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_limited(&discovery, "ulimit -n 1024", 64, &[host()], 0, "");
     let mut clients: Vec<_> = (0..PLACES).map(|_| relay.client()).collect();
     // All are there, and hold all places.
@@ -288,18 +288,18 @@
     }
     assert!(start.elapsed() < SLACK, "answered after {:?}", start.elapsed());
     assert!(is_final(&relay.client().open(",g=after").line()));
-    let seen = streamer.seen();
+    let seen = endpoint.seen();
     assert!(!seen.iter().any(|line| line.contains("g=gone")), "{seen:?}");
 }
 
 /// Those who send megabytes at once, a byte a second, or nothing until they are ended get their error or are closed on
-/// in time; meanwhile flows are served.
+/// in time; meanwhile connections are served.
 #[test]
 fn floods_are_ended_in_time_and_flows_are_served_meanwhile() {
     let _alone = alone();
-    let streamer = Streamer::lines("UP 1\r\n");
+    let endpoint = Endpoint::lines("UP 1\r\n");
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Arc::new(Relay::start_with(&discovery, 256));
     let mut bad = Vec::new();
     for n in 0..72 {
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -23,11 +23,11 @@
 domain = { mode = "proxy", groups = true, messageAimMs = [150.0] }
 "#;
 
-fn one(more: &str) -> (Streamer, Discovery, Relay) {
-    let (streamer, discovery) = (Streamer::lines("UP 1\r\n"), Discovery::start());
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+fn one(more: &str) -> (Endpoint, Discovery, Relay) {
+    let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_more(&discovery, 1024, &[host()], 0, more);
-    (streamer, discovery, relay)
+    (endpoint, discovery, relay)
 }
 
 fn stand(relay: &Relay) -> Client {
@@ -42,7 +42,7 @@
 
 #[test]
 fn each_call_has_one_answer() {
-    let (_streamer, _discovery, relay) = one("");
+    let (_endpoint, _discovery, relay) = one("");
     for (call, answer) in [
         (&b"status\n"[..], "done active, 0 standing"),
         (b"status\r\n", "done active, 0 standing"),
@@ -78,7 +78,7 @@
 fn calls_that_arrive_together_are_all_answered_by_a_few_descriptors() {
     /// Callers that may be there at a time, the next one, and what is held back for them.
     const DESCRIPTORS: u64 = 8 + 1 + 1;
-    let (_streamer, discovery, relay) = one("");
+    let (_endpoint, discovery, relay) = one("");
     drop(relay);
     let relay = Relay::start_limited(&discovery, "set -- \"$@\" --verbose", 1024, &[host()], 0, "");
     until("the first client has gone", || relay.log().contains("list: "));
@@ -106,7 +106,7 @@
 /// Whoever calls is answered however many are there already who say nothing, or half of something.
 #[test]
 fn silent_callers_keep_nobody_out() {
-    let (_streamer, _discovery, relay) = one("");
+    let (_endpoint, _discovery, relay) = one("");
     let mut silent: Vec<TcpStream> = (0..40).map(|_| connect(&relay.ops)).collect();
     // One who is still at it is not cut off for those who say nothing.
     let mut slow = Client(std::io::BufReader::new(connect(&relay.ops)));
@@ -125,8 +125,8 @@
 /// A process that has fewer descriptors than it was told of has none left: clients wait, operators do not.
 #[test]
 fn operators_are_answered_without_a_descriptor_left() {
-    let (streamer, discovery) = (Streamer::lines("UP 1\r\n"), Discovery::start());
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_limited(&discovery, "ulimit -n 80", 1024, &[host()], 0, "");
     let clients: Vec<TcpStream> = (0..200).map(|_| connect(&relay.line)).collect();
     until("none is left", || relay.log().contains("accept:"));
@@ -142,8 +142,8 @@
 /// caller had given back was a client's by then, and so was each that clients made room for, for seconds.
 #[test]
 fn a_descriptor_that_a_caller_gives_back_is_the_next_callers() {
-    let (streamer, discovery) = (Streamer::lines("UP 1\r\n"), Discovery::start());
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_limited(&discovery, "ulimit -n 80", 1024, &[host()], 0, "");
     let mut clients: Vec<TcpStream> = (0..900).map(|_| connect(&relay.line)).collect();
     until("none is left", || relay.log().contains("accept:"));
@@ -165,10 +165,10 @@
     assert!(late.is_empty(), "answered after {late:?}");
 }
 
-/// Where packets pass through, the front leads standing flows elsewhere: to move them would break what holds.
+/// Where packets pass through, the front leads standing connections elsewhere: to move them would break what holds.
 #[test]
 fn on_standby_new_ones_are_told_off_and_those_who_pass_through_stay() {
-    let (_streamer, discovery, relay) = one("");
+    let (_endpoint, discovery, relay) = one("");
     let mut front = relay.client();
     assert_eq!(front.send("PING\r\n").line(), "PONG");
     let mut held = stand(&relay);
@@ -193,7 +193,7 @@
 /// after the call, with room for a slow machine.
 #[test]
 fn on_standby_those_who_would_be_lost_are_moved_in_time() {
-    let (_streamer, _discovery, relay) = one(PROXY);
+    let (_endpoint, _discovery, relay) = one(PROXY);
     let mut clients: Vec<Client> = (0..30).map(|_| stand(&relay)).collect();
     relay.call(b"standby\n");
     let start = Instant::now();
@@ -215,7 +215,7 @@
 
 #[test]
 fn the_way_back_in_the_middle_ends_the_moves() {
-    let (_streamer, _discovery, relay) = one(PROXY);
+    let (_endpoint, _discovery, relay) = one(PROXY);
     let mut clients: Vec<Client> = (0..60).map(|_| stand(&relay)).collect();
     relay.call(b"standby\n");
     assert_eq!(clients[0].line(), "MOVE", "the longest here is told first");
--- a/tests/rtmp.rs
+++ b/tests/rtmp.rs
@@ -149,35 +149,35 @@
 
 const SIGNATURE: [u8; 12] = *b"\r\n\r\n\0\r\nQUIT\n";
 
-/// The header of a trusted front: an entry for a flow that arrives mid-stream, or none.
+/// The header of a trusted front: an entry for a connection that arrives mid-stream, or none.
 fn header(mid_stream: &str) -> Vec<u8> {
     let entry = [&[0xe0, 0, mid_stream.len() as u8], mid_stream.as_bytes()].concat();
     let entry = if mid_stream.is_empty() { Vec::new() } else { entry };
     [&SIGNATURE[..], &[0x20, 0, 0, entry.len() as u8], &entry].concat()
 }
 
-/// A streamer that answers `connect` like this; where it takes it, it sends numbered messages at a pace and
-/// goes on with the number where a flow that it holds arrives mid-stream.
-fn streamer(name: &'static str, answer: &'static str, pace: Duration) -> Streamer {
+/// An endpoint that answers `connect` like this; where it takes it, it sends numbered messages at a pace and
+/// goes on with the number where a connection that it holds arrives mid-stream.
+fn endpoint(name: &'static str, answer: &'static str, pace: Duration) -> Endpoint {
     let sent = std::sync::Mutex::new(std::collections::HashMap::<String, u32>::new());
-    Streamer::start(move |mut stream, log| {
+    Endpoint::start(move |mut stream, log| {
         let mut first = [0];
         stream.peek(&mut first).unwrap();
-        let (mut peer, flow, mut number) = if first[0] == SIGNATURE[0] {
+        let (mut peer, connection, mut number) = if first[0] == SIGNATURE[0] {
             let mut head = [0; 19];
             stream.read_exact(&mut head).unwrap();
             let mut value = vec![0; usize::from(head[18])];
             stream.read_exact(&mut value).unwrap();
-            let flow = String::from_utf8(value).unwrap().split(' ').next().unwrap().to_owned();
-            note(log, format!("MID {flow}"));
-            let Some(number) = sent.lock().unwrap().get(&flow).copied() else {
+            let connection = String::from_utf8(value).unwrap().split(' ').next().unwrap().to_owned();
+            note(log, format!("MID {connection}"));
+            let Some(number) = sent.lock().unwrap().get(&connection).copied() else {
                 return socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             };
             // Chunks go on as they were: the same sizes, on streams that are already known to both sides.
             let (mut reader, mut writer) = (ChunkDeserializer::new(), ChunkSerializer::new());
             reader.set_max_chunk_size(4096).unwrap();
             writer.set_max_chunk_size(4096, RtmpTimestamp::new(0)).unwrap();
-            (Peer { stream, reader, writer, early: Vec::new(), start: Instant::now() }, flow, number)
+            (Peer { stream, reader, writer, early: Vec::new(), start: Instant::now() }, connection, number)
         } else {
             let Some(mut peer) = Peer::new(stream, PeerType::Server, Duration::ZERO) else { return };
             let Ok(RtmpMessage::Amf0Command { command_object, .. }) = peer.receive() else { return };
@@ -205,9 +205,9 @@
             number += 1;
             // Over one chunk, so that there are places where nothing may be put in.
             if !peer.video(number, 10_000) {
-                return note(log, format!("end {flow}"));
+                return note(log, format!("end {connection}"));
             }
-            sent.lock().unwrap().insert(flow.clone(), number);
+            sent.lock().unwrap().insert(connection.clone(), number);
             thread::sleep(pace);
         }
     })
@@ -222,9 +222,9 @@
     TESTS.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-fn fleet(streamers: &[Streamer]) -> (Discovery, Relay) {
+fn fleet(endpoints: &[Endpoint]) -> (Discovery, Relay) {
     let discovery = Discovery::start();
-    for (i, s) in streamers.iter().enumerate() {
+    for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
     let relay = Relay::start(&discovery);
@@ -234,40 +234,40 @@
 #[test]
 fn a_flow_is_placed_at_connect_and_passes_unchanged() {
     let _alone = alone();
-    let streamers = [streamer("one", TAKES, PACE)];
-    let (_discovery, relay) = fleet(&streamers);
+    let endpoints = [endpoint("one", TAKES, PACE)];
+    let (_discovery, relay) = fleet(&endpoints);
     let (mut client, answer) = Peer::open(&relay, "vod/teleserye/bisaya", &[]);
     let numbers: Vec<_> = (0..5).map(|_| client.number()).collect();
-    insta::assert_debug_snapshot!((answer, numbers, streamers[0].seen()));
+    insta::assert_debug_snapshot!((answer, numbers, endpoints[0].seen()));
 }
 
 #[test]
 fn refusals_errors_and_breaks_lead_to_another_streamer_or_a_fixed_response() {
     let _alone = alone();
     for bad in ["_error NetConnection.Connect.Failed", "_error NetConnection.Connect.Rejected", "break"] {
-        let streamers = [streamer("bad", bad, PACE), streamer("good", TAKES, PACE)];
-        let (_discovery, relay) = fleet(&streamers);
-        // A flow may be refused all the same where the module's jittered pauses use up its attempts.
+        let endpoints = [endpoint("bad", bad, PACE), endpoint("good", TAKES, PACE)];
+        let (_discovery, relay) = fleet(&endpoints);
+        // A connection may be refused all the same where the load balancer's jittered pauses use up its attempts.
         let answers: Vec<_> = (0..6).map(|g| Peer::open(&relay, &format!("vod/{g}"), &[]).1).collect();
         assert!(
             answers.iter().all(|a| a.contains("\"good\"") || a.contains("Rejected")),
             "{bad}: {answers:?}"
         );
         assert!(answers.iter().filter(|a| a.contains("\"good\"")).count() >= 3, "{bad}: {answers:?}");
-        assert!(!streamers[0].seen().is_empty(), "{bad}: no group was placed there first");
+        assert!(!endpoints[0].seen().is_empty(), "{bad}: no group was placed there first");
     }
-    let (_discovery, relay) = fleet(&[streamer("bad", "_error NetConnection.Connect.Rejected", PACE)]);
+    let (_discovery, relay) = fleet(&[endpoint("bad", "_error NetConnection.Connect.Rejected", PACE)]);
     let (mut client, answer) = Peer::open(&relay, "vod/1", &[]);
     insta::assert_debug_snapshot!((answer, client.told()));
 }
 
-/// A streamer that has refused a flow takes it some milliseconds later, or in the same breath: nobody gets that answer,
-/// whatever other flows are placed meanwhile.
+/// An endpoint that has refused a connection takes it some milliseconds later, or in the same breath: nobody gets that answer,
+/// whatever other connections are placed meanwhile.
 #[test]
 fn a_second_answer_reaches_nobody() {
     let _alone = alone();
     for gap in [Duration::ZERO, Duration::from_millis(15)] {
-        let bad = Streamer::start(move |stream, log| {
+        let bad = Endpoint::start(move |stream, log| {
             let Some(mut peer) = Peer::new(stream, PeerType::Server, Duration::ZERO) else { return };
             if peer.receive().is_err() {
                 return;
@@ -279,8 +279,8 @@
             peer.command("_result", 1.0, Amf0Value::Null, more("NetConnection.Connect.Success"));
             let _ = peer.receive();
         });
-        let streamers = [bad, streamer("good", TAKES, PACE)];
-        let (_discovery, relay) = fleet(&streamers);
+        let endpoints = [bad, endpoint("good", TAKES, PACE)];
+        let (_discovery, relay) = fleet(&endpoints);
         let mut served = 0;
         for group in 0..4 {
             let open = || Peer::open(&relay, &format!("vod/{group}"), &[]).1;
@@ -289,13 +289,13 @@
                 all.into_iter().map(|one| one.join().unwrap()).collect::<Vec<_>>()
             });
             for answer in answers {
-                // A refusal is the relay's own: neither answer of that streamer is passed on.
+                // A refusal is the relay's own: neither answer of that endpoint is passed on.
                 assert!(!answer.contains("\"bad\""), "{gap:?}: {answer}");
                 assert!(answer.starts_with("_error") || answer.contains("\"good\""), "{gap:?}: {answer}");
                 served += usize::from(answer.starts_with("_result"));
             }
         }
-        assert!(served > 4 && !streamers[0].seen().is_empty(), "{gap:?}: {served} served");
+        assert!(served > 4 && !endpoints[0].seen().is_empty(), "{gap:?}: {served} served");
     }
 }
 
@@ -304,8 +304,8 @@
 #[test]
 fn slow_and_stalled_handshakes() {
     let _alone = alone();
-    let streamers = [streamer("one", TAKES, PACE)];
-    let (_discovery, relay) = fleet(&streamers);
+    let endpoints = [endpoint("one", TAKES, PACE)];
+    let (_discovery, relay) = fleet(&endpoints);
     let slow = Peer::new(connect(&relay.rtmp), PeerType::Client, Duration::from_millis(450));
     assert!(slow.unwrap().connect("vod/1").starts_with("_result"));
     let start = Instant::now();
@@ -315,8 +315,8 @@
     assert!(silent.told().starts_with("_error 1 "), "a client that never sends connect");
     let _ = stalled.read_to_end(&mut Vec::new());
     assert!(start.elapsed() < Duration::from_secs(3), "answered after {:?}", start.elapsed());
-    // A streamer that stalls is given up in time for the client, too.
-    let (_discovery, relay) = fleet(&[streamer("stalls", "stall", PACE)]);
+    // An endpoint that stalls is given up in time for the client, too.
+    let (_discovery, relay) = fleet(&[endpoint("stalls", "stall", PACE)]);
     let start = Instant::now();
     let (_, answer) = Peer::open(&relay, "vod/1", &[]);
     assert!(answer.starts_with("_error") && start.elapsed() < Duration::from_secs(3), "{answer}");
@@ -325,7 +325,7 @@
 #[test]
 fn a_flow_ends_with_its_streamer() {
     let _alone = alone();
-    let once = Streamer::start(|stream, _| {
+    let once = Endpoint::start(|stream, _| {
         let mut peer = Peer::new(stream, PeerType::Server, Duration::ZERO).unwrap();
         let _ = peer.receive();
         peer.command("_result", 1.0, Amf0Value::Null, Vec::new());
@@ -335,13 +335,13 @@
     assert!(answer.starts_with("_result") && client.told().starts_with('('));
 }
 
-/// A streamer asks its client to reconnect and is reset: the word arrives, and the client's side ends in order. It was
+/// An endpoint asks its client to reconnect and is reset: the word arrives, and the client's side ends in order. It was
 /// reset as well, and the word went with it where the client sent something just then.
 #[test]
 fn a_request_to_reconnect_before_a_reset_reaches_the_client() {
     let _alone = alone();
     for resets_alone in [true, false] {
-        let sender = Streamer::start(|stream, log| {
+        let sender = Endpoint::start(|stream, log| {
             let mut peer = Peer::new(stream, PeerType::Server, Duration::ZERO).unwrap();
             let _ = peer.receive();
             peer.command("_result", 1.0, Amf0Value::Null, Vec::new());
@@ -397,7 +397,7 @@
     const BEHIND: usize = 1000;
     let _alone = alone();
     // It takes what comes and never answers.
-    let silent = Streamer::start(|mut stream, log| {
+    let silent = Endpoint::start(|mut stream, log| {
         let mut buffer = [0; 4096];
         let mut begun = false;
         while stream.read(&mut buffer).is_ok_and(|n| n > 0) {
@@ -441,20 +441,20 @@
     assert_eq!(seen(&log, "begun"), 3);
 }
 
-/// A front that sends a flow's packets to another relay marks them; the streamer that holds the flow goes on
-/// where it was, and an unknown flow is reset.
+/// A front that sends a connection's packets to another relay marks them; the endpoint that holds the connection goes on
+/// where it was, and an unknown connection is reset.
 #[test]
 fn a_mid_stream_arrival_goes_to_its_holder_or_is_reset() {
     let _alone = alone();
-    let streamers = [streamer("one", TAKES, PACE), streamer("two", TAKES, PACE)];
-    let (discovery, first) = fleet(&streamers);
+    let endpoints = [endpoint("one", TAKES, PACE), endpoint("two", TAKES, PACE)];
+    let (discovery, first) = fleet(&endpoints);
     let second = Relay::start(&discovery);
     let (mut client, answer) = Peer::open(&first, "vod/1?flow=f7", &header(""));
     assert!(answer.starts_with("_result"), "{answer}");
     let last = (0..3).map(|_| client.number().unwrap()).last();
-    let mid = |flow: &str| {
+    let mid = |connection: &str| {
         let mut stream = connect(&second.rtmp);
-        stream.write_all(&header(&format!("{flow} vod/1"))).unwrap();
+        stream.write_all(&header(&format!("{connection} vod/1"))).unwrap();
         let (mut reader, writer) = (ChunkDeserializer::new(), ChunkSerializer::new());
         reader.set_max_chunk_size(4096).unwrap();
         Peer { stream, reader, writer, early: Vec::new(), start: Instant::now() }
@@ -462,38 +462,38 @@
     let next = mid("f7").number();
     assert!(next.clone().is_ok_and(|n| Some(n) > last), "{last:?} went on with {next:?}");
     let lost = mid("f8").number();
-    let holders = streamers.iter().filter(|s| s.seen().contains(&"MID f7".into())).count();
-    let strays = streamers.iter().flat_map(|s| s.seen()).filter(|l| l == "MID f8").count();
+    let holders = endpoints.iter().filter(|s| s.seen().contains(&"MID f7".into())).count();
+    let strays = endpoints.iter().flat_map(|s| s.seen()).filter(|l| l == "MID f8").count();
     insta::assert_debug_snapshot!((lost, holders, strays));
 }
 
-/// Many clients at once find a streamer that has just started: the module's pace for cold ones holds here too.
+/// Many clients at once find an endpoint that has just started: the load balancer's pace for cold ones holds here too.
 #[test]
 fn a_cold_streamer_is_not_pushed_over() {
     let _alone = alone();
-    let streamers = [streamer("warm", TAKES, PACE), streamer("cold", TAKES, PACE)];
+    let endpoints = [endpoint("warm", TAKES, PACE), endpoint("cold", TAKES, PACE)];
     let discovery = Discovery::start();
-    discovery.set("s-0", &streamers[0].address, "Ready", 0);
+    discovery.set("s-0", &endpoints[0].address, "Ready", 0);
     let relay = Relay::start(&discovery);
     let place =
         |n: std::ops::Range<u32>| n.map(|g| Peer::open(&relay, &format!("vod/{g}"), &[])).collect::<Vec<_>>();
     let _before = place(0..12);
     let start = Instant::now();
-    discovery.set("s-1", &streamers[1].address, "Ready", unix_ms());
+    discovery.set("s-1", &endpoints[1].address, "Ready", unix_ms());
     let _after = place(100..150);
-    let cold = streamers[1].seen().len();
+    let cold = endpoints[1].seen().len();
     // A third of its share while it is at a third of its capacity, and no more than its pace for the time.
     let paced = 2.0 + start.elapsed().as_secs_f64() * 10.0;
     assert!(cold < 25 && (cold as f64) < paced, "{cold} of 50 in {:?}", start.elapsed());
 }
 
-/// The proof asked for: a streamer takes a drain notice under load. Nothing new goes to it later than 1 s after
+/// The proof asked for: an endpoint takes a drain notice under load. Nothing new goes to it later than 1 s after
 /// the notice, and every client that it holds is told to reconnect before it leaves.
 #[test]
 fn a_drain_notice_under_load() {
     let _alone = alone();
-    let streamers = [streamer("stays", TAKES, PACE), streamer("leaves", TAKES, PACE)];
-    let (discovery, relay) = fleet(&streamers);
+    let endpoints = [endpoint("stays", TAKES, PACE), endpoint("leaves", TAKES, PACE)];
+    let (discovery, relay) = fleet(&endpoints);
     let (relay, discovery) = (std::sync::Arc::new(relay), discovery);
     let clients: Vec<_> = (0..30)
         .map(|g| {
@@ -508,16 +508,16 @@
             })
         })
         .collect();
-    let opened = || streamers.iter().map(|s| s.seen().len()).sum::<usize>() >= 30;
+    let opened = || endpoints.iter().map(|s| s.seen().len()).sum::<usize>() >= 30;
     until("all are placed", opened);
-    let notice = discovery.set("s-1", &streamers[1].address, "Terminating", 0);
+    let notice = discovery.set("s-1", &endpoints[1].address, "Terminating", 0);
     let mut group = 1000;
     while notice.elapsed() < Duration::from_millis(1500) {
         group += 1;
         Peer::open(&relay, &format!("vod/{group}"), &[]);
     }
     let told: Vec<_> = clients.into_iter().filter_map(|c| c.join().unwrap()).collect();
-    assert!(!told.is_empty() && !streamers[1].seen().is_empty());
+    assert!(!told.is_empty() && !endpoints[1].seen().is_empty());
     for (at, first, then) in &told {
         println!("told to reconnect {:?} after the notice: {first}", at.duration_since(notice));
         assert!(
@@ -526,7 +526,7 @@
         );
         assert!(at.duration_since(notice) < Duration::from_secs(5), "a drain may take 5 s");
     }
-    let log = streamers[1].log.lock().unwrap();
+    let log = endpoints[1].log.lock().unwrap();
     let sends = log
         .iter()
         .filter(|(_, what)| what.starts_with("OPEN"))
@@ -538,12 +538,12 @@
     assert!(late <= Duration::from_secs(1), "a send {late:?} after the notice");
 }
 
-/// No front can lead an RTMP flow elsewhere by itself: on standby all of them are moved, whatever the settings say of
+/// No front can lead an RTMP connection elsewhere by itself: on standby all of them are moved, whatever the settings say of
 /// lines.
 #[test]
 fn on_standby_a_flow_is_told_to_reconnect() {
     let _alone = alone();
-    let (_discovery, relay) = fleet(&[streamer("one", TAKES, PACE)]);
+    let (_discovery, relay) = fleet(&[endpoint("one", TAKES, PACE)]);
     let (mut client, _) = Peer::open(&relay, "vod/1", &[]);
     client.number().unwrap();
     assert_eq!(relay.call(b"standby\n"), "done standby, 1 standing");
@@ -552,9 +552,9 @@
     until("it is gone", || relay.call(b"status\n") == "done standby, 0 standing");
 }
 
-/// A streamer that takes a flow, has chunks of this size and then goes on as told.
-fn chunks(size: u32, goes_on: impl Fn(&TcpStream) + Send + Sync + 'static) -> Streamer {
-    Streamer::start(move |stream, log| {
+/// An endpoint that takes a connection, has chunks of this size and then goes on as told.
+fn chunks(size: u32, goes_on: impl Fn(&TcpStream) + Send + Sync + 'static) -> Endpoint {
+    Endpoint::start(move |stream, log| {
         let Some(mut peer) = Peer::new(stream, PeerType::Server, Duration::ZERO) else { return };
         let _ = peer.receive();
         let code = information(&[("code", "NetConnection.Connect.Success")]);
@@ -576,7 +576,7 @@
 }
 
 /// Where the relay was in the middle of a chunk as its time for a move was up, no word could be put in and the client
-/// was cut off without one: of a streamer that hangs there, and of one whose chunks never end as reading does.
+/// was cut off without one: of an endpoint that hangs there, and of one whose chunks never end as reading does.
 #[test]
 fn a_flow_is_told_to_reconnect_wherever_its_streamer_is_in_a_chunk() {
     let _alone = alone();
@@ -606,12 +606,12 @@
     }
 }
 
-/// A flow whose chunks are not carried to the new process is told to reconnect, and the old one ends.
+/// A connection whose chunks are not carried to the new process is told to reconnect, and the old one ends.
 #[test]
 fn a_hand_over_tells_a_flow_to_reconnect() {
     let _alone = alone();
-    let (streamers, discovery) = ([streamer("one", TAKES, PACE)], Discovery::start());
-    discovery.set("s-0", &streamers[0].address, "Ready", 0);
+    let (endpoints, discovery) = ([endpoint("one", TAKES, PACE)], Discovery::start());
+    discovery.set("s-0", &endpoints[0].address, "Ready", 0);
     let folder = tempfile::tempdir().unwrap();
     let more = format!("[relay]\nhandover = {:?}\n", folder.path());
     let old = Relay::start_more(&discovery, 1024, &[host()], 0, &more);
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Members' shares with real processes: a tier of four, streamers that are full, one member that floods them, and a
+//! Members' shares with real processes: a tier of four, endpoints that are full, one member that floods them, and a
 //! relay that is killed between.
 
 mod common;
@@ -12,7 +12,7 @@
 use common::*;
 
 const RELAYS: usize = 4;
-/// Places of each of two streamers: a tenth more than the members' shares.
+/// Places of each of two endpoints: a tenth more than the members' shares.
 const PLACES: u32 = 33;
 const SHARES: [usize; 2] = [40, 20];
 /// What the small member wants, and how many of the big one's clients come besides in each round.
@@ -20,10 +20,10 @@
 const FLOOD: usize = 32;
 const ROUNDS: usize = 16;
 
-/// A streamer that holds so many, and turns away who comes then.
-fn full_at(places: u32) -> Streamer {
+/// An endpoint that holds so many, and turns away who comes then.
+fn full_at(places: u32) -> Endpoint {
     let held = Arc::new(AtomicU32::new(0));
-    Streamer::start(move |stream, _| {
+    Endpoint::start(move |stream, _| {
         let mut line = String::new();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         if reader.read_line(&mut line).is_err() {
@@ -40,7 +40,7 @@
 }
 
 /// An operator's file: settings with shares, which are kept to or not.
-fn file(me: usize, enforce: bool) -> String {
+fn file(local_index: usize, enforce: bool) -> String {
     let [big, small] = SHARES;
     format!(
         r#"
@@ -49,7 +49,7 @@
 [settings]
 discovery = "on_request"
 nInstances = {RELAYS}
-me = {me}
+me = {local_index}
 resolutionMs = 2.0
 overShareWorth = 0.05
 realms = [{{ name = "big", fraction = 0.67 }}, {{ name = "small", fraction = 0.33 }}]
@@ -83,14 +83,16 @@
 /// Rounds in which some of each member's clients leave and others come; what was served of those who came in the
 /// second half of them, by member, and what stands at the end.
 fn rounds(enforce: bool) -> ([f64; 2], [usize; 2]) {
-    let streamers = [full_at(PLACES), full_at(PLACES)];
+    let endpoints = [full_at(PLACES), full_at(PLACES)];
     let discovery = Discovery::start();
-    for (i, s) in streamers.iter().enumerate() {
+    for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
     let tier: Vec<String> = (0..RELAYS).map(|_| host()).collect();
-    let start = |me: usize| Relay::start_more(&discovery, 1024, &tier, me, &file(me, enforce));
-    let mut relays: Vec<Option<Relay>> = (0..RELAYS).map(|me| Some(start(me))).collect();
+    let start = |local_index: usize| {
+        Relay::start_more(&discovery, 1024, &tier, local_index, &file(local_index, enforce))
+    };
+    let mut relays: Vec<Option<Relay>> = (0..RELAYS).map(|local_index| Some(start(local_index))).collect();
     let mut held: [Vec<(usize, Client)>; 2] = Default::default();
     let (mut came, mut served) = ([0; 2], [0; 2]);
     for round in 0..ROUNDS {
@@ -139,11 +141,14 @@
 /// While there is room nobody is refused, however far over its share.
 #[test]
 fn where_there_is_room_nobody_is_refused() {
-    let (streamer, discovery) = (full_at(1000), Discovery::start());
-    discovery.set("s-0", &streamer.address, "Ready", 0);
+    let (endpoint, discovery) = (full_at(1000), Discovery::start());
+    discovery.set("s-0", &endpoint.address, "Ready", 0);
     let tier: Vec<String> = (0..RELAYS).map(|_| host()).collect();
-    let relays: Vec<_> =
-        (0..RELAYS).map(|me| Some(Relay::start_more(&discovery, 1024, &tier, me, &file(me, true)))).collect();
+    let relays: Vec<_> = (0..RELAYS)
+        .map(|local_index| {
+            Some(Relay::start_more(&discovery, 1024, &tier, local_index, &file(local_index, true)))
+        })
+        .collect();
     let mut clients: Vec<_> = (0..SHARES[1] * 4).map(|_| ask(&relays, 1)).collect();
     assert!(clients.iter_mut().all(|(_, client)| client.line() == "UP 1"));
 }
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -59,9 +59,9 @@
 
 #[test]
 fn the_agent_shows_what_the_mib_names_and_nothing_else() {
-    let streamer = Streamer::lines("UP 1\r\n");
+    let endpoint = Endpoint::lines("UP 1\r\n");
     let discovery = Discovery::start();
-    discovery.set("s-1", &streamer.address, "Ready", 0);
+    discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start(&discovery);
     assert_eq!(relay.client().open("").line(), "UP 1");
     let mut standing = relay.client();
@@ -70,8 +70,8 @@
     socket.connect(&relay.snmp).unwrap();
     socket.set_read_timeout(Some(LONG)).unwrap();
     let manager = Manager(socket);
-    let flows = |column: u32| pdu(&[1, 3, 6, 1, 4, 1, 32473, 1, 1, column, 0]);
-    let ended = || manager.ask("hall", Pdus::GetRequest(GetRequest(flows(6)))).unwrap();
+    let connections = |column: u32| pdu(&[1, 3, 6, 1, 4, 1, 32473, 1, 1, column, 0]);
+    let ended = || manager.ask("hall", Pdus::GetRequest(GetRequest(connections(6)))).unwrap();
     until("the first flow has ended", || format!("{:?}", ended().variable_bindings[0].value).contains("(1)"));
 
     let (mibs, mut seen, mut walk) = (readable(), BTreeSet::new(), Vec::new());
@@ -98,12 +98,12 @@
     };
     let answer = manager.ask("hall", Pdus::GetBulkRequest(GetBulkRequest(bulk))).unwrap();
     assert_eq!((answer.request_id, answer.variable_bindings.len()), (8, 5));
-    let set = Pdus::SetRequest(rasn_snmp::v2::SetRequest(flows(1)));
+    let set = Pdus::SetRequest(rasn_snmp::v2::SetRequest(connections(1)));
     assert_eq!(manager.ask("hall", set).unwrap().error_status, Pdu::ERROR_STATUS_NOT_WRITABLE);
     // Another community and what is no SNMP get no answer, and the agent goes on.
     manager.0.send(b"\x30\x82").unwrap();
     manager.0.set_read_timeout(Some(std::time::Duration::from_millis(300))).unwrap();
-    assert!(manager.ask("other", Pdus::GetRequest(GetRequest(flows(1)))).is_none());
+    assert!(manager.ask("other", Pdus::GetRequest(GetRequest(connections(1)))).is_none());
     manager.0.set_read_timeout(Some(LONG)).unwrap();
-    assert!(manager.ask("hall", Pdus::GetRequest(GetRequest(flows(1)))).is_some());
+    assert!(manager.ask("hall", Pdus::GetRequest(GetRequest(connections(1)))).is_some());
 }
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -11,12 +11,12 @@
 
 const UPS: [&str; 4] = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"];
 
-fn fleet(discovery: &Discovery) -> Vec<Streamer> {
-    let streamers: Vec<_> = UPS.into_iter().map(Streamer::lines).collect();
-    for (i, s) in streamers.iter().enumerate() {
+fn fleet(discovery: &Discovery) -> Vec<Endpoint> {
+    let endpoints: Vec<_> = UPS.into_iter().map(Endpoint::lines).collect();
+    for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
-    streamers
+    endpoints
 }
 
 fn start(discovery: &Discovery, host: &str, folder: &Path) -> Relay {
@@ -24,7 +24,7 @@
     Relay::start_more(discovery, 1024, &[host.to_owned()], 0, &more)
 }
 
-/// Opens the flow of a client; what it is answered, and the connection.
+/// Opens the connection of a client; what it is answered, and the connection.
 fn ask(relay: &Relay, key: usize, more: &str) -> (String, Client) {
     let mut client = relay.client();
     client.send(&format!("OPEN {key}{} {key} c=subtitle-stream,t=acme,d=2000,g=1{more}\r\n", more.len()));
@@ -45,11 +45,11 @@
     command.env_remove("PROXY_CONFIG").args(arguments).output().unwrap()
 }
 
-/// A relay without others is killed and starts again: connections that arrive mid-flow find their streamer.
+/// A relay without others is killed and starts again: connections that arrive mid-connection find their endpoint.
 #[test]
 fn a_relay_that_is_killed_knows_its_clients_from_the_folder() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let (_streamers, host) = (fleet(&discovery), host());
+    let (_endpoints, host) = (fleet(&discovery), host());
     let relay = start(&discovery, &host, folder.path());
     let at = place(&relay);
     drop(relay);
@@ -59,17 +59,17 @@
     assert!(relay.log().contains("state.folder: 41 entries taken"), "{}", relay.log());
 }
 
-/// While the relay is down one streamer leaves and one starts again: what the folder says of them draws nothing.
+/// While the relay is down one endpoint leaves and one starts again: what the folder says of them draws nothing.
 #[test]
 fn entries_of_streamers_that_left_meanwhile_draw_no_flow() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let (streamers, host) = (fleet(&discovery), host());
+    let (endpoints, host) = (fleet(&discovery), host());
     let relay = start(&discovery, &host, folder.path());
     let at = place(&relay);
     drop(relay);
-    discovery.set("s-0", &streamers[0].address, "Terminating", 0);
-    discovery.set("s-1", &streamers[1].address, "Ready", unix_ms() - 60_000);
-    let before = streamers[0].seen().len();
+    discovery.set("s-0", &endpoints[0].address, "Terminating", 0);
+    discovery.set("s-1", &endpoints[1].address, "Ready", unix_ms() - 60_000);
+    let before = endpoints[0].seen().len();
     let relay = start(&discovery, &host, folder.path());
     let held: Vec<_> = (0..40).map(|key| ask(&relay, key, ",mid=1")).collect();
     for ((again, _), at) in held.iter().zip(&at) {
@@ -77,14 +77,14 @@
         // The others keep theirs; s-1 is another process by now and is no better than any.
         assert!(again == at || at == "UP 0" || at == "UP 1", "{again} after {at}");
     }
-    let opens = streamers[0].seen()[before..].iter().filter(|l| l.starts_with("OPEN")).count();
+    let opens = endpoints[0].seen()[before..].iter().filter(|l| l.starts_with("OPEN")).count();
     assert_eq!(opens, 0, "the streamer that leaves got new flows");
 }
 
 #[test]
 fn a_folder_in_use_or_none_is_refused_and_a_damaged_file_is_set_aside() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let _streamers = fleet(&discovery);
+    let _endpoints = fleet(&discovery);
     let host_of_first = host();
     let relay = start(&discovery, &host_of_first, folder.path());
     let refused = |state: &Path, reason: &str| {
@@ -115,7 +115,7 @@
 #[test]
 fn a_file_at_its_size_limit_ends_no_relay() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let _streamers = fleet(&discovery);
+    let _endpoints = fleet(&discovery);
     let more =
         format!("[state]\nfolder = {:?}\nflush_ms = 100\n", folder.path().join("kept").display().to_string());
     let relay = Relay::start_limited(&discovery, "ulimit -f 8", 1024, &[host()], 0, &more);
@@ -131,7 +131,7 @@
 #[test]
 fn the_tool_shows_checks_and_carries_a_folder_over() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let _streamers = fleet(&discovery);
+    let _endpoints = fleet(&discovery);
     let relay = start(&discovery, &host(), folder.path());
     place(&relay);
     let path = folder.path().to_str().unwrap();
