--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -25,8 +25,7 @@
 use endpoint_registry::{EndpointName, EndpointRegistry, EndpointTag, State, StickyEndpoint};
 use table::{Evicted, Table};
 
-/// Milliseconds, as a point on the caller's clock or as a span.
-pub type Millis = f64;
+pub use sandgw_units::Millis;
 
 /// A tick of the tables' clock. They count from the greatest age before they were made, so that what is loaded
 /// has a time of its own.
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -18,5 +18,4 @@
 pub mod poll_scheduler;
 pub mod rebalance;
 
-/// Milliseconds, as a point on the caller's clock or as a span.
-pub type Millis = f64;
+pub use sandgw_units::Millis;
--- a/crates/maintenance/src/call.rs
+++ b/crates/maintenance/src/call.rs
@@ -1,6 +1,6 @@
 //! Operators' calls about windows: one line in.
 
-use crate::{CapacityShare, Moment, Refused, WindowId};
+use crate::{CapacityShare, Refused, WholeMillis, WindowId};
 
 /// What is to be drained, by its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,9 +21,9 @@
         /// What is to be drained.
         what: Named,
         /// For how long.
-        length: Moment,
+        length: WholeMillis,
         /// In how long from now.
-        after: Moment,
+        after: WholeMillis,
         /// Who puts it over the floor.
         by: Option<String>,
     },
@@ -34,7 +34,7 @@
     /// A window is through.
     Done(WindowId),
     /// A window is to last longer by so much.
-    Extend(WindowId, Moment),
+    Extend(WindowId, WholeMillis),
 }
 
 /// Reads a call, where its first word is one of these; spans are in seconds.
@@ -93,7 +93,7 @@
     size.map(|n| CapacityShare::Part((n * 1000.0).ceil() as u32)).ok_or(Refused::SchemaVersion)
 }
 
-fn seconds(text: &str) -> Result<Moment, Refused> {
+fn seconds(text: &str) -> Result<WholeMillis, Refused> {
     let seconds = text.parse::<f64>().ok().filter(|n| (0.0..=604_800.0).contains(n));
-    seconds.map(|n| (n * 1000.0) as Moment).ok_or(Refused::SchemaVersion)
+    seconds.map(|n| (n * 1000.0) as WholeMillis).ok_or(Refused::SchemaVersion)
 }
--- a/crates/maintenance/src/codec.rs
+++ b/crates/maintenance/src/codec.rs
@@ -3,7 +3,7 @@
 //! The first word is no kind that a process before this one reads, so that it ignores the rest.
 
 use crate::replicated_ledger::{Accepted, Answer, Message, Term};
-use crate::{CapacityShare, Entry, MOST, Moment, Refused, Scope, Tag, Window, WindowId};
+use crate::{CapacityShare, Entry, MOST, Refused, Scope, Tag, WholeMillis, Window, WindowId};
 
 /// Most bytes of a datagram.
 pub const MOST_BYTES: usize = 256;
@@ -186,7 +186,7 @@
     let (id, what): (WindowId, _) = (words.next()?.parse().ok()?, read_what(words.next()?)?);
     let (from, length) = (large(words.next()?)?, large(words.next()?)?);
     let end = words.next()?;
-    let end: Option<Moment> = if end == "-" { None } else { Some(large(end)?) };
+    let end: Option<WholeMillis> = if end == "-" { None } else { Some(large(end)?) };
     Some(Window { id, what, from, length, end, forced: read_mark(words.next()?)? })
 }
 
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -26,8 +26,7 @@
 pub use service::{Event, MaintenanceService, Row};
 pub use window::{CapacityShare, Entry, Scope, Tag, Window, WindowId, tag};
 
-/// A time on the relays' clocks, or a span: milliseconds, whole ones since the model's states are compared and hashed.
-pub type Moment = u64;
+pub use sandgw_units::WholeMillis;
 
 /// Most windows at once: so many fit into one datagram with all that goes with them.
 pub const MOST: usize = 5;
@@ -40,27 +39,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
     /// A window is granted for so long at a time, and renewed while it lasts.
-    pub lease: Moment,
+    pub lease: WholeMillis,
     /// Two relays' clocks differ by no more than this.
-    pub bound: Moment,
+    pub bound: WholeMillis,
     /// A voter takes no part for so long after it has started. Anything under a lease is unsafe.
-    pub abstain: Moment,
+    pub abstain: WholeMillis,
     /// An office not heard of for so long may be claimed by another voter.
-    pub patience: Moment,
+    pub patience: WholeMillis,
     /// What each further voter waits beyond that, so that they do not claim together.
-    pub step: Moment,
+    pub step: WholeMillis,
     /// The ledger is written again after this long, so that what it grants does not lapse.
-    pub renew: Moment,
+    pub renew: WholeMillis,
     /// Votes are waited for so long once there is a majority.
-    pub gather: Moment,
+    pub gather: WholeMillis,
     /// What is not answered is sent again after this long.
-    pub again: Moment,
+    pub again: WholeMillis,
     /// What is still not answered after this long is given up.
-    pub give_up: Moment,
+    pub give_up: WholeMillis,
     /// An office grants nothing new for so long: who waits is to be heard first.
-    pub settle: Moment,
+    pub settle: WholeMillis,
     /// The list of endpoints is too old to grant by after this long.
-    pub list: Moment,
+    pub list: WholeMillis,
 }
 
 impl Timing {
@@ -70,8 +69,8 @@
     /// let timing = sandgw_maintenance::Timing::of(30_000, 1_000);
     /// assert_eq!((timing.abstain, timing.again), (30_000, 2_000));
     /// ```
-    pub fn of(lease: Moment, bound: Moment) -> Timing {
-        let part = |n: Moment| (lease / n).max(1);
+    pub fn of(lease: WholeMillis, bound: WholeMillis) -> Timing {
+        let part = |n: WholeMillis| (lease / n).max(1);
         Timing {
             lease,
             bound,
--- a/crates/maintenance/src/liveness.rs
+++ b/crates/maintenance/src/liveness.rs
@@ -5,10 +5,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::Moment;
+use crate::WholeMillis;
 
 /// What a relay said counts for so long, as in the census.
-pub const COUNTS: Moment = 15_000;
+pub const COUNTS: WholeMillis = 15_000;
 
 /// The relays that were heard of lately.
 ///
@@ -22,12 +22,12 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Liveness {
-    heard: BTreeMap<u32, (Moment, Option<u64>)>,
+    heard: BTreeMap<u32, (WholeMillis, Option<u64>)>,
 }
 
 impl Liveness {
     /// A relay was heard of, in a life where it said which. Whether that is another life than before.
-    pub fn heard(&mut self, relay: u32, life: Option<u64>, now: Moment) -> bool {
+    pub fn heard(&mut self, relay: u32, life: Option<u64>, now: WholeMillis) -> bool {
         let (at, known) = self.heard.entry(relay).or_default();
         *at = now.max(*at);
         // What is late is of an earlier life, and changes nothing.
@@ -37,7 +37,7 @@
     }
 
     /// Whether a relay was heard of lately.
-    pub fn is_alive(&self, relay: u32, now: Moment) -> bool {
+    pub fn is_alive(&self, relay: u32, now: WholeMillis) -> bool {
         self.heard.get(&relay).is_some_and(|(at, _)| now <= at + COUNTS)
     }
 
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{CapacityShare, Entry, Moment, Refused, Scope, Tag, Timing, tag};
+use crate::{CapacityShare, Entry, Refused, Scope, Tag, Timing, WholeMillis, tag};
 
 /// An endpoint as the list has it.
 #[derive(Clone, Debug, PartialEq)]
@@ -19,7 +19,7 @@
     /// Whether it takes work; it drains where it does not.
     pub ready: bool,
     /// When it started; 0 when long ago.
-    pub started: Moment,
+    pub started: WholeMillis,
 }
 
 /// What must be left, and how much may be drained at once.
@@ -34,9 +34,9 @@
     /// Most windows at once.
     pub most: usize,
     /// The longest window.
-    pub longest: Moment,
+    pub longest: WholeMillis,
     /// Share of its size that an endpoint is worth when it has just started, in thousandths, and when it is worth all.
-    pub cold: (u64, Moment),
+    pub cold: (u64, WholeMillis),
 }
 
 /// What is left of capacity, in thousandths.
@@ -53,7 +53,7 @@
     zone: Tag,
     size: u64,
     ready: bool,
-    started: Moment,
+    started: WholeMillis,
 }
 
 /// The list, and what must be left of it.
@@ -65,7 +65,7 @@
     relays: u32,
     endpoints: BTreeMap<Tag, Known>,
     names: BTreeMap<Tag, String>,
-    told: Option<Moment>,
+    told: Option<WholeMillis>,
 }
 
 impl CapacityPlan {
@@ -77,7 +77,7 @@
     }
 
     /// Discovery has answered: the list is true as of now.
-    pub fn confirmed(&mut self, now: Moment) {
+    pub fn confirmed(&mut self, now: WholeMillis) {
         self.told = Some(now);
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Whether the list is new enough to grant by.
-    pub fn is_fresh(&self, now: Moment, timing: &Timing) -> bool {
+    pub fn is_fresh(&self, now: WholeMillis, timing: &Timing) -> bool {
         self.told.is_some_and(|told| now <= told + timing.list)
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// What would be left if all these were drained now, beside what is down or cold by the list.
-    pub fn left(&self, now: Moment, granted: &[Entry]) -> Left {
+    pub fn left(&self, now: WholeMillis, granted: &[Entry]) -> Left {
         let drained = Drained::of(granted);
         self.sum(|known| if known.ready { self.warm(now, known) } else { 0 }, &drained, true)
     }
@@ -156,7 +156,7 @@
         draining.filter(|(id, _)| !drained.covers(**id, zone)).map(|(_, k)| k.size).sum()
     }
 
-    fn warm(&self, now: Moment, known: &Known) -> u64 {
+    fn warm(&self, now: WholeMillis, known: &Known) -> u64 {
         let (from, within) = self.floors.cold;
         let age = now.saturating_sub(known.started).min(within);
         if known.started == 0 || age == within {
@@ -172,7 +172,7 @@
     }
 
     /// Whether all these may be granted together.
-    pub fn fits(&self, now: Moment, granted: &[Entry]) -> bool {
+    pub fn fits(&self, now: WholeMillis, granted: &[Entry]) -> bool {
         let drained: BTreeSet<u32> = granted.iter().filter_map(|e| relay(e.what)).collect();
         let relays = self.relays.saturating_sub(drained.len() as u32);
         let only_relays = granted.iter().all(|e| relay(e.what).is_some());
@@ -182,7 +182,7 @@
     }
 
     /// Why a window could never be granted.
-    pub fn never(&self, what: Scope, length: Moment, forced: bool) -> Option<Refused> {
+    pub fn never(&self, what: Scope, length: WholeMillis, forced: bool) -> Option<Refused> {
         let zone = |of: Tag| self.endpoints.values().any(|k| k.zone == of);
         Some(match what {
             _ if length > self.floors.longest || length == 0 => Refused::TooLong,
--- a/crates/maintenance/src/queue.rs
+++ b/crates/maintenance/src/queue.rs
@@ -4,7 +4,7 @@
 //! is let through before it only if its window ends by the time at which the first one's turn comes anyway.
 
 use crate::plan::CapacityPlan;
-use crate::{Entry, Moment, Timing, Window, WindowId};
+use crate::{Entry, Timing, WholeMillis, Window, WindowId};
 
 /// What may be granted now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -12,12 +12,12 @@
     /// Windows to be granted.
     pub granted: Vec<Entry>,
     /// The first that has to wait for others to end, and when they have.
-    pub first: Option<(WindowId, Moment)>,
+    pub first: Option<(WindowId, WholeMillis)>,
 }
 
 /// Goes through who waits, longest first.
 pub fn turn(
-    now: Moment,
+    now: WholeMillis,
     timing: &Timing,
     plan: &CapacityPlan,
     held: &[Entry],
@@ -44,13 +44,19 @@
 }
 
 /// A window as it would be granted now.
-pub fn granted(now: Moment, window: &Window) -> Entry {
+pub fn granted(now: WholeMillis, window: &Window) -> Entry {
     let end = window.end.unwrap_or(now + window.length);
     Entry { id: window.id, what: window.what, end, forced: window.forced }
 }
 
 /// When a window fits, if all that are granted end on time; nothing where it is not they that keep it back.
-fn opens(now: Moment, timing: &Timing, plan: &CapacityPlan, held: &[Entry], entry: Entry) -> Option<Moment> {
+fn opens(
+    now: WholeMillis,
+    timing: &Timing,
+    plan: &CapacityPlan,
+    held: &[Entry],
+    entry: Entry,
+) -> Option<WholeMillis> {
     let mut held = held.to_vec();
     held.sort_by_key(|e| std::cmp::Reverse(e.end));
     while let Some(ends) = held.pop() {
--- a/crates/maintenance/src/replicated_ledger.rs
+++ b/crates/maintenance/src/replicated_ledger.rs
@@ -16,7 +16,7 @@
 
 use crate::plan::CapacityPlan;
 use crate::queue::{Turn, turn};
-use crate::{Entry, MOST_OWN, MOST_WAITING, Moment, Refused, Timing, Window, WindowId};
+use crate::{Entry, MOST_OWN, MOST_WAITING, Refused, Timing, WholeMillis, Window, WindowId};
 
 /// A term of office: when it was claimed, by whom, and in which life. Later ones go before earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -46,9 +46,9 @@
     /// Granted until then, and to be renewed until its end.
     Granted {
         /// When it lapses if nothing more is heard.
-        until: Moment,
+        until: WholeMillis,
         /// When it ends in any case.
-        end: Moment,
+        end: WholeMillis,
     },
     /// It waits behind so many, and for others to end where another is the first to wait for that.
     Waits {
@@ -124,14 +124,14 @@
     /// It is granted.
     Granted {
         /// Until then if nothing more is heard.
-        until: Moment,
+        until: WholeMillis,
         /// When it ends.
-        end: Moment,
+        end: WholeMillis,
     },
     /// It was granted, and nothing was heard in time: its drain is to end. It is asked for again.
     Lapsed {
         /// When it would have ended.
-        end: Moment,
+        end: WholeMillis,
     },
     /// It was refused.
     Refused(Refused),
@@ -158,15 +158,15 @@
     /// Why it is not extended, where it was to be.
     pub not_extended: Option<Refused>,
     /// When to ask again, and when it came to where it stands.
-    next: Moment,
-    since: Moment,
+    next: WholeMillis,
+    since: WholeMillis,
 }
 
 /// What a step is given beside what came.
 #[derive(Clone, Copy)]
 pub struct Context<'a> {
     /// This relay's clock.
-    pub now: Moment,
+    pub now: WholeMillis,
     /// How long things last.
     pub timing: &'a Timing,
     /// What may be drained.
@@ -188,8 +188,8 @@
 struct Candidate {
     term: Term,
     votes: BTreeMap<u32, (u64, Accepted)>,
-    since: Moment,
-    sent: Moment,
+    since: WholeMillis,
+    sent: WholeMillis,
 }
 
 impl Default for Term {
@@ -200,8 +200,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Pending {
-    stamp: Moment,
-    sent: Moment,
+    stamp: WholeMillis,
+    sent: WholeMillis,
     by: BTreeSet<u32>,
 }
 
@@ -210,14 +210,14 @@
     term: Term,
     /// Who elected, in which life. Nobody else's acceptance counts.
     voters: BTreeMap<u32, u64>,
-    since: Moment,
+    since: WholeMillis,
     seq: u64,
     /// As written last, and as it is to be.
     written: Vec<Entry>,
     next: Vec<Entry>,
     pending: Option<Pending>,
     /// When the ledger was written that a majority has.
-    good: Option<Moment>,
+    good: Option<WholeMillis>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -230,7 +230,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Waiter {
     window: Window,
-    heard: Moment,
+    heard: WholeMillis,
 }
 
 /// One relay's part in the protocol.
@@ -241,22 +241,22 @@
     promised: Option<Term>,
     accepted: Accepted,
     /// When an office was last heard of, or a claim.
-    heard: Option<Moment>,
+    heard: Option<WholeMillis>,
     role: Role,
     waiting: BTreeMap<WindowId, Waiter>,
     own: BTreeMap<WindowId, Own>,
     /// Windows of which it has to be told that they are over, how often still, and when next.
-    closing: BTreeMap<WindowId, (u32, Moment)>,
+    closing: BTreeMap<WindowId, (u32, WholeMillis)>,
 }
 
 /// How often it is told that a window is over.
 const CLOSINGS: u32 = 4;
 /// How long a window that is over is still shown, in leases.
-const SHOWN: Moment = 20;
+const SHOWN: WholeMillis = 20;
 
 impl ReplicatedLedger {
     /// A relay that starts now: the time is its life.
-    pub fn new(local_index: u32, now: Moment) -> ReplicatedLedger {
+    pub fn new(local_index: u32, now: WholeMillis) -> ReplicatedLedger {
         ReplicatedLedger {
             local_index,
             life: now,
@@ -330,7 +330,7 @@
     }
 
     /// Whether a window that was asked for here may drain now.
-    pub fn may_drain(&self, id: WindowId, now: Moment) -> bool {
+    pub fn may_drain(&self, id: WindowId, now: WholeMillis) -> bool {
         let standing = self.own.get(&id).map(|own| own.standing);
         matches!(standing, Some(WindowStatus::Granted { until, .. }) if now < until)
     }
@@ -357,7 +357,7 @@
         &mut self,
         cx: Context<'_>,
         id: WindowId,
-        by: Moment,
+        by: WholeMillis,
         out: &mut Sends,
     ) -> Result<(), Refused> {
         let own = self.own.get_mut(&id).filter(|own| !own.standing.is_over()).ok_or(Refused::NoWindow)?;
@@ -384,7 +384,7 @@
         Ok(())
     }
 
-    fn over(&mut self, now: Moment, id: WindowId, standing: WindowStatus) {
+    fn over(&mut self, now: WholeMillis, id: WindowId, standing: WindowStatus) {
         if let Some(own) = self.own.get_mut(&id) {
             (own.standing, own.since) = (standing, now);
         }
@@ -581,7 +581,7 @@
     /// Claims the office where somebody needs it and nobody is heard of.
     fn claim(&mut self, cx: Context<'_>, out: &mut Sends) {
         let open = self.accepted.entries.iter().any(|e| cx.now < e.end + cx.timing.bound);
-        let rank = cx.voters.iter().position(|v| *v == self.local_index).unwrap_or(0) as Moment;
+        let rank = cx.voters.iter().position(|v| *v == self.local_index).unwrap_or(0) as WholeMillis;
         let quiet = cx.timing.patience + rank * cx.timing.step;
         if self.waiting.is_empty() && !open {
             return;
@@ -777,9 +777,9 @@
     cx: Context<'_>,
     held: &[Entry],
     entry: &Entry,
-    wish: Option<Moment>,
+    wish: Option<WholeMillis>,
     waiting: impl Iterator<Item = Window>,
-) -> Result<Option<Moment>, Refused> {
+) -> Result<Option<WholeMillis>, Refused> {
     let Some(wish) = wish.filter(|wish| *wish > entry.end) else { return Ok(None) };
     if wish.saturating_sub(cx.now) > cx.plan.floors.longest {
         return Err(Refused::TooLong);
--- a/crates/maintenance/src/service.rs
+++ b/crates/maintenance/src/service.rs
@@ -8,7 +8,7 @@
 use crate::liveness::Liveness;
 use crate::plan::{CapacityPlan, Floors};
 use crate::replicated_ledger::{Context, Message, Own, ReplicatedLedger, Sends, WindowStatus};
-use crate::{Entry, Moment, Refused, Scope, Tag, Timing, Window, WindowId, codec, tag};
+use crate::{Entry, Refused, Scope, Tag, Timing, WholeMillis, Window, WindowId, codec, tag};
 
 /// What operators and the log are to hear without having asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -96,7 +96,7 @@
     events: VecDeque<Event>,
     /// What was said last, so that it is said once.
     stood: BTreeMap<WindowId, WindowStatus>,
-    past: BTreeMap<WindowId, (Scope, Moment)>,
+    past: BTreeMap<WindowId, (Scope, WholeMillis)>,
     unasked: BTreeMap<Tag, u64>,
     below: bool,
     office: bool,
@@ -127,7 +127,7 @@
         timing: Timing,
         voters: Vec<u32>,
         may_override: Vec<String>,
-        now: Moment,
+        now: WholeMillis,
     ) -> MaintenanceService {
         MaintenanceService {
             node: ReplicatedLedger::new(local_index, now),
@@ -174,7 +174,7 @@
 
     fn step<T>(
         &mut self,
-        now: Moment,
+        now: WholeMillis,
         f: impl FnOnce(&mut ReplicatedLedger, Context<'_>, &mut Sends) -> T,
     ) -> T {
         let cx = Context { now, timing: &self.timing, plan: &self.plan, voters: &self.voters };
@@ -184,13 +184,13 @@
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: WholeMillis) {
         self.step(now, |node, cx, out| node.tick(cx, out));
         self.look(now);
     }
 
     /// Takes a datagram of another relay.
-    pub fn told(&mut self, now: Moment, from: u32, text: &str) {
+    pub fn told(&mut self, now: WholeMillis, from: u32, text: &str) {
         let Some(message) = codec::read(text) else { return };
         let life = match &message {
             Message::Vote { life, .. } | Message::Wrote { life, .. } => Some(*life),
@@ -202,7 +202,7 @@
     }
 
     /// Carries out a call. A window asked for is answered by its name, and stands as [`MaintenanceService::row`] says.
-    pub fn call(&mut self, now: Moment, call: Call) -> Result<Option<WindowId>, Refused> {
+    pub fn call(&mut self, now: WholeMillis, call: Call) -> Result<Option<WindowId>, Refused> {
         match call {
             Call::Windows => Ok(None),
             Call::Window { what, length, after, by } => {
@@ -222,10 +222,10 @@
 
     fn ask(
         &mut self,
-        now: Moment,
+        now: WholeMillis,
         what: Named,
-        length: Moment,
-        after: Moment,
+        length: WholeMillis,
+        after: WholeMillis,
         by: Option<String>,
     ) -> Result<WindowId, Refused> {
         if by.as_ref().is_some_and(|by| !self.may_override.contains(by)) {
@@ -248,7 +248,7 @@
     }
 
     /// Where a window stands.
-    pub fn row(&self, id: WindowId, now: Moment) -> Option<Row> {
+    pub fn row(&self, id: WindowId, now: WholeMillis) -> Option<Row> {
         self.node.own().get(&id).map(|own| self.own_row(own, now))
     }
 
@@ -264,7 +264,7 @@
     }
 
     /// What operators ought to look at now: drains nobody asked for, and too little left.
-    pub fn alarms(&self, now: Moment) -> Vec<String> {
+    pub fn alarms(&self, now: WholeMillis) -> Vec<String> {
         let granted = self.node.ledger();
         let unasked = self.plan.unasked(granted);
         let mut alarms: Vec<String> =
@@ -277,7 +277,7 @@
     }
 
     /// All windows known here: own ones first, then what is in the ledger.
-    pub fn rows(&self, now: Moment) -> Vec<Row> {
+    pub fn rows(&self, now: WholeMillis) -> Vec<Row> {
         let own = self.node.own().values().map(|own| self.own_row(own, now));
         let others =
             self.node.ledger().iter().filter(|e| !self.node.own().contains_key(&e.id) && now < e.end);
@@ -285,19 +285,19 @@
     }
 
     /// What is left now if everything that this relay knows to be granted is drained, in words.
-    pub fn says_left(&self, now: Moment) -> String {
+    pub fn says_left(&self, now: WholeMillis) -> String {
         let size = |n: u64| n as f64 / 1000.0;
         let (left, floor) = (self.plan.left(now, self.node.ledger()).all, self.plan.floors.all);
         format!("left {} floor {}", size(left), size(floor))
     }
 
-    fn ledger_row(&self, entry: &Entry, now: Moment) -> Row {
+    fn ledger_row(&self, entry: &Entry, now: WholeMillis) -> Row {
         let standing = format!("granted, ends in {} s", entry.end.saturating_sub(now) / 1000);
         Row { id: entry.id, what: self.plan.says(entry.what), standing }
     }
 
-    fn own_row(&self, own: &Own, now: Moment) -> Row {
-        let s = |at: Moment| at.saturating_sub(now) / 1000;
+    fn own_row(&self, own: &Own, now: WholeMillis) -> Row {
+        let s = |at: WholeMillis| at.saturating_sub(now) / 1000;
         let standing = match own.standing {
             WindowStatus::Asked if now < own.window.from => {
                 format!("waits to begin in {} s", s(own.window.from))
@@ -331,7 +331,7 @@
     }
 
     /// Says which own windows stand otherwise than before.
-    fn notice(&mut self, now: Moment) {
+    fn notice(&mut self, now: WholeMillis) {
         let kind = std::mem::discriminant::<WindowStatus>;
         let stood = &self.stood;
         let changed: Vec<(WindowId, WindowStatus, Scope)> = self
@@ -357,7 +357,7 @@
     }
 
     /// Looks at the list beside what is granted: what drains past its end, or without leave, or is too little.
-    fn look(&mut self, now: Moment) {
+    fn look(&mut self, now: WholeMillis) {
         let due: Vec<WindowId> =
             self.past.iter().filter(|(_, (_, at))| *at <= now).map(|(id, _)| *id).collect();
         for id in due {
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{Moment, codec};
+use crate::{WholeMillis, codec};
 
 /// A zone's or an endpoint's short tag: four bytes of a hash of its name. Two of the same are taken for one.
 pub type Tag = u32;
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WindowId {
     /// When it was asked for: who waits longest is first.
-    pub asked: Moment,
+    pub asked: WholeMillis,
     /// The relay's number.
     pub relay: u32,
 }
@@ -74,11 +74,11 @@
     /// What is to be drained.
     pub what: Scope,
     /// Not before this.
-    pub from: Moment,
+    pub from: WholeMillis,
     /// For how long.
-    pub length: Moment,
+    pub length: WholeMillis,
     /// The end that is asked for by name: of a window that is granted already.
-    pub end: Option<Moment>,
+    pub end: Option<WholeMillis>,
     /// Whether somebody who may has put it over the floor.
     pub forced: bool,
 }
@@ -91,7 +91,7 @@
     /// What it drains.
     pub what: Scope,
     /// When it ends.
-    pub end: Moment,
+    pub end: WholeMillis,
     /// Whether it was put over the floor.
     pub forced: bool,
 }
--- a/crates/maintenance/tests/model.rs
+++ b/crates/maintenance/tests/model.rs
@@ -9,15 +9,15 @@
 
 use sandgw_maintenance::plan::{CapacityPlan, Endpoint, Floors};
 use sandgw_maintenance::replicated_ledger::{Answer, Context, Message, ReplicatedLedger, Sends};
-use sandgw_maintenance::{CapacityShare, Moment, Scope, Timing, Window, WindowId, tag};
+use sandgw_maintenance::{CapacityShare, Scope, Timing, WholeMillis, Window, WindowId, tag};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const RELAYS: u32 = 3;
 /// One lease; a tick is one.
-const LEASE: Moment = 2;
+const LEASE: WholeMillis = 2;
 const VOTERS: [u32; 3] = [0, 1, 2];
 /// The first moment of the model: all have been up for longer than a lease.
-const START: Moment = 10;
+const START: WholeMillis = 10;
 
 /// Two zones of one endpoint each, of which one must be left.
 fn plan() -> CapacityPlan {
@@ -32,7 +32,7 @@
     plan
 }
 
-fn timing(abstain: Moment) -> Timing {
+fn timing(abstain: WholeMillis) -> Timing {
     let never = 1000;
     Timing {
         lease: LEASE,
@@ -52,14 +52,14 @@
 struct Tier {
     plan: CapacityPlan,
     timing: Timing,
-    until: Moment,
+    until: WholeMillis,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     nodes: Vec<Arc<ReplicatedLedger>>,
     sent: BTreeSet<Arc<(u32, u32, Message)>>,
-    now: Moment,
+    now: WholeMillis,
     killed: bool,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl Tier {
-    fn cx(&self, now: Moment) -> Context<'_> {
+    fn cx(&self, now: WholeMillis) -> Context<'_> {
         Context { now, timing: &self.timing, plan: &self.plan, voters: &VOTERS }
     }
 
@@ -208,7 +208,7 @@
     }
 }
 
-fn tier(abstain: Moment) -> Tier {
+fn tier(abstain: WholeMillis) -> Tier {
     Tier { plan: plan(), timing: timing(abstain), until: START + 2 }
 }
 
--- a/crates/maintenance/tests/schedules.rs
+++ b/crates/maintenance/tests/schedules.rs
@@ -7,14 +7,14 @@
 use sandgw_maintenance::call::{Call, Named};
 use sandgw_maintenance::plan::{CapacityPlan, Endpoint, Floors};
 use sandgw_maintenance::replicated_ledger::WindowStatus;
-use sandgw_maintenance::{CapacityShare, Entry, MaintenanceService, Moment, Timing, WindowId, codec};
+use sandgw_maintenance::{CapacityShare, Entry, MaintenanceService, Timing, WholeMillis, WindowId, codec};
 
 const RELAYS: u32 = 12;
-const STEP: Moment = 20;
-const LEASE: Moment = 3000;
-const BOUND: Moment = 100;
+const STEP: WholeMillis = 20;
+const LEASE: WholeMillis = 3000;
+const BOUND: WholeMillis = 100;
 /// Unix time is far from 0.
-const START: Moment = 1_790_000_000_000;
+const START: WholeMillis = 1_790_000_000_000;
 
 fn floors() -> Floors {
     // Of twelve endpoints of size one in four zones, eight are left: a zone and one more may be drained.
@@ -34,7 +34,7 @@
     lost: f64,
     doubled: f64,
     /// Longest delay, and how often one takes leases.
-    delay: Moment,
+    delay: WholeMillis,
     stray: f64,
     /// Cuts, kills, stops and losses of a zone in each second.
     strikes: f64,
@@ -45,22 +45,22 @@
 
 struct Tier {
     rng: StdRng,
-    now: Moment,
+    now: WholeMillis,
     desks: Vec<MaintenanceService>,
-    ahead: Vec<Moment>,
+    ahead: Vec<WholeMillis>,
     /// Until when each is stopped, and is cut off.
-    stopped: Vec<Moment>,
-    cut: Vec<Moment>,
-    sent: Vec<(Moment, u32, u32, String)>,
+    stopped: Vec<WholeMillis>,
+    cut: Vec<WholeMillis>,
+    sent: Vec<(WholeMillis, u32, u32, String)>,
     faults: Faults,
-    down: Option<(u32, Moment)>,
-    lost_at: Moment,
+    down: Option<(u32, WholeMillis)>,
+    lost_at: WholeMillis,
     believed: BTreeSet<WindowId>,
     /// When each window was first in a ledger.
-    written: BTreeMap<WindowId, Moment>,
+    written: BTreeMap<WindowId, WholeMillis>,
     /// How often what the judge looks for was seen.
     breaks: u32,
-    granted: BTreeMap<WindowId, Moment>,
+    granted: BTreeMap<WindowId, WholeMillis>,
     datagrams: u64,
     longest: usize,
     timing: Timing,
@@ -71,7 +71,7 @@
 impl Tier {
     fn new(seed: u64, faults: Faults, timing: Timing) -> Tier {
         let mut rng = StdRng::seed_from_u64(seed);
-        let ahead: Vec<Moment> = (0..RELAYS).map(|_| rng.random_range(0..=BOUND)).collect();
+        let ahead: Vec<WholeMillis> = (0..RELAYS).map(|_| rng.random_range(0..=BOUND)).collect();
         let mut tier = Tier {
             rng,
             now: START,
@@ -96,7 +96,7 @@
         tier
     }
 
-    fn clock(&self, relay: u32) -> Moment {
+    fn clock(&self, relay: u32) -> WholeMillis {
         self.now + self.ahead[relay as usize]
     }
 
@@ -119,7 +119,7 @@
         self.desks[relay as usize].call(now, call).ok().flatten()
     }
 
-    fn ask(&mut self, relay: u32, what: Named, length: Moment) -> Option<WindowId> {
+    fn ask(&mut self, relay: u32, what: Named, length: WholeMillis) -> Option<WindowId> {
         self.call(relay, Call::Window { what, length, after: 0, by: None })
     }
 
@@ -188,7 +188,7 @@
         }
     }
 
-    fn lists(&mut self, down: Option<(u32, Moment)>) {
+    fn lists(&mut self, down: Option<(u32, WholeMillis)>) {
         (self.down, self.lost_at) = (down, self.now);
         self.desks.iter_mut().for_each(|desk| list(desk.plan(), down.map(|(zone, _)| zone)));
     }
@@ -228,7 +228,7 @@
         self.believed = believed;
     }
 
-    fn run(&mut self, span: Moment) {
+    fn run(&mut self, span: WholeMillis) {
         (0..span / STEP).for_each(|_| self.step());
     }
 
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -20,8 +20,7 @@
 use crate::usage_gossip::UsageReport;
 use crate::usage_table::{Place, Sends, StoredUsage, UsageTable, View};
 
-/// Milliseconds, as a point on the caller's clock or as a span.
-pub type Millis = f64;
+pub use sandgw_units::Millis;
 
 /// By this part of its share, and one connection at the least, a member may be over it with clients that come again.
 const AGAIN: f64 = 0.05;
--- a/crates/schema-version/src/lib.rs
+++ b/crates/schema-version/src/lib.rs
@@ -24,8 +24,7 @@
 
 pub use error::SchemaVersionError;
 
-/// Milliseconds, as a point on the caller's clock or as a span.
-pub type Millis = f64;
+pub use sandgw_units::Millis;
 
 /// The number of a form, 1 to 35: one character of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -32,8 +32,7 @@
 pub use cluster::{Size, TestCluster};
 pub use log::Log;
 
-/// Time in milliseconds.
-pub type Millis = f64;
+pub use sandgw_units::Millis;
 
 /// What keeps the rig itself from working; faults of relays are no errors but entries in the log.
 #[derive(Debug, thiserror::Error)]
--- /dev/null
+++ b/crates/units/src/lib.rs
@@ -0,0 +1,10 @@
+//! Units of time that all parts of the relay share.
+
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+/// Milliseconds, as a point on the caller's clock (of arbitrary origin) or as a span.
+pub type Millis = f64;
+
+/// Whole milliseconds since the Unix epoch, or a span of them, where states are compared and hashed.
+pub type WholeMillis = u64;
--- a/src/policy/api.rs
+++ b/src/policy/api.rs
@@ -12,8 +12,7 @@
 
 pub use crate::relay::quotas::QuotaSettings;
 
-/// Milliseconds, as a point on the balancer's clock or as a span.
-pub type Millis = f64;
+pub use sandgw_units::Millis;
 
 /// One request (or connection); a client's retry carries a fresh one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
