--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -42,7 +42,7 @@
     Timer(usize, u64, u32),
     Stands(usize, RequestId, u32),
     Ends(u64),
-    Message(usize, u32, Message),
+    Message(usize, u32, PeerMessage),
     Kill(usize),
     Start(usize),
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -419,7 +419,7 @@
             None
         };
         let state = if app["state"].is_object() {
-            state(&mut Reader::new(&app_file, &app["state"], "state.", &mut faults), &mut module.memory)
+            state(&mut Reader::new(&app_file, &app["state"], "state.", &mut faults), &mut module.affinity_limits)
         } else {
             None
         };
@@ -517,8 +517,8 @@
         ];
         (self.discovery, self.peers) = (new.discovery, new.peers);
         self.limits.first_line = new.limits.first_line;
-        let memory = std::mem::take(&mut self.settings.memory);
-        self.settings = Settings { memory, ..new.settings };
+        let affinity_limits = std::mem::take(&mut self.settings.affinity_limits);
+        self.settings = Settings { affinity_limits, ..new.settings };
         (self.classes, self.tenants, self.groups) = (new.classes, new.tenants, new.groups);
         self.written = new.written;
         if let Some((own, new)) = self.rtmp.as_mut().zip(new.rtmp) {
@@ -547,8 +547,8 @@
     if !value.is_null() && !value.is_boolean() {
         r.fault("enforce", SettingFault::Truth(value.clone()));
     }
-    module.shares.enforce = value.as_bool().unwrap_or(module.shares.enforce);
-    if value.as_bool() == Some(true) && !module.shares.has_limits() {
+    module.quotas.enforce = value.as_bool().unwrap_or(module.quotas.enforce);
+    if value.as_bool() == Some(true) && !module.quotas.has_limits() {
         r.fault("enforce", Fault::NoShare);
     }
 }
--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -92,7 +92,7 @@
 pub async fn keep(shared: Rc<Shared>) {
     let Some(writer) = &shared.keeper else { return };
     let Some(flush) = shared.config.borrow().state.as_ref().map(|s| s.flush) else { return };
-    let max_age = shared.config.borrow().settings.memory.max_age;
+    let max_age = shared.config.borrow().settings.affinity_limits.max_age;
     let mut interval = tokio::time::interval(span(flush));
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let (mut waiting, mut pruned) = (None, f64::NEG_INFINITY);
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -6,11 +6,11 @@
 
 use super::{Shared, schema_version, while_open};
 use crate::peers;
-use crate::policy::api::Message;
+use crate::policy::api::PeerMessage;
 
 impl Shared {
     /// Sends a message in the form that the relay reads.
-    pub(super) fn tell(&self, peer: u32, message: &Message) {
+    pub(super) fn tell(&self, peer: u32, message: &PeerMessage) {
         let text = peers::encode(message);
         let Some(post) = &self.post else { return self.post_to(peer, &text) };
         let mut out = Vec::new();
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -14,7 +14,7 @@
 use super::{Clock, Shared, span};
 use crate::config::Config;
 use crate::peers;
-use crate::policy::api::{Message, Millis};
+use crate::policy::api::{PeerMessage, Millis};
 use crate::relay::lifecycle::Refusal;
 
 /// How long a process that starts listens for what is finalized, and how often it asks meanwhile.
@@ -40,7 +40,7 @@
 }
 
 /// Reads a datagram of a relay, and answers it where it asks for a word; nothing of what is no message.
-pub(super) fn read(shared: &Shared, peer: u32, text: &str) -> Option<Message> {
+pub(super) fn read(shared: &Shared, peer: u32, text: &str) -> Option<PeerMessage> {
     let Some(post) = &shared.post else { return peers::decode(text) };
     match receive(shared, post, peer, text) {
         Ok(message) => message,
@@ -63,7 +63,7 @@
     post: &RefCell<VersionedChannel>,
     peer: u32,
     text: &str,
-) -> Result<Option<Message>, SchemaVersionError> {
+) -> Result<Option<PeerMessage>, SchemaVersionError> {
     let (now, mut out) = (shared.clock.now(), Vec::new());
     let before = post.borrow().ladder.form(now);
     let received = post.borrow_mut().receive(now, peer, text, &mut out);
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,15 +1,15 @@
 //! What relays tell each other, as datagrams of at most 256 bytes.
 
-use crate::policy::api::Message;
+use crate::policy::api::PeerMessage;
 use crate::simulator;
 
 /// Writes a message as a datagram of form 1.
-pub fn encode(message: &Message) -> String {
+pub fn encode(message: &PeerMessage) -> String {
     simulator::message_text(message)
 }
 
 /// Reads a datagram of form 1; nothing of a bad one, which is no fault of this relay and is ignored.
-pub fn decode(text: &str) -> Option<Message> {
+pub fn decode(text: &str) -> Option<PeerMessage> {
     simulator::message(text)
 }
 
--- a/src/policy/api.rs
+++ b/src/policy/api.rs
@@ -132,9 +132,9 @@
     /// Budget of further attempts; `None` where none is stated.
     pub budget: Option<Budget>,
     /// What the tables of clients and groups may take up; relays and their numbers are those above.
-    pub memory: Limits,
+    pub affinity_limits: Limits,
     /// Members' shares of the tier, and whether they are kept to.
-    pub shares: QuotaSettings,
+    pub quotas: QuotaSettings,
 }
 
 impl Default for Settings {
@@ -155,8 +155,8 @@
             warm_up_time: 20_000.0,
             overload_multiple: 2.0,
             budget: None,
-            memory: Limits::default(),
-            shares: QuotaSettings::default(),
+            affinity_limits: Limits::default(),
+            quotas: QuotaSettings::default(),
         }
     }
 }
@@ -279,7 +279,7 @@
 /// What balancers tell each other: how many connections of each group have arrived lately, largest first.
 /// Any of them may be lost, late, repeated or from a sender that has restarted since.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Message {
+pub struct PeerMessage {
     /// The sum over all balancers that the sender has heard of, in answer to one's own sample.
     pub answer: bool,
     /// Arrivals of all groups.
@@ -287,12 +287,12 @@
     /// Slot of the group's key in the table, and its arrivals.
     pub sizes: Vec<(u32, f64)>,
     /// In place of all that, what the balancers' tables of clients and groups tell each other.
-    pub memory: Option<ClusterMessage>,
+    pub cluster: Option<ClusterMessage>,
     /// In place of all that, members' use of the tier. It is for the core, not for the load balancer.
-    pub shares: Option<UsageReport>,
+    pub quota: Option<UsageReport>,
 }
 
-impl Message {
+impl PeerMessage {
     /// Most groups in one message.
     pub const MOST: usize = 24;
 }
@@ -347,14 +347,14 @@
         /// The request.
         request: RequestId,
         /// The news.
-        note: Measurement,
+        measurement: Measurement,
     },
     /// A message from another balancer.
     PeerMessage {
         /// Its number.
         peer: u32,
         /// The message.
-        message: Message,
+        message: PeerMessage,
     },
     /// A timer set by [`Action::SetTimer`] is due.
     Timer(u64),
@@ -399,7 +399,7 @@
         /// Its number.
         peer: u32,
         /// The message.
-        message: Message,
+        message: PeerMessage,
     },
 }
 
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -19,7 +19,7 @@
 const MOST_SIZES: usize = 512;
 
 /// Where clients and groups are held, as far as it is known.
-pub(crate) struct Memory {
+pub(crate) struct ClusterState {
     affinity: Affinity,
     tier: Replication,
     news: LocationGossip,
@@ -32,27 +32,27 @@
     /// Whether clients' places matter, and whether others may be told.
     packet_passthrough: bool,
     peers: bool,
-    learned: bool,
+    sizes_learned: bool,
     sends: Sends,
 }
 
-impl Default for Memory {
+impl Default for ClusterState {
     fn default() -> Self {
-        Memory::new(&Settings::default(), 0, 0.0)
+        ClusterState::new(&Settings::default(), 0, 0.0)
     }
 }
 
-impl Memory {
+impl ClusterState {
     /// Empty tables.
     pub fn new(settings: &Settings, seed: u64, now: Millis) -> Self {
         let limits =
-            Limits { relays: settings.relay_count, local_index: settings.local_index, ..settings.memory };
+            Limits { relays: settings.relay_count, local_index: settings.local_index, ..settings.affinity_limits };
         let (affinity, tier) = (Affinity::new(limits, now), Replication::new(seed));
         let (packet_passthrough, peers) = (settings.packet_passthrough, settings.peers);
         let (news, census, sends) = (LocationGossip::default(), LoadAggregation::default(), Sends::new());
         let (asking, storm) = (PollScheduler::new(seed), OverloadGossip::new(seed));
         let (among, asks) = (among(settings), asks(settings));
-        Memory {
+        ClusterState {
             affinity,
             tier,
             news,
@@ -63,20 +63,20 @@
             asks,
             packet_passthrough,
             peers,
-            learned: false,
+            sizes_learned: false,
             sends,
         }
     }
 
     /// Takes new settings; what the tables may take up stays as it was.
-    pub fn retune(&mut self, settings: &Settings) {
+    pub fn apply_settings(&mut self, settings: &Settings) {
         (self.packet_passthrough, self.peers) = (settings.packet_passthrough, settings.peers);
         (self.among, self.asks) = (among(settings), asks(settings));
         self.affinity.renumber(settings.relay_count, settings.local_index);
     }
 
     /// Takes news of the list. With the list as last held, which is the first, the others are asked.
-    pub fn list(&mut self, now: Millis, kind: ListKind, entries: &[EndpointEntry]) {
+    pub fn apply_list(&mut self, now: Millis, kind: ListKind, entries: &[EndpointEntry]) {
         let state = |e: &EndpointEntry| match e.state {
             EndpointState::Ready => State::Ready,
             EndpointState::Draining => State::Draining,
@@ -95,25 +95,25 @@
     }
 
     /// A call of the list has failed, or its watch broke off.
-    pub fn unlisted(&mut self, now: Millis) {
+    pub fn list_poll_failed(&mut self, now: Millis) {
         self.asking.failed(now, &self.among, &mut self.sends);
     }
 
     /// A set-up has come late at a server.
-    pub fn late(&mut self, now: Millis, endpoint: &EndpointId) {
+    pub fn report_late_setup(&mut self, now: Millis, endpoint: &EndpointId) {
         let of = (self.among.local_index, self.among.relays);
         self.storm.late(now, crate::policy::hashing::tag(&endpoint.0), of, &mut self.sends);
     }
 
     /// Another balancer's set-up has come late; whether that is common to all servers.
-    pub fn warned(&mut self, now: Millis, endpoint: Tag) -> bool {
+    pub fn receive_overload_notice(&mut self, now: Millis, endpoint: Tag) -> bool {
         self.storm.heard(now, endpoint)
     }
 
     /// A connection has come to stand. Where, is told to the others.
-    pub fn opened(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) {
+    pub fn record_established(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) {
         // Of one that arrived mid-connection too: who keeps its place may have started again since.
-        if (self.stands(now, request, load, endpoint) || self.packet_passthrough && request.mid_flow)
+        if (self.record_location(now, request, load, endpoint) || self.packet_passthrough && request.mid_flow)
             && self.peers
         {
             self.news.tell(now, Affinity::client(&request.client_key()));
@@ -122,7 +122,7 @@
 
     /// A connection stands, since before the start or as of now; whether its client's place is news. Those of before
     /// the start are told to who asks only: all at once they would be many messages.
-    pub fn stands(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) -> bool {
+    pub fn record_location(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) -> bool {
         if let Some(group) = &request.group {
             self.affinity.place(now, crate::policy::hashing::hash(group.0.as_bytes()), &endpoint.0, load);
         }
@@ -131,18 +131,18 @@
     }
 
     /// The ready server that a client's connection stands at, if that is known.
-    pub fn holder(&self, request: &Request) -> Option<EndpointId> {
+    pub fn sticky_endpoint(&self, request: &Request) -> Option<EndpointId> {
         self.affinity.session(Affinity::client(&request.client_key())).map(EndpointId)
     }
 
     /// In how long to look again for the holder of a connection that arrives mid-connection, where others are asked for it.
-    pub fn ask(&mut self, now: Millis, request: &Request) -> Option<Millis> {
+    pub fn query_location(&mut self, now: Millis, request: &Request) -> Option<Millis> {
         let client = Affinity::client(&request.client_key());
         self.peers.then(|| self.news.ask(&self.affinity, now, client, &mut self.sends))?
     }
 
     /// Takes another balancer's piece.
-    pub fn told(&mut self, now: Millis, peer: u32, piece: ClusterMessage) {
+    pub fn receive(&mut self, now: Millis, peer: u32, piece: ClusterMessage) {
         match piece {
             ClusterMessage::LocationQuery(clients) => {
                 self.news.answer(&self.affinity, peer, &clients, &mut self.sends)
@@ -156,7 +156,7 @@
     }
 
     /// Takes what another balancer holds, and answers it with what all hold.
-    pub fn heard(&mut self, now: Millis, peer: u32, rows: Vec<(Tag, u8)>, sizes: &BTreeMap<Tag, f64>) {
+    pub fn receive_load_report(&mut self, now: Millis, peer: u32, rows: Vec<(Tag, u8)>, sizes: &BTreeMap<Tag, f64>) {
         let relays = self.affinity.limits().relays;
         if self.peers && LoadAggregation::holds(relays) {
             let size = |tag| sizes.get(&tag).copied().unwrap_or_default();
@@ -165,12 +165,12 @@
     }
 
     /// A connection has come; others may be told what stands here, by server.
-    pub fn came(&mut self) {
+    pub fn count_request(&mut self) {
         self.census.came();
     }
 
     /// Tells what stands here where that is due; gives what all balancers hold, once it is known anew.
-    pub fn census(&mut self, now: Millis, holds: impl FnOnce() -> Vec<(Tag, f64)>) -> Option<ClusterLoad> {
+    pub fn take_cluster_load(&mut self, now: Millis, holds: impl FnOnce() -> Vec<(Tag, f64)>) -> Option<ClusterLoad> {
         let of = (self.affinity.limits().local_index, self.affinity.limits().relays);
         if !self.peers || !LoadAggregation::holds(of.1) {
             return None;
@@ -179,21 +179,21 @@
         self.census.take()
     }
 
-    /// A timer of [`Memory::act`] is due.
-    pub fn due(&mut self, now: Millis) {
+    /// A timer of [`ClusterState::flush`] is due.
+    pub fn on_timer(&mut self, now: Millis) {
         self.tier.due(&self.affinity, now, &mut self.sends);
         self.news.due(&self.affinity, now, &mut self.sends);
     }
 
     /// What is to be sent, and the timer that it wants.
-    pub fn act(&mut self, now: Millis, token: u64, out: &mut Actions) {
+    pub fn flush(&mut self, now: Millis, token: u64, out: &mut Actions) {
         if self.asking.due(now) {
             out.push(Action::Subscribe);
         }
         if !self.peers {
             self.sends.clear();
         }
-        let message = |piece| Message { memory: Some(piece), ..Message::default() };
+        let message = |piece| PeerMessage { cluster: Some(piece), ..PeerMessage::default() };
         out.extend(
             self.sends.drain(..).map(|(peer, piece)| Action::SendToPeer { peer, message: message(piece) }),
         );
@@ -205,8 +205,8 @@
 
     /// The groups' sizes, once after others or a store have told of them, by slot: as a sample of as many arrivals as
     /// they rest on, so many at the most.
-    pub fn learned(&mut self, now: Millis, most: f64) -> Option<Sample> {
-        if !std::mem::take(&mut self.learned) && !self.tier.take_learned() {
+    pub fn take_learned_sizes(&mut self, now: Millis, most: f64) -> Option<Sample> {
+        if !std::mem::take(&mut self.sizes_learned) && !self.tier.take_learned() {
             return None;
         }
         let sizes = self.affinity.sizes(now, MOST_SIZES);
@@ -220,28 +220,28 @@
     }
 
     /// What the fleet carries, by others' or a store's word, and how far that goes before the own count.
-    pub fn fleet(&self, now: Millis) -> (f64, f64) {
+    pub fn fleet_load(&self, now: Millis) -> (f64, f64) {
         self.affinity.fleet(now)
     }
 
-    /// From now on changes are kept for [`Memory::changes`], of which all that is known is the first.
-    pub fn keep(&mut self) {
+    /// From now on changes are kept for [`ClusterState::take_changes`], of which all that is known is the first.
+    pub fn track_changes(&mut self) {
         self.affinity.keep();
     }
 
     /// Changes since the last call, so many at the most.
-    pub fn changes(&mut self, now: Millis, most: usize) -> Changes {
+    pub fn take_changes(&mut self, now: Millis, most: usize) -> Changes {
         self.affinity.changes(now, most)
     }
 
     /// Takes what a store has kept.
     pub fn restore(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> Restored {
-        self.learned = true;
+        self.sizes_learned = true;
         self.affinity.restore(now, records)
     }
 
     /// Figures for those who ask.
-    pub fn figures(&self) -> Figures {
+    pub fn statistics(&self) -> Figures {
         Figures { repeated: self.tier.repeated(), ..self.affinity.figures() }
     }
 }
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -17,7 +17,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::policy::api::*;
-use crate::policy::cluster_state::Memory;
+use crate::policy::cluster_state::ClusterState;
 use crate::policy::hashing::*;
 use crate::policy::state::{Conn, Endpoint, Ledger, Mean, Pool, Recent, Sample, Stage, spread};
 
@@ -85,7 +85,7 @@
     /// Messages are told to be slow where they are: caps follow that better than weights can tell.
     pub(crate) hears: bool,
     /// Where clients and groups are held: for those that arrive mid-connection, and for a plan after a restart.
-    pub(crate) memory: Memory,
+    pub(crate) cluster: ClusterState,
     /// How many set-ups may be out at once while a fault is common to all servers.
     pub(crate) pace: ConcurrencyLimit,
     /// Whether own connections broke off lately by a server's fault (dropped, moved off: 1) or not (-1).
@@ -106,11 +106,11 @@
 impl LoadBalancer {
     /// A balancer without any state but its settings. Its first event is the list as last held.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
-        let memory = Memory::new(&settings, seed, now);
+        let cluster = ClusterState::new(&settings, seed, now);
         LoadBalancer {
             settings,
             seed,
-            memory,
+            cluster,
             began: now,
             pace: ConcurrencyLimit::new(now),
             ..LoadBalancer::default()
@@ -121,13 +121,13 @@
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Actions) {
         match event {
             Event::Settings(settings) => {
-                self.memory.retune(&settings);
+                self.cluster.apply_settings(&settings);
                 if settings.discovery != self.settings.discovery {
                     out.push(Action::Subscribe);
                 }
                 (self.settings, self.planned_at) = (*settings, f64::NEG_INFINITY);
             }
-            Event::List { kind: ListKind::Failed, .. } => self.memory.unlisted(now),
+            Event::List { kind: ListKind::Failed, .. } => self.cluster.list_poll_failed(now),
             Event::List { kind, endpoints } => self.list(now, kind, endpoints, out),
             Event::Request(mut request) => {
                 let id = request.id;
@@ -135,7 +135,7 @@
                 request.deadline -= 2.0 * self.settings.resolution;
                 self.taken.add(now);
                 self.count(now, &request, out);
-                self.memory.came();
+                self.cluster.count_request();
                 let conn = self.conn(now, request, Stage::Queued);
                 self.ledger.conns.insert(id, conn);
                 self.advance(now, id, 0.0, out);
@@ -143,7 +143,7 @@
             Event::ExistingConnection { request, endpoint } => {
                 let id = request.id;
                 let conn = Conn { attempts: 1, ..self.conn(now, request, Stage::Established) };
-                self.memory.stands(now, &conn.request, conn.load, &endpoint);
+                self.cluster.record_location(now, &conn.request, conn.load, &endpoint);
                 self.ledger.conns.insert(id, conn);
                 self.ledger.hold(id, endpoint);
             }
@@ -154,26 +154,26 @@
                 }
             }
             Event::ClientGone(id) => self.forget(id),
-            Event::Measured { request, note } => self.note(now, request, note, out),
+            Event::Measured { request, measurement } => self.note(now, request, measurement, out),
             Event::PeerMessage { peer, message } => self.told(now, peer, message, out),
             Event::Timer(LEAVE) => self.leave(now, out),
-            Event::Timer(TELL) => self.memory.due(now),
+            Event::Timer(TELL) => self.cluster.on_timer(now),
             Event::Timer(token) => self.advance(now, RequestId(token), 0.0, out),
         }
-        let learned = self.memory.learned(now, SEEDED);
+        let learned = self.cluster.take_learned_sizes(now, SEEDED);
         if let Some(sample) = learned.filter(|s| s.total() > self.sample.total()) {
             (self.sample, self.planned_at) = (sample, f64::NEG_INFINITY);
         }
-        if let Some(view) = self.memory.census(now, || self.ledger.holds()) {
+        if let Some(view) = self.cluster.take_cluster_load(now, || self.ledger.holds()) {
             self.ledger.hear(now, &view);
             self.level(now, out);
         }
-        self.memory.act(now, TELL, out);
+        self.cluster.flush(now, TELL, out);
         self.drain_queue(now, out);
     }
 
     fn list(&mut self, now: Millis, kind: ListKind, entries: Vec<EndpointEntry>, out: &mut Actions) {
-        self.memory.list(now, kind, &entries);
+        self.cluster.apply_list(now, kind, &entries);
         let endpoints = &mut self.ledger.endpoints;
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             endpoints.values_mut().for_each(|s| s.state = EndpointState::Removed);
@@ -292,17 +292,17 @@
         out.extend(self.pool.counted(now, &self.sample, &self.settings));
     }
 
-    fn told(&mut self, now: Millis, peer: u32, message: Message, out: &mut Actions) {
-        match message.memory {
+    fn told(&mut self, now: Millis, peer: u32, message: PeerMessage, out: &mut Actions) {
+        match message.cluster {
             Some(ClusterMessage::LoadReport(rows)) => {
-                self.memory.heard(now, peer, rows, &self.ledger.sizes())
+                self.cluster.receive_load_report(now, peer, rows, &self.ledger.sizes())
             }
             Some(ClusterMessage::OverloadNotice(endpoint)) => {
-                if self.memory.warned(now, endpoint) {
+                if self.cluster.receive_overload_notice(now, endpoint) {
                     self.pace.warned(now, self.ledger.trying, 2.0 * self.settings.connect_timeout);
                 }
             }
-            Some(piece) => self.memory.told(now, peer, piece),
+            Some(piece) => self.cluster.receive(now, peer, piece),
             None => out.extend(self.pool.told(peer, message, &self.sample, &self.settings)),
         }
     }
@@ -322,7 +322,7 @@
             sample.0.extend(self.pool.pooled.sizes.iter().filter(|(_, n)| *n > 0.0).copied());
         }
         // After a restart the own count says little yet of what the others go on carrying.
-        let (counted, (known, belief)) = (self.ledger.total.max(1.0) * relay_count, self.memory.fleet(now));
+        let (counted, (known, belief)) = (self.ledger.total.max(1.0) * relay_count, self.cluster.fleet_load(now));
         let fleet = counted + (known - counted).max(0.0) * belief;
         let unit = fleet / (own * times + PRIOR * times.sqrt() * chance);
         let mut groups: Vec<(u32, f64)> = sample.0.iter().map(|(group, n)| (*group, n * unit)).collect();
@@ -439,7 +439,7 @@
         // In a large tier few know where a connection stands: they are asked, and the table after them.
         if conn.request.mid_flow
             && conn.attempts == 0
-            && let Some(after) = self.memory.ask(now, &conn.request)
+            && let Some(after) = self.cluster.query_location(now, &conn.request)
         {
             return out.push(Action::SetTimer { after, token: id.0 });
         }
@@ -514,7 +514,7 @@
         let first = up.first().map(|i| id(i).clone());
         if conn.request.mid_flow && conn.attempts == 0 {
             // Where it is not known, the table most likely chose its holder, whatever its state is now.
-            return self.memory.holder(&conn.request).or(first);
+            return self.cluster.sticky_endpoint(&conn.request).or(first);
         }
         up.retain(|i| now >= endpoint(i).skip_until);
         if up.is_empty() {
@@ -596,7 +596,7 @@
         let Some(conn) = self.ledger.conns.get(&id).filter(current) else { return };
         let (anew, latency_objective) = (!conn.request.mid_flow, self.latency_objective(conn));
         let endpoint = conn.endpoint.clone();
-        endpoint.iter().for_each(|at| self.memory.opened(now, &conn.request, conn.load, at));
+        endpoint.iter().for_each(|at| self.cluster.record_established(now, &conn.request, conn.load, at));
         match &endpoint {
             Some(at) if anew && elapsed > latency_objective => self.late(now, at),
             _ if anew => self.pace.in_time(now, elapsed / latency_objective),
@@ -679,7 +679,7 @@
     fn late(&mut self, now: Millis, endpoint: &EndpointId) {
         let (at, within) = (hash(endpoint.0.as_bytes()), self.settings.connect_timeout);
         self.pace.late(now, at, self.ledger.trying, within);
-        self.memory.late(now, endpoint);
+        self.cluster.report_late_setup(now, endpoint);
     }
 
     /// Lets waiting requests go as far as the window is open, the worthiest first.
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -163,11 +163,11 @@
     }
 
     /// The largest groups, as many as fit a message.
-    pub fn message(&self, answer: bool) -> Message {
+    pub fn message(&self, answer: bool) -> PeerMessage {
         let mut sizes: Vec<(u32, f64)> = self.0.iter().map(|(group, n)| (*group, *n)).collect();
         sizes.sort_by(|a, b| b.1.total_cmp(&a.1));
-        sizes.truncate(Message::MOST);
-        Message { answer, total: self.total(), sizes, ..Message::default() }
+        sizes.truncate(PeerMessage::MOST);
+        PeerMessage { answer, total: self.total(), sizes, ..PeerMessage::default() }
     }
 }
 
@@ -178,7 +178,7 @@
     /// The peer that adds up, when it was asked unless it answered, and its answer.
     pub collector: u32,
     asked: Option<Millis>,
-    pub pooled: Message,
+    pub pooled: PeerMessage,
     /// What others have told, and how many own arrivals came since a peer was last told.
     samples: BTreeMap<u32, Vec<(u32, f64)>>,
     untold: f64,
@@ -193,7 +193,7 @@
         let due =
             self.untold > 1.0 + seen / 3.0 && self.asked.is_none_or(|at| now - at > settings.connect_timeout);
         if seen > f64::from(settings.relay_count) {
-            self.pooled = Message::default();
+            self.pooled = PeerMessage::default();
         } else if settings.peers && due {
             // No answer to the last one: it may be down, and the next in number adds up.
             let next = self.collector + u32::from(self.asked.is_some());
@@ -208,7 +208,7 @@
     }
 
     /// Takes a peer's sample, which is answered, or its answer.
-    pub fn told(&mut self, peer: u32, message: Message, own: &Sample, settings: &Settings) -> Option<Action> {
+    pub fn told(&mut self, peer: u32, message: PeerMessage, own: &Sample, settings: &Settings) -> Option<Action> {
         if message.answer && peer == self.collector {
             (self.pooled, self.asked) = (message, None);
         } else if !message.answer && peer < settings.relay_count {
--- a/src/properties.rs
+++ b/src/properties.rs
@@ -90,7 +90,7 @@
     Leaves(usize, RequestId),
     Timer(usize, u64),
     List(usize, ListKind, Vec<EndpointEntry>),
-    Tell(usize, u32, Message),
+    Tell(usize, u32, PeerMessage),
     Trouble,
     OverloadGossip(bool),
     Room(usize),
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -123,7 +123,7 @@
         /// Its number.
         peer: u32,
         /// The message.
-        message: Message,
+        message: PeerMessage,
     },
 }
 
@@ -281,7 +281,7 @@
 
     /// Counts anew, by what stands, where the members, their shares or the tier are others than before.
     fn retune_shares(&mut self, now: Millis, settings: &Settings) {
-        let of = |s: &Settings| (s.shares.clone(), s.local_index, s.relay_count, s.peers);
+        let of = |s: &Settings| (s.quotas.clone(), s.local_index, s.relay_count, s.peers);
         if of(settings) == of(&self.load_balancer.settings) {
             return;
         }
@@ -309,7 +309,7 @@
     }
 
     fn tell(&mut self, out: sandgw_quota::usage_table::Sends) {
-        let message = |told| Message { shares: Some(told), ..Message::default() };
+        let message = |told| PeerMessage { quota: Some(told), ..PeerMessage::default() };
         self.commands
             .extend(out.into_iter().map(|(peer, t)| Command::SendToPeer { peer, message: message(t) }));
     }
@@ -527,7 +527,7 @@
             let on = |f: &Connection| f.stage == Stage::Established(id.clone());
             let connection = self.connections.iter().filter(|(_, f)| on(f)).map(|(id, _)| *id).min();
             let note = Measurement::MessageDelay(level);
-            self.events.extend(connection.map(|request| Event::Measured { request, note }));
+            self.events.extend(connection.map(|request| Event::Measured { request, measurement: note }));
         }
         self.settle(now);
     }
@@ -595,7 +595,7 @@
 
     /// Tells other relays of endpoints that have left, or asks them; and sets the timer for the next question.
     fn ask_others(&mut self, now: Millis, out: Sends) {
-        let message = |piece| Message { memory: Some(piece), ..Message::default() };
+        let message = |piece| PeerMessage { cluster: Some(piece), ..PeerMessage::default() };
         let tell = out.into_iter().map(|(peer, piece)| Command::SendToPeer { peer, message: message(piece) });
         self.commands.extend(tell);
         let timer = self.leaving.timer(now).map(|after| Command::SetTimer { after, token: LEFT });
@@ -636,14 +636,14 @@
     }
 
     /// A message from another relay.
-    pub fn told(&mut self, now: Millis, peer: u32, message: Message) {
-        if let Some(told) = message.shares {
+    pub fn told(&mut self, now: Millis, peer: u32, message: PeerMessage) {
+        if let Some(told) = message.quota {
             let mut out = Vec::new();
             self.counted.told(now, peer, told, &mut out);
             return self.tell(out);
         }
         if let Some(piece @ (ClusterMessage::Draining { .. } | ClusterMessage::DrainQuery(_))) =
-            message.memory
+            message.cluster
         {
             return self.told_of_leaving(now, peer, piece);
         }
@@ -835,22 +835,22 @@
 
     /// Takes what a store has kept of clients and groups, before the first list.
     pub fn restore(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> Restored {
-        self.load_balancer.memory.restore(now, records)
+        self.load_balancer.cluster.restore(now, records)
     }
 
     /// From now on keys that are let go are remembered for [`Relay::changes`], and all entries count as changed.
     pub fn keep(&mut self) {
-        self.load_balancer.memory.keep();
+        self.load_balancer.cluster.track_changes();
     }
 
     /// What has changed of clients and groups since the last call, so many entries at the most.
     pub fn changes(&mut self, now: Millis, most: usize) -> Changes {
-        self.load_balancer.memory.changes(now, most)
+        self.load_balancer.cluster.take_changes(now, most)
     }
 
     /// Figures of the tables of clients and groups.
     pub fn affinity(&self) -> Figures {
-        self.load_balancer.memory.figures()
+        self.load_balancer.cluster.statistics()
     }
 
     /// Hands events to the load balancer until none is left, and its actions on.
--- a/src/relay/quotas.rs
+++ b/src/relay/quotas.rs
@@ -44,7 +44,7 @@
 impl Counted {
     /// For these settings; nothing is counted where a connection beyond a share is worth as much as one within.
     pub fn new(settings: &Settings, now: Millis) -> Self {
-        let shares = &settings.shares;
+        let shares = &settings.quotas;
         let counts = shares.enforce && shares.over_quota_weight < 1.0 && shares.has_limits();
         let place =
             Place { local_index: settings.local_index, relays: settings.relay_count, peers: settings.peers };
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -341,7 +341,7 @@
                 2 => Measurement::MessageDelay(level),
                 _ => return Err(f.wrong(4, "a known kind of note")),
             };
-            Event::Measured { request: f.id()?, note }
+            Event::Measured { request: f.id()?, measurement: note }
         }
         "TICK_DUE" => Event::Timer(f.whole(1)?),
         "MEMBERSHIP" => {
@@ -358,7 +358,7 @@
         // Never asked for: the load balancer does not probe.
         "HEALTH" => return Ok(None),
         // Whatever a peer may send, it is no fault of the wire.
-        "MAIL" => match message(f.text(2)?).filter(|message| message.shares.is_none()) {
+        "MAIL" => match message(f.text(2)?).filter(|message| message.quota.is_none()) {
             Some(message) => {
                 Event::PeerMessage { peer: u32::try_from(f.whole(1)?).unwrap_or(u32::MAX), message }
             }
@@ -397,14 +397,14 @@
 pub(crate) const MESSAGE_BYTES: usize = 256;
 
 /// Reads a message of a peer; nothing of one that is too long, of another version or malformed.
-pub(crate) fn message(text: &str) -> Option<Message> {
+pub(crate) fn message(text: &str) -> Option<PeerMessage> {
     if text.starts_with(VERSION) {
-        let memory = Some(ClusterMessage::read(text)?);
-        return Some(Message { memory, ..Message::default() });
+        let cluster = Some(ClusterMessage::read(text)?);
+        return Some(PeerMessage { cluster, ..PeerMessage::default() });
     }
     if text.starts_with(KIND) {
-        let shares = Some(UsageReport::read(text)?);
-        return Some(Message { shares, ..Message::default() });
+        let quota = Some(UsageReport::read(text)?);
+        return Some(PeerMessage { quota, ..PeerMessage::default() });
     }
     let mut words = text.split(' ').filter(|_| text.len() <= MESSAGE_BYTES);
     let answer = match words.next()? {
@@ -415,19 +415,19 @@
     let count = |n: &str| u32::from_str_radix(n, 16).ok().map(|n| f64::from(n) / 10.0);
     let total = count(words.next()?)?;
     let mut sizes = Vec::new();
-    for word in words.take(Message::MOST) {
+    for word in words.take(PeerMessage::MOST) {
         let (group, n) = word.split_once(':')?;
         sizes.push((u32::from_str_radix(group, 16).ok()?, count(n)?));
     }
-    Some(Message { answer, total, sizes, ..Message::default() })
+    Some(PeerMessage { answer, total, sizes, ..PeerMessage::default() })
 }
 
-pub(crate) fn message_text(message: &Message) -> String {
-    if let Some(piece) = &message.memory {
+pub(crate) fn message_text(message: &PeerMessage) -> String {
+    if let Some(piece) = &message.cluster {
         // No piece is made that does not fit; an empty text reads as no message.
         return piece.text().unwrap_or_default();
     }
-    if let Some(told) = &message.shares {
+    if let Some(told) = &message.quota {
         return told.text().unwrap_or_default();
     }
     let count = |n: f64| (n * 10.0).round() as u32;
@@ -587,7 +587,7 @@
 
     /// Members and their shares. A figure that is missing is no limit, and so is a rate of nothing: what is stated in
     /// whole numbers reads so for a member that is small.
-    fn shares(&mut self, boot: &Value, absent: QuotaSettings) -> QuotaSettings {
+    fn quotas(&mut self, boot: &Value, absent: QuotaSettings) -> QuotaSettings {
         let connections = &boot["domain"]["tenantQuotaConnections"];
         let realms = list(boot, "realms");
         if !connections.is_null() && !connections.is_array() {
@@ -707,8 +707,8 @@
         warm_up_time: read.number(rules, "rules.", "warmWithinMs", d.warm_up_time, (0.0, LONGEST)),
         overload_multiple: read.number(rules, "rules.", "tipMultiple", d.overload_multiple, (0.01, 1e6)),
         budget,
-        memory: d.memory,
-        shares: read.shares(boot, d.shares),
+        affinity_limits: d.affinity_limits,
+        quotas: read.quotas(boot, d.quotas),
     };
     if read.faults.is_empty() { Ok(settings) } else { Err(read.faults) }
 }
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -446,7 +446,7 @@
             Step::ListFails => world.handle(Event::List { kind: ListKind::Failed, endpoints: Vec::new() }),
             Step::Slow(i, level) => {
                 if let Some(request) = world.out(i, true) {
-                    world.handle(Event::Measured { request, note: Measurement::MessageDelay(level.into()) });
+                    world.handle(Event::Measured { request, measurement: Measurement::MessageDelay(level.into()) });
                 }
             }
         }
@@ -606,7 +606,7 @@
     other.ask(1, Some(0), Some("form"), "c", 2000.0);
     other.establish(RequestId(1), 5.0);
     // The holder is slow and at its cap by now; the open connection is still found there.
-    other.handle(Event::Measured { request: RequestId(1), note: Measurement::MessageDelay(500.0) });
+    other.handle(Event::Measured { request: RequestId(1), measurement: Measurement::MessageDelay(500.0) });
     other.arrive(Request {
         id: RequestId(2),
         class: Some(ClassId(0)),
@@ -812,7 +812,7 @@
         world.establish(RequestId(id), 5.0);
     }
     (0..60).for_each(|id| {
-        world.handle(Event::Measured { request: RequestId(id), note: Measurement::MessageDelay(30.0) });
+        world.handle(Event::Measured { request: RequestId(id), measurement: Measurement::MessageDelay(30.0) });
     });
     (0..20).for_each(|id| world.end(RequestId(id), Outcome::Ok));
     assert!(comes_again(&mut world, 100..140, false) <= 1);
@@ -861,7 +861,7 @@
         world.ask(id, Some(0), Some("g"), &format!("c{id}"), 2000.0);
         world.establish(RequestId(id), 5.0);
     }
-    world.handle(Event::Measured { request: RequestId(0), note: Measurement::MessageDelay(150.0) });
+    world.handle(Event::Measured { request: RequestId(0), measurement: Measurement::MessageDelay(150.0) });
     let moves = world.log.iter().filter(|a| matches!(a, Action::Migrate(_))).count();
     assert_eq!(moves, 1);
     world.ask(9, Some(0), Some("g"), "c", 1000.0);
@@ -943,7 +943,7 @@
         world.ask(id, Some(0), Some("g0"), &format!("c{id}"), 2000.0);
     }
     let sample =
-        |a: &&Action| matches!(a, Action::SendToPeer { peer: 0, message } if message.memory.is_none());
+        |a: &&Action| matches!(a, Action::SendToPeer { peer: 0, message } if message.cluster.is_none());
     let tells = |w: &World| w.log.iter().filter(sample).count();
     assert_eq!(tells(&world), 1, "one sample while its answer is out");
     let group = |w: &World| {
@@ -954,7 +954,7 @@
         told.unwrap()
     };
     let sizes = vec![(group(&world), 900.0), (1, 100.0)];
-    let message = Message { answer: true, total: 1000.0, sizes, ..Message::default() };
+    let message = PeerMessage { answer: true, total: 1000.0, sizes, ..PeerMessage::default() };
     let spread = |world: &mut World, from: u64| {
         for id in from..from + 60 {
             world.ask(id, Some(0), Some("g0"), &format!("c{id}"), 2000.0);
@@ -967,13 +967,13 @@
     stranger.ask(1, Some(0), Some("g9"), "c", 2000.0);
     assert!(stranger.load_balancer.ledger.endpoints.len() == 40);
     stranger.log.clear();
-    stranger.handle(Event::PeerMessage { peer: 100, message: Message::default() });
+    stranger.handle(Event::PeerMessage { peer: 100, message: PeerMessage::default() });
     assert!(stranger.log.is_empty(), "an answer to an unknown balancer");
     // Nor does an answer that counts less than the own sample, or nothing, change a placement.
     let (mut told, mut untold) = (World::new(pool.clone(), &ready(40)), World::new(pool.clone(), &ready(40)));
     told.handle(Event::PeerMessage {
         peer: 0,
-        message: Message { total: 0.0, sizes: vec![(9, 0.0)], ..message.clone() },
+        message: PeerMessage { total: 0.0, sizes: vec![(9, 0.0)], ..message.clone() },
     });
     for id in 0..20 {
         told.ask(id, Some(0), Some(&format!("g{}", id % 3)), &format!("c{id}"), 2000.0);
@@ -985,7 +985,7 @@
     assert!(spread(&mut world, 1000) > 10, "nine tenths of all connections need many servers");
     // A sample is answered with the sum, whatever it holds and however often it comes.
     world.log.clear();
-    let sample = Message { answer: false, total: 5.0, sizes: vec![(77, 5.0)], ..Message::default() };
+    let sample = PeerMessage { answer: false, total: 5.0, sizes: vec![(77, 5.0)], ..PeerMessage::default() };
     (0..2).for_each(|_| world.handle(Event::PeerMessage { peer: 3, message: sample.clone() }));
     let answer = world.log.last().cloned();
     let Some(Action::SendToPeer { peer: 3, message }) = answer else { panic!("no answer") };
@@ -1104,10 +1104,10 @@
         before.ask(id, Some(0), Some(&group), &format!("c{id}"), 2000.0);
         before.establish(RequestId(id), 5.0);
     }
-    let kept = before.load_balancer.memory.changes(before.now, usize::MAX).set;
+    let kept = before.load_balancer.cluster.take_changes(before.now, usize::MAX).set;
     // A store that has lost some is given all of it again.
-    before.load_balancer.memory.keep();
-    let again = before.load_balancer.memory.changes(before.now, usize::MAX);
+    before.load_balancer.cluster.track_changes();
+    let again = before.load_balancer.cluster.take_changes(before.now, usize::MAX);
     assert!(again.set.len() == kept.len() && again.names.len() == 12, "{again:?}");
     let places = |world: &mut World| -> Vec<EndpointId> {
         let place = |id: u64| {
@@ -1119,7 +1119,7 @@
         (1000..1040).map(place).collect()
     };
     let mut after = World::new(settings(), &ready(12));
-    after.load_balancer.memory.restore(after.now, kept.into_iter());
+    after.load_balancer.cluster.restore(after.now, kept.into_iter());
     let mut fresh = World::new(settings(), &ready(12));
     let set = |places: Vec<EndpointId>| places.into_iter().collect::<BTreeSet<_>>();
     let held: BTreeSet<_> = (0..120).filter(|id| id % 3 == 0).flat_map(|id| before.sends(id)).collect();
@@ -1311,7 +1311,7 @@
     let tag = |i: usize| crate::policy::hashing::tag(&endpoint(i).0);
     let rows = (0..4).map(|i| (tag(i), if i == 0 { told } else { told / 5 })).collect();
     let piece = ClusterMessage::ClusterLoads { total: u32::from(told) * 8 / 5, rows };
-    let message = Message { memory: Some(piece), ..Message::default() };
+    let message = PeerMessage { cluster: Some(piece), ..PeerMessage::default() };
     load_balancer.handle(START + 6000.0, Event::PeerMessage { peer: 0, message }, &mut out);
     out.iter().filter(|action| matches!(action, Action::Migrate(_))).count()
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sandgw::policy::api::{
-    Class, ClusterMessage, Discovery, EndpointEntry, EndpointId, EndpointState, Idempotency, Key, Message,
+    Class, ClusterMessage, Discovery, EndpointEntry, EndpointId, EndpointState, Idempotency, Key, PeerMessage,
     Millis, Settings, Zone,
 };
 use sandgw::relay::{Attempt, Command, ConnectionCommand, IncomingRequest, Relay};
@@ -77,15 +77,15 @@
     all
 }
 
-fn word(revision: u64, endpoints: &[u64]) -> Message {
+fn word(revision: u64, endpoints: &[u64]) -> PeerMessage {
     let endpoints = endpoints.iter().map(|n| EndpointHash::of(&format!("s{n}"))).collect();
-    Message { memory: Some(ClusterMessage::Draining { revision, endpoints }), ..Message::default() }
+    PeerMessage { cluster: Some(ClusterMessage::Draining { revision, endpoints }), ..PeerMessage::default() }
 }
 
 /// To whom words or questions are sent.
 fn tells(relay: &mut Relay) -> Vec<(u32, ClusterMessage)> {
     let told = |c| match c {
-        Command::SendToPeer { peer, message } => message.memory.map(|piece| (peer, piece)),
+        Command::SendToPeer { peer, message } => message.cluster.map(|piece| (peer, piece)),
         _ => None,
     };
     let mut all: Vec<_> = relay.take_commands().into_iter().filter_map(told).collect();
@@ -274,7 +274,7 @@
     relay.told(
         START + 200.0,
         99,
-        Message { memory: Some(ClusterMessage::DrainQuery(40)), ..Message::default() },
+        PeerMessage { cluster: Some(ClusterMessage::DrainQuery(40)), ..PeerMessage::default() },
     );
     let [(99, ClusterMessage::Draining { revision: 42, endpoints })] = &tells(&mut relay)[..] else {
         panic!("who asks is not answered")
