--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -419,7 +419,10 @@
             None
         };
         let state = if app["state"].is_object() {
-            state(&mut Reader::new(&app_file, &app["state"], "state.", &mut faults), &mut module.affinity_limits)
+            state(
+                &mut Reader::new(&app_file, &app["state"], "state.", &mut faults),
+                &mut module.affinity_limits,
+            )
         } else {
             None
         };
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -14,7 +14,7 @@
 use super::{Clock, Shared, span};
 use crate::config::Config;
 use crate::peers;
-use crate::policy::api::{PeerMessage, Millis};
+use crate::policy::api::{Millis, PeerMessage};
 use crate::relay::lifecycle::Refusal;
 
 /// How long a process that starts listens for what is finalized, and how often it asks meanwhile.
--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -27,11 +27,12 @@
 use crate::listener::TransferredProtocol;
 use crate::listener::line::LineProtocol;
 use crate::policy::api::ListKind;
+use crate::policy::learned_state::LearnedState;
 use crate::relay::handover::{
     ANOTHER_FORM, CONNECTIONS, ElderStep, FORM, Frames, MEMBERS, Message, PredecessorProcess, RECORDS,
     SOCKETS, Successor, SuccessorStep, agreed, encode,
 };
-use crate::relay::transfer::{LearnedState, TransferredConnection};
+use crate::relay::transfer::TransferredConnection;
 
 /// The socket's name in the folder.
 const NAME: &str = "sandgw-handover";
--- a/src/policy/api.rs
+++ b/src/policy/api.rs
@@ -8,10 +8,9 @@
 
 use sandgw_affinity::Limits;
 pub use sandgw_affinity::codec::ClusterMessage;
+use sandgw_quota::tenants::Tenants;
 pub use sandgw_quota::usage_gossip::UsageReport;
 
-pub use crate::relay::quotas::QuotaSettings;
-
 pub use sandgw_units::Millis;
 
 /// One request (or connection); a client's retry carries a fresh one.
@@ -161,6 +160,34 @@
     }
 }
 
+/// Whether shares are kept to where no file of an operator says so. Nothing is counted or told where they are not.
+const ENFORCED: bool = false;
+
+/// Members' shares in the settings.
+#[derive(Clone, Debug, PartialEq)]
+pub struct QuotaSettings {
+    /// Who has a share.
+    pub members: Tenants,
+    /// What a connection beyond its member's share is worth, as a part of what it is worth within.
+    pub over_quota_weight: f64,
+    /// Whether who is over its share is refused first where places are short.
+    pub enforce: bool,
+}
+
+impl Default for QuotaSettings {
+    fn default() -> Self {
+        QuotaSettings { members: Tenants::default(), over_quota_weight: 0.0, enforce: ENFORCED }
+    }
+}
+
+impl QuotaSettings {
+    /// Whether any member has a limit.
+    pub fn has_limits(&self) -> bool {
+        let all = (0..self.members.len()).filter_map(|at| self.members.get(at));
+        all.into_iter().any(|m| m.connections.is_some() || m.per_s.is_some())
+    }
+}
+
 /// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -45,8 +45,11 @@
 impl ClusterState {
     /// Empty tables.
     pub fn new(settings: &Settings, seed: u64, now: Millis) -> Self {
-        let limits =
-            Limits { relays: settings.relay_count, local_index: settings.local_index, ..settings.affinity_limits };
+        let limits = Limits {
+            relays: settings.relay_count,
+            local_index: settings.local_index,
+            ..settings.affinity_limits
+        };
         let (affinity, tier) = (Affinity::new(limits, now), Replication::new(seed));
         let (packet_passthrough, peers) = (settings.packet_passthrough, settings.peers);
         let (news, census, sends) = (LocationGossip::default(), LoadAggregation::default(), Sends::new());
@@ -122,7 +125,13 @@
 
     /// A connection stands, since before the start or as of now; whether its client's place is news. Those of before
     /// the start are told to who asks only: all at once they would be many messages.
-    pub fn record_location(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) -> bool {
+    pub fn record_location(
+        &mut self,
+        now: Millis,
+        request: &Request,
+        load: f64,
+        endpoint: &EndpointId,
+    ) -> bool {
         if let Some(group) = &request.group {
             self.affinity.place(now, crate::policy::hashing::hash(group.0.as_bytes()), &endpoint.0, load);
         }
@@ -156,7 +165,13 @@
     }
 
     /// Takes what another balancer holds, and answers it with what all hold.
-    pub fn receive_load_report(&mut self, now: Millis, peer: u32, rows: Vec<(Tag, u8)>, sizes: &BTreeMap<Tag, f64>) {
+    pub fn receive_load_report(
+        &mut self,
+        now: Millis,
+        peer: u32,
+        rows: Vec<(Tag, u8)>,
+        sizes: &BTreeMap<Tag, f64>,
+    ) {
         let relays = self.affinity.limits().relays;
         if self.peers && LoadAggregation::holds(relays) {
             let size = |tag| sizes.get(&tag).copied().unwrap_or_default();
@@ -170,7 +185,11 @@
     }
 
     /// Tells what stands here where that is due; gives what all balancers hold, once it is known anew.
-    pub fn take_cluster_load(&mut self, now: Millis, holds: impl FnOnce() -> Vec<(Tag, f64)>) -> Option<ClusterLoad> {
+    pub fn take_cluster_load(
+        &mut self,
+        now: Millis,
+        holds: impl FnOnce() -> Vec<(Tag, f64)>,
+    ) -> Option<ClusterLoad> {
         let of = (self.affinity.limits().local_index, self.affinity.limits().relays);
         if !self.peers || !LoadAggregation::holds(of.1) {
             return None;
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -117,6 +117,49 @@
         }
     }
 
+    /// The settings in force.
+    pub(crate) fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
+    /// A request as it arrived, or the one behind an established connection.
+    pub(crate) fn request(&self, id: RequestId) -> Option<&Request> {
+        self.ledger.conns.get(&id).map(|conn| &conn.request)
+    }
+
+    /// Entries of the list as they are known, of the endpoints that are wanted, as if in this state.
+    pub(crate) fn entries(
+        &self,
+        wanted: impl Fn(&EndpointId) -> bool,
+        state: EndpointState,
+    ) -> Vec<EndpointEntry> {
+        let known = self.ledger.endpoints.iter().filter(|(id, _)| wanted(id));
+        let entry = |(id, s): (&EndpointId, &Endpoint)| EndpointEntry {
+            id: id.clone(),
+            state,
+            weight: s.weight,
+            started: s.started,
+            zone: s.zone.clone(),
+            cell: s.cell,
+        };
+        known.map(entry).collect()
+    }
+
+    /// How long from now, in ms, no new connection may go to an endpoint that is warming up.
+    pub(crate) fn slow_start_pause(&self, now: Millis) -> Millis {
+        self.next_cold - now
+    }
+
+    /// Where clients and groups are held, and what relays exchange about it.
+    pub(crate) fn cluster_state(&self) -> &ClusterState {
+        &self.cluster
+    }
+
+    /// The same, to be changed.
+    pub(crate) fn cluster_state_mut(&mut self) -> &mut ClusterState {
+        &mut self.cluster
+    }
+
     /// Takes one event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Actions) {
         match event {
@@ -322,7 +365,8 @@
             sample.0.extend(self.pool.pooled.sizes.iter().filter(|(_, n)| *n > 0.0).copied());
         }
         // After a restart the own count says little yet of what the others go on carrying.
-        let (counted, (known, belief)) = (self.ledger.total.max(1.0) * relay_count, self.cluster.fleet_load(now));
+        let (counted, (known, belief)) =
+            (self.ledger.total.max(1.0) * relay_count, self.cluster.fleet_load(now));
         let fleet = counted + (known - counted).max(0.0) * belief;
         let unit = fleet / (own * times + PRIOR * times.sqrt() * chance);
         let mut groups: Vec<(u32, f64)> = sample.0.iter().map(|(group, n)| (*group, n * unit)).collect();
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -208,7 +208,13 @@
     }
 
     /// Takes a peer's sample, which is answered, or its answer.
-    pub fn told(&mut self, peer: u32, message: PeerMessage, own: &Sample, settings: &Settings) -> Option<Action> {
+    pub fn told(
+        &mut self,
+        peer: u32,
+        message: PeerMessage,
+        own: &Sample,
+        settings: &Settings,
+    ) -> Option<Action> {
         if message.answer && peer == self.collector {
             (self.pooled, self.asked) = (message, None);
         } else if !message.answer && peer < settings.relay_count {
--- a/src/relay/handover.rs
+++ b/src/relay/handover.rs
@@ -13,7 +13,8 @@
 
 use crate::listener::TransferredProtocol;
 use crate::policy::api::Millis;
-use crate::relay::transfer::{LearnedState, TransferredConnection};
+use crate::policy::learned_state::LearnedState;
+use crate::relay::transfer::TransferredConnection;
 
 /// The first form of the messages, which every process speaks. Two processes hand over in the newest that both read.
 pub const FORM: u32 = 1;
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -21,10 +21,11 @@
 
 use crate::LoadBalancer;
 use crate::policy::api::*;
+use crate::policy::learned_state::LearnedState;
 use crate::relay::classes::Classes;
 use crate::relay::lifecycle::{MOVE_STEP, Operation, moves_now};
 use crate::relay::quotas::Counted;
-use crate::relay::transfer::{LearnedState, TransferredConnection};
+use crate::relay::transfer::TransferredConnection;
 
 /// Tokens of the core's own timers; the load balancer's stay below.
 const EMPTY: u64 = 1 << 63;
@@ -282,7 +283,7 @@
     /// Counts anew, by what stands, where the members, their shares or the tier are others than before.
     fn retune_shares(&mut self, now: Millis, settings: &Settings) {
         let of = |s: &Settings| (s.quotas.clone(), s.local_index, s.relay_count, s.peers);
-        if of(settings) == of(&self.load_balancer.settings) {
+        if of(settings) == of(&self.load_balancer.settings()) {
             return;
         }
         self.counted = Counted::new(settings, now);
@@ -323,7 +324,7 @@
             return false;
         }
         let (load_balancer, descriptors) = (&self.load_balancer, arrival.descriptors_short);
-        let signs = || ScarcitySignals { descriptors, ..load_balancer.signs(now) };
+        let signs = || ScarcitySignals { descriptors, ..load_balancer.scarcity_signals(now) };
         self.counted.refuses(now, &member.0, arrival.returned, signs)
     }
 
@@ -409,7 +410,7 @@
         }
         self.connections.insert(id, connection);
         if over {
-            self.answer(id, LocalReply::Rejected(self.load_balancer.settings.max_retry_after));
+            self.answer(id, LocalReply::Rejected(self.load_balancer.settings().max_retry_after));
             self.forget(id);
         }
         self.settle(now);
@@ -534,7 +535,7 @@
 
     /// Among whom relays tell each other of endpoints that leave: where each asks discovery.
     fn of(&self) -> ClusterSize {
-        let s = &self.load_balancer.settings;
+        let s = &self.load_balancer.settings();
         let tells = s.peers && s.discovery == Discovery::OnRequest;
         ClusterSize { local_index: s.local_index, relays: if tells { s.relay_count } else { 0 } }
     }
@@ -580,17 +581,7 @@
 
     /// Entries of the list, as they are known, in this state.
     fn entries(&self, endpoints: &[EndpointHash], state: EndpointState) -> Vec<EndpointEntry> {
-        let known = self.load_balancer.ledger.endpoints.iter();
-        let known = known.filter(|(id, _)| endpoints.contains(&EndpointHash::of(&id.0)));
-        let entry = |(id, s): (&EndpointId, &crate::policy::state::Endpoint)| EndpointEntry {
-            id: id.clone(),
-            state,
-            weight: s.weight,
-            started: s.started,
-            zone: s.zone.clone(),
-            cell: s.cell,
-        };
-        known.map(entry).collect()
+        self.load_balancer.entries(|id| endpoints.contains(&EndpointHash::of(&id.0)), state)
     }
 
     /// Tells other relays of endpoints that have left, or asks them; and sets the timer for the next question.
@@ -717,7 +708,7 @@
     pub fn carry_connection(&self, id: RequestId) -> Option<TransferredConnection> {
         let connection = self.connections.get(&id)?;
         let Stage::Established(endpoint) = &connection.stage else { return None };
-        let request = &self.load_balancer.ledger.conns.get(&id)?.request;
+        let request = self.load_balancer.request(id)?;
         let text = |key: &Option<Key>| key.as_ref().map(|k| k.0.to_string());
         Some(TransferredConnection {
             class: connection.class.and_then(|c| self.classes.name(c)).unwrap_or_default().to_owned(),
@@ -785,17 +776,17 @@
 
     /// What the load balancer has learned, for the process that is to serve next.
     pub fn carry(&self, now: Millis) -> Vec<LearnedState> {
-        self.load_balancer.carry(now)
+        self.load_balancer.export_learned_state(now)
     }
 
     /// How long from now no new connection may go to a cold endpoint.
     pub fn cold_in(&self, now: Millis) -> Millis {
-        self.load_balancer.next_cold - now
+        self.load_balancer.slow_start_pause(now)
     }
 
     /// Takes what the process before has learned, after its list.
     pub fn carried(&mut self, now: Millis, piece: LearnedState) {
-        self.load_balancer.carried(now, piece);
+        self.load_balancer.import_learned_state(now, piece);
     }
 
     /// Takes whoever comes again. Who was told to move goes all the same, nobody else is told.
@@ -835,22 +826,22 @@
 
     /// Takes what a store has kept of clients and groups, before the first list.
     pub fn restore(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> Restored {
-        self.load_balancer.cluster.restore(now, records)
+        self.load_balancer.cluster_state_mut().restore(now, records)
     }
 
     /// From now on keys that are let go are remembered for [`Relay::changes`], and all entries count as changed.
     pub fn keep(&mut self) {
-        self.load_balancer.cluster.track_changes();
+        self.load_balancer.cluster_state_mut().track_changes();
     }
 
     /// What has changed of clients and groups since the last call, so many entries at the most.
     pub fn changes(&mut self, now: Millis, most: usize) -> Changes {
-        self.load_balancer.cluster.take_changes(now, most)
+        self.load_balancer.cluster_state_mut().take_changes(now, most)
     }
 
     /// Figures of the tables of clients and groups.
     pub fn affinity(&self) -> Figures {
-        self.load_balancer.cluster.statistics()
+        self.load_balancer.cluster_state().statistics()
     }
 
     /// Hands events to the load balancer until none is left, and its actions on.
--- a/src/relay/quotas.rs
+++ b/src/relay/quotas.rs
@@ -3,40 +3,10 @@
 
 use sandgw_quota::QuotaManager;
 use sandgw_quota::policy::{ScarcitySignals, Verdict};
-use sandgw_quota::tenants::Tenants;
 use sandgw_quota::usage_table::{Place, Sends};
 
-use crate::LoadBalancer;
 use crate::policy::api::*;
 
-/// Whether shares are kept to where no file of an operator says so. Nothing is counted or told where they are not.
-const ENFORCED: bool = false;
-
-/// Members' shares in the settings.
-#[derive(Clone, Debug, PartialEq)]
-pub struct QuotaSettings {
-    /// Who has a share.
-    pub members: Tenants,
-    /// What a connection beyond its member's share is worth, as a part of what it is worth within.
-    pub over_quota_weight: f64,
-    /// Whether who is over its share is refused first where places are short.
-    pub enforce: bool,
-}
-
-impl Default for QuotaSettings {
-    fn default() -> Self {
-        QuotaSettings { members: Tenants::default(), over_quota_weight: 0.0, enforce: ENFORCED }
-    }
-}
-
-impl QuotaSettings {
-    /// Whether any member has a limit.
-    pub fn has_limits(&self) -> bool {
-        let all = (0..self.members.len()).filter_map(|at| self.members.get(at));
-        all.into_iter().any(|m| m.connections.is_some() || m.per_s.is_some())
-    }
-}
-
 /// What is counted of connections, where shares are kept to.
 #[derive(Default)]
 pub(crate) struct Counted(Option<QuotaManager>);
@@ -104,17 +74,3 @@
         self.0.as_ref().map_or(0, QuotaManager::refusals)
     }
 }
-
-impl LoadBalancer {
-    /// Signs that places are short: the window of set-ups is cut, or no server has room by what is known of it.
-    pub(crate) fn signs(&self, now: Millis) -> ScarcitySignals {
-        let each = self.ledger.per_endpoint(self.ring.len());
-        let room =
-            |id: &EndpointId| self.ledger.endpoints.get(id).is_some_and(|s| s.load + 1.0 <= s.cap(now, each));
-        ScarcitySignals {
-            window: !self.queue.is_empty() || self.pace.common(now),
-            endpoints: !self.ring.iter().any(room) || self.ledger.crowded(now),
-            descriptors: false,
-        }
-    }
-}
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -446,7 +446,10 @@
             Step::ListFails => world.handle(Event::List { kind: ListKind::Failed, endpoints: Vec::new() }),
             Step::Slow(i, level) => {
                 if let Some(request) = world.out(i, true) {
-                    world.handle(Event::Measured { request, measurement: Measurement::MessageDelay(level.into()) });
+                    world.handle(Event::Measured {
+                        request,
+                        measurement: Measurement::MessageDelay(level.into()),
+                    });
                 }
             }
         }
@@ -812,7 +815,8 @@
         world.establish(RequestId(id), 5.0);
     }
     (0..60).for_each(|id| {
-        world.handle(Event::Measured { request: RequestId(id), measurement: Measurement::MessageDelay(30.0) });
+        world
+            .handle(Event::Measured { request: RequestId(id), measurement: Measurement::MessageDelay(30.0) });
     });
     (0..20).for_each(|id| world.end(RequestId(id), Outcome::Ok));
     assert!(comes_again(&mut world, 100..140, false) <= 1);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use sandgw::policy::api::{
-    Class, ClusterMessage, Discovery, EndpointEntry, EndpointId, EndpointState, Idempotency, Key, PeerMessage,
-    Millis, Settings, Zone,
+    Class, ClusterMessage, Discovery, EndpointEntry, EndpointId, EndpointState, Idempotency, Key, Millis,
+    PeerMessage, Settings, Zone,
 };
 use sandgw::relay::{Attempt, Command, ConnectionCommand, IncomingRequest, Relay};
 use sandgw_affinity::codec::EndpointHash;
