--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -82,7 +82,7 @@
 fn settings(local_index: u32, from: From) -> Settings {
     Settings {
         classes: vec![Class {
-            repeat: Idempotency::Safe,
+            idempotency: Idempotency::Safe,
             latency_objective: 500.0,
             message_latency_objective: Some(150.0),
             priority_weight: 1.0,
@@ -90,7 +90,7 @@
         discovery: Discovery::OnRequest,
         relay_count: RELAYS,
         local_index,
-        peers: from == From::Peers || from == From::Calm,
+        peer_messages: from == From::Peers || from == From::Calm,
         packet_passthrough: true,
         max_attempts: 5,
         connect_timeout: 200.0,
--- a/crates/cluster/src/location_gossip.rs
+++ b/crates/cluster/src/location_gossip.rs
@@ -2,7 +2,7 @@
 //!
 //! In a small tier every relay is told, and a connection that arrives mid-stream is found without a question. In a large
 //! one that would cost a datagram a relay for each connection. There every client has a few *keepers*, the same by
-//! every relay's reckoning: its place is told to them, and a relay that meets it mid-connection and does not know
+//! every relay's reckoning: its place is told to them, and a relay that meets it mid-flow and does not know
 //! it asks them. The cost is a fixed number of datagrams a connection, whatever the number of relays.
 
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
 ///     affinity
 /// };
 ///
-/// // A relay that is no keeper of it meets the client mid-connection: it asks both location_replicas, and is to look again soon.
+/// // A relay that is no keeper of it meets the client mid-flow: it asks both location_replicas, and is to look again soon.
 /// let local_index = (0..relays).find(|local_index| !location_replicas(client, relays).any(|k| k == *local_index)).expect("another");
 /// let (mut news, affinity, mut out) = (LocationGossip::default(), relay(local_index), Sends::new());
 /// assert!(news.ask(&affinity, 1000.0, client, &mut out).is_some());
@@ -118,7 +118,7 @@
         Some((next - now).max(1.0))
     }
 
-    /// A client has arrived mid-connection: in how long to look again for its place, which its keepers are asked for.
+    /// A client has arrived mid-flow: in how long to look again for its place, which its keepers are asked for.
     /// Nothing where it is known, where nobody else would know it, or where the answer has taken too long.
     pub fn ask(&mut self, affinity: &Affinity, now: Millis, client: u64, out: &mut Sends) -> Option<Millis> {
         let (local_index, relays) = (affinity.limits().local_index, affinity.limits().relays);
--- a/crates/cluster/tests/news.rs
+++ b/crates/cluster/tests/news.rs
@@ -1,5 +1,5 @@
 //! What telling of clients' places costs a connection by the number of relays, and whether a relay that meets a client
-//! mid-connection finds its endpoint.
+//! mid-flow finds its endpoint.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/test-cluster/src/invariants.rs
+++ b/crates/test-cluster/src/invariants.rs
@@ -68,7 +68,7 @@
     pub served: BTreeMap<(Arc<str>, Arc<str>), (u64, u64)>,
     /// What was served in each third, of each class and of each tenant.
     pub shares: QuotaManager,
-    /// Connections that arrived mid-connection and were sent to an endpoint, and those whose first attempt found the one that
+    /// Connections that arrived mid-flow and were sent to an endpoint, and those whose first attempt found the one that
     /// holds them.
     pub mid_flow: (u64, u64),
     /// The most that came to a cold endpoint within the window, as a share of its budget.
@@ -232,7 +232,7 @@
         events.into_iter().any(|e| matches!(e.what, What::Died(_)) && e.at >= from && e.at <= to)
     }
 
-    /// Connections that came mid-connection, and those that were found at once.
+    /// Connections that came mid-flow, and those that were found at once.
     fn mid_flow(&self) -> (u64, u64) {
         let mut count = (0, 0);
         for connection in self.connections.values() {
--- a/crates/test-cluster/src/load_clients.rs
+++ b/crates/test-cluster/src/load_clients.rs
@@ -2,7 +2,7 @@
 //!
 //! They own their connections; they are fed a plan with a seed; they note every first line and every answer, and
 //! count how each client fared. A client retries after a refusal or a failure while its time lasts, stays once it is
-//! served, comes back after `MOVE` or a break, and arrives mid-connection at another relay when its own dies, where packets
+//! served, comes back after `MOVE` or a break, and arrives mid-flow at another relay when its own dies, where packets
 //! pass through.
 
 use std::collections::BTreeMap;
@@ -186,7 +186,7 @@
     pub moved: u64,
     /// Standing connections that broke.
     pub broke: u64,
-    /// Clients that arrived mid-connection, and those of them that went on at their endpoint.
+    /// Clients that arrived mid-flow, and those of them that went on at their endpoint.
     pub mid_flow: u64,
     /// Those of them that went on at their endpoint.
     pub found: u64,
--- a/crates/test-cluster/src/log.rs
+++ b/crates/test-cluster/src/log.rs
@@ -88,7 +88,7 @@
         class: Arc<str>,
         /// Its tenant.
         tenant: Arc<str>,
-        /// It arrives mid-connection.
+        /// It arrives mid-flow.
         mid: bool,
     },
     /// A relay's answer to it.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -434,7 +434,7 @@
         let tier = peers.as_ref().map_or(1, |peers: &Vec<SocketAddr>| peers.len().max(1) as u32);
         let maintenance = if app["maintenance"].is_object() {
             let mut r = Reader::new(&app_file, &app["maintenance"], "maintenance.", &mut faults);
-            let hears = tier == 1 || peer_listen.is_some() && module.peers;
+            let hears = tier == 1 || peer_listen.is_some() && module.peer_messages;
             if !hears {
                 r.fault("floor", Fault::NoMessages);
             }
--- a/src/listener/line.rs
+++ b/src/listener/line.rs
@@ -27,7 +27,7 @@
 pub struct LineNames {
     /// Whether `g` names a group or else the client: whether connections of one group share work.
     pub groups: bool,
-    /// Classes, each with until when new connections may name it, where it was dropped. Connections that arrive mid-connection began
+    /// Classes, each with until when new connections may name it, where it was dropped. Connections that arrive mid-flow began
     /// when it was in force.
     pub classes: Vec<(String, Option<Millis>)>,
     /// Tenants; where there are none any will do.
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub struct LineRules {
     names: RefCell<LineNames>,
-    /// Tenants of the settings before these: connections of theirs may arrive mid-connection.
+    /// Tenants of the settings before these: connections of theirs may arrive mid-flow.
     former: RefCell<Vec<String>>,
     /// Ids of the connections that are open, each with its key.
     open: RefCell<HashMap<String, String>>,
--- a/src/policy/api.rs
+++ b/src/policy/api.rs
@@ -56,7 +56,7 @@
     /// Repeats are dropped within a group of servers for a while.
     Keyed {
         /// The servers that share what they have seen.
-        group: DeduplicationScope,
+        scope: DeduplicationScope,
         /// How long they remember, from the first send that may have run.
         window: Millis,
     },
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Its effect when repeated.
-    pub repeat: Idempotency,
+    pub idempotency: Idempotency,
     /// Wanted set-up time.
     pub latency_objective: Millis,
     /// Wanted time of a message on an open connection.
@@ -88,13 +88,13 @@
 
 /// Limit on one balancer's attempts beyond each request's first, in any window of a length.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Length of the window.
     pub window: Millis,
     /// Attempts allowed however few requests came.
-    pub free: f64,
+    pub min_retries: f64,
     /// Attempts allowed besides for each request taken in the window.
-    pub share: f64,
+    pub retry_ratio: f64,
 }
 
 /// Settings, given at the start and anew in [`Event::Settings`].
@@ -109,7 +109,7 @@
     /// Number of this one among them, from 0.
     pub local_index: u32,
     /// Whether balancers may send each other messages.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Packets pass through: when the set of balancers changes, open connections arrive at another one.
     pub packet_passthrough: bool,
     /// Most attempts of one request.
@@ -128,8 +128,8 @@
     pub warm_up_time: Millis,
     /// A cold server falls over when sent more than this multiple of its present capacity.
     pub overload_multiple: f64,
-    /// Budget of further attempts; `None` where none is stated.
-    pub budget: Option<Budget>,
+    /// RetryBudget of further attempts; `None` where none is stated.
+    pub retry_budget: Option<RetryBudget>,
     /// What the tables of clients and groups may take up; relays and their numbers are those above.
     pub affinity_limits: Limits,
     /// Members' shares of the tier, and whether they are kept to.
@@ -143,7 +143,7 @@
             discovery: Discovery::Pushed,
             relay_count: 1,
             local_index: 0,
-            peers: false,
+            peer_messages: false,
             packet_passthrough: false,
             max_attempts: 3,
             connect_timeout: 250.0,
@@ -153,7 +153,7 @@
             cold_capacity_fraction: 0.1,
             warm_up_time: 20_000.0,
             overload_multiple: 2.0,
-            budget: None,
+            retry_budget: None,
             affinity_limits: Limits::default(),
             quotas: QuotaSettings::default(),
         }
@@ -308,11 +308,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerMessage {
     /// The sum over all balancers that the sender has heard of, in answer to one's own sample.
-    pub answer: bool,
+    pub merged: bool,
     /// Arrivals of all groups.
     pub total: f64,
     /// Slot of the group's key in the table, and its arrivals.
-    pub sizes: Vec<(u32, f64)>,
+    pub group_sizes: Vec<(u32, f64)>,
     /// In place of all that, what the balancers' tables of clients and groups tell each other.
     pub cluster: Option<ClusterMessage>,
     /// In place of all that, members' use of the tier. It is for the core, not for the load balancer.
@@ -421,7 +421,7 @@
     },
     /// Subscribe to changes of the list.
     Subscribe,
-    /// Send a message to another balancer, where [`Settings::peers`] allows it.
+    /// Send a message to another balancer, where [`Settings::peer_messages`] allows it.
     SendToPeer {
         /// Its number.
         peer: u32,
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -51,7 +51,7 @@
             ..settings.affinity_limits
         };
         let (affinity, tier) = (Affinity::new(limits, now), Replication::new(seed));
-        let (packet_passthrough, peers) = (settings.packet_passthrough, settings.peers);
+        let (packet_passthrough, peers) = (settings.packet_passthrough, settings.peer_messages);
         let (news, census, sends) = (LocationGossip::default(), LoadAggregation::default(), Sends::new());
         let (asking, storm) = (PollScheduler::new(seed), OverloadGossip::new(seed));
         let (among, asks) = (among(settings), asks(settings));
@@ -73,7 +73,7 @@
 
     /// Takes new settings; what the tables may take up stays as it was.
     pub fn apply_settings(&mut self, settings: &Settings) {
-        (self.packet_passthrough, self.peers) = (settings.packet_passthrough, settings.peers);
+        (self.packet_passthrough, self.peers) = (settings.packet_passthrough, settings.peer_messages);
         (self.among, self.asks) = (among(settings), asks(settings));
         self.affinity.renumber(settings.relay_count, settings.local_index);
     }
@@ -115,7 +115,7 @@
 
     /// A connection has come to stand. Where, is told to the others.
     pub fn record_established(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) {
-        // Of one that arrived mid-connection too: who keeps its place may have started again since.
+        // Of one that arrived mid-flow too: who keeps its place may have started again since.
         if (self.record_location(now, request, load, endpoint) || self.packet_passthrough && request.mid_flow)
             && self.peers
         {
@@ -144,7 +144,7 @@
         self.affinity.session(Affinity::client(&request.client_key())).map(EndpointId)
     }
 
-    /// In how long to look again for the holder of a connection that arrives mid-connection, where others are asked for it.
+    /// In how long to look again for the holder of a connection that arrives mid-flow, where others are asked for it.
     pub fn query_location(&mut self, now: Millis, request: &Request) -> Option<Millis> {
         let client = Affinity::client(&request.client_key());
         self.peers.then(|| self.news.ask(&self.affinity, now, client, &mut self.sends))?
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -48,7 +48,7 @@
 /// How long news of what all balancers hold counts.
 const TOLD_FOR: Millis = 10_000.0;
 /// Where no budget is stated.
-const UNLIMITED: Budget = Budget { window: 0.0, free: f64::INFINITY, share: 0.0 };
+const UNLIMITED: RetryBudget = RetryBudget { window: 0.0, min_retries: f64::INFINITY, retry_ratio: 0.0 };
 /// Own pace to cold servers, as a multiple of what fills them: few are ready to send when they may.
 const COLD_PACE: f64 = 1.35;
 /// Clients that a leaving server does not send away itself are told within this of the notice, in steps.
@@ -84,7 +84,7 @@
     mean: Mean,
     /// Messages are told to be slow where they are: caps follow that better than weights can tell.
     pub(crate) hears: bool,
-    /// Where clients and groups are held: for those that arrive mid-connection, and for a plan after a restart.
+    /// Where clients and groups are held: for those that arrive mid-flow, and for a plan after a restart.
     pub(crate) cluster: ClusterState,
     /// How many set-ups may be out at once while a fault is common to all servers.
     pub(crate) pace: ConcurrencyLimit,
@@ -358,11 +358,11 @@
         // A sample of nearly all connections is what it is; the smaller it is, the more is by chance.
         let chance = (relay_count / own.max(1.0)).min(1.0);
         // An answer of less than the own sample is of a peer that has just started.
-        if let Some(least) = self.pool.pooled.sizes.last().filter(|_| self.pool.pooled.total > own) {
+        if let Some(least) = self.pool.pooled.group_sizes.last().filter(|_| self.pool.pooled.total > own) {
             // A group that the answer had no place for is no larger than those that it names.
             times = self.pool.pooled.total / own.max(1.0);
             sample.0.values_mut().for_each(|n| *n = (*n * times).min(least.1.max(*n)));
-            sample.0.extend(self.pool.pooled.sizes.iter().filter(|(_, n)| *n > 0.0).copied());
+            sample.0.extend(self.pool.pooled.group_sizes.iter().filter(|(_, n)| *n > 0.0).copied());
         }
         // After a restart the own count says little yet of what the others go on carrying.
         let (counted, (known, belief)) =
@@ -419,10 +419,11 @@
     /// Whether one more attempt beyond a request's first is within the budget, where one is stated: asked for
     /// every such attempt, whatever ended the one before. The window's edges err on the safe side.
     fn within_budget(&mut self, now: Millis) -> bool {
-        let Budget { window, free, share } = self.settings.budget.unwrap_or(UNLIMITED);
+        let RetryBudget { window, min_retries, retry_ratio } =
+            self.settings.retry_budget.unwrap_or(UNLIMITED);
         let (start, reading) = (now - window, self.settings.resolution);
         let taken = self.taken.since(start + reading);
-        self.further.since(start - reading) + 1.0 <= free + share * taken
+        self.further.since(start - reading) + 1.0 <= min_retries + retry_ratio * taken
     }
 
     /// Sends a waiting request on after a pause, holds it, or gives its final answer: at once where it can't
@@ -431,7 +432,7 @@
         let affordable = self.within_budget(now);
         let Some(conn) = self.ledger.conns.get(&id).filter(|c| c.stage == Stage::Queued) else { return };
         // A class that the settings do not name may be of any kind.
-        let repeat = self.class(&conn.request).map_or(Idempotency::Unsafe, |c| c.repeat);
+        let repeat = self.class(&conn.request).map_or(Idempotency::Unsafe, |c| c.idempotency);
         let limit = conn.request.deadline;
         let begin_by = match (repeat, &conn.ran) {
             (_, None) | (Idempotency::Safe, _) => f64::INFINITY,
@@ -442,7 +443,7 @@
         let setup_time_used = conn.attempts > 0 && !affordable;
         // A refusal promises that a retry is harmless; any server may get that retry.
         let everywhere =
-            matches!(repeat, Idempotency::Safe | Idempotency::Keyed { group: DeduplicationScope::All, .. });
+            matches!(repeat, Idempotency::Safe | Idempotency::Keyed { scope: DeduplicationScope::All, .. });
         let harmless = conn.ran.is_none() || (everywhere && repeatable);
         if now + pause >= limit
             || !repeatable
@@ -543,10 +544,10 @@
         let may = |i: &usize| {
             let s = endpoint(i);
             let remembers = match (repeat, &conn.ran) {
-                (Idempotency::Keyed { group: DeduplicationScope::Zone, .. }, Some((_, zone, _))) => {
+                (Idempotency::Keyed { scope: DeduplicationScope::Zone, .. }, Some((_, zone, _))) => {
                     s.zone == *zone
                 }
-                (Idempotency::Keyed { group: DeduplicationScope::Cell, .. }, Some((_, _, cell))) => {
+                (Idempotency::Keyed { scope: DeduplicationScope::Cell, .. }, Some((_, _, cell))) => {
                     s.cell == *cell
                 }
                 _ => true,
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -167,7 +167,7 @@
         let mut sizes: Vec<(u32, f64)> = self.0.iter().map(|(group, n)| (*group, *n)).collect();
         sizes.sort_by(|a, b| b.1.total_cmp(&a.1));
         sizes.truncate(PeerMessage::MOST);
-        PeerMessage { answer, total: self.total(), sizes, ..PeerMessage::default() }
+        PeerMessage { merged: answer, total: self.total(), group_sizes: sizes, ..PeerMessage::default() }
     }
 }
 
@@ -194,7 +194,7 @@
             self.untold > 1.0 + seen / 3.0 && self.asked.is_none_or(|at| now - at > settings.connect_timeout);
         if seen > f64::from(settings.relay_count) {
             self.pooled = PeerMessage::default();
-        } else if settings.peers && due {
+        } else if settings.peer_messages && due {
             // No answer to the last one: it may be down, and the next in number adds up.
             let next = self.collector + u32::from(self.asked.is_some());
             self.collector = next % settings.relay_count;
@@ -215,10 +215,10 @@
         own: &Sample,
         settings: &Settings,
     ) -> Option<Action> {
-        if message.answer && peer == self.collector {
+        if message.merged && peer == self.collector {
             (self.pooled, self.asked) = (message, None);
-        } else if !message.answer && peer < settings.relay_count {
-            self.samples.insert(peer, message.sizes);
+        } else if !message.merged && peer < settings.relay_count {
+            self.samples.insert(peer, message.group_sizes);
             let mut sum = own.clone();
             self.samples.values().flatten().for_each(|(group, n)| *sum.0.entry(*group).or_default() += n);
             self.pooled = sum.message(true);
--- a/src/properties.rs
+++ b/src/properties.rs
@@ -179,7 +179,7 @@
     let settings = Settings {
         relay_count: relays as u32,
         local_index: local_index as u32,
-        peers: true,
+        peer_messages: true,
         max_attempts: 5,
         connect_timeout: 200.0,
         resolution: 2.0,
--- a/src/relay/classes.rs
+++ b/src/relay/classes.rs
@@ -11,7 +11,7 @@
 /// New connections may name a dropped class for so long: clients learn of new settings up to 1.2 s later, and some take
 /// their time to write.
 const STILL_NAMED: Millis = 2000.0;
-/// Dropped classes that are kept though no connection here holds them: connections of theirs may arrive mid-connection.
+/// Dropped classes that are kept though no connection here holds them: connections of theirs may arrive mid-flow.
 const DROPPED_KEPT: usize = 8;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -63,7 +63,7 @@
     }
 
     /// Names that a connection may come with: each with until when a new one may, where it was dropped. One that arrives
-    /// mid-connection may come with any of them.
+    /// mid-flow may come with any of them.
     pub fn names(&self) -> Vec<(String, Option<Millis>)> {
         let until = |p: &Place| p.dropped.map(|at| at + STILL_NAMED);
         self.places.iter().flatten().map(|p| (p.name.clone(), until(p))).collect()
@@ -87,7 +87,7 @@
     /// The classes for the load balancer, by position. A free place holds one that nobody can name.
     pub fn by_position(&self) -> Vec<Class> {
         let free = Class {
-            repeat: Idempotency::Unsafe,
+            idempotency: Idempotency::Unsafe,
             latency_objective: f64::INFINITY,
             message_latency_objective: None,
             priority_weight: 0.0,
--- a/src/relay/classes/tests.rs
+++ b/src/relay/classes/tests.rs
@@ -2,7 +2,7 @@
 
 fn class(latency_objective: Millis) -> Class {
     Class {
-        repeat: Idempotency::Safe,
+        idempotency: Idempotency::Safe,
         latency_objective,
         message_latency_objective: None,
         priority_weight: 1.0,
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -282,7 +282,7 @@
 
     /// Counts anew, by what stands, where the members, their shares or the tier are others than before.
     fn retune_shares(&mut self, now: Millis, settings: &Settings) {
-        let of = |s: &Settings| (s.quotas.clone(), s.local_index, s.relay_count, s.peers);
+        let of = |s: &Settings| (s.quotas.clone(), s.local_index, s.relay_count, s.peer_messages);
         if of(settings) == of(&self.load_balancer.settings()) {
             return;
         }
@@ -536,7 +536,7 @@
     /// Among whom relays tell each other of endpoints that leave: where each asks discovery.
     fn of(&self) -> ClusterSize {
         let s = &self.load_balancer.settings();
-        let tells = s.peers && s.discovery == Discovery::OnRequest;
+        let tells = s.peer_messages && s.discovery == Discovery::OnRequest;
         ClusterSize { local_index: s.local_index, relays: if tells { s.relay_count } else { 0 } }
     }
 
--- a/src/relay/quotas.rs
+++ b/src/relay/quotas.rs
@@ -16,8 +16,11 @@
     pub fn new(settings: &Settings, now: Millis) -> Self {
         let shares = &settings.quotas;
         let counts = shares.enforce && shares.over_quota_weight < 1.0 && shares.has_limits();
-        let place =
-            Place { local_index: settings.local_index, relays: settings.relay_count, peers: settings.peers };
+        let place = Place {
+            local_index: settings.local_index,
+            relays: settings.relay_count,
+            peers: settings.peer_messages,
+        };
         Counted(counts.then(|| QuotaManager::new(shares.members.clone(), place, now)))
     }
 
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -419,7 +419,7 @@
         let (group, n) = word.split_once(':')?;
         sizes.push((u32::from_str_radix(group, 16).ok()?, count(n)?));
     }
-    Some(PeerMessage { answer, total, sizes, ..PeerMessage::default() })
+    Some(PeerMessage { merged: answer, total, group_sizes: sizes, ..PeerMessage::default() })
 }
 
 pub(crate) fn message_text(message: &PeerMessage) -> String {
@@ -431,9 +431,9 @@
         return told.text().unwrap_or_default();
     }
     let count = |n: f64| (n * 10.0).round() as u32;
-    let kind = if message.answer { ANSWER } else { SAMPLE };
+    let kind = if message.merged { ANSWER } else { SAMPLE };
     let mut text = format!("{kind} {:x}", count(message.total));
-    for (group, n) in &message.sizes {
+    for (group, n) in &message.group_sizes {
         let word = format!(" {group:x}:{:x}", count(*n));
         if text.len() + word.len() <= MESSAGE_BYTES {
             text.push_str(&word);
@@ -618,7 +618,7 @@
         let repeat = match self.word(lane, &path, "semantics", &["safe", "keyed", "unsafe"]) {
             Some(0) => Idempotency::Safe,
             Some(1) => Idempotency::Keyed {
-                group: match self.word(lane, &path, "group", &["all", "zone", "cell"]) {
+                scope: match self.word(lane, &path, "group", &["all", "zone", "cell"]) {
                     Some(0) => DeduplicationScope::All,
                     Some(1) => DeduplicationScope::Zone,
                     _ => DeduplicationScope::Cell,
@@ -640,7 +640,7 @@
             self.figure(latency_objective, "domain.", "messageAimMs", 1000.0, (1.0, LONGEST))
         });
         Class {
-            repeat,
+            idempotency: repeat,
             latency_objective: self.number(lane, &path, "aimMs", limit, (1.0, LONGEST)),
             message_latency_objective,
             priority_weight: self.number(lane, &path, "worth", 1.0, (0.0, 1e9)),
@@ -683,7 +683,7 @@
         discovery,
         relay_count,
         local_index: read.whole(boot, "", "me", 0, (0, relay_count - 1)),
-        peers: read.truth(limits, "limits.", "peerMessages"),
+        peer_messages: read.truth(limits, "limits.", "peerMessages"),
         packet_passthrough: boot["domain"]["mode"].as_str() == Some("pass"),
         max_attempts: read.whole(limits, "limits.", "maxAttempts", d.max_attempts, (1, 1000)),
         // What waits for an endpoint waits so long between two looks: nothing would never end.
@@ -706,7 +706,7 @@
         ),
         warm_up_time: read.number(rules, "rules.", "warmWithinMs", d.warm_up_time, (0.0, LONGEST)),
         overload_multiple: read.number(rules, "rules.", "tipMultiple", d.overload_multiple, (0.01, 1e6)),
-        budget,
+        retry_budget: budget,
         affinity_limits: d.affinity_limits,
         quotas: read.quotas(boot, d.quotas),
     };
@@ -714,7 +714,7 @@
 }
 
 /// The budget of further attempts; none where its window is not stated.
-fn budget(rules: &Value) -> Result<Option<Budget>, SettingError> {
+fn budget(rules: &Value) -> Result<Option<RetryBudget>, SettingError> {
     // A limit misread would break a rule in silence: nothing but a number from 0 up will do.
     let number = |key: &str| match &rules[key] {
         Value::Null => Ok(None),
@@ -726,7 +726,7 @@
     };
     let (free, share) = (number("spareAttempts")?, number("furtherRatio")?);
     let (free, share) = (free.unwrap_or(0.0), share.unwrap_or(0.0));
-    Ok(number("resendSpanMs")?.map(|window| Budget { window, free, share }))
+    Ok(number("resendSpanMs")?.map(|window| RetryBudget { window, min_retries: free, retry_ratio: share }))
 }
 
 fn encode(who: &str, action: Action) -> Value {
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -86,11 +86,16 @@
 }
 
 fn class(repeat: Idempotency) -> Class {
-    Class { repeat, latency_objective: 300.0, message_latency_objective: Some(60.0), priority_weight: 1.0 }
+    Class {
+        idempotency: repeat,
+        latency_objective: 300.0,
+        message_latency_objective: Some(60.0),
+        priority_weight: 1.0,
+    }
 }
 
 fn keyed(group: DeduplicationScope) -> Class {
-    class(Idempotency::Keyed { group, window: 900.0 })
+    class(Idempotency::Keyed { scope: group, window: 900.0 })
 }
 
 pub(crate) fn settings() -> Settings {
@@ -209,21 +214,21 @@
                 assert!(ask.attempts.iter().all(|a| a.ended.is_some()), "two attempts at once");
                 assert!(ask.attempts.len() < self.settings.max_attempts as usize, "too many attempts");
                 assert!(*until <= ask.deadline, "an attempt past the deadline");
-                if let Some(budget) = self.settings.budget.filter(|_| !ask.attempts.is_empty()) {
+                if let Some(budget) = self.settings.retry_budget.filter(|_| !ask.attempts.is_empty()) {
                     self.further.push(self.now);
                     let start = self.now - budget.window;
                     let further = self.further.iter().filter(|at| **at >= start).count();
                     let taken = self.taken.iter().filter(|at| **at > start).count();
-                    let allowed = budget.free + budget.share * taken as f64;
+                    let allowed = budget.min_retries + budget.retry_ratio * taken as f64;
                     assert!(further as f64 <= allowed, "{further} further attempts of {allowed}");
                 }
                 let entry = self.list.get(endpoint).expect("a send to a server that was never listed");
                 assert_eq!(entry.state, EndpointState::Ready, "a send to a draining or gone server");
                 let ran = ask.attempts.iter().find(|a| a.ended.is_some_and(Outcome::may_have_run));
                 if let Some(first) = ran {
-                    match ask.class.map(|c| self.settings.classes[c].repeat) {
+                    match ask.class.map(|c| self.settings.classes[c].idempotency) {
                         Some(Idempotency::Safe) => {}
-                        Some(Idempotency::Keyed { group, window }) => {
+                        Some(Idempotency::Keyed { scope: group, window }) => {
                             assert!(self.now - first.sent <= window, "a repeat after the window");
                             let place = |id: &EndpointId| {
                                 let i: usize = id.0[1..].parse().unwrap();
@@ -264,9 +269,9 @@
                 self.answer(*request);
                 let ask = &self.asks[request];
                 let ran = ask.attempts.iter().any(|a| a.ended.is_some_and(Outcome::may_have_run));
-                let everywhere = match ask.class.map(|c| self.settings.classes[c].repeat) {
+                let everywhere = match ask.class.map(|c| self.settings.classes[c].idempotency) {
                     Some(Idempotency::Safe) => true,
-                    Some(Idempotency::Keyed { group, .. }) => group == DeduplicationScope::All,
+                    Some(Idempotency::Keyed { scope: group, .. }) => group == DeduplicationScope::All,
                     _ => false,
                 };
                 assert!(!ran || everywhere, "a refusal of what may have run");
@@ -466,7 +471,13 @@
     let outcome = runner.run(&steps, |steps| {
         prop_assert_eq!(play(&steps, settings()), play(&steps, settings()));
         for (window, free, share) in [(1500.0, 1.0, 0.05), (700.0, 0.0, 0.5), (4000.0, 2.0, 0.0)] {
-            play(&steps, Settings { budget: Some(Budget { window, free, share }), ..settings() });
+            play(
+                &steps,
+                Settings {
+                    retry_budget: Some(RetryBudget { window, min_retries: free, retry_ratio: share }),
+                    ..settings()
+                },
+            );
         }
         Ok(())
     });
@@ -679,8 +690,10 @@
 /// ended the one before, and what can't have one gets its answer at once.
 #[test]
 fn further_attempts_keep_the_budget_to_the_edges_of_its_window() {
-    let budget =
-        |free, share| Settings { budget: Some(Budget { window: 2000.0, free, share }), ..settings() };
+    let budget = |free, share| Settings {
+        retry_budget: Some(RetryBudget { window: 2000.0, min_retries: free, retry_ratio: share }),
+        ..settings()
+    };
     let refused = |w: &World, id| {
         let is = |a: &Action| matches!(a, Action::Reject { request, .. } if *request == RequestId(id));
         w.log.iter().any(is)
@@ -941,7 +954,7 @@
 /// Other peers' answers and unknown senders change nothing; without leave nothing is sent.
 #[test]
 fn a_sample_goes_to_one_peer_and_its_answer_sizes_the_groups() {
-    let pool = Settings { relay_count: 100, local_index: 7, peers: true, ..settings() };
+    let pool = Settings { relay_count: 100, local_index: 7, peer_messages: true, ..settings() };
     let mut world = World::new(pool.clone(), &ready(40));
     for id in 0..3 {
         world.ask(id, Some(0), Some("g0"), &format!("c{id}"), 2000.0);
@@ -952,13 +965,13 @@
     assert_eq!(tells(&world), 1, "one sample while its answer is out");
     let group = |w: &World| {
         let told = w.log.iter().find_map(|a| match a {
-            Action::SendToPeer { message, .. } => message.sizes.first().map(|(group, _)| *group),
+            Action::SendToPeer { message, .. } => message.group_sizes.first().map(|(group, _)| *group),
             _ => None,
         });
         told.unwrap()
     };
     let sizes = vec![(group(&world), 900.0), (1, 100.0)];
-    let message = PeerMessage { answer: true, total: 1000.0, sizes, ..PeerMessage::default() };
+    let message = PeerMessage { merged: true, total: 1000.0, group_sizes: sizes, ..PeerMessage::default() };
     let spread = |world: &mut World, from: u64| {
         for id in from..from + 60 {
             world.ask(id, Some(0), Some("g0"), &format!("c{id}"), 2000.0);
@@ -977,7 +990,7 @@
     let (mut told, mut untold) = (World::new(pool.clone(), &ready(40)), World::new(pool.clone(), &ready(40)));
     told.handle(Event::PeerMessage {
         peer: 0,
-        message: PeerMessage { total: 0.0, sizes: vec![(9, 0.0)], ..message.clone() },
+        message: PeerMessage { total: 0.0, group_sizes: vec![(9, 0.0)], ..message.clone() },
     });
     for id in 0..20 {
         told.ask(id, Some(0), Some(&format!("g{}", id % 3)), &format!("c{id}"), 2000.0);
@@ -989,12 +1002,13 @@
     assert!(spread(&mut world, 1000) > 10, "nine tenths of all connections need many servers");
     // A sample is answered with the sum, whatever it holds and however often it comes.
     world.log.clear();
-    let sample = PeerMessage { answer: false, total: 5.0, sizes: vec![(77, 5.0)], ..PeerMessage::default() };
+    let sample =
+        PeerMessage { merged: false, total: 5.0, group_sizes: vec![(77, 5.0)], ..PeerMessage::default() };
     (0..2).for_each(|_| world.handle(Event::PeerMessage { peer: 3, message: sample.clone() }));
     let answer = world.log.last().cloned();
     let Some(Action::SendToPeer { peer: 3, message }) = answer else { panic!("no answer") };
-    assert!(message.answer && message.sizes.contains(&(77, 5.0)));
-    let mut alone = World::new(Settings { peers: false, ..pool }, &ready(40));
+    assert!(message.merged && message.group_sizes.contains(&(77, 5.0)));
+    let mut alone = World::new(Settings { peer_messages: false, ..pool }, &ready(40));
     (0..20).for_each(|id| alone.ask(id, Some(0), Some("g"), &format!("c{id}"), 2000.0));
     assert_eq!(tells(&alone), 0);
 }
@@ -1282,7 +1296,7 @@
 /// Moves of a balancer that holds 40 connections on the first of four servers, once it is told what so many hold
 /// there; with the third in this state, after a set-up that took so long.
 fn moves(told: u16, third: EndpointState, took: Millis) -> usize {
-    let many = Settings { relay_count: 100, local_index: 7, peers: true, ..settings() };
+    let many = Settings { relay_count: 100, local_index: 7, peer_messages: true, ..settings() };
     let (mut load_balancer, mut out) = (LoadBalancer::new(many, 1, START), Actions::new());
     let list =
         |state| (0..4).map(|i| entry(i, if i == 2 { state } else { EndpointState::Ready }, 0.0)).collect();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -170,7 +170,7 @@
     assert_eq!(held[0].line(), "(end)");
 }
 
-/// What was known of clients comes along: a connection that arrives mid-connection finds its endpoint.
+/// What was known of clients comes along: a connection that arrives mid-flow finds its endpoint.
 #[test]
 fn clients_places_and_standby_are_handed_over() {
     let endpoints = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Endpoint::lines);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -34,7 +34,7 @@
 /// One of 300 relays that holds four endpoints as of version 40.
 fn relay(peers: bool) -> Relay {
     let class = Class {
-        repeat: Idempotency::Safe,
+        idempotency: Idempotency::Safe,
         latency_objective: 500.0,
         message_latency_objective: None,
         priority_weight: 1.0,
@@ -44,7 +44,7 @@
         discovery: Discovery::OnRequest,
         relay_count: 300,
         local_index: 7,
-        peers,
+        peer_messages: peers,
         ..Settings::default()
     };
     let mut relay = Relay::new(settings, vec!["safe".into()], 7, START);
--- a/tests/line.rs
+++ b/tests/line.rs
@@ -552,7 +552,7 @@
         relay.configure(wrong);
         assert_eq!(open("live", "").0, "UP 17", "after {wrong:?}");
     }
-    // It goes: who has not heard of that yet may name it a while longer, and mid-connection later too.
+    // It goes: who has not heard of that yet may name it a while longer, and mid-flow later too.
     relay.configure(&whole);
     assert_eq!(open("live", "").0, "UP 17");
     until("the dropped class is refused", || open("live", "").0 == "ERR");
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -45,7 +45,7 @@
     command.env_remove("PROXY_CONFIG").args(arguments).output().unwrap()
 }
 
-/// A relay without others is killed and starts again: connections that arrive mid-connection find their endpoint.
+/// A relay without others is killed and starts again: connections that arrive mid-flow find their endpoint.
 #[test]
 fn a_relay_that_is_killed_knows_its_clients_from_the_folder() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
