--- a/crates/affinity/src/codec.rs
+++ b/crates/affinity/src/codec.rs
@@ -3,15 +3,12 @@
 //! A piece is postcard in base64: the platform's datagrams are text, and binary in text costs a third more where
 //! hexadecimal digits cost twice. A piece that is too long, malformed or of another version reads as none.
 
-use base64::Engine;
-use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::endpoint_registry::EndpointTag;
 
-/// Most bytes of a piece as text, its version included.
-pub const MOST_BYTES: usize = 256;
+pub use sandgw_datagram::MAX_BYTES as MOST_BYTES;
 /// First letter of a piece: its version.
 pub const VERSION: char = '2';
 /// Into how many parts a table is cut to be compared.
@@ -178,20 +175,12 @@
 impl ClusterMessage {
     /// The piece as text; nothing where it would be too long, which no piece made here is.
     pub fn text(&self) -> Option<String> {
-        let bytes = postcard::to_allocvec(self).ok()?;
-        let mut text = String::from(VERSION);
-        STANDARD_NO_PAD.encode_string(bytes, &mut text);
-        (text.len() <= MOST_BYTES).then_some(text)
+        sandgw_datagram::binary::encode(VERSION, self)
     }
 
     /// Reads a piece; nothing of what is none.
     pub fn read(text: &str) -> Option<ClusterMessage> {
-        let rest = text.strip_prefix(VERSION).filter(|_| text.len() <= MOST_BYTES)?;
-        let bytes = STANDARD_NO_PAD.decode(rest).ok()?;
-        match postcard::take_from_bytes::<ClusterMessage>(&bytes).ok()? {
-            (piece, []) => Some(piece),
-            _ => None,
-        }
+        sandgw_datagram::binary::decode(VERSION, text)
     }
 }
 
--- /dev/null
+++ b/crates/datagram/src/binary.rs
@@ -0,0 +1,37 @@
+//! Bodies in binary: postcard in base64 behind one character that names the kind.
+//!
+//! The platform's datagrams are text. Base64 makes binary a third longer, where hexadecimal digits would double it.
+
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD_NO_PAD;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+use crate::MAX_BYTES;
+
+/// Writes a value as a datagram; `None` where it would be too long.
+///
+/// ```
+/// use sandgw_datagram::binary::{decode, encode};
+///
+/// let text = encode('m', &(7_u32, true)).expect("it is short");
+/// assert!(text.starts_with('m'));
+/// assert_eq!(decode('m', &text), Some((7_u32, true)));
+/// assert_eq!(decode::<(u32, bool)>('n', &text), None, "it is of another kind");
+/// ```
+pub fn encode<T: Serialize>(kind: char, value: &T) -> Option<String> {
+    let bytes = postcard::to_allocvec(value).ok()?;
+    let mut text = String::from(kind);
+    STANDARD_NO_PAD.encode_string(bytes, &mut text);
+    (text.len() <= MAX_BYTES).then_some(text)
+}
+
+/// Reads what [`encode`] wrote; `None` where the text is too long, of another kind, malformed, or has more behind it.
+pub fn decode<T: DeserializeOwned>(kind: char, text: &str) -> Option<T> {
+    let body = text.strip_prefix(kind).filter(|_| text.len() <= MAX_BYTES)?;
+    let bytes = STANDARD_NO_PAD.decode(body).ok()?;
+    match postcard::take_from_bytes::<T>(&bytes).ok()? {
+        (value, []) => Some(value),
+        _ => None,
+    }
+}
--- a/crates/maintenance/src/codec.rs
+++ b/crates/maintenance/src/codec.rs
@@ -5,33 +5,11 @@
 use crate::replicated_ledger::{Accepted, Answer, Message, Term};
 use crate::{CapacityShare, Entry, MOST, Refused, Scope, Tag, WholeMillis, Window, WindowId};
 
-/// Most bytes of a datagram.
-pub const MOST_BYTES: usize = 256;
+pub use sandgw_datagram::MAX_BYTES as MOST_BYTES;
+use sandgw_datagram::base36::{decode as large, encode as small};
 /// The first word: what it is of, and its form.
 pub const FIRST: &str = "m1";
 
-const DIGITS: &[u8; 36] = b"0123456789abcdefghijklmnopqrstuvwxyz";
-
-/// A number in 36 digits.
-pub fn small(mut n: u64) -> String {
-    let mut digits = Vec::new();
-    loop {
-        digits.push(DIGITS[(n % 36) as usize]);
-        n /= 36;
-        if n == 0 {
-            break;
-        }
-    }
-    digits.iter().rev().map(|b| char::from(*b)).collect()
-}
-
-/// The number that [`small`] wrote.
-pub fn large(text: &str) -> Option<u64> {
-    let plain = !text.is_empty() && text.bytes().all(|b| DIGITS.contains(&b));
-    // Sums of a few such never overflow, whatever came.
-    plain.then(|| u64::from_str_radix(text, 36).ok()).flatten().filter(|n| *n < 1 << 56)
-}
-
 /// Writes a message. No message is made that does not fit.
 ///
 /// ```
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{WholeMillis, codec};
+use crate::WholeMillis;
 
 /// A zone's or an endpoint's short tag: four bytes of a hash of its name. Two of the same are taken for one.
 pub type Tag = u32;
@@ -27,7 +27,7 @@
 
 impl fmt::Display for WindowId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.relay, codec::small(self.asked))
+        write!(f, "{}.{}", self.relay, sandgw_datagram::base36::encode(self.asked))
     }
 }
 
@@ -42,7 +42,10 @@
     /// ```
     fn from_str(text: &str) -> Result<Self, ()> {
         let (relay, asked) = text.split_once('.').ok_or(())?;
-        Ok(WindowId { relay: relay.parse().map_err(|_| ())?, asked: codec::large(asked).ok_or(())? })
+        Ok(WindowId {
+            relay: relay.parse().map_err(|_| ())?,
+            asked: sandgw_datagram::base36::decode(asked).ok_or(())?,
+        })
     }
 }
 
--- a/crates/quota/src/usage_gossip.rs
+++ b/crates/quota/src/usage_gossip.rs
@@ -3,16 +3,13 @@
 //! It is postcard in base64 behind a letter of its own, which relays that do not count shares pass over as they do
 //! any kind that they do not know. What is malformed or too long reads as nothing.
 
-use base64::Engine;
-use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
 
 use crate::tenants::Tag;
 
 /// First letter of the text.
 pub const KIND: char = 'm';
-/// Most bytes of the text.
-pub const MOST_BYTES: usize = 256;
+pub use sandgw_datagram::MAX_BYTES as MOST_BYTES;
 /// Most rows in one: each takes 8 bytes at the most, and what stands before them 16.
 pub const ROWS: usize = 20;
 /// The largest figure of a row: what three bytes hold.
@@ -77,19 +74,11 @@
     /// assert_eq!(UsageReport::read(&told.text().unwrap()), Some(told));
     /// ```
     pub fn text(&self) -> Option<String> {
-        let bytes = postcard::to_allocvec(self).ok()?;
-        let mut text = String::from(KIND);
-        STANDARD_NO_PAD.encode_string(bytes, &mut text);
-        (text.len() <= MOST_BYTES).then_some(text)
+        sandgw_datagram::binary::encode(KIND, self)
     }
 
     /// Reads a text; nothing of what is none.
     pub fn read(text: &str) -> Option<UsageReport> {
-        let rest = text.strip_prefix(KIND).filter(|_| text.len() <= MOST_BYTES)?;
-        let bytes = STANDARD_NO_PAD.decode(rest).ok()?;
-        match postcard::take_from_bytes::<UsageReport>(&bytes).ok()? {
-            (told, []) => Some(told),
-            _ => None,
-        }
+        sandgw_datagram::binary::decode(KIND, text)
     }
 }
--- a/crates/schema-version/src/version_advertisement.rs
+++ b/crates/schema-version/src/version_advertisement.rs
@@ -7,6 +7,8 @@
 //! This layout is kept by all forms to come, so that a process can tell from any word whether it is too old. A
 //! process of before it passes a datagram that begins so over, as it does all that it can't read.
 
+use sandgw_datagram::base36::{digit, digit_value as value};
+
 use crate::{Millis, SchemaVersion, SchemaVersionError, SupportedVersions};
 
 /// First character of a word: neither of form 1's two.
@@ -75,12 +77,3 @@
         Ok((VersionAdvertisement { range, finalized: form(finalized)?, older }, rest))
     }
 }
-
-fn digit(n: u32) -> char {
-    char::from_digit(n, 36).unwrap_or('0')
-}
-
-/// Small letters only: a word has one way to be written.
-fn value(c: char) -> Option<u32> {
-    c.to_digit(36).filter(|_| !c.is_ascii_uppercase())
-}
--- a/crates/schema-version/src/versioned_message.rs
+++ b/crates/schema-version/src/versioned_message.rs
@@ -8,8 +8,7 @@
 use crate::version_advertisement::VersionAdvertisement;
 use crate::{SchemaVersion, SchemaVersionError};
 
-/// Most bytes of a datagram.
-pub const MOST_BYTES: usize = 256;
+pub use sandgw_datagram::MAX_BYTES as MOST_BYTES;
 /// First characters of form 1: of samples and of pieces.
 const FIRST_FORM: [char; 2] = ['1', '2'];
 
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -393,8 +393,7 @@
 /// First word of a message between balancers: its version and kind.
 const SAMPLE: &str = "1s";
 const ANSWER: &str = "1t";
-/// The wire's limit on a message.
-pub(crate) const MESSAGE_BYTES: usize = 256;
+pub(crate) use sandgw_datagram::MAX_BYTES as MESSAGE_BYTES;
 
 /// Reads a message of a peer; nothing of one that is too long, of another version or malformed.
 pub(crate) fn message(text: &str) -> Option<PeerMessage> {
