--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::help::help;
 use crate::policy::api::*;
-use crate::policy::hashing::fraction;
+use crate::policy::hashing::unit_of_hash;
 
 /// How long discovery may hold a watch, at the least and at the most; each is drawn, so that relays whose watches were
 /// all answered by one change do not go on in step. What a watch that has fallen silent misses counts as told 6 s
@@ -220,7 +220,7 @@
 
     fn draw(&mut self) -> f64 {
         self.seed = xxh3_64_with_seed(&[], self.seed);
-        fraction(self.seed)
+        unit_of_hash(self.seed)
     }
 
     /// Where an endpoint listens for this relay; nowhere once it is gone, since nothing is sent there any more.
--- /dev/null
+++ b/src/policy/admission.rs
@@ -0,0 +1,184 @@
+//! When a request is sent on, held or rejected.
+//!
+//! Inputs: a queued request, how many attempts are out, the concurrency limit on set-ups
+//! (`sandgw_cluster`), and what `retry` and `selection` say. Outputs: an attempt, a timer after which the
+//! request is looked at again, or its final answer. A request that can't be served in time is answered at
+//! once, so that its client knows and can retry: it is never held until its deadline.
+//!
+//! A request is rejected here, in this order: its deadline has passed or another attempt is not allowed
+//! ([`LoadBalancer::dispatch`]); its turn is not expected before a set-up would be too late
+//! ([`LoadBalancer::hold_for_turn`]); no endpoint may take it within its latency objective
+//! ([`LoadBalancer::wait_for_endpoint`]).
+
+use super::api::*;
+use super::load_balancer::LoadBalancer;
+use super::request_table::{Stage, TrackedRequest};
+use super::retry::AttemptPermission;
+
+/// How often within a connect time-out a request without an endpoint looks for one again.
+const RECHECKS_PER_CONNECT_TIMEOUT: f64 = 4.0;
+
+impl LoadBalancer {
+    /// Sends a queued request on, `delay` ms from now, holds it, or gives its final answer.
+    pub(super) fn dispatch(&mut self, now: Millis, id: RequestId, delay: Millis, actions: &mut Actions) {
+        let within_budget = self.is_within_retry_budget(now);
+        let Some(tracked) = self.queued(id) else { return };
+        let permission = self.attempt_permission(now, tracked, delay, within_budget);
+        if !permission.is_allowed {
+            return self.reject(id, permission.is_safe_to_reject, actions);
+        }
+        if delay > 0.0 {
+            return actions.push(Action::SetTimer { after: delay, token: id.0 });
+        }
+        let turn_in = self.time_to_turn(now, tracked);
+        if turn_in > 0.0 {
+            return self.hold_for_turn(now, id, turn_in, permission.is_safe_to_reject, actions);
+        }
+        self.queue.remove(&id);
+        self.update_assignment(now);
+        if self.query_location(now, id, actions) {
+            return;
+        }
+        let Some(tracked) = self.queued(id) else { return };
+        match self.select_endpoint(now, tracked, self.idempotency(&tracked.request)) {
+            Some(endpoint) => self.start_attempt(now, id, endpoint, permission.begin_by, actions),
+            None => self.wait_for_endpoint(now, id, &permission, actions),
+        }
+    }
+
+    /// Sends queued requests on as far as the concurrency limit allows, those of the highest priority first.
+    pub(super) fn dispatch_queue(&mut self, now: Millis, actions: &mut Actions) {
+        while let Some(id) = self.highest_priority_queued() {
+            let requests = &self.placements.requests;
+            let objective = requests.by_id.get(&id).map_or(0.0, |tracked| self.latency_objective(tracked));
+            if self.concurrency_limit.next(now, requests.attempts_out, objective) > 0.0 {
+                return;
+            }
+            self.queue.remove(&id);
+            self.dispatch(now, id, 0.0, actions);
+        }
+    }
+
+    /// The final answer of a request that no endpoint is to get.
+    fn reject(&mut self, id: RequestId, is_safe_to_reject: bool, actions: &mut Actions) {
+        self.forget(id);
+        actions.push(if is_safe_to_reject {
+            Action::Reject { request: id, retry_after: self.settings.max_retry_after }
+        } else {
+            Action::Fail(id)
+        });
+    }
+
+    fn queued(&self, id: RequestId) -> Option<&TrackedRequest> {
+        self.placements.requests.by_id.get(&id).filter(|tracked| tracked.stage == Stage::Queued)
+    }
+
+    /// In how long the concurrency limit allows this request's attempt, in ms: not positive where it does
+    /// now. A connection that continues mid-flow sets nothing up.
+    fn time_to_turn(&self, now: Millis, tracked: &TrackedRequest) -> Millis {
+        if tracked.continues_mid_flow() {
+            return 0.0;
+        }
+        let attempts_out = self.placements.requests.attempts_out;
+        self.concurrency_limit.next(now, attempts_out, self.latency_objective(tracked))
+    }
+
+    /// Holds a request until its turn, only while that is expected in time for a set-up: by how fast
+    /// set-ups go, and how many requests wait.
+    fn hold_for_turn(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        turn_in: Millis,
+        is_safe_to_reject: bool,
+        actions: &mut Actions,
+    ) {
+        self.queue.remove(&id);
+        let Some(tracked) = self.queued(id) else { return };
+        let deadline = tracked.request.deadline;
+        let objective = self.latency_objective(tracked);
+        let attempts_out = self.placements.requests.attempts_out;
+        let expected_wait = self.concurrency_limit.expected(now, attempts_out, self.queue.len(), objective);
+        if now + expected_wait + objective > deadline {
+            return self.reject(id, is_safe_to_reject, actions);
+        }
+        self.queue.insert(id);
+        actions.push(Action::SetTimer { after: turn_in.min(deadline - now), token: id.0 });
+    }
+
+    /// In a large tier few relays know where a connection stands: asks them for one that arrives mid-flow.
+    /// Returns whether their answer is awaited; after that the table decides.
+    fn query_location(&mut self, now: Millis, id: RequestId, actions: &mut Actions) -> bool {
+        let Some(tracked) = self.placements.requests.by_id.get(&id) else { return false };
+        if !tracked.continues_mid_flow() {
+            return false;
+        }
+        let Some(after) = self.cluster.query_location(now, &tracked.request) else { return false };
+        actions.push(Action::SetTimer { after, token: id.0 });
+        true
+    }
+
+    /// No endpoint may take the request. One that is ejected, warming up or at its load limit may do so
+    /// soon; beyond the latency objective nothing says that one will: the client is told at once, and when
+    /// to come back.
+    fn wait_for_endpoint(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        permission: &AttemptPermission,
+        actions: &mut Actions,
+    ) {
+        let recheck_after = self.settings.connect_timeout / RECHECKS_PER_CONNECT_TIMEOUT;
+        let Some(tracked) = self.placements.requests.by_id.get(&id) else { return };
+        if now + recheck_after > tracked.arrived_at + self.latency_objective(tracked) {
+            return self.reject(id, permission.is_safe_to_reject, actions);
+        }
+        self.placements.requests.by_id.entry(id).and_modify(|tracked| tracked.failed_endpoints.clear());
+        self.dispatch(now, id, recheck_after, actions);
+    }
+
+    /// Starts an attempt at an endpoint.
+    fn start_attempt(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        endpoint: EndpointId,
+        begin_by: Millis,
+        actions: &mut Actions,
+    ) {
+        let Some(tracked) = self.placements.requests.by_id.get(&id) else { return };
+        let is_retry = tracked.attempts > 0;
+        let until = tracked.request.deadline.min(now + self.attempt_timeout(now, tracked));
+        if is_retry {
+            self.retry_budget_use.retries.record(now);
+        }
+        self.placements.requests.update_recent_peak(now, self.settings.warm_up_time);
+        self.record_slow_start_send(now, &endpoint);
+        self.placements.start_attempt(now, id, endpoint.clone());
+        self.concurrency_limit.sent(now, self.random_state);
+        actions.push(Action::StartAttempt { request: id, endpoint, until, begin_by });
+    }
+
+    /// How long an attempt may take, in ms. What can't be tried again is waited for; a set-up that is slow
+    /// everywhere is too.
+    fn attempt_timeout(&self, now: Millis, tracked: &TrackedRequest) -> Millis {
+        let is_unsafe = self.idempotency(&tracked.request) == Idempotency::Unsafe;
+        if is_unsafe || self.concurrency_limit.common(now) {
+            return f64::INFINITY;
+        }
+        let objective = self.latency_objective(tracked);
+        // What a slow handshake has used of the set-up time is gone, for the first attempt.
+        let time_used = if tracked.attempts == 0 { tracked.request.setup_time_used } else { 0.0 };
+        objective.min((objective - time_used).max(self.settings.connect_timeout))
+    }
+
+    /// The queued request that is worth most for the load it brings; of equals the one that arrived first.
+    fn highest_priority_queued(&self) -> Option<RequestId> {
+        let requests = &self.placements.requests.by_id;
+        let priority = |id: &RequestId| {
+            requests.get(id).map_or(f64::INFINITY, |tracked| self.priority_per_load(tracked))
+        };
+        let by_priority = |a: &&RequestId, b: &&RequestId| priority(a).total_cmp(&priority(b));
+        self.queue.iter().rev().max_by(by_priority).copied()
+    }
+}
--- a/src/policy/api.rs
+++ b/src/policy/api.rs
@@ -160,7 +160,8 @@
     }
 }
 
-/// Whether shares are kept to where no file of an operator says so. Nothing is counted or told where they are not.
+/// Whether shares are kept to where no file of an operator says so. Nothing is counted or told where they
+/// are not.
 const ENFORCED: bool = false;
 
 /// Members' shares in the settings.
@@ -321,7 +322,7 @@
 
 impl PeerMessage {
     /// Most groups in one message.
-    pub const MOST: usize = 24;
+    pub const MAX_GROUPS: usize = 24;
 }
 
 /// What a balancer is told.
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -1,5 +1,5 @@
-//! The tables of clients and groups beside the load balancer: what is remembered over restarts, with its exchange
-//! between relays. Bookkeeping only; what follows from it is decided in `rules.rs`.
+//! The tables of clients and groups beside the load balancer: what is remembered over restarts, with its
+//! exchange between relays. Bookkeeping only; what follows from it is decided in the modules beside it.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +12,9 @@
 use sandgw_cluster::overload_gossip::OverloadGossip;
 use sandgw_cluster::poll_scheduler::{ClusterView, PollScheduler};
 
+use super::group_sample::GroupSample;
+use super::hashing::{endpoint_tag, key_hash, slot_of_hash};
 use crate::policy::api::*;
-use crate::policy::state::Sample;
 
 /// Groups whose sizes a plan starts from: those beyond them are small.
 const MOST_SIZES: usize = 512;
@@ -105,7 +106,7 @@
     /// A set-up has come late at a server.
     pub fn report_late_setup(&mut self, now: Millis, endpoint: &EndpointId) {
         let of = (self.among.local_index, self.among.relays);
-        self.storm.late(now, crate::policy::hashing::tag(&endpoint.0), of, &mut self.sends);
+        self.storm.late(now, endpoint_tag(&endpoint.0), of, &mut self.sends);
     }
 
     /// Another balancer's set-up has come late; whether that is common to all servers.
@@ -123,8 +124,8 @@
         }
     }
 
-    /// A connection stands, since before the start or as of now; whether its client's place is news. Those of before
-    /// the start are told to who asks only: all at once they would be many messages.
+    /// A connection stands, since before the start or as of now; whether its client's place is news. Those
+    /// of before the start are told to who asks only: all at once they would be many messages.
     pub fn record_location(
         &mut self,
         now: Millis,
@@ -133,7 +134,7 @@
         endpoint: &EndpointId,
     ) -> bool {
         if let Some(group) = &request.group {
-            self.affinity.place(now, crate::policy::hashing::hash(group.0.as_bytes()), &endpoint.0, load);
+            self.affinity.place(now, key_hash(group.0.as_bytes()), &endpoint.0, load);
         }
         self.packet_passthrough
             && self.affinity.note(now, Affinity::client(&request.client_key()), &endpoint.0)
@@ -144,7 +145,8 @@
         self.affinity.session(Affinity::client(&request.client_key())).map(EndpointId)
     }
 
-    /// In how long to look again for the holder of a connection that arrives mid-flow, where others are asked for it.
+    /// In how long to look again for the holder of a connection that arrives mid-flow, where others are
+    /// asked for it.
     pub fn query_location(&mut self, now: Millis, request: &Request) -> Option<Millis> {
         let client = Affinity::client(&request.client_key());
         self.peers.then(|| self.news.ask(&self.affinity, now, client, &mut self.sends))?
@@ -222,18 +224,18 @@
         out.extend(timers.map(|after| Action::SetTimer { after, token }));
     }
 
-    /// The groups' sizes, once after others or a store have told of them, by slot: as a sample of as many arrivals as
-    /// they rest on, so many at the most.
-    pub fn take_learned_sizes(&mut self, now: Millis, most: f64) -> Option<Sample> {
+    /// The groups' sizes, once after others or a store have told of them, by slot: as a sample of as many
+    /// arrivals as they rest on, so many at the most.
+    pub fn take_learned_sizes(&mut self, now: Millis, most: f64) -> Option<GroupSample> {
         if !std::mem::take(&mut self.sizes_learned) && !self.tier.take_learned() {
             return None;
         }
         let sizes = self.affinity.sizes(now, MOST_SIZES);
         let all: f64 = sizes.iter().map(|(_, n)| n).sum();
         let sum = self.affinity.counted(now).min(most);
-        let mut sample = Sample::default();
+        let mut sample = GroupSample::default();
         for (group, n) in sizes {
-            *sample.0.entry(crate::policy::hashing::place(group)).or_default() += n / all * sum;
+            *sample.arrivals.entry(slot_of_hash(group)).or_default() += n / all * sum;
         }
         (all > 0.0).then_some(sample)
     }
@@ -243,7 +245,8 @@
         self.affinity.fleet(now)
     }
 
-    /// From now on changes are kept for [`ClusterState::take_changes`], of which all that is known is the first.
+    /// From now on changes are kept for [`ClusterState::take_changes`], of which all that is known is the
+    /// first.
     pub fn track_changes(&mut self) {
         self.affinity.keep();
     }
--- a/src/policy/learned_state.rs
+++ b/src/policy/learned_state.rs
@@ -1,103 +1,144 @@
-//! What the load balancer has learned of endpoints and groups, as one process hands it to the next: bookkeeping only.
+//! What the load balancer has learned of endpoints and groups, as one process of a relay hands it to the
+//! next.
 //!
-//! Times are carried as ages, since the two processes' clocks need not agree. What comes in is checked as anything
-//! from outside is; what is known of endpoints that the list does not name is passed over.
+//! Bookkeeping only. Times are carried as ages, since the two processes' clocks need not agree. What comes
+//! in is checked as anything from outside is; what concerns endpoints that the list does not name is passed
+//! over. The order and types of the fields are those of the messages between processes and must stay.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
 use super::api::*;
+use super::endpoint_table::{Endpoint, QuickestSetup};
 use super::load_balancer::LoadBalancer;
+use super::load_limit::LoadLimit;
+use super::outlier::Ejection;
 
-/// Endpoints and groups in one piece at the most.
-const PIECE: usize = 256;
+/// Endpoints or groups in one message at the most.
+const MAX_ROWS: usize = 256;
 
-/// A piece of what the load balancer has learned.
+/// A part of what the load balancer has learned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
-    /// How long from now no new connection may go to a cold endpoint.
-    pub cold_in: Millis,
-    /// Whether messages are told to be slow.
-    hears: bool,
-    endpoints: Vec<Learned>,
+    /// How long from now no new connection may go to an endpoint that warms up, in ms.
+    pub slow_start_pause: Millis,
+    /// Whether slow messages are reported.
+    latency_is_reported: bool,
+    endpoints: Vec<LearnedEndpoint>,
     /// Arrivals of groups, by slot.
     groups: Vec<(u32, f64)>,
 }
 
-/// What is known of one endpoint.
+/// What is known of one endpoint. Ages and remaining spans are in ms.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Learned {
+struct LearnedEndpoint {
     id: String,
     /// When it started, as listed or as inferred.
     started: Millis,
-    cap: f64,
-    slow_for: Millis,
-    cut_for: Millis,
-    skip_for: Millis,
-    failures: u32,
-    down: bool,
-    setup: (Millis, Millis),
+    load_limit: f64,
+    slow_age: Millis,
+    limit_reduced_age: Millis,
+    ejection_remaining: Millis,
+    consecutive_failures: u32,
+    refuses_connections: bool,
+    quickest_setup: LearnedSetup,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+struct LearnedSetup {
+    age: Millis,
+    elapsed: Millis,
 }
 
 impl LearnedState {
-    /// Nothing but how long from now no new connection may go to a cold endpoint.
-    pub fn pause(cold_in: Millis) -> Self {
-        LearnedState { cold_in, ..LearnedState::default() }
+    /// Nothing but how long from now no new connection may go to an endpoint that warms up, in ms.
+    pub fn pause(slow_start_pause: Millis) -> Self {
+        LearnedState { slow_start_pause, ..LearnedState::default() }
+    }
+}
+
+impl LearnedEndpoint {
+    fn of(now: Millis, id: &EndpointId, endpoint: &Endpoint) -> Self {
+        LearnedEndpoint {
+            id: id.0.to_string(),
+            started: endpoint.started,
+            load_limit: endpoint.load_limit.limit,
+            slow_age: now - endpoint.load_limit.slow_at,
+            limit_reduced_age: now - endpoint.load_limit.reduced_at,
+            ejection_remaining: endpoint.ejection.ejected_until - now,
+            consecutive_failures: endpoint.ejection.consecutive_failures,
+            refuses_connections: endpoint.refuses_connections,
+            quickest_setup: LearnedSetup {
+                age: now - endpoint.quickest_setup.since,
+                elapsed: endpoint.quickest_setup.elapsed,
+            },
+        }
+    }
+
+    /// Whether the values can be true, and the process they are of is the one that is listed.
+    fn is_plausible(&self, now: Millis, listed_start: Millis, max_ejection: Millis) -> bool {
+        let ages = [self.slow_age, self.limit_reduced_age, self.quickest_setup.age];
+        let lies_in_past = ages.iter().all(|age| *age >= 0.0);
+        let has_valid_amounts = self.load_limit >= 0.0 && self.quickest_setup.elapsed >= 0.0;
+        let is_same_process = self.started >= listed_start && self.started <= now;
+        lies_in_past && has_valid_amounts && self.ejection_remaining <= max_ejection && is_same_process
+    }
+
+    fn apply(self, now: Millis, endpoint: &mut Endpoint) {
+        endpoint.started = self.started;
+        endpoint.load_limit = LoadLimit {
+            limit: self.load_limit,
+            slow_at: now - self.slow_age,
+            reduced_at: now - self.limit_reduced_age,
+        };
+        endpoint.ejection = Ejection {
+            consecutive_failures: self.consecutive_failures,
+            ejected_until: now + self.ejection_remaining,
+        };
+        endpoint.refuses_connections = self.refuses_connections;
+        endpoint.quickest_setup =
+            QuickestSetup { since: now - self.quickest_setup.age, elapsed: self.quickest_setup.elapsed };
     }
 }
 
 impl LoadBalancer {
-    /// All that was learned, in pieces.
+    /// All that was learned, in parts of at most 256 rows.
     pub(crate) fn export_learned_state(&self, now: Millis) -> Vec<LearnedState> {
-        let learned = self.ledger.endpoints.iter().map(|(id, s)| Learned {
-            id: id.0.to_string(),
-            started: s.started,
-            cap: s.cap,
-            slow_for: now - s.slow_at,
-            cut_for: now - s.cut_at,
-            skip_for: s.skip_until - now,
-            failures: s.failures,
-            down: s.down,
-            setup: (now - s.setup.0, s.setup.1),
-        });
-        let endpoints: Vec<_> = learned.collect();
-        let groups: Vec<_> = self.sample.0.iter().map(|(group, n)| (*group, *n)).collect();
-        let piece = |endpoints: &[Learned], groups: &[(u32, f64)]| LearnedState {
-            cold_in: self.next_cold - now,
-            hears: self.hears,
+        let endpoints = self.placements.endpoints.by_id.iter();
+        let endpoints: Vec<_> =
+            endpoints.map(|(id, endpoint)| LearnedEndpoint::of(now, id, endpoint)).collect();
+        let groups: Vec<(u32, f64)> =
+            self.group_sample.arrivals.iter().map(|(group, arrivals)| (*group, *arrivals)).collect();
+        let part = |endpoints: &[LearnedEndpoint], groups: &[(u32, f64)]| LearnedState {
+            slow_start_pause: self.slow_start_pause(now),
+            latency_is_reported: self.latency_is_reported,
             endpoints: endpoints.to_vec(),
             groups: groups.to_vec(),
         };
-        let mut pieces: Vec<_> = endpoints.chunks(PIECE).map(|s| piece(s, &[])).collect();
-        pieces.extend(groups.chunks(PIECE).map(|g| piece(&[], g)));
-        pieces
+        let of_endpoints = endpoints.chunks(MAX_ROWS).map(|rows| part(rows, &[]));
+        let of_groups = groups.chunks(MAX_ROWS).map(|rows| part(&[], rows));
+        of_endpoints.chain(of_groups).collect()
     }
 
-    /// Takes a piece, after the list.
-    pub(crate) fn import_learned_state(&mut self, now: Millis, piece: LearnedState) {
-        // No pause is longer than a warm-up: a foreign number must not close cold endpoints for ever.
-        let within = self.settings.warm_up_time;
-        if piece.cold_in.is_finite() && piece.cold_in <= within {
-            self.next_cold = self.next_cold.max(now + piece.cold_in);
+    /// Takes a part, after the list.
+    pub(crate) fn import_learned_state(&mut self, now: Millis, part: LearnedState) {
+        // No pause is longer than a warm-up: a foreign number must not close endpoints for ever.
+        let max_pause = self.settings.warm_up_time;
+        if part.slow_start_pause.is_finite() && part.slow_start_pause <= max_pause {
+            let until = now + part.slow_start_pause;
+            self.slow_start.next_send_at = self.slow_start.next_send_at.max(until);
         }
-        self.hears |= piece.hears;
-        for learned in piece.endpoints {
-            let Some(s) = self.ledger.endpoints.get_mut(&EndpointId(Arc::from(learned.id.as_str()))) else {
-                continue;
-            };
-            let past = [learned.slow_for, learned.cut_for, learned.setup.0].iter().all(|age| *age >= 0.0);
-            let sound = past && learned.cap >= 0.0 && learned.setup.1 >= 0.0 && learned.skip_for <= within;
-            if !sound || learned.started < s.started || learned.started > now {
-                continue;
+        self.latency_is_reported |= part.latency_is_reported;
+        for learned in part.endpoints {
+            let id = EndpointId(Arc::from(learned.id.as_str()));
+            let Some(endpoint) = self.placements.endpoints.by_id.get_mut(&id) else { continue };
+            if learned.is_plausible(now, endpoint.started, max_pause) {
+                learned.apply(now, endpoint);
             }
-            s.started = learned.started;
-            (s.cap, s.slow_at, s.cut_at) = (learned.cap, now - learned.slow_for, now - learned.cut_for);
-            (s.skip_until, s.failures, s.down) = (now + learned.skip_for, learned.failures, learned.down);
-            s.setup = (now - learned.setup.0, learned.setup.1);
         }
-        let sizes = piece.groups.into_iter().filter(|(_, n)| n.is_finite() && *n > 0.0);
-        self.sample.0.extend(sizes.take(PIECE));
-        self.planned_at = f64::NEG_INFINITY;
+        let groups = part.groups.into_iter().filter(|(_, arrivals)| arrivals.is_finite() && *arrivals > 0.0);
+        self.group_sample.arrivals.extend(groups.take(MAX_ROWS));
+        self.assignment.invalidate();
     }
 }
--- /dev/null
+++ b/src/policy/load_limit.rs
@@ -0,0 +1,68 @@
+//! How much load an endpoint seems to manage, learned from when it was slow.
+//!
+//! Inputs: the load that this relay has there (in mean connections), and signs that the endpoint is slow or
+//! overloaded. Output: a limit on this relay's own load there. It is set to the present load when messages
+//! are slow, cut further when they are worthless or connections are shed (multiplicative decrease), and
+//! grows while the endpoint is healthy, so that a limit learned in a bad minute does not last.
+
+use super::api::Millis;
+
+/// An endpoint of which nothing slow was reported for this long is healthy: reports come once a second
+/// while it is slow.
+const SLOW_REPORT_TTL_MS: Millis = 1500.0;
+/// Growth of the limit in a second in which the endpoint is healthy.
+const GROWTH_PER_HEALTHY_SECOND: f64 = 1.08;
+/// Milliseconds in a second.
+const SECOND_MS: Millis = 1000.0;
+
+/// A limit on this relay's own load at one endpoint, in mean connections.
+pub(crate) struct LoadLimit {
+    /// The limit as of `slow_at`; infinite while nothing slow was seen.
+    pub limit: f64,
+    /// When the endpoint was last slow.
+    pub slow_at: Millis,
+    /// When the limit was last cut below the load of that time.
+    pub reduced_at: Millis,
+}
+
+impl Default for LoadLimit {
+    fn default() -> Self {
+        LoadLimit { limit: f64::INFINITY, slow_at: f64::NEG_INFINITY, reduced_at: f64::NEG_INFINITY }
+    }
+}
+
+impl LoadLimit {
+    /// The limit now. `mean_load` is this relay's mean load of an endpoint: growth starts from there, so
+    /// that a limit near zero recovers too.
+    pub fn current(&self, now: Millis, mean_load: f64) -> f64 {
+        if !self.limit.is_finite() {
+            return self.limit;
+        }
+        let healthy_seconds = (now - self.slow_at - SLOW_REPORT_TTL_MS).max(0.0) / SECOND_MS;
+        (self.limit + mean_load) * GROWTH_PER_HEALTHY_SECOND.powf(healthy_seconds) - mean_load
+    }
+
+    /// The endpoint is slow at this load. Where `limits_load` is set, it is to take no more than that.
+    pub fn record_slow(&mut self, now: Millis, mean_load: f64, load: f64, limits_load: bool) {
+        if limits_load {
+            self.limit = self.current(now, mean_load).min(load);
+        }
+        self.slow_at = now;
+    }
+
+    /// The endpoint is overloaded: messages come too late to be worth anything, or it drops connections.
+    /// The limit is cut to `factor` of the load, once in a burst of such signs.
+    pub fn record_overload(&mut self, now: Millis, mean_load: f64, load: f64, factor: f64) {
+        self.limit = self.current(now, mean_load);
+        self.slow_at = now;
+        if now - self.reduced_at > SLOW_REPORT_TTL_MS {
+            self.limit = self.limit.min(load) * factor;
+            self.reduced_at = now;
+        }
+    }
+
+    /// Whether nothing slow was reported of the endpoint lately.
+    pub fn is_healthy(&self, now: Millis) -> bool {
+        now - self.slow_at > SLOW_REPORT_TTL_MS
+    }
+}
--- a/src/policy/scarcity.rs
+++ b/src/policy/scarcity.rs
@@ -2,19 +2,23 @@
 
 use sandgw_quota::policy::ScarcitySignals;
 
-use super::api::EndpointId;
+use super::api::*;
 use super::load_balancer::LoadBalancer;
-use crate::policy::api::Millis;
 
 impl LoadBalancer {
-    /// Signs that places are short: the window of set-ups is cut, or no server has room by what is known of it.
+    /// Signs that places are short: set-ups are held back, or no endpoint has headroom by what is known of
+    /// it. Whether descriptors are short is not known here.
     pub(crate) fn scarcity_signals(&self, now: Millis) -> ScarcitySignals {
-        let each = self.ledger.per_endpoint(self.ring.len());
-        let room =
-            |id: &EndpointId| self.ledger.endpoints.get(id).is_some_and(|s| s.load + 1.0 <= s.cap(now, each));
+        let endpoints = &self.placements.endpoints;
+        let ready = &self.assignment.ready_endpoints;
+        let mean_load = self.placements.requests.mean_load(ready.len());
+        let has_headroom = |id: &EndpointId| {
+            let endpoint = endpoints.by_id.get(id);
+            endpoint.is_some_and(|known| known.load + 1.0 <= known.load_limit.current(now, mean_load))
+        };
         ScarcitySignals {
-            window: !self.queue.is_empty() || self.pace.common(now),
-            endpoints: !self.ring.iter().any(room) || self.ledger.crowded(now),
+            window: !self.queue.is_empty() || self.concurrency_limit.common(now),
+            endpoints: !ready.iter().any(has_headroom) || endpoints.is_overloaded(now),
             descriptors: false,
         }
     }
--- a/src/properties.rs
+++ b/src/properties.rs
@@ -697,13 +697,14 @@
         let open = || books.iter().filter(|(_, b)| !b.answered && !b.left);
         let out = open().filter(|(_, b)| b.out.is_some()).count();
         let held = open().filter(|(_, b)| b.out.is_some() || b.stands.is_some()).count();
-        let (ledger, queue) = (&relay.load_balancer.ledger, &relay.load_balancer.queue);
-        let alike = ledger.conns.keys().eq(open().map(|(id, _)| id))
-            && queue.iter().all(|id| ledger.conns.contains_key(id))
-            && ledger.trying as usize == out
-            && (ledger.total - held as f64).abs() < 1e-6
-            && ledger.endpoints.values().map(|s| s.conns.len()).sum::<usize>() == held;
-        let (conns, trying, all) = (ledger.conns.len(), ledger.trying, open().count());
+        let (placements, queue) = (&relay.load_balancer.placements, &relay.load_balancer.queue);
+        let (requests, endpoints) = (&placements.requests, &placements.endpoints);
+        let alike = requests.by_id.keys().eq(open().map(|(id, _)| id))
+            && queue.iter().all(|id| requests.by_id.contains_key(id))
+            && requests.attempts_out as usize == out
+            && (requests.placed_load - held as f64).abs() < 1e-6
+            && endpoints.by_id.values().map(|s| s.placed.len()).sum::<usize>() == held;
+        let (conns, trying, all) = (requests.by_id.len(), requests.attempts_out, open().count());
         self.look(Rule::Left, alike, || {
             format!("after {id:?} left {conns} flows are held, {trying} out, and not {all} with {out} out")
         });
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -414,7 +414,7 @@
     let count = |n: &str| u32::from_str_radix(n, 16).ok().map(|n| f64::from(n) / 10.0);
     let total = count(words.next()?)?;
     let mut sizes = Vec::new();
-    for word in words.take(PeerMessage::MOST) {
+    for word in words.take(PeerMessage::MAX_GROUPS) {
         let (group, n) = word.split_once(':')?;
         sizes.push((u32::from_str_radix(group, 16).ok()?, count(n)?));
     }
