--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -3,7 +3,6 @@
 
 use std::collections::BTreeMap;
 
-use sandgw_affinity::codec::ClusterMessage;
 use sandgw_affinity::endpoint_registry::State;
 use sandgw_affinity::replication::{Replication, Sends};
 use sandgw_affinity::{Affinity, Changes, Figures, Limits, Record, Restored};
@@ -214,7 +213,7 @@
         if !self.peers {
             self.sends.clear();
         }
-        let message = |piece| PeerMessage { cluster: Some(piece), ..PeerMessage::default() };
+        let message = PeerMessage::Cluster;
         out.extend(
             self.sends.drain(..).map(|(peer, piece)| Action::SendToPeer { peer, message: message(piece) }),
         );
--- a/src/policy/group_assignment.rs
+++ b/src/policy/group_assignment.rs
@@ -214,16 +214,16 @@
         let mut sample = self.group_sample.clone();
         let merged = &self.merged_sample.merged;
         // A sum of less than the own sample is of a collector that has just started.
-        let smallest_named = merged.group_sizes.last().filter(|_| merged.total > own_total);
-        let Some((_, smallest_named)) = smallest_named else {
+        let smallest_named = merged.groups.last().filter(|_| merged.total > own_total);
+        let Some(smallest_named) = smallest_named else {
             return MergedArrivals { sample, scale: 1.0 };
         };
         let scale = merged.total / own_total.max(1.0);
         // A group that the sum had no place for is no larger than those that it names.
-        let scaled = |arrivals: f64| (arrivals * scale).min(smallest_named.max(arrivals));
+        let scaled = |arrivals: f64| (arrivals * scale).min(smallest_named.arrivals.max(arrivals));
         sample.arrivals.values_mut().for_each(|arrivals| *arrivals = scaled(*arrivals));
-        let named = merged.group_sizes.iter().filter(|(_, arrivals)| *arrivals > 0.0);
-        sample.arrivals.extend(named.copied());
+        let named = merged.groups.iter().filter(|named| named.arrivals > 0.0);
+        sample.arrivals.extend(named.map(|named| (named.group, named.arrivals)));
         MergedArrivals { sample, scale }
     }
 }
--- a/src/policy/group_sample.rs
+++ b/src/policy/group_sample.rs
@@ -38,12 +38,13 @@
     }
 
     /// The largest groups, as many as fit a message.
-    pub fn to_message(&self, merged: bool) -> PeerMessage {
-        let mut group_sizes: Vec<(u32, f64)> =
-            self.arrivals.iter().map(|(group, count)| (*group, *count)).collect();
-        group_sizes.sort_by(|a, b| b.1.total_cmp(&a.1));
-        group_sizes.truncate(PeerMessage::MAX_GROUPS);
-        PeerMessage { merged, total: self.total(), group_sizes, ..PeerMessage::default() }
+    pub fn to_message(&self, merged: bool) -> GroupSizes {
+        let arrivals = self.arrivals.iter();
+        let mut groups: Vec<GroupArrivals> =
+            arrivals.map(|(group, arrivals)| GroupArrivals { group: *group, arrivals: *arrivals }).collect();
+        groups.sort_by(|a, b| b.arrivals.total_cmp(&a.arrivals));
+        groups.truncate(GroupSizes::MAX_GROUPS);
+        GroupSizes { merged, total: self.total(), groups }
     }
 }
 
@@ -55,9 +56,9 @@
     /// When it was last sent a sample that it has not answered.
     unanswered_since: Option<Millis>,
     /// Its latest answer, or what this relay has added up itself.
-    pub merged: PeerMessage,
+    pub merged: GroupSizes,
     /// Samples that others have sent here, by relay.
-    received: BTreeMap<u32, Vec<(u32, f64)>>,
+    received: BTreeMap<u32, Vec<GroupArrivals>>,
     /// Own arrivals since a sample was last sent.
     arrivals_since_report: f64,
 }
@@ -69,7 +70,7 @@
         self.arrivals_since_report += 1.0;
         let own_total = own.total();
         if own_total > f64::from(settings.relay_count) {
-            self.merged = PeerMessage::default();
+            self.merged = GroupSizes::default();
             return None;
         }
         if !settings.peer_messages || !self.is_report_due(now, own_total, settings.connect_timeout) {
@@ -81,7 +82,10 @@
             return None;
         }
         self.unanswered_since = Some(now);
-        Some(Action::SendToPeer { peer: self.collector, message: own.to_message(false) })
+        Some(Action::SendToPeer {
+            peer: self.collector,
+            message: PeerMessage::GroupSizes(own.to_message(false)),
+        })
     }
 
     fn is_report_due(&self, now: Millis, own_total: f64, answer_timeout: Millis) -> bool {
@@ -99,7 +103,7 @@
     pub fn receive(
         &mut self,
         peer: u32,
-        message: PeerMessage,
+        message: GroupSizes,
         own: &GroupSample,
         settings: &Settings,
     ) -> Option<Action> {
@@ -113,12 +117,12 @@
         if peer >= settings.relay_count {
             return None;
         }
-        self.received.insert(peer, message.group_sizes);
+        self.received.insert(peer, message.groups);
         let mut sum = own.clone();
-        for (group, count) in self.received.values().flatten() {
-            *sum.arrivals.entry(*group).or_default() += count;
+        for received in self.received.values().flatten() {
+            *sum.arrivals.entry(received.group).or_default() += received.arrivals;
         }
         self.merged = sum.to_message(true);
-        Some(Action::SendToPeer { peer, message: self.merged.clone() })
+        Some(Action::SendToPeer { peer, message: PeerMessage::GroupSizes(self.merged.clone()) })
     }
 }
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -6,7 +6,6 @@
 
 use std::collections::BTreeSet;
 
-use sandgw_affinity::codec::ClusterMessage;
 use sandgw_cluster::concurrency_limit::ConcurrencyLimit;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -164,22 +163,23 @@
 
     /// Takes a message from another relay.
     fn handle_peer_message(&mut self, now: Millis, peer: u32, message: PeerMessage, actions: &mut Actions) {
-        match message.cluster {
-            Some(ClusterMessage::LoadReport(rows)) => {
+        match message {
+            PeerMessage::Cluster(ClusterMessage::LoadReport(rows)) => {
                 let weights = self.placements.endpoints.weights_by_tag();
                 self.cluster.receive_load_report(now, peer, rows, &weights);
             }
-            Some(ClusterMessage::OverloadNotice(endpoint)) => {
+            PeerMessage::Cluster(ClusterMessage::OverloadNotice(endpoint)) => {
                 if self.cluster.receive_overload_notice(now, endpoint) {
                     let span = NOTICE_SPAN_CONNECT_TIMEOUTS * self.settings.connect_timeout;
                     self.concurrency_limit.warned(now, self.placements.requests.attempts_out, span);
                 }
             }
-            Some(cluster_message) => self.cluster.receive(now, peer, cluster_message),
-            None => {
-                let reply = self.merged_sample.receive(peer, message, &self.group_sample, &self.settings);
+            PeerMessage::Cluster(message) => self.cluster.receive(now, peer, message),
+            PeerMessage::GroupSizes(sizes) => {
+                let reply = self.merged_sample.receive(peer, sizes, &self.group_sample, &self.settings);
                 actions.extend(reply);
             }
+            PeerMessage::Quota(_) => {}
         }
     }
 
--- a/src/policy/tests/group_assignment.rs
+++ b/src/policy/tests/group_assignment.rs
@@ -59,18 +59,24 @@
         world.ask(id, Some(0), Some("g0"), &format!("c{id}"), 2000.0);
     }
     let sample =
-        |a: &&Action| matches!(a, Action::SendToPeer { peer: 0, message } if message.cluster.is_none());
+        |a: &&Action| matches!(a, Action::SendToPeer { peer: 0, message: PeerMessage::GroupSizes(_) });
     let tells = |w: &World| w.log.iter().filter(sample).count();
     assert_eq!(tells(&world), 1, "one sample while its answer is out");
     let group = |w: &World| {
         let told = w.log.iter().find_map(|a| match a {
-            Action::SendToPeer { message, .. } => message.group_sizes.first().map(|(group, _)| *group),
+            Action::SendToPeer { message: PeerMessage::GroupSizes(sizes), .. } => {
+                sizes.groups.first().map(|first| first.group)
+            }
             _ => None,
         });
         told.unwrap()
     };
-    let sizes = vec![(group(&world), 900.0), (1, 100.0)];
-    let message = PeerMessage { merged: true, total: 1000.0, group_sizes: sizes, ..PeerMessage::default() };
+    let sizes = vec![
+        GroupArrivals { group: group(&world), arrivals: 900.0 },
+        GroupArrivals { group: 1, arrivals: 100.0 },
+    ];
+    let sum = GroupSizes { merged: true, total: 1000.0, groups: sizes };
+    let message = PeerMessage::GroupSizes(sum.clone());
     let spread = |world: &mut World, from: u64| {
         for id in from..from + 60 {
             world.ask(id, Some(0), Some("g0"), &format!("c{id}"), 2000.0);
@@ -83,13 +89,18 @@
     stranger.ask(1, Some(0), Some("g9"), "c", 2000.0);
     assert!(stranger.load_balancer.placements.endpoints.by_id.len() == 40);
     stranger.log.clear();
-    stranger.handle(Event::PeerMessage { peer: 100, message: PeerMessage::default() });
+    stranger
+        .handle(Event::PeerMessage { peer: 100, message: PeerMessage::GroupSizes(GroupSizes::default()) });
     assert!(stranger.log.is_empty(), "an answer to an unknown balancer");
     // Nor does an answer that counts less than the own sample, or nothing, change a placement.
     let (mut told, mut untold) = (World::new(pool.clone(), &ready(40)), World::new(pool.clone(), &ready(40)));
     told.handle(Event::PeerMessage {
         peer: 0,
-        message: PeerMessage { total: 0.0, group_sizes: vec![(9, 0.0)], ..message.clone() },
+        message: PeerMessage::GroupSizes(GroupSizes {
+            total: 0.0,
+            groups: vec![GroupArrivals { group: 9, arrivals: 0.0 }],
+            ..sum
+        }),
     });
     for id in 0..20 {
         told.ask(id, Some(0), Some(&format!("g{}", id % 3)), &format!("c{id}"), 2000.0);
@@ -101,12 +112,17 @@
     assert!(spread(&mut world, 1000) > 10, "nine tenths of all connections need many servers");
     // A sample is answered with the sum, whatever it holds and however often it comes.
     world.log.clear();
-    let sample =
-        PeerMessage { merged: false, total: 5.0, group_sizes: vec![(77, 5.0)], ..PeerMessage::default() };
+    let sample = PeerMessage::GroupSizes(GroupSizes {
+        merged: false,
+        total: 5.0,
+        groups: vec![GroupArrivals { group: 77, arrivals: 5.0 }],
+    });
     (0..2).for_each(|_| world.handle(Event::PeerMessage { peer: 3, message: sample.clone() }));
     let answer = world.log.last().cloned();
-    let Some(Action::SendToPeer { peer: 3, message }) = answer else { panic!("no answer") };
-    assert!(message.merged && message.group_sizes.contains(&(77, 5.0)));
+    let Some(Action::SendToPeer { peer: 3, message: PeerMessage::GroupSizes(sizes) }) = answer else {
+        panic!("no answer")
+    };
+    assert!(sizes.merged && sizes.groups.contains(&GroupArrivals { group: 77, arrivals: 5.0 }));
     let mut alone = World::new(Settings { peer_messages: false, ..pool }, &ready(40));
     (0..20).for_each(|id| alone.ask(id, Some(0), Some("g"), &format!("c{id}"), 2000.0));
     assert_eq!(tells(&alone), 0);
--- a/src/policy/tests/rebalance.rs
+++ b/src/policy/tests/rebalance.rs
@@ -40,7 +40,7 @@
     let tag = |i: usize| crate::policy::hashing::endpoint_tag(&endpoint(i).0);
     let rows = (0..4).map(|i| (tag(i), if i == 0 { told } else { told / 5 })).collect();
     let piece = ClusterMessage::ClusterLoads { total: u32::from(told) * 8 / 5, rows };
-    let message = PeerMessage { cluster: Some(piece), ..PeerMessage::default() };
+    let message = PeerMessage::Cluster(piece);
     load_balancer.handle(START + 6000.0, Event::PeerMessage { peer: 0, message }, &mut out);
     out.iter().filter(|action| matches!(action, Action::Migrate(_))).count()
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -310,7 +310,7 @@
     }
 
     fn tell(&mut self, out: sandgw_quota::usage_table::Sends) {
-        let message = |told| PeerMessage { quota: Some(told), ..PeerMessage::default() };
+        let message = PeerMessage::Quota;
         self.commands
             .extend(out.into_iter().map(|(peer, t)| Command::SendToPeer { peer, message: message(t) }));
     }
@@ -586,7 +586,7 @@
 
     /// Tells other relays of endpoints that have left, or asks them; and sets the timer for the next question.
     fn ask_others(&mut self, now: Millis, out: Sends) {
-        let message = |piece| PeerMessage { cluster: Some(piece), ..PeerMessage::default() };
+        let message = PeerMessage::Cluster;
         let tell = out.into_iter().map(|(peer, piece)| Command::SendToPeer { peer, message: message(piece) });
         self.commands.extend(tell);
         let timer = self.leaving.timer(now).map(|after| Command::SetTimer { after, token: LEFT });
@@ -628,16 +628,17 @@
 
     /// A message from another relay.
     pub fn told(&mut self, now: Millis, peer: u32, message: PeerMessage) {
-        if let Some(told) = message.quota {
-            let mut out = Vec::new();
-            self.counted.told(now, peer, told, &mut out);
-            return self.tell(out);
-        }
-        if let Some(piece @ (ClusterMessage::Draining { .. } | ClusterMessage::DrainQuery(_))) =
-            message.cluster
-        {
-            return self.told_of_leaving(now, peer, piece);
-        }
+        let message = match message {
+            PeerMessage::Quota(told) => {
+                let mut out = Vec::new();
+                self.counted.told(now, peer, told, &mut out);
+                return self.tell(out);
+            }
+            PeerMessage::Cluster(
+                piece @ (ClusterMessage::Draining { .. } | ClusterMessage::DrainQuery(_)),
+            ) => return self.told_of_leaving(now, peer, piece),
+            message => message,
+        };
         self.events.push_back(Event::PeerMessage { peer, message });
         self.settle(now);
     }
--- a/src/relay/quotas.rs
+++ b/src/relay/quotas.rs
@@ -21,7 +21,7 @@
             relays: settings.relay_count,
             peers: settings.peer_messages,
         };
-        Counted(counts.then(|| QuotaManager::new(shares.members.clone(), place, now)))
+        Counted(counts.then(|| QuotaManager::new(shares.tenants.clone(), place, now)))
     }
 
     /// Whether a connection that comes is refused. One that is not counts until [`Counted::ended`].
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -7,14 +7,13 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-use sandgw_affinity::codec::VERSION;
 use sandgw_quota::tenants::{Tenant, Tenants};
-use sandgw_quota::usage_gossip::KIND;
 use serde_json::{Value, json};
 use thiserror::Error;
 
 use crate::LoadBalancer;
 use crate::help::help;
+use crate::peers;
 use crate::policy::api::*;
 
 /// What was wrong with the input, and in which batch.
@@ -358,7 +357,8 @@
         // Never asked for: the load balancer does not probe.
         "HEALTH" => return Ok(None),
         // Whatever a peer may send, it is no fault of the wire.
-        "MAIL" => match message(f.text(2)?).filter(|message| message.quota.is_none()) {
+        "MAIL" => match peers::decode(f.text(2)?).filter(|message| !matches!(message, PeerMessage::Quota(_)))
+        {
             Some(message) => {
                 Event::PeerMessage { peer: u32::try_from(f.whole(1)?).unwrap_or(u32::MAX), message }
             }
@@ -390,57 +390,6 @@
     })
 }
 
-/// First word of a message between balancers: its version and kind.
-const SAMPLE: &str = "1s";
-const ANSWER: &str = "1t";
-pub(crate) use sandgw_datagram::MAX_BYTES as MESSAGE_BYTES;
-
-/// Reads a message of a peer; nothing of one that is too long, of another version or malformed.
-pub(crate) fn message(text: &str) -> Option<PeerMessage> {
-    if text.starts_with(VERSION) {
-        let cluster = Some(ClusterMessage::read(text)?);
-        return Some(PeerMessage { cluster, ..PeerMessage::default() });
-    }
-    if text.starts_with(KIND) {
-        let quota = Some(UsageReport::read(text)?);
-        return Some(PeerMessage { quota, ..PeerMessage::default() });
-    }
-    let mut words = text.split(' ').filter(|_| text.len() <= MESSAGE_BYTES);
-    let answer = match words.next()? {
-        SAMPLE => false,
-        ANSWER => true,
-        _ => return None,
-    };
-    let count = |n: &str| u32::from_str_radix(n, 16).ok().map(|n| f64::from(n) / 10.0);
-    let total = count(words.next()?)?;
-    let mut sizes = Vec::new();
-    for word in words.take(PeerMessage::MAX_GROUPS) {
-        let (group, n) = word.split_once(':')?;
-        sizes.push((u32::from_str_radix(group, 16).ok()?, count(n)?));
-    }
-    Some(PeerMessage { merged: answer, total, group_sizes: sizes, ..PeerMessage::default() })
-}
-
-pub(crate) fn message_text(message: &PeerMessage) -> String {
-    if let Some(piece) = &message.cluster {
-        // No piece is made that does not fit; an empty text reads as no message.
-        return piece.text().unwrap_or_default();
-    }
-    if let Some(told) = &message.quota {
-        return told.text().unwrap_or_default();
-    }
-    let count = |n: f64| (n * 10.0).round() as u32;
-    let kind = if message.merged { ANSWER } else { SAMPLE };
-    let mut text = format!("{kind} {:x}", count(message.total));
-    for (group, n) in &message.group_sizes {
-        let word = format!(" {group:x}:{:x}", count(*n));
-        if text.len() + word.len() <= MESSAGE_BYTES {
-            text.push_str(&word);
-        }
-    }
-    text
-}
-
 fn list<'a>(value: &'a Value, key: &str) -> &'a [Value] {
     value[key].as_array().map(Vec::as_slice).unwrap_or_default()
 }
@@ -609,7 +558,7 @@
             Tenants::default()
         });
         let over_quota_weight = self.number(boot, "", "overShareWorth", 0.0, (0.0, 1e9));
-        QuotaSettings { members, over_quota_weight, ..absent }
+        QuotaSettings { tenants: members, over_quota_weight, ..absent }
     }
 
     fn class(&mut self, boot: &Value, i: usize, lane: &Value) -> Class {
@@ -737,7 +686,7 @@
         Action::Fail(request) => json!(["FAIL", who, request.0]),
         Action::Migrate(request) => json!(["MOVE", who, request.0]),
         Action::SetTimer { after, token } => json!(["ARM", who, after, token]),
-        Action::SendToPeer { peer, message } => json!(["MEMO_TO", who, peer, message_text(&message)]),
+        Action::SendToPeer { peer, message } => json!(["MEMO_TO", who, peer, peers::encode(&message)]),
         Action::Subscribe => json!(["TAIL", who, true]),
     }
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -79,13 +79,13 @@
 
 fn word(revision: u64, endpoints: &[u64]) -> PeerMessage {
     let endpoints = endpoints.iter().map(|n| EndpointHash::of(&format!("s{n}"))).collect();
-    PeerMessage { cluster: Some(ClusterMessage::Draining { revision, endpoints }), ..PeerMessage::default() }
+    PeerMessage::Cluster(ClusterMessage::Draining { revision, endpoints })
 }
 
 /// To whom words or questions are sent.
 fn tells(relay: &mut Relay) -> Vec<(u32, ClusterMessage)> {
     let told = |c| match c {
-        Command::SendToPeer { peer, message } => message.cluster.map(|piece| (peer, piece)),
+        Command::SendToPeer { peer, message: PeerMessage::Cluster(piece) } => Some((peer, piece)),
         _ => None,
     };
     let mut all: Vec<_> = relay.take_commands().into_iter().filter_map(told).collect();
@@ -271,11 +271,7 @@
     tells(&mut relay);
     relay.answered(START + 100.0, answer(42), vec![entry(1, EndpointState::Draining)]);
     assert!(tells(&mut relay).is_empty(), "in calm times");
-    relay.told(
-        START + 200.0,
-        99,
-        PeerMessage { cluster: Some(ClusterMessage::DrainQuery(40)), ..PeerMessage::default() },
-    );
+    relay.told(START + 200.0, 99, PeerMessage::Cluster(ClusterMessage::DrainQuery(40)));
     let [(99, ClusterMessage::Draining { revision: 42, endpoints })] = &tells(&mut relay)[..] else {
         panic!("who asks is not answered")
     };
