--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -396,7 +396,7 @@
             (settings, settings_file) = (&app["settings"], app_file.as_str());
         }
         let classes = simulator::class_names(settings);
-        let mut module = match simulator::settings(settings) {
+        let mut module = match simulator::read_settings(settings) {
             Ok(module) => module,
             Err(wrong) => {
                 let named =
--- a/src/help/tests.rs
+++ b/src/help/tests.rs
@@ -7,7 +7,7 @@
 use crate::config::{Config, ConfigError, Fault, new_application};
 use crate::discovery::{ANSWER_BYTES, CallError, EndpointList, ListError};
 use crate::net::http_call::fetch;
-use crate::simulator::{Adapter, SettingFault, WireFault, settings};
+use crate::simulator::{Adapter, SettingFault, WireFault, read_settings};
 
 /// Errors as they come about: all cases of a kind are among them, each says what it is found by, and its row of
 /// the operators' page has that and its advice.
@@ -127,7 +127,7 @@
 
 #[test]
 fn each_fault_of_the_settings_has_its_advice() {
-    let faults = |boot: Value| settings(&boot).expect_err("faults").into_iter().map(|e| e.fault);
+    let faults = |boot: Value| read_settings(&boot).expect_err("faults").into_iter().map(|e| e.fault);
     let wrong = json!({"limits": 1, "discovery": "no", "nInstances": 1.5, "resolutionMs": -1,
         "domain": {"messageAimMs": 1}, "lanes": [{"semantics": "keyed"}]});
     let limits = json!({"limits": {"retryAfter": 1}, "rules": {"spareAttempts": -1}, "realms": [{}]});
