--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -8,7 +8,7 @@
 
 use super::http_call::fetch;
 use super::{Shared, span};
-use crate::discovery::{CallError, RETRY};
+use crate::discovery::{CallError, RETRY_MS};
 use crate::help::Help;
 use crate::policy::api::{Discovery, EndpointEntry, ListKind, Millis};
 use crate::relay::Relay;
@@ -62,7 +62,7 @@
                     if moved || pushed() {
                         // What an agent has counts as told. After a move the load balancer may have backed off from the old
                         // place for longer than there is time.
-                        tokio::time::sleep(span(RETRY)).await;
+                        tokio::time::sleep(span(RETRY_MS)).await;
                         continue;
                     }
                     // One that fell silent has taken its time already.
