--- a/crates/maintenance/src/call.rs
+++ b/crates/maintenance/src/call.rs
@@ -1,10 +1,17 @@
-//! Operators' calls about windows: one line in.
+//! Parses operators' calls about windows, one line each. Durations in calls are in seconds.
 
-use crate::{CapacityShare, Refused, WholeMillis, WindowId};
+use crate::{CapacityShare, RefusalReason, WholeMillis, WindowId};
+
+/// The longest duration that a call may name, in seconds: a week.
+const MAX_DURATION_S: f64 = 604_800.0;
+/// The least capacity that a call may name, in the list's unit.
+const MIN_CAPACITY: f64 = 0.001;
+/// The largest capacity that a call may name, in the list's unit.
+const MAX_CAPACITY: f64 = 4e6;
 
 /// What is to be drained, by its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Named {
+pub enum NamedScope {
     /// A zone, or a part of it.
     Zone(String, CapacityShare),
     /// An endpoint.
@@ -13,87 +20,122 @@
     Relay(u32),
 }
 
+/// The request for a window.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WindowRequest {
+    /// What is to be drained.
+    pub scope: NamedScope,
+    /// How long the window lasts once granted.
+    pub duration: WholeMillis,
+    /// How long from now it starts at the earliest.
+    pub delay: WholeMillis,
+    /// The operator who overrides the floor.
+    pub override_by: Option<String>,
+}
+
 /// A call about windows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Ask for a window.
-    Window {
-        /// What is to be drained.
-        what: Named,
-        /// For how long.
-        length: WholeMillis,
-        /// In how long from now.
-        after: WholeMillis,
-        /// Who puts it over the floor.
-        by: Option<String>,
-    },
-    /// All windows known here.
-    Windows,
-    /// A window is not wanted any more.
+    /// Requests a window.
+    Request(WindowRequest),
+    /// Lists all windows that this relay knows.
+    List,
+    /// Closes a window that is not wanted any more.
     Cancel(WindowId),
-    /// A window is through.
+    /// Closes a window whose work is done.
     Done(WindowId),
-    /// A window is to last longer by so much.
-    Extend(WindowId, WholeMillis),
+    /// Extends a window.
+    Extend {
+        /// The window.
+        id: WindowId,
+        /// By how much.
+        extension: WholeMillis,
+    },
 }
 
-/// Reads a call, where its first word is one of these; spans are in seconds.
+/// Parses a call; `None` where its first word is of no call about windows.
+///
+/// # Errors
+///
+/// [`RefusalReason::Syntax`] where the call is malformed, [`RefusalReason::UnknownWindow`] where it names no id of a
+/// window.
 ///
 /// ```
-/// use sandgw_maintenance::call::{Call, Named, read};
+/// use sandgw_maintenance::call::{Call, NamedScope, WindowRequest, parse};
 ///
-/// assert_eq!(read("windows"), Some(Ok(Call::Windows)));
-/// assert_eq!(read("status"), None);
-/// let what = Named::Endpoint("s-1".into());
-/// let call = Call::Window { what, length: 600_000, after: 5_000, by: None };
-/// assert_eq!(read("window streamer s-1 600 in 5"), Some(Ok(call)));
+/// assert_eq!(parse("windows"), Some(Ok(Call::List)));
+/// assert_eq!(parse("status"), None);
+/// let scope = NamedScope::Endpoint("s-1".into());
+/// let request = WindowRequest { scope, duration: 600_000, delay: 5_000, override_by: None };
+/// assert_eq!(parse("window streamer s-1 600 in 5"), Some(Ok(Call::Request(request))));
 /// ```
-pub fn read(line: &str) -> Option<Result<Call, Refused>> {
+pub fn parse(line: &str) -> Option<Result<Call, RefusalReason>> {
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
-    let of = |id: &str| id.parse::<WindowId>().map_err(|()| Refused::NoWindow);
     Some(match words.as_slice() {
-        ["windows"] => Ok(Call::Windows),
-        ["cancel", id] => of(id).map(Call::Cancel),
-        ["done", id] => of(id).map(Call::Done),
-        ["extend", id, by] => of(id).and_then(|id| Ok(Call::Extend(id, seconds(by)?))),
-        ["window", rest @ ..] => window(rest),
-        ["windows" | "cancel" | "done" | "extend", ..] => Err(Refused::SchemaVersion),
+        ["windows"] => Ok(Call::List),
+        ["cancel", id] => parse_id(id).map(Call::Cancel),
+        ["done", id] => parse_id(id).map(Call::Done),
+        ["extend", id, extension] => parse_extension(id, extension),
+        ["window", arguments @ ..] => parse_request(arguments).map(Call::Request),
+        ["windows" | "cancel" | "done" | "extend", ..] => Err(RefusalReason::Syntax),
         _ => return None,
     })
 }
 
-fn window(words: &[&str]) -> Result<Call, Refused> {
-    let (what, rest) = match words {
-        ["hall", name, amount, rest @ ..] => (Named::Zone((*name).into(), size(amount)?), rest),
-        ["streamer", name, rest @ ..] => (Named::Endpoint((*name).into()), rest),
-        ["relay", relay, rest @ ..] => {
-            (Named::Relay(relay.parse().map_err(|_| Refused::SchemaVersion)?), rest)
-        }
-        _ => return Err(Refused::SchemaVersion),
-    };
-    let (length, rest) = rest.split_first().ok_or(Refused::SchemaVersion)?;
-    let (after, rest) = match rest {
-        ["in", after, rest @ ..] => (seconds(after)?, rest),
-        rest => (0, rest),
+fn parse_id(text: &str) -> Result<WindowId, RefusalReason> {
+    text.parse().map_err(|_| RefusalReason::UnknownWindow)
+}
+
+fn parse_extension(id: &str, extension: &str) -> Result<Call, RefusalReason> {
+    Ok(Call::Extend { id: parse_id(id)?, extension: parse_duration(extension)? })
+}
+
+/// The arguments of a request: what is to be drained, the duration, `in` and a delay, `by` and an operator.
+fn parse_request(arguments: &[&str]) -> Result<WindowRequest, RefusalReason> {
+    let (scope, arguments) = parse_scope(arguments)?;
+    let (duration, arguments) = arguments.split_first().ok_or(RefusalReason::Syntax)?;
+    let (delay, arguments) = match arguments {
+        ["in", delay, arguments @ ..] => (parse_duration(delay)?, arguments),
+        arguments => (0, arguments),
     };
-    let by = match rest {
+    let override_by = match arguments {
         [] => None,
         ["by", name] => Some((*name).to_owned()),
-        _ => return Err(Refused::SchemaVersion),
+        _ => return Err(RefusalReason::Syntax),
     };
-    Ok(Call::Window { what, length: seconds(length)?, after, by })
+    Ok(WindowRequest { scope, duration: parse_duration(duration)?, delay, override_by })
 }
 
-/// Sizes of endpoints are counted in thousandths.
-fn size(text: &str) -> Result<CapacityShare, Refused> {
+/// The scope and the arguments that follow it.
+fn parse_scope<'a, 'b>(arguments: &'a [&'b str]) -> Result<(NamedScope, &'a [&'b str]), RefusalReason> {
+    match arguments {
+        ["hall", name, capacity, rest @ ..] => {
+            Ok((NamedScope::Zone((*name).into(), parse_capacity(capacity)?), rest))
+        }
+        ["streamer", name, rest @ ..] => Ok((NamedScope::Endpoint((*name).into()), rest)),
+        ["relay", relay, rest @ ..] => {
+            let relay = relay.parse().map_err(|_| RefusalReason::Syntax)?;
+            Ok((NamedScope::Relay(relay), rest))
+        }
+        _ => Err(RefusalReason::Syntax),
+    }
+}
+
+/// A capacity in the list's unit, which is counted in thousandths.
+fn parse_capacity(text: &str) -> Result<CapacityShare, RefusalReason> {
     if text == "all" {
         return Ok(CapacityShare::All);
     }
-    let size = text.parse::<f64>().ok().filter(|n| (0.001..=4e6).contains(n));
-    size.map(|n| CapacityShare::Part((n * 1000.0).ceil() as u32)).ok_or(Refused::SchemaVersion)
+    let capacity = parse_within(text, MIN_CAPACITY, MAX_CAPACITY)?;
+    Ok(CapacityShare::Part((capacity * 1000.0).ceil() as u32))
+}
+
+fn parse_duration(text: &str) -> Result<WholeMillis, RefusalReason> {
+    let seconds = parse_within(text, 0.0, MAX_DURATION_S)?;
+    Ok((seconds * 1000.0) as WholeMillis)
 }
 
-fn seconds(text: &str) -> Result<WholeMillis, Refused> {
-    let seconds = text.parse::<f64>().ok().filter(|n| (0.0..=604_800.0).contains(n));
-    seconds.map(|n| (n * 1000.0) as WholeMillis).ok_or(Refused::SchemaVersion)
+fn parse_within(text: &str, min: f64, max: f64) -> Result<f64, RefusalReason> {
+    let number = text.parse::<f64>().ok();
+    number.filter(|number| (min..=max).contains(number)).ok_or(RefusalReason::Syntax)
 }
--- a/crates/maintenance/src/errors.rs
+++ b/crates/maintenance/src/errors.rs
@@ -1,91 +1,109 @@
-//! Why a window is not granted, and what an operator can do.
+//! Why a window is refused, and what an operator can do about it.
+
+use std::num::ParseIntError;
 
 use thiserror::Error;
 
-use crate::{MOST_OWN, WindowId};
+use crate::{MAX_LOCAL_WINDOWS, WindowId};
+
+/// Why a text is no [`WindowId`].
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ParseWindowIdError {
+    /// The two parts are not separated by a dot.
+    #[error("a window's name has a dot between its relay and its number")]
+    NoSeparator,
+    /// The relay is no number.
+    #[error("a window's name starts with the number of a relay")]
+    Relay(#[source] ParseIntError),
+    /// The time of the request is no base-36 number.
+    #[error("a window's name ends in digits and small letters")]
+    RequestedAt,
+}
 
-/// Why a call about windows was not carried out.
+/// Why a call about windows was not carried out. The texts are replies to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Error)]
-pub enum Refused {
-    /// The call is not of a known form.
+pub enum RefusalReason {
+    /// The call has no known syntax.
     #[error("a window is asked for as: window hall NAME all|SIZE SECONDS, window streamer NAME SECONDS")]
-    SchemaVersion,
-    /// It would last longer than is allowed.
+    Syntax,
+    /// The window would last longer than is allowed, or for no time at all.
     #[error("longer than the longest window")]
     TooLong,
-    /// It would break the floor though nothing else were drained or down.
+    /// The floor would not be met even if all other capacity were available.
     #[error("the floor could not be kept even with nothing else drained")]
-    Never,
+    FloorUnreachable,
     /// The list has no such zone.
     #[error("no such hall in the list")]
-    NoZone,
+    UnknownZone,
     /// The list has no such endpoint.
     #[error("no such streamer in the list")]
-    NoEndpoint,
+    UnknownEndpoint,
     /// The tier has no such relay.
     #[error("no such relay in the tier")]
-    NoRelay,
-    /// Who asked for it to be put over the floor may not.
+    UnknownRelay,
+    /// The named operator may not override the floor.
     #[error("this name may not override the floor")]
-    MayNot,
-    /// No window of that name is known here.
+    OverrideNotPermitted,
+    /// No window with that id is open, as far as this relay knows.
     #[error("no window of that name is open here")]
-    NoWindow,
+    UnknownWindow,
     /// The window is not granted, so that there is nothing to extend.
     #[error("the window is not granted now")]
     NotGranted,
-    /// Too many windows were asked for here.
-    #[error("{MOST_OWN} windows are open at this relay")]
-    TooMany,
+    /// Too many windows are open at this relay.
+    #[error("{MAX_LOCAL_WINDOWS} windows are open at this relay")]
+    TooManyLocal,
     /// Too many windows wait in the tier.
     #[error("too many windows wait in the tier")]
-    Crowded,
-    /// Another waits for what a longer window would keep.
+    TooManyWaiting,
+    /// A waiting window would be pushed back by the extension.
     #[error("window {0} waits for it")]
-    Awaited(WindowId),
+    BlocksWaiting(WindowId),
 }
 
-impl Refused {
-    /// One of each.
-    pub const ALL: [Refused; 12] = [
-        Refused::SchemaVersion,
-        Refused::TooLong,
-        Refused::Never,
-        Refused::NoZone,
-        Refused::NoEndpoint,
-        Refused::NoRelay,
-        Refused::MayNot,
-        Refused::NoWindow,
-        Refused::NotGranted,
-        Refused::TooMany,
-        Refused::Crowded,
-        Refused::Awaited(WindowId { asked: 0, relay: 0 }),
+impl RefusalReason {
+    /// One of each, in the order of their codes in datagrams.
+    pub const ALL: [RefusalReason; 12] = [
+        RefusalReason::Syntax,
+        RefusalReason::TooLong,
+        RefusalReason::FloorUnreachable,
+        RefusalReason::UnknownZone,
+        RefusalReason::UnknownEndpoint,
+        RefusalReason::UnknownRelay,
+        RefusalReason::OverrideNotPermitted,
+        RefusalReason::UnknownWindow,
+        RefusalReason::NotGranted,
+        RefusalReason::TooManyLocal,
+        RefusalReason::TooManyWaiting,
+        RefusalReason::BlocksWaiting(WindowId { requested_at: 0, relay: 0 }),
     ];
 
-    /// What an operator can do about it.
+    /// What an operator can do about it, for the reply to a call.
     ///
     /// ```
-    /// use sandgw_maintenance::Refused;
-    /// assert!(Refused::ALL.iter().all(|refused| !refused.help().is_empty()));
+    /// use sandgw_maintenance::RefusalReason;
+    /// assert!(RefusalReason::ALL.iter().all(|reason| !reason.help().is_empty()));
     /// ```
     pub fn help(self) -> &'static str {
         match self {
-            Refused::SchemaVersion => "or window relay N SECONDS; then [in SECONDS] [by NAME]",
-            Refused::TooLong => "ask for less, or raise maintenance.longest_s at every relay",
-            Refused::Never => "ask for a part of it, or lower maintenance.floor at every relay",
-            Refused::NoZone => {
+            RefusalReason::Syntax => "or window relay N SECONDS; then [in SECONDS] [by NAME]",
+            RefusalReason::TooLong => "ask for less, or raise maintenance.longest_s at every relay",
+            RefusalReason::FloorUnreachable => {
+                "ask for a part of it, or lower maintenance.floor at every relay"
+            }
+            RefusalReason::UnknownZone => {
                 "halls are named as in the list's locality; look for a slip, or wait for the list"
             }
-            Refused::NoEndpoint => {
+            RefusalReason::UnknownEndpoint => {
                 "streamers are named by the list's id; look for a slip, or wait for the list"
             }
-            Refused::NoRelay => "relays are numbered from 0, as in peers",
-            Refused::MayNot => "ask one of those in maintenance.override",
-            Refused::NoWindow => "look with windows; call at the relay where it was asked for",
-            Refused::NotGranted => "wait for it, or cancel it and ask for more",
-            Refused::TooMany => "cancel some, or ask at another relay",
-            Refused::Crowded => "ask again once some are through",
-            Refused::Awaited(_) => "end on time and ask again, or have the other cancelled",
+            RefusalReason::UnknownRelay => "relays are numbered from 0, as in peers",
+            RefusalReason::OverrideNotPermitted => "ask one of those in maintenance.override",
+            RefusalReason::UnknownWindow => "look with windows; call at the relay where it was asked for",
+            RefusalReason::NotGranted => "wait for it, or cancel it and ask for more",
+            RefusalReason::TooManyLocal => "cancel some, or ask at another relay",
+            RefusalReason::TooManyWaiting => "ask again once some are through",
+            RefusalReason::BlocksWaiting(_) => "end on time and ask again, or have the other cancelled",
         }
     }
 }
--- a/crates/maintenance/src/liveness.rs
+++ b/crates/maintenance/src/liveness.rs
@@ -1,48 +1,57 @@
-//! Who of the tier is alive, and in which life.
+//! Which relays of the tier are alive, and in which incarnation.
 //!
-//! It is fed what is heard anyway and sends nothing itself: `docs/maintenance.md` weighs that against a protocol of
-//! its own. A life is the time at which a process started; a relay that has started anew has forgotten everything.
+//! It is fed the messages that are received anyway and sends nothing itself: `docs/maintenance.md` compares that with a
+//! protocol of its own. An incarnation is the time at which a process started; a restarted relay has forgotten
+//! everything.
 
 use std::collections::BTreeMap;
 
 use crate::WholeMillis;
 
-/// What a relay said counts for so long, as in the census.
-pub const COUNTS: WholeMillis = 15_000;
+/// A relay is taken to be alive for so long after its last message, as in the aggregation of load reports.
+pub const ALIVE_FOR_MS: WholeMillis = 15_000;
 
-/// The relays that were heard of lately.
+/// What is known of one relay.
+#[derive(Clone, Copy, Debug, Default)]
+struct PeerState {
+    last_contact: WholeMillis,
+    incarnation: Option<u64>,
+}
+
+/// The relays that messages were received from.
 ///
 /// ```
 /// use sandgw_maintenance::liveness::Liveness;
 ///
-/// let mut members = Liveness::default();
-/// assert!(!members.heard(3, Some(100), 1_000));
-/// assert!(members.heard(3, Some(900), 2_000), "a new life");
-/// assert_eq!((members.is_alive(3, 16_000), members.is_alive(3, 18_000)), (true, false));
+/// let mut liveness = Liveness::default();
+/// assert!(!liveness.record_contact(3, Some(100), 1_000));
+/// assert!(liveness.record_contact(3, Some(900), 2_000), "a new incarnation");
+/// assert_eq!((liveness.is_alive(3, 16_000), liveness.is_alive(3, 18_000)), (true, false));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Liveness {
-    heard: BTreeMap<u32, (WholeMillis, Option<u64>)>,
+    peers: BTreeMap<u32, PeerState>,
 }
 
 impl Liveness {
-    /// A relay was heard of, in a life where it said which. Whether that is another life than before.
-    pub fn heard(&mut self, relay: u32, life: Option<u64>, now: WholeMillis) -> bool {
-        let (at, known) = self.heard.entry(relay).or_default();
-        *at = now.max(*at);
-        // What is late is of an earlier life, and changes nothing.
-        let another = known.zip(life).is_some_and(|(known, life)| life > known);
-        *known = (*known).max(life);
-        another
+    /// Records a message of a relay, with the incarnation if the message names it. Returns whether the relay has
+    /// restarted since.
+    pub fn record_contact(&mut self, relay: u32, incarnation: Option<u64>, now: WholeMillis) -> bool {
+        let peer = self.peers.entry(relay).or_default();
+        peer.last_contact = now.max(peer.last_contact);
+        // A delayed message of an earlier incarnation changes nothing.
+        let known = peer.incarnation;
+        peer.incarnation = known.max(incarnation);
+        known.zip(incarnation).is_some_and(|(known, named)| named > known)
     }
 
-    /// Whether a relay was heard of lately.
+    /// Whether a message of a relay was received lately.
     pub fn is_alive(&self, relay: u32, now: WholeMillis) -> bool {
-        self.heard.get(&relay).is_some_and(|(at, _)| now <= at + COUNTS)
+        self.peers.get(&relay).is_some_and(|peer| now <= peer.last_contact + ALIVE_FOR_MS)
     }
 
-    /// A relay's newest life, where it has said so.
-    pub fn life(&self, relay: u32) -> Option<u64> {
-        self.heard.get(&relay).and_then(|(_, life)| *life)
+    /// A relay's newest incarnation, where a message has named it.
+    pub fn incarnation(&self, relay: u32) -> Option<u64> {
+        self.peers.get(&relay).and_then(|peer| peer.incarnation)
     }
 }
--- a/crates/maintenance/src/plan/mod.rs
+++ b/crates/maintenance/src/plan/mod.rs
@@ -1,255 +1,283 @@
-//! What the list of endpoints can spare.
+//! What capacity remains while windows are granted, by the list of endpoints.
 //!
-//! It is fed the list and holds the floors. It says what would be left if everything granted were drained, beside what is
-//! down or cold by the list; it knows nothing of who asks.
+//! [`CapacityPlan`] owns the list as this relay knows it and the floors. It computes what would remain if everything
+//! granted were drained, beside what is down or in slow start by the list. It knows nothing of who requests windows.
+//! Capacities are in thousandths of the list's unit, times in milliseconds.
+
+mod drained;
+mod floors;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{CapacityShare, Entry, Refused, Scope, Tag, Timing, WholeMillis, tag};
+use crate::{CapacityShare, GrantedWindow, RefusalReason, Scope, Tag, Timing, WholeMillis, tag};
+
+pub use floors::{CapacityFloors, SlowStart};
+
+use drained::DrainedScopes;
+
+/// Thousandths of the list's unit of capacity in one unit.
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
+
+/// A capacity in thousandths as a number in the list's unit.
+pub(crate) fn in_list_units(thousandths: u64) -> f64 {
+    thousandths as f64 / THOUSANDTHS_PER_UNIT
+}
 
 /// An endpoint as the list has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name in the list.
+    /// Its id in the list.
     pub id: String,
     /// Its zone.
     pub zone: String,
-    /// Its size, in thousandths of the list's unit.
-    pub size: u64,
-    /// Whether it takes work; it drains where it does not.
-    pub ready: bool,
-    /// When it started; 0 when long ago.
-    pub started: WholeMillis,
+    /// Its capacity, in thousandths of the list's unit.
+    pub capacity: u64,
+    /// Whether it takes new work; it drains or is down where it does not.
+    pub is_ready: bool,
+    /// When it started; 0 where that was long ago.
+    pub started_at: WholeMillis,
 }
 
-/// What must be left, and how much may be drained at once.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Floors {
-    /// Thousandths of capacity that must be left in all.
-    pub all: u64,
-    /// The same by zones, of those that have a floor.
-    pub zones: BTreeMap<String, u64>,
-    /// Relays that must be left.
-    pub relays: u32,
-    /// Most windows at once.
-    pub most: usize,
-    /// The longest window.
-    pub longest: WholeMillis,
-    /// Share of its size that an endpoint is worth when it has just started, in thousandths, and when it is worth all.
-    pub cold: (u64, WholeMillis),
-}
-
-/// What is left of capacity, in thousandths.
+/// What remains of capacity, in thousandths.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Left {
-    /// In all.
-    pub all: u64,
+pub struct RemainingCapacity {
+    /// In all zones together.
+    pub total: u64,
     /// By zone.
-    pub zones: BTreeMap<Tag, u64>,
+    pub by_zone: BTreeMap<Tag, u64>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct EndpointState {
     zone: Tag,
-    size: u64,
-    ready: bool,
-    started: WholeMillis,
+    capacity: u64,
+    is_ready: bool,
+    started_at: WholeMillis,
 }
 
-/// The list, and what must be left of it.
+/// The list of endpoints, and what must remain of it.
 #[derive(Clone, Debug)]
 pub struct CapacityPlan {
-    /// What must be left.
-    pub floors: Floors,
-    floor_of: BTreeMap<Tag, u64>,
-    relays: u32,
-    endpoints: BTreeMap<Tag, Known>,
+    /// What must remain.
+    pub floors: CapacityFloors,
+    zone_floors: BTreeMap<Tag, u64>,
+    relay_count: u32,
+    endpoints: BTreeMap<Tag, EndpointState>,
+    /// The names of zones and endpoints.
     names: BTreeMap<Tag, String>,
-    told: Option<WholeMillis>,
+    /// When the list was confirmed last.
+    confirmed_at: Option<WholeMillis>,
 }
 
 impl CapacityPlan {
     /// A plan for a tier of so many relays, without a list yet.
-    pub fn new(floors: Floors, relays: u32) -> CapacityPlan {
-        let floor_of = floors.zones.iter().map(|(zone, floor)| (tag(zone), *floor)).collect();
+    pub fn new(floors: CapacityFloors, relay_count: u32) -> CapacityPlan {
+        let zone_floors = floors.zones.iter().map(|(zone, floor)| (tag(zone), *floor)).collect();
         let names = floors.zones.keys().map(|zone| (tag(zone), zone.clone())).collect();
-        CapacityPlan { floors, floor_of, relays, endpoints: BTreeMap::new(), names, told: None }
+        CapacityPlan {
+            floors,
+            zone_floors,
+            relay_count,
+            endpoints: BTreeMap::new(),
+            names,
+            confirmed_at: None,
+        }
     }
 
     /// Discovery has answered: the list is true as of now.
-    pub fn confirmed(&mut self, now: WholeMillis) {
-        self.told = Some(now);
+    pub fn confirm_list(&mut self, now: WholeMillis) {
+        self.confirmed_at = Some(now);
     }
 
-    /// Forgets the list, before a whole one.
-    pub fn clear(&mut self) {
+    /// Removes all endpoints, before a full list.
+    pub fn clear_endpoints(&mut self) {
         self.endpoints.clear();
     }
 
-    /// Takes an entry of the list.
-    pub fn put(&mut self, endpoint: &Endpoint) {
-        let (id, zone) = (tag(&endpoint.id), tag(&endpoint.zone));
+    /// Adds or updates an endpoint.
+    pub fn upsert_endpoint(&mut self, endpoint: &Endpoint) {
+        let id = tag(&endpoint.id);
+        let zone = tag(&endpoint.zone);
         self.names.insert(id, endpoint.id.clone());
         self.names.entry(zone).or_insert_with(|| endpoint.zone.clone());
-        let Endpoint { size, ready, started, .. } = *endpoint;
-        self.endpoints.insert(id, Known { zone, size, ready, started });
+        let state = EndpointState {
+            zone,
+            capacity: endpoint.capacity,
+            is_ready: endpoint.is_ready,
+            started_at: endpoint.started_at,
+        };
+        self.endpoints.insert(id, state);
     }
 
-    /// An endpoint is no longer in the list.
-    pub fn gone(&mut self, id: &str) {
+    /// Removes an endpoint that is no longer in the list.
+    pub fn remove_endpoint(&mut self, id: &str) {
         self.endpoints.remove(&tag(id));
         self.names.remove(&tag(id));
     }
 
     /// Whether the list is new enough to grant by.
     pub fn is_fresh(&self, now: WholeMillis, timing: &Timing) -> bool {
-        self.told.is_some_and(|told| now <= told + timing.list)
+        self.confirmed_at.is_some_and(|confirmed| now <= confirmed + timing.list_max_age)
     }
 
-    /// What a tag stands for, or its number where that is not known.
-    pub fn name(&self, of: Tag) -> String {
-        self.names.get(&of).cloned().unwrap_or_else(|| format!("#{of:x}"))
+    /// The name of a zone or an endpoint, or its tag where the name is not known.
+    pub fn name_of(&self, tag: Tag) -> String {
+        self.names.get(&tag).cloned().unwrap_or_else(|| format!("#{tag:x}"))
     }
 
-    /// What is to be drained, in words.
-    pub fn says(&self, what: Scope) -> String {
-        match what {
-            Scope::Zone(zone, CapacityShare::All) => format!("hall {} all", self.name(zone)),
+    /// What is to be drained, in the words of operators' calls.
+    pub fn describe(&self, scope: Scope) -> String {
+        match scope {
+            Scope::Zone(zone, CapacityShare::All) => format!("hall {} all", self.name_of(zone)),
             Scope::Zone(zone, CapacityShare::Part(part)) => {
-                format!("hall {} {}", self.name(zone), f64::from(part) / 1000.0)
+                format!("hall {} {}", self.name_of(zone), in_list_units(u64::from(part)))
             }
-            Scope::Endpoint(id) => format!("streamer {}", self.name(id)),
+            Scope::Endpoint(id) => format!("streamer {}", self.name_of(id)),
             Scope::Relay(relay) => format!("relay {relay}"),
         }
     }
 
-    /// What would be left if all these were drained now, beside what is down or cold by the list.
-    pub fn left(&self, now: WholeMillis, granted: &[Entry]) -> Left {
-        let drained = Drained::of(granted);
-        self.sum(|known| if known.ready { self.warm(now, known) } else { 0 }, &drained, true)
+    /// What would remain if all these were drained now, beside what is down or in slow start by the list.
+    pub fn remaining_capacity(&self, now: WholeMillis, granted: &[GrantedWindow]) -> RemainingCapacity {
+        let drained = DrainedScopes::of(granted);
+        let mut by_zone = self.undrained(&drained, |endpoint| {
+            if endpoint.is_ready { self.effective_capacity(now, endpoint) } else { 0 }
+        });
+        for (zone, part) in &drained.parts {
+            // What drains in the zone already is a part of what was granted.
+            let draining = self.draining_outside(&drained, *zone);
+            let remaining = by_zone.entry(*zone).or_default();
+            *remaining = remaining.saturating_sub(part.saturating_sub(draining));
+        }
+        RemainingCapacity { total: by_zone.values().sum(), by_zone }
     }
 
-    /// What would be left of the list if all of it were up and warm.
-    fn at_best(&self, what: Scope) -> Left {
-        let mut drained = Drained::default();
-        drained.add(what);
-        self.sum(|known| known.size, &drained, false)
+    /// What would remain without a scope if all endpoints of the list were ready and past slow start.
+    fn best_case_remaining(&self, scope: Scope) -> RemainingCapacity {
+        let mut drained = DrainedScopes::default();
+        drained.add(scope);
+        let mut by_zone = self.undrained(&drained, |endpoint| endpoint.capacity);
+        for (zone, part) in &drained.parts {
+            let remaining = by_zone.entry(*zone).or_default();
+            *remaining = remaining.saturating_sub(*part);
+        }
+        RemainingCapacity { total: by_zone.values().sum(), by_zone }
     }
 
-    fn sum(&self, worth: impl Fn(&Known) -> u64, drained: &Drained, heeds: bool) -> Left {
-        let mut zones: BTreeMap<Tag, u64> = self.endpoints.values().map(|k| (k.zone, 0)).collect();
-        let open = self.endpoints.iter().filter(|(id, known)| !drained.covers(**id, known.zone));
-        for (_, known) in open {
-            *zones.entry(known.zone).or_default() += worth(known);
-        }
-        for (zone, part) in &drained.parts {
-            // What drains there already is a part of what was granted.
-            let begun = if heeds { self.draining(drained, *zone) } else { 0 };
-            let left = zones.entry(*zone).or_default();
-            *left = left.saturating_sub(part.saturating_sub(begun));
+    /// The capacity of all endpoints that are not drained as a whole, by zone.
+    fn undrained(
+        &self,
+        drained: &DrainedScopes,
+        capacity_of: impl Fn(&EndpointState) -> u64,
+    ) -> BTreeMap<Tag, u64> {
+        let mut by_zone: BTreeMap<Tag, u64> =
+            self.endpoints.values().map(|endpoint| (endpoint.zone, 0)).collect();
+        for (id, endpoint) in &self.endpoints {
+            if !drained.covers(*id, endpoint.zone) {
+                *by_zone.entry(endpoint.zone).or_default() += capacity_of(endpoint);
+            }
         }
-        Left { all: zones.values().sum(), zones }
+        by_zone
     }
 
-    fn draining(&self, drained: &Drained, zone: Tag) -> u64 {
-        let draining = self.endpoints.iter().filter(|(_, k)| !k.ready && k.zone == zone);
-        draining.filter(|(id, _)| !drained.covers(**id, zone)).map(|(_, k)| k.size).sum()
+    /// The capacity of a zone that is not ready, beside what is drained as a whole.
+    fn draining_outside(&self, drained: &DrainedScopes, zone: Tag) -> u64 {
+        let draining = self.endpoints.iter().filter(|(id, endpoint)| {
+            !endpoint.is_ready && endpoint.zone == zone && !drained.covers(**id, zone)
+        });
+        draining.map(|(_, endpoint)| endpoint.capacity).sum()
     }
 
-    fn warm(&self, now: WholeMillis, known: &Known) -> u64 {
-        let (from, within) = self.floors.cold;
-        let age = now.saturating_sub(known.started).min(within);
-        if known.started == 0 || age == within {
-            return known.size;
+    fn effective_capacity(&self, now: WholeMillis, endpoint: &EndpointState) -> u64 {
+        if endpoint.started_at == 0 {
+            return endpoint.capacity;
         }
-        known.size * (from.min(1000) * within + (1000 - from.min(1000)) * age) / (1000 * within)
+        let age = now.saturating_sub(endpoint.started_at);
+        self.floors.slow_start.effective_capacity(endpoint.capacity, age)
     }
 
-    /// Whether what is left is enough.
-    pub fn holds(&self, left: &Left) -> bool {
-        let zone = |(zone, floor): (&Tag, &u64)| left.zones.get(zone).copied().unwrap_or(0) >= *floor;
-        left.all >= self.floors.all && self.floor_of.iter().all(zone)
+    /// Whether what remains is enough, in total and in each zone that has a floor.
+    pub fn meets_floors(&self, remaining: &RemainingCapacity) -> bool {
+        let zone_is_met =
+            |(zone, floor): (&Tag, &u64)| remaining.by_zone.get(zone).copied().unwrap_or(0) >= *floor;
+        remaining.total >= self.floors.total && self.zone_floors.iter().all(zone_is_met)
     }
 
     /// Whether all these may be granted together.
-    pub fn fits(&self, now: WholeMillis, granted: &[Entry]) -> bool {
-        let drained: BTreeSet<u32> = granted.iter().filter_map(|e| relay(e.what)).collect();
-        let relays = self.relays.saturating_sub(drained.len() as u32);
-        let only_relays = granted.iter().all(|e| relay(e.what).is_some());
-        granted.len() <= self.floors.most
-            && (drained.is_empty() || relays >= self.floors.relays)
-            && (only_relays || self.holds(&self.left(now, granted)))
+    pub fn fits(&self, now: WholeMillis, granted: &[GrantedWindow]) -> bool {
+        granted.len() <= self.floors.max_windows
+            && self.leaves_enough_relays(granted)
+            && self.leaves_enough_capacity(now, granted)
     }
 
-    /// Why a window could never be granted.
-    pub fn never(&self, what: Scope, length: WholeMillis, forced: bool) -> Option<Refused> {
-        let zone = |of: Tag| self.endpoints.values().any(|k| k.zone == of);
-        Some(match what {
-            _ if length > self.floors.longest || length == 0 => Refused::TooLong,
-            Scope::Zone(of, _) if !zone(of) => Refused::NoZone,
-            Scope::Endpoint(of) if !self.endpoints.contains_key(&of) => Refused::NoEndpoint,
-            Scope::Relay(of) if of >= self.relays => Refused::NoRelay,
-            _ if forced => return None,
-            Scope::Relay(_) if self.relays.saturating_sub(1) < self.floors.relays => Refused::Never,
-            Scope::Zone(..) | Scope::Endpoint(_) if !self.holds(&self.at_best(what)) => Refused::Never,
-            _ => return None,
-        })
-    }
-
-    /// What drains by the list and nobody has asked for, by zone.
-    pub fn unasked(&self, granted: &[Entry]) -> BTreeMap<Tag, u64> {
-        let drained = Drained::of(granted);
-        let zones: BTreeSet<Tag> = self.endpoints.values().map(|k| k.zone).collect();
-        let part = |zone: Tag| drained.parts.get(&zone).copied().unwrap_or(0);
-        let rows =
-            zones.into_iter().map(|zone| (zone, self.draining(&drained, zone).saturating_sub(part(zone))));
-        rows.filter(|(_, size)| *size > 0).collect()
-    }
-
-    /// Whether the list shows any of this draining.
-    pub fn drains(&self, what: Scope) -> bool {
-        self.endpoints.iter().any(|(id, known)| {
-            !known.ready
-                && match what {
-                    Scope::Zone(zone, _) => known.zone == zone,
-                    Scope::Endpoint(of) => *id == of,
-                    Scope::Relay(_) => false,
-                }
-        })
+    fn leaves_enough_relays(&self, granted: &[GrantedWindow]) -> bool {
+        let drained: BTreeSet<u32> = granted.iter().filter_map(|entry| entry.scope.relay()).collect();
+        let remaining = self.relay_count.saturating_sub(drained.len() as u32);
+        drained.is_empty() || remaining >= self.floors.min_relays
     }
-}
 
-fn relay(what: Scope) -> Option<u32> {
-    if let Scope::Relay(relay) = what { Some(relay) } else { None }
-}
+    fn leaves_enough_capacity(&self, now: WholeMillis, granted: &[GrantedWindow]) -> bool {
+        // Relays have no capacity of the list: they may be drained though the floor is not met.
+        let only_relays = granted.iter().all(|entry| entry.scope.relay().is_some());
+        only_relays || self.meets_floors(&self.remaining_capacity(now, granted))
+    }
 
-/// What is granted, taken together.
-#[derive(Default)]
-struct Drained {
-    zones: BTreeSet<Tag>,
-    endpoints: BTreeSet<Tag>,
-    parts: BTreeMap<Tag, u64>,
-}
+    /// Why a window could never be granted.
+    pub fn permanent_refusal(
+        &self,
+        scope: Scope,
+        duration: WholeMillis,
+        overrides_floor: bool,
+    ) -> Option<RefusalReason> {
+        if duration > self.floors.max_window_duration || duration == 0 {
+            return Some(RefusalReason::TooLong);
+        }
+        let unknown = self.unknown_scope(scope);
+        if unknown.is_some() || overrides_floor {
+            return unknown;
+        }
+        let is_reachable = match scope {
+            Scope::Relay(_) => self.relay_count.saturating_sub(1) >= self.floors.min_relays,
+            Scope::Zone(..) | Scope::Endpoint(_) => self.meets_floors(&self.best_case_remaining(scope)),
+        };
+        (!is_reachable).then_some(RefusalReason::FloorUnreachable)
+    }
 
-impl Drained {
-    fn of(granted: &[Entry]) -> Drained {
-        let mut drained = Drained::default();
-        granted.iter().for_each(|entry| drained.add(entry.what));
-        drained
+    fn unknown_scope(&self, scope: Scope) -> Option<RefusalReason> {
+        match scope {
+            Scope::Zone(zone, _) => {
+                let is_known = self.endpoints.values().any(|endpoint| endpoint.zone == zone);
+                (!is_known).then_some(RefusalReason::UnknownZone)
+            }
+            Scope::Endpoint(id) => {
+                (!self.endpoints.contains_key(&id)).then_some(RefusalReason::UnknownEndpoint)
+            }
+            Scope::Relay(relay) => (relay >= self.relay_count).then_some(RefusalReason::UnknownRelay),
+        }
     }
 
-    fn add(&mut self, what: Scope) {
-        match what {
-            Scope::Zone(zone, CapacityShare::All) => drop(self.zones.insert(zone)),
-            Scope::Zone(zone, CapacityShare::Part(part)) => {
-                *self.parts.entry(zone).or_default() += u64::from(part)
+    /// The capacity that drains by the list without a window, by zone; zones without such are left out.
+    pub fn unplanned_drains(&self, granted: &[GrantedWindow]) -> BTreeMap<Tag, u64> {
+        let drained = DrainedScopes::of(granted);
+        let zones: BTreeSet<Tag> = self.endpoints.values().map(|endpoint| endpoint.zone).collect();
+        let mut unplanned = BTreeMap::new();
+        for zone in zones {
+            let planned = drained.parts.get(&zone).copied().unwrap_or(0);
+            let capacity = self.draining_outside(&drained, zone).saturating_sub(planned);
+            if capacity > 0 {
+                unplanned.insert(zone, capacity);
             }
-            Scope::Endpoint(id) => drop(self.endpoints.insert(id)),
-            Scope::Relay(_) => {}
         }
+        unplanned
     }
 
-    fn covers(&self, id: Tag, zone: Tag) -> bool {
-        self.zones.contains(&zone) || self.endpoints.contains(&id)
+    /// Whether any of a scope drains by the list.
+    pub fn is_draining(&self, scope: Scope) -> bool {
+        let is_in_scope = |id: Tag, endpoint: &EndpointState| match scope {
+            Scope::Zone(zone, _) => endpoint.zone == zone,
+            Scope::Endpoint(of) => id == of,
+            Scope::Relay(_) => false,
+        };
+        self.endpoints.iter().any(|(id, endpoint)| !endpoint.is_ready && is_in_scope(*id, endpoint))
     }
 }
--- /dev/null
+++ b/crates/maintenance/src/service/monitor.rs
@@ -0,0 +1,127 @@
+//! Reports what has changed since the last report: the status of windows, leadership, and drains that the list shows
+//! beside what is granted.
+
+use std::mem::discriminant;
+
+use super::MaintenanceService;
+use crate::replicated_ledger::WindowStatus;
+use crate::{Event, Scope, WholeMillis, WindowId};
+
+/// The maximum number of events that wait to be taken; later ones are dropped.
+const MAX_PENDING_EVENTS: usize = 256;
+
+/// A window that has ended, whose drain has to end as well.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct EndedWindow {
+    scope: Scope,
+    /// When it is checked whether the drain has ended.
+    check_at: WholeMillis,
+}
+
+/// A local window whose status has changed since it was reported.
+struct ChangedWindow {
+    id: WindowId,
+    status: WindowStatus,
+    scope: Scope,
+}
+
+impl MaintenanceService {
+    /// What operators should look at now: unplanned drains, and a capacity below the floor.
+    pub fn alarms(&self, now: WholeMillis) -> Vec<String> {
+        let granted = self.ledger.granted();
+        let mut alarms = Vec::new();
+        for (zone, capacity) in self.plan.unplanned_drains(granted) {
+            let alarm = Event::UnplannedDrain { zone: self.plan.name_of(zone), capacity };
+            alarms.push(alarm.to_string());
+        }
+        let remaining = self.plan.remaining_capacity(now, granted);
+        if !self.plan.meets_floors(&remaining) {
+            alarms.push(Event::BelowFloor { remaining: remaining.total }.to_string());
+        }
+        alarms
+    }
+
+    fn push_event(&mut self, event: Event) {
+        if self.events.len() < MAX_PENDING_EVENTS {
+            self.events.push_back(event);
+        }
+    }
+
+    /// Reports windows whose status has changed, and a change of leadership.
+    pub(super) fn report_changes(&mut self, now: WholeMillis) {
+        for ChangedWindow { id, status, scope } in self.changed_windows() {
+            if status == WindowStatus::Ended {
+                let check_at = now + self.timing.clock_skew_bound + self.timing.retry_interval;
+                self.ended.insert(id, EndedWindow { scope, check_at });
+            }
+            self.reported_status.insert(id, status);
+            self.push_event(Event::StatusChanged { id, status });
+        }
+        let local_windows = self.ledger.local_windows();
+        self.reported_status.retain(|id, _| local_windows.contains_key(id));
+        self.report_leadership();
+    }
+
+    /// Local windows whose status is of another kind than was reported. A renewed lease is not reported.
+    fn changed_windows(&self) -> Vec<ChangedWindow> {
+        let mut changed = Vec::new();
+        for (id, local) in self.ledger.local_windows() {
+            let reported = self.reported_status.get(id).map(discriminant);
+            if reported != Some(discriminant(&local.status)) {
+                let scope = local.window.scope;
+                changed.push(ChangedWindow { id: *id, status: local.status, scope });
+            }
+        }
+        changed
+    }
+
+    fn report_leadership(&mut self) {
+        let is_leader = self.ledger.is_leader();
+        if is_leader != self.reported_leader {
+            self.reported_leader = is_leader;
+            self.push_event(if is_leader { Event::BecameLeader } else { Event::LostLeadership });
+        }
+    }
+
+    /// Compares the list with what is granted. Only the leader reports on the whole tier, so that each finding is logged
+    /// once.
+    pub(super) fn check_drains(&mut self, now: WholeMillis) {
+        self.report_drains_past_end(now);
+        if self.reported_leader {
+            self.report_unplanned_drains();
+            self.report_below_floor(now);
+        }
+    }
+
+    fn report_drains_past_end(&mut self, now: WholeMillis) {
+        for (id, ended) in std::mem::take(&mut self.ended) {
+            if ended.check_at > now {
+                self.ended.insert(id, ended);
+            } else if self.plan.is_draining(ended.scope) {
+                self.push_event(Event::DrainsPastEnd(id));
+            }
+        }
+    }
+
+    fn report_unplanned_drains(&mut self) {
+        let unplanned = self.plan.unplanned_drains(self.ledger.granted());
+        for (zone, capacity) in &unplanned {
+            if self.reported_unplanned.get(zone) != Some(capacity) {
+                self.push_event(Event::UnplannedDrain {
+                    zone: self.plan.name_of(*zone),
+                    capacity: *capacity,
+                });
+            }
+        }
+        self.reported_unplanned = unplanned;
+    }
+
+    fn report_below_floor(&mut self, now: WholeMillis) {
+        let remaining = self.plan.remaining_capacity(now, self.ledger.granted());
+        let is_below = !self.plan.meets_floors(&remaining);
+        if is_below && !self.reported_below_floor {
+            self.push_event(Event::BelowFloor { remaining: remaining.total });
+        }
+        self.reported_below_floor = is_below;
+    }
+}
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -1,13 +1,15 @@
-//! What a window is, and by what it is named.
+//! What a maintenance window is, and how it is identified.
 
 use std::fmt;
 use std::str::FromStr;
 
+use sandgw_datagram::base36;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::WholeMillis;
+use crate::{ParseWindowIdError, WholeMillis};
 
-/// A zone's or an endpoint's short tag: four bytes of a hash of its name. Two of the same are taken for one.
+/// A short tag of a zone or an endpoint: the lower four bytes of a hash of its name. Names with the same tag are not
+/// told apart.
 pub type Tag = u32;
 
 /// The tag of a name.
@@ -15,53 +17,57 @@
     xxh3_64(name.as_bytes()) as Tag
 }
 
-/// A window's name: the relay at which it was asked for, and when, in milliseconds of its clock. A relay never gives
-/// the same twice, whatever its life.
+/// Identifies a window: the relay at which it was requested and when, in milliseconds of that relay's clock. A relay
+/// never gives the same id twice, in whatever incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WindowId {
-    /// When it was asked for: who waits longest is first.
-    pub asked: WholeMillis,
+    /// When it was requested: the earliest is first in the queue.
+    pub requested_at: WholeMillis,
     /// The relay's number.
     pub relay: u32,
 }
 
 impl fmt::Display for WindowId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.relay, sandgw_datagram::base36::encode(self.asked))
+        write!(f, "{}.{}", self.relay, base36::encode(self.requested_at))
     }
 }
 
 impl FromStr for WindowId {
-    type Err = ();
+    type Err = ParseWindowIdError;
 
     /// Reads what [`Display`](fmt::Display) writes.
     ///
+    /// # Errors
+    ///
+    /// A [`ParseWindowIdError`] that says which part is malformed.
+    ///
     /// ```
     /// let id: sandgw_maintenance::WindowId = "3.rs".parse().unwrap();
-    /// assert_eq!((id.relay, id.asked, id.to_string().as_str()), (3, 1000, "3.rs"));
+    /// assert_eq!((id.relay, id.requested_at, id.to_string().as_str()), (3, 1000, "3.rs"));
     /// ```
-    fn from_str(text: &str) -> Result<Self, ()> {
-        let (relay, asked) = text.split_once('.').ok_or(())?;
+    fn from_str(text: &str) -> Result<Self, ParseWindowIdError> {
+        let (relay, requested_at) = text.split_once('.').ok_or(ParseWindowIdError::NoSeparator)?;
         Ok(WindowId {
-            relay: relay.parse().map_err(|_| ())?,
-            asked: sandgw_datagram::base36::decode(asked).ok_or(())?,
+            relay: relay.parse().map_err(ParseWindowIdError::Relay)?,
+            requested_at: base36::decode(requested_at).ok_or(ParseWindowIdError::RequestedAt)?,
         })
     }
 }
 
-/// How much of a zone.
+/// How much of a zone is drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CapacityShare {
-    /// All that it has.
+    /// The whole capacity.
     All,
-    /// So many thousandths of the list's unit of size.
+    /// So many thousandths of the list's unit of capacity.
     Part(u32),
 }
 
-/// What is to be drained.
+/// What is drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Scope {
-    /// A zone, or a part of its capacity whichever endpoints that is.
+    /// A zone, or a part of its capacity, on whichever endpoints that is.
     Zone(Tag, CapacityShare),
     /// One endpoint.
     Endpoint(Tag),
@@ -69,32 +75,51 @@
     Relay(u32),
 }
 
-/// A window as it is asked for.
+impl Scope {
+    /// The relay, where that is what is drained.
+    pub(crate) fn relay(self) -> Option<u32> {
+        if let Scope::Relay(relay) = self { Some(relay) } else { None }
+    }
+}
+
+/// A window as it is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Window {
-    /// Its name.
+    /// Its id.
     pub id: WindowId,
     /// What is to be drained.
-    pub what: Scope,
-    /// Not before this.
-    pub from: WholeMillis,
-    /// For how long.
-    pub length: WholeMillis,
-    /// The end that is asked for by name: of a window that is granted already.
-    pub end: Option<WholeMillis>,
-    /// Whether somebody who may has put it over the floor.
-    pub forced: bool,
+    pub scope: Scope,
+    /// The earliest start.
+    pub not_before: WholeMillis,
+    /// How long it lasts once granted.
+    pub duration: WholeMillis,
+    /// The end of a window that was granted before, in place of a duration: of one that is extended or has lapsed.
+    pub requested_end: Option<WholeMillis>,
+    /// Whether it may be granted though the floor is not met.
+    pub overrides_floor: bool,
 }
 
-/// A window that is granted: what the ledger holds.
+/// A window that is granted: an entry of the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Entry {
-    /// The window's name.
+pub struct GrantedWindow {
+    /// The window's id.
     pub id: WindowId,
     /// What it drains.
-    pub what: Scope,
+    pub scope: Scope,
     /// When it ends.
     pub end: WholeMillis,
-    /// Whether it was put over the floor.
-    pub forced: bool,
+    /// Whether it was granted though the floor is not met.
+    pub overrides_floor: bool,
+}
+
+impl GrantedWindow {
+    /// A window as it is granted if that happens now.
+    pub fn starting_at(now: WholeMillis, window: &Window) -> GrantedWindow {
+        GrantedWindow {
+            id: window.id,
+            scope: window.scope,
+            end: window.requested_end.unwrap_or(now + window.duration),
+            overrides_floor: window.overrides_floor,
+        }
+    }
 }
--- a/crates/maintenance/tests/call.rs
+++ b/crates/maintenance/tests/call.rs
@@ -1,7 +1,7 @@
-//! What operators ask for, as it is read, and why it is refused.
+//! Operators' calls as they are parsed, and the reasons why they are refused.
 
-use sandgw_maintenance::Refused;
-use sandgw_maintenance::call::{Call, read};
+use sandgw_maintenance::RefusalReason;
+use sandgw_maintenance::call::{Call, WindowRequest, parse};
 
 #[test]
 fn what_is_of_no_known_form_is_refused_as_such() {
@@ -21,16 +21,17 @@
         "windows now",
         "cancel",
     ] {
-        assert_eq!(read(line), Some(Err(Refused::SchemaVersion)), "{line}");
+        assert_eq!(parse(line), Some(Err(RefusalReason::Syntax)), "{line}");
     }
-    assert_eq!(read("done 1-2"), Some(Err(Refused::NoWindow)));
-    assert!(matches!(read("window hall a 0.5 60 in 9 by eve"), Some(Ok(Call::Window { after: 9000, .. }))));
+    assert_eq!(parse("done 1-2"), Some(Err(RefusalReason::UnknownWindow)));
+    let call = parse("window hall a 0.5 60 in 9 by eve");
+    assert!(matches!(call, Some(Ok(Call::Request(WindowRequest { delay: 9000, .. })))));
 }
 
 #[test]
 fn each_says_what_happened_and_what_to_do() {
-    for refused in Refused::ALL {
-        assert!(!refused.to_string().is_empty() && !refused.help().is_empty(), "{refused:?}");
-        assert_ne!(refused.to_string(), refused.help());
+    for reason in RefusalReason::ALL {
+        assert!(!reason.to_string().is_empty() && !reason.help().is_empty(), "{reason:?}");
+        assert_ne!(reason.to_string(), reason.help());
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
 
-use sandgw_maintenance::plan::Floors;
+use sandgw_maintenance::plan::{CapacityFloors, SlowStart};
 use sandgw_maintenance::{MaintenanceService, Timing};
 use sandgw_schema_version::{SchemaVersion, SupportedVersions};
 use serde_json::Value;
@@ -300,7 +300,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Maintenance {
     /// What must be left, and how much may be drained at once.
-    pub floors: Floors,
+    pub floors: CapacityFloors,
     /// How long things last.
     pub timing: Timing,
     /// The relays that vote, by their numbers.
@@ -609,7 +609,7 @@
     let mut number = |key, least, most, absent: f64| r.number(key, least, most).unwrap_or(absent);
     let floor = number("floor", 0.0, 4e6, 0.0);
     let left = number("relays", 0.0, f64::from(relays), f64::from(relays.saturating_sub(1).max(1)));
-    let most = number("most", 1.0, sandgw_maintenance::MOST as f64, 2.0);
+    let most = number("most", 1.0, sandgw_maintenance::MAX_GRANTED_WINDOWS as f64, 2.0);
     let longest = number("longest_s", 1.0, 604_800.0, 3600.0);
     let (lease, bound) =
         (number("lease_s", 1.0, 3600.0, 30.0), number("clock_bound_ms", 0.0, 600_000.0, 500.0));
@@ -619,16 +619,25 @@
     }
     let zones = zone_floors(r);
     let voters =
-        r.list("voters", "a relay's number").unwrap_or_else(|| MaintenanceService::usual_voters(relays));
+        r.list("voters", "a relay's number").unwrap_or_else(|| MaintenanceService::default_voters(relays));
     let once: BTreeSet<u32> = voters.iter().copied().collect();
     if voters.is_empty() || once.len() < voters.len() || voters.iter().any(|v| *v >= relays) {
         r.fault("voters", Fault::Voters(relays));
     }
     let may_override = r.list("override", "a name").unwrap_or_default();
-    let cold = ((module.cold_capacity_fraction * 1000.0) as u64, module.warm_up_time as u64);
-    let (all, longest) = ((floor * 1000.0) as u64, (longest * 1000.0) as u64);
-    let floors = Floors { all, zones, relays: left as u32, most: most as usize, longest, cold };
-    Some(Maintenance { floors, timing: Timing::of(lease, bound), voters, may_override })
+    let slow_start = SlowStart {
+        initial_fraction: (module.cold_capacity_fraction * 1000.0) as u64,
+        warm_up_time: module.warm_up_time as u64,
+    };
+    let floors = CapacityFloors {
+        total: (floor * 1000.0) as u64,
+        zones,
+        min_relays: left as u32,
+        max_windows: most as usize,
+        max_window_duration: (longest * 1000.0) as u64,
+        slow_start,
+    };
+    Some(Maintenance { floors, timing: Timing::for_lease(lease, bound), voters, may_override })
 }
 
 fn zone_floors(r: &mut Reader<'_>) -> BTreeMap<String, u64> {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -53,7 +53,7 @@
                     for e in &entries {
                         debug!("list: {} {:?} size {} in {}", e.id.0, e.state, e.weight, e.zone.0);
                     }
-                    shared.listed(kind, entries, asked);
+                    shared.handle_list_update(kind, entries, asked);
                 }
                 Err(e) => {
                     let took = shared.clock.now() - asked;
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -1,5 +1,5 @@
-//! Drives maintenance windows: the list, datagrams, calls and the time go in, datagrams and words come out. All of it
-//! rests where the configuration has no section for it.
+//! Drives the service for maintenance windows: it is fed the list of endpoints, datagrams, operators' calls and the time,
+//! and its messages are sent and its events logged. Nothing of it runs where the configuration has no section for it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,129 +7,169 @@
 use log::{debug, info, warn};
 use sandgw_cluster::drain_gossip::Answer;
 use sandgw_maintenance::call::Call;
-use sandgw_maintenance::plan::Endpoint;
-use sandgw_maintenance::{MaintenanceService, Row, WindowId, codec};
+use sandgw_maintenance::plan::{CapacityPlan, Endpoint};
+use sandgw_maintenance::{MaintenanceService, ServiceConfig, WholeMillis, WindowId, WindowRow, codec};
+use tokio::time::MissedTickBehavior;
 
 use super::{Shared, until};
 use crate::config::Config;
 use crate::policy::api::{EndpointEntry, EndpointState, ListKind, Millis};
 use crate::relay::lifecycle::Refusal;
 
-/// A caller waits so long at the most for what the office says, and is told meanwhile that it waits.
-const PATIENCE: Millis = 3000.0;
-/// How often it is looked for.
-const LOOK: Duration = Duration::from_millis(20);
-
-/// The desk, where there is a section for it.
-pub fn desk(config: &Config, now: Millis) -> Option<MaintenanceService> {
-    let own = config.maintenance.as_ref()?;
-    let tier = (config.settings.local_index, config.peers.len().max(1) as u32);
-    let (floors, voters, may) = (own.floors.clone(), own.voters.clone(), own.may_override.clone());
-    Some(MaintenanceService::new(tier, floors, own.timing, voters, may, now as u64))
+/// How long a call waits at most for the leader's decision. Its reply says so where there is none by then.
+const MAX_CALL_WAIT_MS: Millis = 3000.0;
+/// How often it is checked meanwhile whether the leader has decided.
+const DECISION_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The number of ticks in a lease.
+const TICKS_PER_LEASE: WholeMillis = 60;
+/// The shortest and the longest time between ticks.
+const MIN_TICK_MS: WholeMillis = 10;
+const MAX_TICK_MS: WholeMillis = 500;
+
+/// The service, where the configuration has a section for it. `now` is in milliseconds.
+pub fn service(config: &Config, now: Millis) -> Option<MaintenanceService> {
+    let section = config.maintenance.as_ref()?;
+    let service_config = ServiceConfig {
+        local_index: config.settings.local_index,
+        relay_count: config.peers.len().max(1) as u32,
+        floors: section.floors.clone(),
+        timing: section.timing,
+        voters: section.voters.clone(),
+        may_override: section.may_override.clone(),
+    };
+    Some(MaintenanceService::new(service_config, now as WholeMillis))
 }
 
 impl Shared {
-    /// Has the desk do something, then sends and says what comes of it.
-    fn at_desk<T>(&self, f: impl FnOnce(&mut MaintenanceService, u64) -> T) -> Option<T> {
-        let mut desk = self.desk.as_ref()?.borrow_mut();
-        let result = f(&mut desk, self.clock.now() as u64);
-        for (peer, message) in desk.take_sends() {
-            self.send(peer, codec::text(&message).as_bytes());
+    /// Runs a step of the service, then sends its messages and logs its events; `None` where there is no service.
+    fn with_maintenance<T>(&self, step: impl FnOnce(&mut MaintenanceService, WholeMillis) -> T) -> Option<T> {
+        let mut service = self.maintenance.as_ref()?.borrow_mut();
+        let result = step(&mut service, self.clock.now() as WholeMillis);
+        for outgoing in service.take_outbox() {
+            self.send(outgoing.to, codec::encode(&outgoing.message).as_bytes());
         }
-        for event in desk.take_events() {
+        for event in service.take_events() {
             if event.is_alarm() { warn!("maintenance: {event}") } else { info!("maintenance: {event}") }
         }
         Some(result)
     }
 
-    /// News of the list, for the core and for the desk; `asked` is when the call was made that it answers.
-    pub(super) fn listed(self: &Rc<Self>, kind: ListKind, entries: Vec<EndpointEntry>, asked: Millis) {
-        self.at_desk(|desk, now| {
-            let plan = desk.plan();
-            if matches!(kind, ListKind::Full | ListKind::Cached) {
-                plan.clear();
-            }
-            for e in &entries {
-                match e.state {
-                    EndpointState::Removed => plan.gone(&e.id.0),
-                    _ => plan.put(&endpoint(e)),
-                }
-            }
-            // What was held last may be old.
-            if matches!(kind, ListKind::Full | ListKind::Delta) {
-                plan.confirmed(now);
-            }
-        });
+    /// Passes an update of the list to the service and to the core; `requested_at` is when the call was made that it
+    /// answers.
+    pub(super) fn handle_list_update(
+        self: &Rc<Self>,
+        kind: ListKind,
+        entries: Vec<EndpointEntry>,
+        requested_at: Millis,
+    ) {
+        self.with_maintenance(|service, now| update_plan(service.plan_mut(), kind, &entries, now));
         let revision = self.endpoint_list.borrow().held().0;
-        let whole = kind == ListKind::Full;
-        self.core(|relay, now| match revision.filter(|_| whole || kind == ListKind::Delta) {
-            Some(revision) => relay.answered(now, Answer { revision, asked, whole }, entries),
+        let is_full = kind == ListKind::Full;
+        let is_answer = is_full || kind == ListKind::Delta;
+        self.core(|relay, now| match revision.filter(|_| is_answer) {
+            Some(revision) => {
+                let answer = Answer { revision, asked: requested_at, whole: is_full };
+                relay.answered(now, answer, entries)
+            }
             None => relay.known(now, revision, entries),
         });
     }
 
-    /// Takes a datagram, if it is of windows.
-    pub(super) fn told_of_windows(&self, peer: u32, datagram: &[u8]) -> bool {
-        let text = std::str::from_utf8(datagram).ok().filter(|text| text.starts_with(codec::FIRST));
-        let Some(text) = text.filter(|_| self.desk.is_some()) else { return false };
-        debug!("maintenance: relay {peer} tells {text}");
-        self.at_desk(|desk, now| desk.told(now, peer, text));
+    /// Handles a datagram if it is about maintenance windows. Returns whether it was.
+    pub(super) fn handle_maintenance_datagram(&self, peer: u32, datagram: &[u8]) -> bool {
+        let text = std::str::from_utf8(datagram).ok().filter(|text| text.starts_with(codec::PREFIX));
+        let Some(text) = text.filter(|_| self.maintenance.is_some()) else { return false };
+        debug!("maintenance: relay {peer} sent {text}");
+        self.with_maintenance(|service, now| service.handle_datagram(now, peer, text));
         true
     }
 
-    /// Carries out an operator's call. What is asked for is waited for a little, so that most hear at once how it stands.
+    /// Carries out an operator's call. A request or an extension waits a little for the leader's decision, so that most
+    /// replies have it.
+    ///
+    /// # Errors
+    ///
+    /// The reason why the call was not carried out.
     pub(super) async fn window_call(&self, call: Call) -> Result<String, Refusal> {
         if self.relay.borrow().is_handed_over() {
             return Err(Refusal::HandedOver);
         }
-        let asks = matches!(call, Call::Window { .. } | Call::Extend(..));
-        let done = self.at_desk(|desk, now| desk.call(now, call)).ok_or(Refusal::Unknown)?;
-        let Some(id) = done.map_err(Refusal::Window)? else { return Ok(self.all_windows()) };
-        let until = self.clock.now() + PATIENCE;
-        while asks && self.clock.now() < until && self.at_desk(|desk, _| desk.is_open(id)) == Some(true) {
-            tokio::time::sleep(LOOK).await;
+        let awaits_decision = matches!(call, Call::Request(_) | Call::Extend { .. });
+        let handled = self.with_maintenance(|service, now| service.handle_call(now, call));
+        let window = handled.ok_or(Refusal::Unknown)?.map_err(Refusal::Window)?;
+        let Some(id) = window else { return Ok(self.all_windows()) };
+        if awaits_decision {
+            self.wait_for_decision(id).await;
         }
         Ok(self.one_window(id))
     }
 
+    async fn wait_for_decision(&self, id: WindowId) {
+        let deadline = self.clock.now() + MAX_CALL_WAIT_MS;
+        let is_undecided = || self.with_maintenance(|service, _| service.is_undecided(id)).unwrap_or(false);
+        while self.clock.now() < deadline && is_undecided() {
+            tokio::time::sleep(DECISION_POLL_INTERVAL).await;
+        }
+    }
+
     fn one_window(&self, id: WindowId) -> String {
-        let row = self.at_desk(|desk, now| desk.row(id, now)).flatten();
-        row.map_or_else(|| format!("{id} closed"), |row| said(&row))
+        let row = self.with_maintenance(|service, now| service.window_row(id, now)).flatten();
+        row.map_or_else(|| format!("{id} closed"), |row| format_row(&row))
     }
 
     fn all_windows(&self) -> String {
-        let says = self.at_desk(|desk, now| {
-            let rows: Vec<String> = desk.rows(now).iter().map(said).collect();
-            [vec![desk.says_left(now)], desk.alarms(now), rows].concat().join("; ")
+        let reply = self.with_maintenance(|service, now| {
+            let mut parts = vec![service.describe_remaining(now)];
+            parts.extend(service.alarms(now));
+            parts.extend(service.window_rows(now).iter().map(format_row));
+            parts.join("; ")
         });
-        says.unwrap_or_default()
+        reply.unwrap_or_default()
     }
 }
 
-fn said(row: &Row) -> String {
-    format!("{} {}: {}", row.id, row.what, row.standing)
+fn format_row(row: &WindowRow) -> String {
+    format!("{} {}: {}", row.id, row.scope, row.status)
+}
+
+fn update_plan(plan: &mut CapacityPlan, kind: ListKind, entries: &[EndpointEntry], now: WholeMillis) {
+    if matches!(kind, ListKind::Full | ListKind::Cached) {
+        plan.clear_endpoints();
+    }
+    for entry in entries {
+        match entry.state {
+            EndpointState::Removed => plan.remove_endpoint(&entry.id.0),
+            _ => plan.upsert_endpoint(&planned_endpoint(entry)),
+        }
+    }
+    // A stored list may be old.
+    if matches!(kind, ListKind::Full | ListKind::Delta) {
+        plan.confirm_list(now);
+    }
 }
 
-fn endpoint(e: &EndpointEntry) -> Endpoint {
+/// An entry of the list as the plan takes it, with its capacity in thousandths.
+fn planned_endpoint(entry: &EndpointEntry) -> Endpoint {
     Endpoint {
-        id: e.id.0.to_string(),
-        zone: e.zone.0.to_string(),
-        size: (e.weight.max(0.0) * 1000.0) as u64,
-        ready: e.state == EndpointState::Ready,
-        started: e.started.max(0.0) as u64,
+        id: entry.id.0.to_string(),
+        zone: entry.zone.0.to_string(),
+        capacity: (entry.weight.max(0.0) * 1000.0) as u64,
+        is_ready: entry.state == EndpointState::Ready,
+        started_at: entry.started.max(0.0) as WholeMillis,
     }
 }
 
-/// Lets the time pass at the desk, for as long as the program runs and while it serves.
-pub async fn keep(shared: Rc<Shared>) {
-    let lease = shared.config.borrow().maintenance.as_ref().map(|own| own.timing.lease);
+/// Ticks the service for as long as the program runs, while it serves.
+pub async fn run_ticks(shared: Rc<Shared>) {
+    let lease = shared.config.borrow().maintenance.as_ref().map(|section| section.timing.lease);
     let Some(lease) = lease else { return };
-    let mut interval = tokio::time::interval(Duration::from_millis((lease / 60).clamp(10, 500)));
-    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let tick_ms = (lease / TICKS_PER_LEASE).clamp(MIN_TICK_MS, MAX_TICK_MS);
+    let mut interval = tokio::time::interval(Duration::from_millis(tick_ms));
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut gate = shared.gate.subscribe();
     loop {
         until(&mut gate, true).await;
         interval.tick().await;
-        shared.at_desk(|desk, now| desk.tick(now));
+        shared.with_maintenance(|service, now| service.tick(now));
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -114,7 +114,7 @@
     /// Writes behind what is to last, where there is a folder for it.
     keeper: Option<Writer>,
     /// Maintenance windows, where the configuration has a section for them.
-    desk: Option<RefCell<MaintenanceService>>,
+    maintenance: Option<RefCell<MaintenanceService>>,
     /// As read last, less what is taken at the next start only.
     config: RefCell<Config>,
     rules: Rc<LineRules>,
@@ -311,7 +311,7 @@
     let mut relay = Relay::new(config.settings.clone(), config.classes.clone(), config.seed, clock.now());
     let keeper = kept.map(|kept| affinity_store::restore(kept, &mut relay, clock.now())).transpose()?;
     let names = line_names(&relay, &config);
-    let desk = maintenance::desk(&config, clock.now()).map(RefCell::new);
+    let maintenance = maintenance::service(&config, clock.now()).map(RefCell::new);
     let known = std::mem::take(&mut config.known);
     let endpoint_list = std::mem::take(&mut config.endpoint_list);
     let (sender, passing) = mpsc::unbounded_channel();
@@ -336,7 +336,7 @@
         sockets: RefCell::default(),
         keeper,
         rules: Rc::new(LineRules::new(names)),
-        desk,
+        maintenance,
         config: RefCell::new(config),
     });
     spawn_local(terminated(shared.clone(), terminate));
@@ -361,7 +361,7 @@
     }
     if !shared.relay.borrow().is_listed() {
         *shared.endpoint_list.borrow_mut() = endpoint_list;
-        shared.listed(ListKind::Cached, known, shared.clock.now());
+        shared.handle_list_update(ListKind::Cached, known, shared.clock.now());
     }
     let seed = shared.config.borrow().seed;
     shared.endpoint_list.borrow_mut().reseed(seed);
@@ -386,7 +386,7 @@
     spawn_local(discovery::watch(shared.clone()));
     spawn_local(peers::receive(shared.clone()));
     spawn_local(affinity_store::keep(shared.clone()));
-    spawn_local(maintenance::keep(shared.clone()));
+    spawn_local(maintenance::run_ticks(shared.clone()));
     if let Some(socket) = sockets.agent {
         spawn_local(snmp::answer(shared.clone(), socket));
     }
--- a/src/net/operators.rs
+++ b/src/net/operators.rs
@@ -121,7 +121,7 @@
     };
     let answer = match call {
         Ok(Call::Window(call)) => shared.window_call(call).await,
-        Err(Refusal::Window(_)) if shared.desk.is_none() => Err(Refusal::Unknown),
+        Err(Refusal::Window(_)) if shared.maintenance.is_none() => Err(Refusal::Unknown),
         call => call.and_then(|call| carry_out(shared, call)),
     };
     let answer = lifecycle::answer(answer);
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -46,7 +46,8 @@
         match received {
             Ok((length, from)) => {
                 let peer = shared.config.borrow().peers.iter().position(|a| *a == from);
-                if peer.is_some_and(|peer| shared.told_of_windows(peer as u32, &buffer[..length])) {
+                if peer.is_some_and(|peer| shared.handle_maintenance_datagram(peer as u32, &buffer[..length]))
+                {
                     continue;
                 }
                 if let Some((peer, text)) = peer.zip(std::str::from_utf8(&buffer[..length]).ok())
--- a/src/relay/lifecycle.rs
+++ b/src/relay/lifecycle.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use sandgw_maintenance::{Refused, call};
+use sandgw_maintenance::{RefusalReason, call};
 use sandgw_schema_version::SchemaVersionError;
 
 use crate::policy::api::Millis;
@@ -55,7 +55,7 @@
     /// Nothing can be made final now.
     SchemaVersion(SchemaVersionError),
     /// A call about maintenance windows.
-    Window(Refused),
+    Window(RefusalReason),
 }
 
 impl fmt::Display for Refusal {
@@ -126,7 +126,7 @@
             b"forms" => Ok(Call::Forms),
             b"finalize" => Ok(Call::Finalize),
             b"" => Err(Refusal::Empty),
-            line => match std::str::from_utf8(line).ok().and_then(call::read) {
+            line => match std::str::from_utf8(line).ok().and_then(call::parse) {
                 Some(call) => call.map(Call::Window).map_err(Refusal::Window),
                 None => Err(Refusal::Unknown),
             },
