--- a/crates/maintenance/src/call.rs
+++ b/crates/maintenance/src/call.rs
@@ -57,8 +57,8 @@
 ///
 /// # Errors
 ///
-/// [`RefusalReason::Syntax`] where the call is malformed, [`RefusalReason::UnknownWindow`] where it names no id of a
-/// window.
+/// [`RefusalReason::Syntax`] where the call is malformed, [`RefusalReason::UnknownWindow`] where it
+/// names no id of a window.
 ///
 /// ```
 /// use sandgw_maintenance::call::{Call, NamedScope, WindowRequest, parse};
--- a/crates/maintenance/src/codec/decode.rs
+++ b/crates/maintenance/src/codec/decode.rs
@@ -8,8 +8,8 @@
     CapacityShare, GrantedWindow, MAX_GRANTED_WINDOWS, RefusalReason, Scope, WholeMillis, Window, WindowId,
 };
 
-/// Decodes a message; `None` where the text is too long, of another kind or version, truncated, or has more words than
-/// the message.
+/// Decodes a message; `None` where the text is too long, of another kind or version, truncated, or
+/// has more words than the message.
 pub fn decode(text: &str) -> Option<Message> {
     if text.len() > MAX_BYTES {
         return None;
--- a/crates/maintenance/src/codec/mod.rs
+++ b/crates/maintenance/src/codec/mod.rs
@@ -1,7 +1,8 @@
 //! The encoding of messages about windows: plain text of at most 256 bytes.
 //!
-//! A datagram is a sequence of words separated by single spaces. The first is [`PREFIX`], which no other kind of datagram
-//! starts with, and the second says which message it is; numbers are in base 36.
+//! A datagram is a sequence of words separated by single spaces. The first is [`PREFIX`], which no
+//! other kind of datagram starts with, and the second says which message it is; numbers are in base
+//! 36.
 
 mod decode;
 mod encode;
--- a/crates/maintenance/src/liveness.rs
+++ b/crates/maintenance/src/liveness.rs
@@ -1,8 +1,8 @@
 //! Which relays of the tier are alive, and in which incarnation.
 //!
-//! It is fed the messages that are received anyway and sends nothing itself: `docs/maintenance.md` compares that with a
-//! protocol of its own. An incarnation is the time at which a process started; a restarted relay has forgotten
-//! everything.
+//! It is fed the messages that are received anyway and sends nothing itself: `docs/maintenance.md`
+//! compares that with a protocol of its own. An incarnation is the time at which a process started;
+//! a restarted relay has forgotten everything.
 
 use std::collections::BTreeMap;
 
@@ -34,8 +34,8 @@
 }
 
 impl Liveness {
-    /// Records a message of a relay, with the incarnation if the message names it. Returns whether the relay has
-    /// restarted since.
+    /// Records a message of a relay, with the incarnation if the message names it. Returns whether
+    /// the relay has restarted since.
     pub fn record_contact(&mut self, relay: u32, incarnation: Option<u64>, now: WholeMillis) -> bool {
         let peer = self.peers.entry(relay).or_default();
         peer.last_contact = now.max(peer.last_contact);
--- a/crates/maintenance/src/plan/mod.rs
+++ b/crates/maintenance/src/plan/mod.rs
@@ -1,8 +1,9 @@
 //! What capacity remains while windows are granted, by the list of endpoints.
 //!
-//! [`CapacityPlan`] owns the list as this relay knows it and the floors. It computes what would remain if everything
-//! granted were drained, beside what is down or in slow start by the list. It knows nothing of who requests windows.
-//! Capacities are in thousandths of the list's unit, times in milliseconds.
+//! [`CapacityPlan`] owns the list as this relay knows it and the floors. It computes what would
+//! remain if everything granted were drained, beside what is down or in slow start by the list. It
+//! knows nothing of who requests windows. Capacities are in thousandths of the list's unit, times
+//! in milliseconds.
 
 mod drained;
 mod floors;
--- a/crates/maintenance/src/queue.rs
+++ b/crates/maintenance/src/queue.rs
@@ -1,8 +1,8 @@
 //! The order in which waiting windows are granted.
 //!
-//! The window that has waited longest is first. If it does not fit, a later one may overtake it only if that ends before
-//! the first one could start anyway. Windows that override the floor come before all others and wait for nothing but a
-//! place in the ledger.
+//! The window that has waited longest is first. If it does not fit, a later one may overtake it
+//! only if that ends before the first one could start anyway. Windows that override the floor come
+//! before all others and wait for nothing but a place in the ledger.
 
 use std::cmp::Reverse;
 
--- a/crates/maintenance/src/replicated_ledger/election.rs
+++ b/crates/maintenance/src/replicated_ledger/election.rs
@@ -29,6 +29,7 @@
         cx.timing.election_timeout + rank * cx.timing.election_stagger
     }
 
+    /// Becomes a candidate in a new term, with its own vote, and asks the other voters.
     fn start_election(&mut self, cx: Context<'_>, out: &mut Outbox) {
         // A candidate's term is later than any that it has promised.
         let next_round = self.promised.map_or(0, |term| term.round + 1);
@@ -65,6 +66,7 @@
         self.send_to_voters(cx, &request, |voter| !candidate.votes.contains_key(&voter), out);
     }
 
+    /// Counts a vote for this candidate's term.
     pub(super) fn handle_vote(
         &mut self,
         cx: Context<'_>,
@@ -87,6 +89,7 @@
         self.request_votes(cx, out);
     }
 
+    /// Leads from the newest ledger that the electors have accepted.
     fn become_leader(&mut self, cx: Context<'_>, out: &mut Outbox) {
         let role = std::mem::replace(&mut self.role, Role::Follower);
         let Role::Candidate(candidate) = role else { return };
--- a/crates/maintenance/src/replicated_ledger/grants.rs
+++ b/crates/maintenance/src/replicated_ledger/grants.rs
@@ -14,7 +14,8 @@
         if !may_grant || !cx.plan.is_fresh(cx.now, cx.timing) {
             return;
         }
-        // A window that this relay knew as waiting before it was elected may be granted in the ledger it took over.
+        // A window that this relay knew as waiting before it was elected may be granted in the
+        // ledger it took over.
         self.waiting.retain(|id, _| !leader.next.iter().any(|entry| entry.id == *id));
         let waiting = self.waiting.values().map(|waiting| waiting.window);
         let selection = select(cx.now, cx.timing, cx.plan, &leader.next, waiting);
@@ -100,13 +101,14 @@
         // Nothing is granted by a write that a majority has not acknowledged.
         let (Some(committed_at), None) = (leader.committed_at, &leader.pending) else { return };
         let Some(entry) = leader.written.iter().find(|entry| entry.id == id) else { return };
-        // The lease is shorter by the clock skew, so that it has expired everywhere when a new leader counts it over.
+        // The relay's clock may be behind by the clock skew bound: the lease ends earlier by as much.
         let lease = cx.timing.lease.saturating_sub(cx.timing.clock_skew_bound);
         let end = entry.end;
         let until = (committed_at + lease).min(end);
         self.notify(cx, id, Decision::Granted { until, end }, out);
     }
 
+    /// Sends a decision to the relay of a window, or applies it where that is this one.
     fn notify(&mut self, cx: Context<'_>, id: WindowId, decision: Decision, out: &mut Outbox) {
         if id.relay == self.local_index {
             self.handle_decision(cx, id, decision);
--- a/crates/maintenance/src/replicated_ledger/messages.rs
+++ b/crates/maintenance/src/replicated_ledger/messages.rs
@@ -3,8 +3,8 @@
 
 use crate::{GrantedWindow, RefusalReason, WholeMillis, Window, WindowId};
 
-/// A term of leadership. Terms are ordered by round, then by relay, then by incarnation; a later term supersedes an
-/// earlier one.
+/// A term of leadership. Terms are ordered by round, then by relay, then by incarnation; a later
+/// term supersedes an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Term {
     /// When the election started, by the candidate's clock, and later than any round that the candidate knew.
--- a/crates/maintenance/src/replicated_ledger/mod.rs
+++ b/crates/maintenance/src/replicated_ledger/mod.rs
@@ -1,22 +1,27 @@
-//! The grant protocol: a ledger of granted windows, written by an elected leader and replicated to a few voters.
+//! The grant protocol: a ledger of granted windows, written by an elected leader and replicated to
+//! a few voters.
 //!
-//! [`ReplicatedLedger`] owns one relay's part: what it has promised and accepted as a voter, its leadership if it has
-//! one, and the windows that were requested here. Each step takes the time in milliseconds, the plan and a message, and
-//! appends the messages to be sent to an [`Outbox`]. It does no I/O, reads no clock and draws no random numbers, so that
-//! the model checker in `tests/model.rs` runs this very code.
+//! [`ReplicatedLedger`] owns one relay's part: what it has promised and accepted as a voter, its
+//! leadership if it has one, and the windows that were requested here. Each step takes the time in
+//! milliseconds, the plan and a message, and appends the messages to be sent to an [`Outbox`]. It
+//! does no I/O, reads no clock and draws no random numbers, so that the model checker in
+//! `tests/model.rs` runs this very code.
 //!
-//! - **Election** (`election`, `voter`). A voter that knows of a waiting window and has no contact with a leader starts an
-//!   election in a new term. Voters promise to accept nothing of an earlier term and return the ledger that they have
-//!   accepted last. With a majority of votes the candidate leads, starting from the newest of these ledgers.
-//! - **Replication** (`replication`). The leader writes the whole ledger for every change, and again before leases expire.
-//!   A ledger is committed once a majority has acknowledged it, and its windows are granted for one lease from the time
-//!   at which it was written, less the bound on clock skew.
-//! - **Restarts**. Nothing is stored, so a voter that restarts has forgotten its promises. A vote or an acknowledgement
-//!   counts only if it is of the incarnation of the voter that elected the leader. A restarted voter abstains for one
-//!   lease, after which nothing that it may have acknowledged is in force, and it takes part only in terms whose election
-//!   started after its restart: whatever it promised before was for earlier terms.
-//! - **Requests** (`requests`, `grants`). The relay at which a window is requested sends the request to all voters until it
-//!   is granted; the leader decides.
+//! - **Election** (`election`, `voter`). A voter that knows of a waiting window and has no contact
+//!   with a leader starts an election in a new term. Voters promise to accept nothing of an earlier
+//!   term and return the ledger that they have accepted last. With a majority of votes the
+//!   candidate leads, starting from the newest of these ledgers.
+//! - **Replication** (`replication`). The leader writes the whole ledger for every change, and
+//!   again before leases expire. A ledger is committed once a majority has acknowledged it, and its
+//!   windows are granted for one lease from the time at which it was written, less the bound on
+//!   clock skew.
+//! - **Restarts**. Nothing is stored, so a voter that restarts has forgotten its promises. A vote
+//!   or an acknowledgement counts only if it is of the incarnation of the voter that elected the
+//!   leader. A restarted voter abstains for one lease, after which nothing that it may have
+//!   acknowledged is in force, and it takes part only in terms whose election started after its
+//!   restart: whatever it promised before was for earlier terms.
+//! - **Requests** (`requests`, `grants`). The relay at which a window is requested sends the
+//!   request to all voters until it is granted; the leader decides.
 
 mod election;
 mod grants;
@@ -147,7 +152,8 @@
         }
     }
 
-    /// Lets time pass: leases expire, requests and writes are sent again, and an election is started where it is due.
+    /// Lets time pass: leases expire, requests and writes are sent again, and an election is
+    /// started where it is due.
     pub fn tick(&mut self, cx: Context<'_>, out: &mut Outbox) {
         self.expire_local_windows(cx);
         self.retry_pending(cx, out);
@@ -160,7 +166,8 @@
         }
     }
 
-    /// Whether a vote or an acknowledgement answers what this relay has outstanding, as candidate or as leader.
+    /// Whether a vote or an acknowledgement answers what this relay has outstanding, as candidate
+    /// or as leader.
     pub fn awaits(&self, message: &Message) -> bool {
         match (&self.role, message) {
             (Role::Candidate(candidate), Message::Vote { term, .. }) => candidate.term == *term,
@@ -171,8 +178,9 @@
         }
     }
 
-    /// Sets timestamps that no lease depends on to 0, for the model checker: it runs with timeouts of which only the
-    /// lease matters, and takes states that differ only by these timestamps for the same.
+    /// Sets timestamps that no lease depends on to 0, for the model checker: it runs with timeouts
+    /// of which only the lease matters, and takes states that differ only by these timestamps for
+    /// the same.
     #[doc(hidden)]
     pub fn clear_timestamps(&mut self) {
         self.last_contact = self.last_contact.and(Some(0));
--- a/crates/maintenance/src/replicated_ledger/replication.rs
+++ b/crates/maintenance/src/replicated_ledger/replication.rs
@@ -10,8 +10,8 @@
 const STEP_DOWN_QUORUM_TIMEOUTS: u64 = 2;
 
 impl ReplicatedLedger {
-    /// Writes the ledger where it has changed or its leases are due to be renewed, and steps down where a majority does
-    /// not answer or nothing is left to be granted.
+    /// Writes the ledger where it has changed or its leases are due to be renewed, and steps down
+    /// where a majority does not answer or nothing is left to be granted.
     pub(super) fn maintain_leadership(&mut self, cx: Context<'_>, out: &mut Outbox) {
         let Role::Leader(leader) = &mut self.role else { return };
         let last_commit = leader.committed_at.unwrap_or(leader.elected_at);
@@ -33,6 +33,7 @@
         self.write_if_due(cx, out);
     }
 
+    /// Writes the next ledger where it differs from the last or its leases are due to be renewed.
     fn write_if_due(&mut self, cx: Context<'_>, out: &mut Outbox) {
         let Role::Leader(leader) = &mut self.role else { return };
         let is_idle = leader.next.is_empty() && leader.written.is_empty() && self.waiting.is_empty();
@@ -68,6 +69,7 @@
         self.handle_write_ack(cx, self.local_index, acknowledgement, out);
     }
 
+    /// Counts the acknowledgement of the pending write.
     pub(super) fn handle_write_ack(
         &mut self,
         cx: Context<'_>,
--- a/crates/maintenance/src/replicated_ledger/requests.rs
+++ b/crates/maintenance/src/replicated_ledger/requests.rs
@@ -43,8 +43,9 @@
     ///
     /// # Errors
     ///
-    /// [`RefusalReason::UnknownWindow`] where no such window is open here, [`RefusalReason::NotGranted`] where it is not
-    /// granted now, and [`RefusalReason::TooLong`] where it would last longer than is allowed.
+    /// [`RefusalReason::UnknownWindow`] where no such window is open here,
+    /// [`RefusalReason::NotGranted`] where it is not granted now, and [`RefusalReason::TooLong`]
+    /// where it would last longer than is allowed.
     pub fn extend_window(
         &mut self,
         cx: Context<'_>,
@@ -68,7 +69,8 @@
         Ok(())
     }
 
-    /// Closes a window that is done, or not wanted any more. A window of another relay is closed there as well.
+    /// Closes a window that is done, or not wanted any more. A window of another relay is closed
+    /// there as well.
     ///
     /// # Errors
     ///
@@ -165,6 +167,7 @@
         self.local_windows.retain(|_, local| !local.status.is_over() || now < local.status_since + listed);
     }
 
+    /// Applies a decision of the leader to a window that was requested here.
     pub(super) fn handle_decision(&mut self, cx: Context<'_>, id: WindowId, decision: Decision) {
         let local = self.local_windows.get_mut(&id).filter(|local| !local.status.is_over());
         let Some(local) = local else {
@@ -177,8 +180,8 @@
         self.expire_local_windows(cx);
     }
 
-    /// Notifies the voters once of a window that an earlier incarnation requested, or that is over: the leader would renew
-    /// it until its end.
+    /// Notifies the voters once of a window that an earlier incarnation requested, or that is over:
+    /// the leader would renew it until its end.
     fn close_unknown_window(&mut self, cx: Context<'_>, id: WindowId) {
         if id.relay == self.local_index && self.close_notices.len() < MAX_WAITING_WINDOWS {
             let notice = CloseNotice { remaining_sends: 1, next_send_at: cx.now };
@@ -202,7 +205,8 @@
                 self.window.requested_end = None;
                 self.status
             }
-            // A lease that was granted lasts until it expires, and a lapsed window stays so until it is granted again.
+            // A lease that was granted lasts until it expires, and a lapsed window stays so until
+            // it is granted again.
             (Decision::Waits { .. }, WindowStatus::Granted { .. } | WindowStatus::Lapsed { .. }) => {
                 self.status
             }
--- a/crates/maintenance/src/replicated_ledger/voter.rs
+++ b/crates/maintenance/src/replicated_ledger/voter.rs
@@ -10,15 +10,15 @@
 const REQUEST_EXPIRY_INTERVALS: WholeMillis = 4;
 
 impl ReplicatedLedger {
-    /// Whether this relay takes part as a voter. A voter abstains after a restart until every lease that it may have
-    /// acknowledged before has expired.
+    /// Whether this relay takes part as a voter. A voter abstains after a restart until every lease
+    /// that it may have acknowledged before has expired.
     pub(super) fn may_vote(&self, cx: Context<'_>) -> bool {
         cx.voters.contains(&self.local_index) && cx.now >= self.incarnation + cx.timing.abstention
     }
 
-    /// Whether a voter may take part in a term. Its election has to have started in the voter's incarnation, since what an
-    /// earlier incarnation promised is forgotten but was for earlier terms; and not in the future, since such a term would
-    /// bar all others until then.
+    /// Whether a voter may take part in a term. Its election has to have started in the voter's
+    /// incarnation, since what an earlier incarnation promised is forgotten but was for earlier
+    /// terms; and not in the future, since such a term would bar all others until then.
     fn is_current(&self, cx: Context<'_>, term: Term) -> bool {
         let skew = cx.timing.clock_skew_bound;
         term.round > self.incarnation + skew && term.round <= cx.now + skew
@@ -31,6 +31,7 @@
         in_contact && leader != Some(relay)
     }
 
+    /// Votes for a candidate, unless another leader is in contact or a newer term is promised.
     pub(super) fn handle_request_vote(&mut self, cx: Context<'_>, from: u32, term: Term, out: &mut Outbox) {
         // Only the candidate itself may ask for votes for its term.
         if !self.may_vote(cx) || term.relay != from || !self.is_current(cx, term) {
@@ -39,7 +40,8 @@
         // A vote that was lost is given again, as it binds the voter to nothing new.
         let is_repeated = self.promised == Some(term);
         if !is_repeated {
-            // A voter does not help to depose a leader that is alive, and promises terms in ascending order only.
+            // A voter does not help to depose a leader that is alive, and promises terms in
+            // ascending order only.
             if self.follows_another(cx, from) || self.promised >= Some(term) {
                 return;
             }
@@ -52,6 +54,7 @@
         out.push(OutgoingMessage { to: from, message: vote });
     }
 
+    /// Accepts and acknowledges a leader's ledger.
     pub(super) fn handle_write(&mut self, cx: Context<'_>, from: u32, write: LedgerWrite, out: &mut Outbox) {
         let LedgerWrite { term, seq, entries } = write;
         // Only the leader of a term writes in it.
@@ -66,7 +69,8 @@
             self.role = Role::Follower;
         }
         self.promised = Some(term);
-        // A reordered write never replaces a newer one. It is acknowledged all the same: the newer one includes it.
+        // A delayed or repeated write never replaces a newer one. It is acknowledged all the same, as
+        // the first acknowledgement may have been lost.
         if (self.accepted.term, self.accepted.seq) < (Some(term), seq) {
             self.accepted = AcceptedLedger { term: Some(term), seq, entries };
             self.last_contact = Some(cx.now);
@@ -75,6 +79,7 @@
         out.push(OutgoingMessage { to: from, message: acknowledgement });
     }
 
+    /// Remembers who waits, or decides as leader.
     pub(super) fn handle_window_request(&mut self, cx: Context<'_>, window: Window, out: &mut Outbox) {
         let is_known = self.waiting.contains_key(&window.id);
         let is_full = !is_known && self.waiting.len() >= MAX_WAITING_WINDOWS;
@@ -86,6 +91,7 @@
         }
     }
 
+    /// Forgets a window that is over. As leader, removes it from the next ledger.
     pub(super) fn handle_close(&mut self, cx: Context<'_>, id: WindowId) {
         self.waiting.remove(&id);
         let is_open_here = id.relay == self.local_index
--- a/crates/maintenance/src/service/mod.rs
+++ b/crates/maintenance/src/service/mod.rs
@@ -1,8 +1,9 @@
-//! Maintenance windows at one relay: the grant protocol, the list of endpoints and the liveness of the other relays,
-//! joined.
+//! Maintenance windows at one relay: the grant protocol, the list of endpoints and the liveness of
+//! the other relays, joined.
 //!
-//! [`MaintenanceService`] takes changes of the list, operators' calls, datagrams and the time in milliseconds; it
-//! produces messages to be sent, replies to calls and events for the log. It does no I/O.
+//! [`MaintenanceService`] takes changes of the list, operators' calls, datagrams and the time in
+//! milliseconds; it produces messages to be sent, replies to calls and events for the log. It does
+//! no I/O.
 
 mod monitor;
 mod rows;
@@ -19,7 +20,8 @@
 
 use monitor::EndedWindow;
 
-/// The number of voters by default in a tier that has more relays. Traffic between voters does not grow with the tier.
+/// The number of voters by default in a tier that has more relays. Traffic between voters does not
+/// grow with the tier.
 const DEFAULT_VOTERS: u32 = 7;
 
 /// What a relay's service is configured with.
@@ -199,7 +201,8 @@
         WindowId { requested_at: now.max(first_unused), relay: self.local_index }
     }
 
-    /// Whether the leader has not decided a request or an extension yet: the window waits or nothing was answered.
+    /// Whether the leader has not decided a request or an extension yet: the window waits or
+    /// nothing was answered.
     pub fn is_undecided(&self, id: WindowId) -> bool {
         self.ledger.local_windows().get(&id).is_some_and(|local| match local.status {
             WindowStatus::Requested | WindowStatus::Waits { .. } => true,
--- a/crates/maintenance/src/service/monitor.rs
+++ b/crates/maintenance/src/service/monitor.rs
@@ -1,5 +1,5 @@
-//! Reports what has changed since the last report: the status of windows, leadership, and drains that the list shows
-//! beside what is granted.
+//! Reports what has changed since the last report: the status of windows, leadership, and drains
+//! that the list shows beside what is granted.
 
 use std::mem::discriminant;
 
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Compares the list with what is granted. Only the leader reports on the whole tier, so that each finding is logged
-    /// once.
+    /// Compares the list with what is granted. Only the leader reports on the whole tier, so that
+    /// each finding is logged once.
     pub(super) fn check_drains(&mut self, now: WholeMillis) {
         self.report_drains_past_end(now);
         if self.reported_leader {
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -8,8 +8,8 @@
 
 use crate::{ParseWindowIdError, WholeMillis};
 
-/// A short tag of a zone or an endpoint: the lower four bytes of a hash of its name. Names with the same tag are not
-/// told apart.
+/// A short tag of a zone or an endpoint: the lower four bytes of a hash of its name. Names with the
+/// same tag are not told apart.
 pub type Tag = u32;
 
 /// The tag of a name.
@@ -17,8 +17,8 @@
     xxh3_64(name.as_bytes()) as Tag
 }
 
-/// Identifies a window: the relay at which it was requested and when, in milliseconds of that relay's clock. A relay
-/// never gives the same id twice, in whatever incarnation.
+/// Identifies a window: the relay at which it was requested and when, in milliseconds of that
+/// relay's clock. A relay never gives the same id twice, in whatever incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WindowId {
     /// When it was requested: the earliest is first in the queue.
@@ -93,7 +93,8 @@
     pub not_before: WholeMillis,
     /// How long it lasts once granted.
     pub duration: WholeMillis,
-    /// The end of a window that was granted before, in place of a duration: of one that is extended or has lapsed.
+    /// The end of a window that was granted before, in place of a duration: of one that is extended
+    /// or has lapsed.
     pub requested_end: Option<WholeMillis>,
     /// Whether it may be granted though the floor is not met.
     pub overrides_floor: bool,
--- a/crates/maintenance/tests/model.rs
+++ b/crates/maintenance/tests/model.rs
@@ -1,8 +1,10 @@
-//! The grant protocol, checked exhaustively: the transitions that run, with three relays, two zones and two windows.
+//! The grant protocol, checked exhaustively: the transitions that run, with three relays, two zones
+//! and two windows.
 //!
-//! A datagram once sent stays in flight for good: it may arrive at any time, any number of times and in any order, or
-//! never, which is loss, duplication, delay and reordering at once. One relay, any one, is killed at any time and
-//! restarts with nothing; which of them act when is open as well, so that one may be stopped for as long as it likes.
+//! A datagram once sent stays in flight for good: it may arrive at any time, any number of times
+//! and in any order, or never, which is loss, duplication, delay and reordering at once. One relay,
+//! any one, is killed at any time and restarts with nothing; which of them act when is open as
+//! well, so that one may be stopped for as long as it likes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -133,9 +135,10 @@
         next
     }
 
-    /// The same state for all that follows: without datagrams that can change nothing any more, whatever arrives. A vote
-    /// or an acknowledgement that changes nothing now is of an election or a write that is past. What a relay has promised
-    /// not to accept any more it accepts only in another incarnation, and a second kill is not to come.
+    /// The same state for all that follows: without datagrams that can change nothing any more,
+    /// whatever arrives. A vote or an acknowledgement that changes nothing now is of an election or
+    /// a write that is past. What a relay has promised not to accept any more it accepts only in
+    /// another incarnation, and a second kill is not to come.
     fn drop_ineffective(&self, state: &mut State) {
         let now = state.now;
         let killed = state.killed;
@@ -267,8 +270,8 @@
     checker.assert_properties();
 }
 
-/// The checker finds faults: a relay that votes at once after a restart, or too early, has forgotten what is still in
-/// force.
+/// The checker finds faults: a relay that votes at once after a restart, or too early, has
+/// forgotten what is still in force.
 #[test]
 fn without_the_abstention_the_floor_breaks() {
     for abstention in [0, LEASE - 1] {
--- a/crates/maintenance/tests/schedules/main.rs
+++ b/crates/maintenance/tests/schedules/main.rs
@@ -1,4 +1,5 @@
-//! Random schedules in memory: twelve relays, four zones, faults between them, and invariants checked after every step.
+//! Random schedules in memory: twelve relays, four zones, faults between them, and invariants
+//! checked after every step.
 
 mod tier;
 
@@ -89,7 +90,8 @@
     }
 }
 
-/// A whole zone waits while single endpoints are drained in turn, of which there are always enough to keep it out.
+/// A whole zone waits while single endpoints are drained in turn, of which there are always enough
+/// to keep it out.
 #[test]
 fn who_waits_longest_is_not_kept_out_by_those_that_fit() {
     let mut tier = Tier::new(1, NO_FAULTS, timing());
--- a/crates/maintenance/tests/schedules/tier.rs
+++ b/crates/maintenance/tests/schedules/tier.rs
@@ -1,5 +1,5 @@
-//! A tier of relays in memory: a network with faults, relays that are killed and stopped, zones that are lost, and the
-//! invariants that are checked after every step.
+//! A tier of relays in memory: a network with faults, relays that are killed and stopped, zones
+//! that are lost, and the invariants that are checked after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -1,5 +1,6 @@
-//! Drives the service for maintenance windows: it is fed the list of endpoints, datagrams, operators' calls and the time,
-//! and its messages are sent and its events logged. Nothing of it runs where the configuration has no section for it.
+//! Drives the service for maintenance windows: it is fed the list of endpoints, datagrams,
+//! operators' calls and the time, and its messages are sent and its events logged. Nothing of it
+//! runs where the configuration has no section for it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -41,7 +42,8 @@
 }
 
 impl Shared {
-    /// Runs a step of the service, then sends its messages and logs its events; `None` where there is no service.
+    /// Runs a step of the service, then sends its messages and logs its events; `None` where there
+    /// is no service.
     fn with_maintenance<T>(&self, step: impl FnOnce(&mut MaintenanceService, WholeMillis) -> T) -> Option<T> {
         let mut service = self.maintenance.as_ref()?.borrow_mut();
         let result = step(&mut service, self.clock.now() as WholeMillis);
@@ -54,8 +56,8 @@
         Some(result)
     }
 
-    /// Passes an update of the list to the service and to the core; `requested_at` is when the call was made that it
-    /// answers.
+    /// Passes an update of the list to the service and to the core; `requested_at` is when the call
+    /// was made that it answers.
     pub(super) fn handle_list_update(
         self: &Rc<Self>,
         kind: ListKind,
@@ -84,8 +86,8 @@
         true
     }
 
-    /// Carries out an operator's call. A request or an extension waits a little for the leader's decision, so that most
-    /// replies have it.
+    /// Carries out an operator's call. A request or an extension waits a little for the leader's
+    /// decision, so that most replies have it.
     ///
     /// # Errors
     ///
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -13,7 +13,7 @@
 const RELAYS: usize = 12;
 const LEASE: Duration = Duration::from_secs(4);
 
-/// Of twelve endpoints in four zones eight are left.
+/// Of twelve endpoints in four zones eight must remain.
 const SECTION: &str = r#"
 [maintenance]
 floor = 8.0
@@ -24,36 +24,42 @@
 override = ["eve"]
 "#;
 
-/// The network between the relays: one socket for each stands in for it at all others.
+/// For how long it is observed that no second window is granted: whatever was granted before has
+/// lapsed by then.
+const OBSERVATION: Duration = Duration::from_secs(2 * LEASE.as_secs());
+
+/// The network between the relays: one socket stands for each at all others, and forwards what it receives.
 struct Network {
-    /// Groups of relays as bits; datagrams go within one only. All are in one where there is no cut.
-    side: Arc<AtomicU32>,
-    told: Arc<Mutex<Vec<(usize, usize, String)>>>,
+    /// The side of a partition of each relay, as bits; datagrams are forwarded within a side only.
+    partition: Arc<AtomicU32>,
+    /// The texts of all datagrams.
+    datagrams: Arc<Mutex<Vec<String>>>,
 }
 
-/// Sockets that stand in, by relay.
-fn stand_ins() -> Vec<UdpSocket> {
+/// The sockets that stand for relays, by relay.
+fn proxy_sockets() -> Vec<UdpSocket> {
     (0..RELAYS).map(|_| UdpSocket::bind((host(), 7946)).unwrap()).collect()
 }
 
 impl Network {
     fn start(sockets: Vec<UdpSocket>, hosts: &[String]) -> Network {
-        let network = Network { side: Arc::default(), told: Arc::default() };
+        let network = Network { partition: Arc::default(), datagrams: Arc::default() };
         let sockets: Arc<Vec<UdpSocket>> = Arc::new(sockets);
         let hosts: Arc<Vec<String>> = Arc::new(hosts.to_vec());
         for to in 0..RELAYS {
             let (sockets, hosts) = (sockets.clone(), hosts.clone());
-            let (side, told) = (network.side.clone(), network.told.clone());
+            let partition = network.partition.clone();
+            let datagrams = network.datagrams.clone();
             thread::spawn(move || {
                 let mut buffer = [0; 300];
                 while let Ok((length, from)) = sockets[to].recv_from(&mut buffer) {
                     let from = hosts.iter().position(|host| *host == from.ip().to_string());
                     let Some(from) = from else { continue };
                     let text = String::from_utf8_lossy(&buffer[..length]).into_owned();
-                    told.lock().unwrap().push((from, to, text));
-                    let cut = side.load(Ordering::SeqCst);
-                    if cut >> from & 1 == cut >> to & 1 {
-                        // Whoever is dead does not take it.
+                    datagrams.lock().unwrap().push(text);
+                    let sides = partition.load(Ordering::SeqCst);
+                    if sides >> from & 1 == sides >> to & 1 {
+                        // A relay that was killed does not receive it.
                         let _ = sockets[from].send_to(&buffer[..length], (hosts[to].as_str(), 7946));
                     }
                 }
@@ -62,9 +68,15 @@
         network
     }
 
-    fn cut(&self, relays: impl IntoIterator<Item = usize>) {
-        let side = relays.into_iter().fold(0, |side, relay| side | 1 << relay);
-        self.side.store(side, Ordering::SeqCst);
+    /// Cuts relays off from the others; none heals the network.
+    fn cut_off(&self, relays: impl IntoIterator<Item = usize>) {
+        let sides = relays.into_iter().fold(0, |sides, relay| sides | 1 << relay);
+        self.partition.store(sides, Ordering::SeqCst);
+    }
+
+    /// Whether any datagram about windows was sent.
+    fn has_window_datagrams(&self) -> bool {
+        self.datagrams.lock().unwrap().iter().any(|text| text.starts_with("m1 "))
     }
 }
 
@@ -80,13 +92,13 @@
         for n in 0..RELAYS {
             Self::endpoint(&discovery, n, "Ready");
         }
-        let (sockets, hosts): (Vec<UdpSocket>, Vec<String>) =
-            (stand_ins(), (0..RELAYS).map(|_| host()).collect());
-        let seen: Vec<String> = sockets.iter().map(|s| s.local_addr().unwrap().ip().to_string()).collect();
+        let sockets = proxy_sockets();
+        let hosts: Vec<String> = (0..RELAYS).map(|_| host()).collect();
+        let proxies: Vec<String> = sockets.iter().map(|s| s.local_addr().unwrap().ip().to_string()).collect();
         let network = Network::start(sockets, &hosts);
         let relays = (0..RELAYS)
             .map(|local_index| {
-                Relay::start_seen(&discovery, &hosts[local_index], &seen, local_index, section)
+                Relay::start_seen(&discovery, &hosts[local_index], &proxies, local_index, section)
             })
             .collect();
         Tier { discovery, relays, network }
@@ -97,61 +109,74 @@
         discovery.set_in(&format!("s-{n}"), "127.0.0.1:9", phase, 0, &zone);
     }
 
-    /// What a relay says to a call, without `done` where it is.
+    /// A relay's reply to a call.
     fn call(&self, relay: usize, call: &str) -> String {
         self.relays[relay].call(format!("{call}\n").as_bytes())
     }
 
-    /// Waits until a relay's windows say something.
-    fn until(&self, relay: usize, what: &str) -> String {
+    /// Waits until a relay's list of windows has a text.
+    fn wait_for(&self, relay: usize, expected: &str) -> String {
         let start = Instant::now();
         loop {
-            let says = self.call(relay, "windows");
-            if says.contains(what) {
-                return says;
+            let windows = self.call(relay, "windows");
+            if windows.contains(expected) {
+                return windows;
             }
             if start.elapsed() >= LONG {
                 let all: Vec<String> = [0, 1, 3, 5].iter().map(|r| self.call(*r, "windows")).collect();
-                panic!("relay {relay} never says {what:?}: {says}; at voters {all:?}");
+                panic!("relay {relay} never lists {expected:?}: {windows}; at voters {all:?}");
             }
             thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// Windows that relays believe to be granted, by what they say; those that are stopped or dead are not asked.
+    /// The local windows of these relays that they list as granted. None of them may be stopped or killed.
     fn granted(&self, relays: &[usize]) -> Vec<String> {
-        let said = relays.iter().flat_map(|relay| {
-            let says = self.call(*relay, "windows");
-            let own = says.split("; ").filter(|row| row.contains("granted until")).map(str::to_owned);
-            own.collect::<Vec<_>>()
-        });
-        said.collect()
+        let mut granted = Vec::new();
+        for relay in relays {
+            let windows = self.call(*relay, "windows");
+            let rows = windows.split("; ").filter(|row| row.contains("granted until"));
+            granted.extend(rows.map(str::to_owned));
+        }
+        granted
     }
 
-    /// Who said last that it grants the windows now.
-    fn granter(&self) -> usize {
-        let office = |relay: &Relay| {
-            let log = relay.log();
+    /// Checks for two leases that these relays never list more than one window as granted.
+    fn assert_at_most_one_granted(&self, relays: &[usize]) {
+        let start = Instant::now();
+        while start.elapsed() < OBSERVATION {
+            let granted = self.granted(relays);
+            assert!(granted.len() <= 1, "{granted:?}");
+            thread::sleep(Duration::from_millis(100));
+        }
+    }
+
+    /// The first relay, but for one, that has logged last that it is the leader.
+    fn leader_except(&self, excluded: Option<usize>) -> usize {
+        let is_leader = |relay: &usize| {
+            let log = self.relays[*relay].log();
             log.matches("grants the windows now").count() > log.matches("grants no windows any more").count()
         };
-        self.relays.iter().position(office).expect("nobody is in office")
+        let mut candidates = (0..RELAYS).filter(|relay| Some(*relay) != excluded);
+        candidates.find(is_leader).expect("there is no leader")
     }
 }
 
-fn id(says: &str) -> String {
-    says.split(' ').nth(1).unwrap().to_owned()
+/// The id of the window in a reply.
+fn id(reply: &str) -> String {
+    reply.split(' ').nth(1).unwrap().to_owned()
 }
 
 #[test]
 fn windows_hold_the_floor_through_a_cut_a_kill_and_a_stop() {
     let mut tier = Tier::start(SECTION);
     let all: Vec<usize> = (0..RELAYS).collect();
-    // Nobody has asked: nothing is told of windows.
-    assert!(!tier.network.told.lock().unwrap().iter().any(|(.., text)| text.starts_with("m1 ")));
+    // Nobody has requested a window: nothing is sent about windows.
+    assert!(!tier.network.has_window_datagrams());
     thread::sleep(LEASE);
 
     // At three relays at once: a zone fits, of two that do not go together one waits.
-    let says: Vec<String> = thread::scope(|scope| {
+    let replies: Vec<String> = thread::scope(|scope| {
         let calls = [(2, "a"), (7, "b"), (11, "c")];
         let asked = calls.map(|(relay, zone)| {
             let call = format!("window hall {zone} all 60");
@@ -160,87 +185,63 @@
         });
         asked.map(|asked| asked.join().unwrap()).to_vec()
     });
-    assert_eq!(says.iter().filter(|says| says.contains("granted until")).count(), 1, "{says:?}");
-    assert_eq!(says.iter().filter(|says| says.contains("waits behind")).count(), 2, "{says:?}");
-    let holder = [2, 7, 11][says.iter().position(|says| says.contains("granted until")).unwrap()];
+    assert_eq!(replies.iter().filter(|reply| reply.contains("granted until")).count(), 1, "{replies:?}");
+    assert_eq!(replies.iter().filter(|reply| reply.contains("waits behind")).count(), 2, "{replies:?}");
+    let holder = [2, 7, 11][replies.iter().position(|reply| reply.contains("granted until")).unwrap()];
 
-    // The granter is killed: another goes on, the window that is granted stays so, and none comes beside it.
-    let killed = tier.granter();
+    // The leader is killed: another is elected, the granted window stays granted, and none is
+    // granted beside it.
+    let killed = tier.leader_except(None);
     tier.relays[killed].signal("KILL");
     let live: Vec<usize> = all.iter().copied().filter(|relay| *relay != killed).collect();
-    let start = Instant::now();
-    while start.elapsed() < 2 * LEASE {
-        assert!(tier.granted(&live).len() <= 1, "{:?}", tier.granted(&live));
-        thread::sleep(Duration::from_millis(100));
-    }
+    tier.assert_at_most_one_granted(&live);
     if holder != killed {
         assert!(tier.call(holder, "windows").contains("granted until"));
     }
 
-    // The new one is stopped for longer than its lease and wakes: it grants nothing on its own.
-    let stopped = tier.granter_but(killed);
+    // The new leader is stopped for longer than its lease and continues: it grants nothing on its own.
+    let stopped = tier.leader_except(Some(killed));
     tier.relays[stopped].signal("STOP");
     let awake: Vec<usize> = live.iter().copied().filter(|relay| *relay != stopped).collect();
-    let start = Instant::now();
-    while start.elapsed() < 2 * LEASE {
-        assert!(tier.granted(&awake).len() <= 1);
-        thread::sleep(Duration::from_millis(100));
-    }
+    tier.assert_at_most_one_granted(&awake);
     tier.relays[stopped].signal("CONT");
     for _ in 0..20 {
-        assert!(tier.granted(&live).len() <= 1, "{:?}", tier.granted(&live));
+        let granted = tier.granted(&live);
+        assert!(granted.len() <= 1, "{granted:?}");
         thread::sleep(Duration::from_millis(50));
     }
 
-    // Five are cut off, with the window's relay: there it lapses, and nothing is granted.
+    // Five relays are cut off, with the window's: there it lapses, and nothing is granted.
     let away = if holder == killed { awake[0] } else { holder };
     let cut: Vec<usize> = (0..5).map(|n| (away + n) % RELAYS).collect();
-    tier.network.cut(cut.iter().copied());
-    let says = tier.call(away, "window streamer s-11 5");
-    assert!(!says.contains("granted"), "{says}");
+    tier.network.cut_off(cut.iter().copied());
+    let reply = tier.call(away, "window streamer s-11 5");
+    assert!(!reply.contains("granted"), "{reply}");
     if holder != killed {
-        tier.until(holder, "lapsed");
+        tier.wait_for(holder, "lapsed");
     }
     assert!(tier.granted(&cut.iter().copied().filter(|r| *r != killed).collect::<Vec<_>>()).is_empty());
-    tier.network.cut([]);
+    tier.network.cut_off([]);
 
-    // Done, and the next is through.
+    // The window is done, and the next is granted.
     if holder != killed {
-        let own = tier.until(holder, "granted until");
-        let row = own
-            .split("; ")
-            .find(|row| row.contains("granted until") && row.contains(" hall "))
-            .unwrap()
-            .to_owned();
-        assert!(
-            tier.call(
-                holder,
-                &format!("done {}", row.split(' ').next().unwrap().trim_start_matches("done "))
-            )
-            .starts_with("done")
-        );
+        let windows = tier.wait_for(holder, "granted until");
+        let mut rows = windows.split("; ");
+        let row = rows.find(|row| row.contains("granted until") && row.contains(" hall ")).unwrap();
+        let id = row.split(' ').next().unwrap().trim_start_matches("done ");
+        assert!(tier.call(holder, &format!("done {id}")).starts_with("done"));
     }
-    let waits: Vec<usize> = [2, 7, 11].into_iter().filter(|r| *r != holder && *r != killed).collect();
+    let waiting: Vec<usize> = [2, 7, 11].into_iter().filter(|r| *r != holder && *r != killed).collect();
     let start = Instant::now();
-    while !waits.iter().any(|relay| tier.call(*relay, "windows").contains("granted until")) {
+    while !waiting.iter().any(|relay| tier.call(*relay, "windows").contains("granted until")) {
         assert!(start.elapsed() < 3 * LONG, "the next is never granted");
         thread::sleep(Duration::from_millis(100));
     }
     // No datagram was too long, whatever went on.
-    assert!(tier.network.told.lock().unwrap().iter().all(|(.., text)| text.len() <= 256));
+    assert!(tier.network.datagrams.lock().unwrap().iter().all(|text| text.len() <= 256));
     tier.relays.clear();
 }
 
-impl Tier {
-    fn granter_but(&self, dead: usize) -> usize {
-        let office = |relay: usize| {
-            let log = self.relays[relay].log();
-            log.matches("grants the windows now").count() > log.matches("grants no windows any more").count()
-        };
-        (0..RELAYS).find(|relay| *relay != dead && office(*relay)).expect("nobody is in office")
-    }
-}
-
 #[test]
 fn a_hall_that_is_lost_is_taken_out_of_what_is_granted_and_said() {
     let tier = Tier::start(SECTION);
@@ -252,30 +253,30 @@
     );
     let never = tier.call(4, "window hall nowhere all 10");
     assert!(never.starts_with("error no such hall in the list"), "{never}");
-    // Zone c drains and nobody has asked: two endpoints of a sudden.
+    // Two endpoints of zone c drain without a window.
     for n in [6, 7] {
         Tier::endpoint(&tier.discovery, n, "Terminating");
     }
-    tier.until(1, "2 of hall c drain and nobody has asked for it");
+    tier.wait_for(1, "2 of hall c drain and nobody has asked for it");
     // Twelve less three leave nine: one more fits, a second does not.
     assert!(tier.call(4, "window streamer s-3 100").contains("granted until"));
-    let says = tier.call(9, "window streamer s-4 100");
-    assert!(says.contains("waits behind 0"), "{says}");
-    // The rest of the zone is lost: too little is left, and it is said.
+    let reply = tier.call(9, "window streamer s-4 100");
+    assert!(reply.contains("waits behind 0"), "{reply}");
+    // The rest of the zone is lost: too little remains, which is listed as an alarm.
     for n in [6, 7, 8] {
         Tier::endpoint(&tier.discovery, n, "Gone");
     }
-    tier.until(1, "less than the floor");
+    tier.wait_for(1, "less than the floor");
     assert!(tier.call(9, "windows").contains("waits behind"));
-    // Who may puts a window over the floor.
+    // An operator who may override the floor gets a window.
     let forced = tier.call(9, "window streamer s-5 100 by eve");
     assert!(forced.contains("granted until"), "{forced}");
-    // It is back, and the forced one done: the one that waited is through.
+    // The zone is back and the forced window done: the one that waited is granted.
     for n in [6, 7, 8] {
         Tier::endpoint(&tier.discovery, n, "Ready");
     }
     assert!(tier.call(9, &format!("done {}", id(&forced))).contains("closed"));
-    tier.until(9, "streamer s-4: granted until");
+    tier.wait_for(9, "streamer s-4: granted until");
 }
 
 #[test]
@@ -285,5 +286,5 @@
     for call in ["windows", "window hall a all 60", "window", "done 1.a"] {
         assert_eq!(tier.call(0, call), unknown, "{call}");
     }
-    assert!(!tier.network.told.lock().unwrap().iter().any(|(.., text)| text.starts_with("m1 ")));
+    assert!(!tier.network.has_window_datagrams());
 }
