--- a/src/config/maintenance.rs
+++ b/src/config/maintenance.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sandgw_maintenance::plan::Floors;
-use sandgw_maintenance::{MaintenanceService, Timing, WholeMillis};
+use sandgw_maintenance::plan::{CapacityFloors, SlowStart};
+use sandgw_maintenance::{MAX_GRANTED_WINDOWS, MaintenanceService, Timing, WholeMillis};
 use serde_json::Value;
 
 use super::Maintenance;
@@ -47,19 +47,22 @@
     }
     let floor = section.number("floor", 0.0..=MAX_FLOOR).unwrap_or(0.0);
     let relays_left = relays_left(section, relay_count);
-    let windows = section.number("most", 1.0..=sandgw_maintenance::MOST as f64).unwrap_or(DEFAULT_WINDOWS);
+    let windows = section.number("most", 1.0..=MAX_GRANTED_WINDOWS as f64).unwrap_or(DEFAULT_WINDOWS);
     let longest = section.number("longest_s", 1.0..=MAX_WINDOW_S).unwrap_or(DEFAULT_WINDOW_S);
     let timing = timing(section);
     let zones = zone_floors(section);
     let voters = voters(section, relay_count);
     let may_override = section.list("override", "a name").unwrap_or_default();
-    let floors = Floors {
-        all: (floor * THOUSAND) as u64,
+    let floors = CapacityFloors {
+        total: (floor * THOUSAND) as u64,
         zones,
-        relays: relays_left,
-        most: windows as usize,
-        longest: (longest * THOUSAND) as WholeMillis,
-        cold: ((settings.cold_capacity_fraction * THOUSAND) as u64, settings.warm_up_time as WholeMillis),
+        min_relays: relays_left,
+        max_windows: windows as usize,
+        max_window_duration: (longest * THOUSAND) as WholeMillis,
+        slow_start: SlowStart {
+            initial_fraction: (settings.cold_capacity_fraction * THOUSAND) as u64,
+            warm_up_time: settings.warm_up_time as WholeMillis,
+        },
     };
     Some(Maintenance { floors, timing, voters, may_override })
 }
@@ -79,12 +82,12 @@
     if clock_bound * MIN_LEASE_IN_CLOCK_BOUNDS > lease {
         section.fault("clock_bound_ms", Fault::Bound);
     }
-    Timing::of(lease, clock_bound)
+    Timing::for_lease(lease, clock_bound)
 }
 
 fn voters(section: &mut Reader<'_>, relay_count: u32) -> Vec<u32> {
     let named = section.list("voters", "a relay's number");
-    let voters = named.unwrap_or_else(|| MaintenanceService::usual_voters(relay_count));
+    let voters = named.unwrap_or_else(|| MaintenanceService::default_voters(relay_count));
     let distinct: BTreeSet<u32> = voters.iter().copied().collect();
     let has_unknown = voters.iter().any(|voter| *voter >= relay_count);
     if voters.is_empty() || distinct.len() < voters.len() || has_unknown {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -18,7 +18,7 @@
 use std::path::PathBuf;
 
 use sandgw_maintenance::Timing;
-use sandgw_maintenance::plan::Floors;
+use sandgw_maintenance::plan::CapacityFloors;
 use sandgw_schema_version::SupportedVersions;
 
 pub use errors::{ConfigError, Fault};
@@ -128,7 +128,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Maintenance {
     /// What must be left, and how much may be drained at once.
-    pub floors: Floors,
+    pub floors: CapacityFloors,
     /// How long things last.
     pub timing: Timing,
     /// The relays that vote, by their numbers.
