--- a/src/peers.rs
+++ b/src/peers.rs
@@ -44,10 +44,10 @@
 
 /// As many groups as fit, the largest first.
 fn encode_group_sizes(sizes: &GroupSizes) -> String {
-    let kind = if sizes.merged { MERGED_SAMPLE } else { SAMPLE };
+    let kind = if sizes.is_sum { MERGED_SAMPLE } else { SAMPLE };
     let mut text = format!("{kind} {:x}", arrivals_to_units(sizes.total));
-    for GroupArrivals { group, arrivals } in &sizes.groups {
-        let word = format!(" {group:x}:{:x}", arrivals_to_units(*arrivals));
+    for GroupArrivals { group_slot, arrivals } in &sizes.groups {
+        let word = format!(" {group_slot:x}:{:x}", arrivals_to_units(*arrivals));
         if text.len() + word.len() <= MAX_BYTES {
             text.push_str(&word);
         }
@@ -57,7 +57,7 @@
 
 fn decode_group_sizes(text: &str) -> Option<GroupSizes> {
     let mut words = text.split(' ').filter(|_| text.len() <= MAX_BYTES);
-    let merged = match words.next()? {
+    let is_sum = match words.next()? {
         SAMPLE => false,
         MERGED_SAMPLE => true,
         _ => return None,
@@ -66,10 +66,10 @@
     let mut groups = Vec::new();
     for word in words.take(GroupSizes::MAX_GROUPS) {
         let (group, arrivals) = word.split_once(':')?;
-        let group = u32::from_str_radix(group, RADIX).ok()?;
-        groups.push(GroupArrivals { group, arrivals: units_to_arrivals(arrivals)? });
+        let group_slot = u32::from_str_radix(group, RADIX).ok()?;
+        groups.push(GroupArrivals { group_slot, arrivals: units_to_arrivals(arrivals)? });
     }
-    Some(GroupSizes { merged, total, groups })
+    Some(GroupSizes { is_sum, total, groups })
 }
 
 fn arrivals_to_units(arrivals: f64) -> u32 {
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -3,12 +3,19 @@
 //! Inputs: a queued request, how many attempts are out, the concurrency limit on set-ups
 //! (`sandgw_cluster`), and what `retry` and `selection` say. Outputs: an attempt, a timer after which the
 //! request is looked at again, or its final answer. A request that can't be served in time is answered at
-//! once, so that its client knows and can retry: it is never held until its deadline.
+//! once, so that its client knows and can retry. Only one that requests of a higher priority overtake again
+//! and again may be held until its deadline.
 //!
-//! A request is rejected here, in this order: its deadline has passed or another attempt is not allowed
-//! ([`LoadBalancer::dispatch`]); its turn is not expected before a set-up would be too late
-//! ([`LoadBalancer::hold_for_turn`]); no endpoint may take it within its latency objective
-//! ([`LoadBalancer::wait_for_endpoint`]).
+//! A request gets its final answer here because, in this order:
+//! 1. another attempt is not allowed ([`LoadBalancer::dispatch`], `retry`): its deadline has passed, it may have run and
+//!    a repeat would not be recognized, the retry budget is spent, or it has had all its attempts;
+//! 2. its turn at the concurrency limit is not expected before a set-up would be too late
+//!    ([`LoadBalancer::hold_for_turn`]);
+//! 3. no endpoint may take it within its latency objective ([`LoadBalancer::wait_for_endpoint`]).
+//!
+//! It is a rejection where a retry of the client is harmless, else a failure. Elsewhere: a connection that ends without
+//! its client's doing fails (`attempt_outcome`); the core rejects requests of tenants over their quota, and the driver
+//! those that there is no descriptor for.
 
 use super::api::*;
 use super::load_balancer::LoadBalancer;
@@ -25,7 +32,7 @@
         let Some(tracked) = self.queued(id) else { return };
         let permission = self.attempt_permission(now, tracked, delay, within_budget);
         if !permission.is_allowed {
-            return self.reject(id, permission.is_safe_to_reject, actions);
+            return self.answer_finally(id, permission.is_safe_to_reject, actions);
         }
         if delay > 0.0 {
             return actions.push(Action::SetTimer { after: delay, token: id.0 });
@@ -36,7 +43,7 @@
         }
         self.queue.remove(&id);
         self.update_assignment(now);
-        if self.query_location(now, id, actions) {
+        if self.await_location(now, id, actions) {
             return;
         }
         let Some(tracked) = self.queued(id) else { return };
@@ -59,8 +66,8 @@
         }
     }
 
-    /// The final answer of a request that no endpoint is to get.
-    fn reject(&mut self, id: RequestId, is_safe_to_reject: bool, actions: &mut Actions) {
+    /// The final answer of a request that no endpoint is to get: rejected where a retry is harmless, else failed.
+    fn answer_finally(&mut self, id: RequestId, is_safe_to_reject: bool, actions: &mut Actions) {
         self.forget(id);
         actions.push(if is_safe_to_reject {
             Action::Reject { request: id, retry_after: self.settings.max_retry_after }
@@ -70,7 +77,7 @@
     }
 
     fn queued(&self, id: RequestId) -> Option<&TrackedRequest> {
-        self.placements.requests.by_id.get(&id).filter(|tracked| tracked.stage == Stage::Queued)
+        self.placements.requests.by_id.get(&id).filter(|tracked| tracked.stage == Stage::Pending)
     }
 
     /// In how long the concurrency limit allows this request's attempt, in ms: not positive where it does
@@ -100,15 +107,15 @@
         let attempts_out = self.placements.requests.attempts_out;
         let expected_wait = self.concurrency_limit.expected(now, attempts_out, self.queue.len(), objective);
         if now + expected_wait + objective > deadline {
-            return self.reject(id, is_safe_to_reject, actions);
+            return self.answer_finally(id, is_safe_to_reject, actions);
         }
         self.queue.insert(id);
         actions.push(Action::SetTimer { after: turn_in.min(deadline - now), token: id.0 });
     }
 
-    /// In a large tier few relays know where a connection stands: asks them for one that arrives mid-flow.
-    /// Returns whether their answer is awaited; after that the table decides.
-    fn query_location(&mut self, now: Millis, id: RequestId, actions: &mut Actions) -> bool {
+    /// In a large cluster few relays know where a connection is: asks them for one that arrives mid-flow.
+    /// Returns whether their answer is awaited; after that the Maglev table decides.
+    fn await_location(&mut self, now: Millis, id: RequestId, actions: &mut Actions) -> bool {
         let Some(tracked) = self.placements.requests.by_id.get(&id) else { return false };
         if !tracked.continues_mid_flow() {
             return false;
@@ -119,8 +126,8 @@
     }
 
     /// No endpoint may take the request. One that is ejected, warming up or at its load limit may do so
-    /// soon; beyond the latency objective nothing says that one will: the client is told at once, and when
-    /// to come back.
+    /// soon, and those that failed the request may be tried again; beyond the latency objective nothing
+    /// says that one will: the client is answered at once.
     fn wait_for_endpoint(
         &mut self,
         now: Millis,
@@ -131,7 +138,7 @@
         let recheck_after = self.settings.connect_timeout / RECHECKS_PER_CONNECT_TIMEOUT;
         let Some(tracked) = self.placements.requests.by_id.get(&id) else { return };
         if now + recheck_after > tracked.arrived_at + self.latency_objective(tracked) {
-            return self.reject(id, permission.is_safe_to_reject, actions);
+            return self.answer_finally(id, permission.is_safe_to_reject, actions);
         }
         self.placements.requests.by_id.entry(id).and_modify(|tracked| tracked.failed_endpoints.clear());
         self.dispatch(now, id, recheck_after, actions);
@@ -154,7 +161,7 @@
         }
         self.placements.requests.update_recent_peak(now, self.settings.warm_up_time);
         self.record_slow_start_send(now, &endpoint);
-        self.placements.start_attempt(now, id, endpoint.clone());
+        self.placements.count_attempt(now, id, endpoint.clone());
         self.concurrency_limit.sent(now, self.random_state);
         actions.push(Action::StartAttempt { request: id, endpoint, until, begin_by });
     }
--- a/src/policy/api/messages.rs
+++ b/src/policy/api/messages.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroupSizes {
     /// The sum over all relays that the sender has heard of, in answer to the receiver's own sample.
-    pub merged: bool,
+    pub is_sum: bool,
     /// Arrivals of all groups.
     pub total: f64,
     /// The largest groups, the largest first.
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GroupArrivals {
     /// Slot of the group's key in the Maglev table.
-    pub group: u32,
+    pub group_slot: u32,
     /// Its arrivals; older ones count less.
     pub arrivals: f64,
 }
--- a/src/policy/attempt_outcome.rs
+++ b/src/policy/attempt_outcome.rs
@@ -17,7 +17,8 @@
 const QUICKEST_SETUP_SPAN_MS: Millis = 1000.0;
 /// How long a set-up time says something of its endpoint.
 const SETUP_TIME_TTL_MS: Millis = 5000.0;
-/// Part of the latency objective by which a set-up has to be slower than the usual one to count as slow.
+/// Part of the latency objective by which a set-up has to exceed the usual one to count as slow; it has to
+/// take twice the usual time, too.
 const SLOW_SETUP_MARGIN: f64 = 0.1;
 /// Factor of an endpoint's load that its limit is cut to when it drops connections.
 pub(super) const OVERLOAD_DECREASE: f64 = 0.75;
@@ -70,7 +71,7 @@
     pub(super) fn handle_attempt_ended(&mut self, now: Millis, end: AttemptEnd, actions: &mut Actions) {
         let id = end.request;
         let Some(tracked) =
-            self.placements.requests.of_attempt(id, end.attempt).filter(|t| t.stage != Stage::Queued)
+            self.placements.requests.of_attempt(id, end.attempt).filter(|t| t.stage != Stage::Pending)
         else {
             return;
         };
@@ -85,7 +86,7 @@
             return self.forget(id);
         }
         self.placements.release(id);
-        self.placements.requests.set_stage(id, Stage::Queued);
+        self.placements.requests.set_stage(id, Stage::Pending);
         if was_established {
             self.forget(id);
             return actions.push(Action::Fail(id));
@@ -138,11 +139,11 @@
     fn compare_setup_time(&mut self, now: Millis, id: &EndpointId, objective: Millis) {
         let ready = &self.assignment.ready_endpoints;
         let usual = self.placements.endpoints.median_setup(ready, now - SETUP_TIME_TTL_MS);
-        let mean_load = self.placements.requests.mean_load(ready.len());
+        let load_per_endpoint = self.placements.requests.capped_load_per_endpoint(ready.len());
         let Some(endpoint) = self.placements.endpoints.by_id.get_mut(id) else { return };
         let excess = endpoint.quickest_setup.elapsed - usual;
         if excess > usual.max(SLOW_SETUP_MARGIN * objective) {
-            endpoint.load_limit.record_slow(now, mean_load, endpoint.load, self.latency_is_reported);
+            endpoint.load_limit.record_slow(now, load_per_endpoint, endpoint.load, self.latency_is_reported);
         }
     }
 
@@ -179,11 +180,12 @@
 
     /// What an attempt's end says of its endpoint.
     fn record_endpoint_outcome(&mut self, now: Millis, end: &AttemptEnd, was_established: bool) {
-        let mean_load = self.placements.requests.mean_load(self.assignment.ready_endpoints.len());
+        let load_per_endpoint =
+            self.placements.requests.capped_load_per_endpoint(self.assignment.ready_endpoints.len());
         let fault_is_common = self.concurrency_limit.common(now);
         let Some(endpoint) = self.placements.endpoints.by_id.get_mut(&end.endpoint) else { return };
         if end.outcome == Outcome::Reset {
-            endpoint.load_limit.record_overload(now, mean_load, endpoint.load, OVERLOAD_DECREASE);
+            endpoint.load_limit.record_overload(now, load_per_endpoint, endpoint.load, OVERLOAD_DECREASE);
         }
         endpoint.refuses_connections |= end.outcome == Outcome::ConnectFailed && !was_established;
         if is_endpoint_failure(end.outcome, was_established, fault_is_common) {
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -15,8 +15,8 @@
 
 /// Where the list gives no usable weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Balance of healthy and slow endpoints below which all are overloaded: each slow one counts for this many
-/// healthy ones, so over a third of them have to be slow.
+/// A slow endpoint outvotes this many healthy ones, so over a third have to be slow for all to count as
+/// slow.
 const SLOW_ENDPOINT_VOTES: i32 = 2;
 
 /// The quickest set-up at an endpoint within a span: several set-ups at once wait for each other, so the
@@ -66,7 +66,7 @@
     pub load: f64,
     /// When an attempt was last sent here.
     pub last_attempt_at: Millis,
-    /// Load of all relays here, as last reported, with the own since.
+    /// Load of all relays here, as last reported, with own placements since; what has ended since still counts.
     pub cluster_load: f64,
     /// How much own load it seems to manage.
     pub load_limit: LoadLimit,
@@ -161,8 +161,8 @@
         ready.filter(move |(_, endpoint)| endpoint.weight > 0.0 || !any_weight).map(|(id, _)| id)
     }
 
-    /// Whether all listed endpoints are ready.
-    pub fn all_ready(&self) -> bool {
+    /// Whether all endpoints are ready: none drains, and none that was removed still has own connections.
+    pub fn none_leaving(&self) -> bool {
         self.by_id.values().all(|endpoint| endpoint.state == EndpointState::Ready)
     }
 
@@ -188,7 +188,7 @@
 
     /// Whether over a third of the endpoints that hold own connections are slow: then the load is too high
     /// for all, and moving it to others would only make these slow too.
-    pub fn is_overloaded(&self, now: Millis) -> bool {
+    pub fn is_widely_slow(&self, now: Millis) -> bool {
         let used = self.by_id.values().filter(|endpoint| !endpoint.placed.is_empty());
         let vote = |endpoint: &Endpoint| {
             if endpoint.load_limit.is_healthy(now) { 1 } else { -SLOW_ENDPOINT_VOTES }
--- a/src/policy/group_assignment.rs
+++ b/src/policy/group_assignment.rs
@@ -164,12 +164,13 @@
         let capacity = ready().map(|endpoint| self.effective_capacity(now, endpoint)).sum::<f64>();
         let capacity = capacity.max(f64::MIN_POSITIVE);
         let load_per_capacity = tier_load / capacity;
-        let mean_load = self.placements.requests.mean_load(self.assignment.ready_endpoints.len());
+        let load_per_endpoint =
+            self.placements.requests.capped_load_per_endpoint(self.assignment.ready_endpoints.len());
         let relay_count = f64::from(self.settings.relay_count);
         let headroom = ready().map(|endpoint| {
             let fair_load = load_per_capacity * self.effective_capacity(now, endpoint);
             // The limit is on this relay's load; the others are taken to have found the same.
-            let limit = endpoint.load_limit.current(now, mean_load) * relay_count;
+            let limit = endpoint.load_limit.current(now, load_per_endpoint) * relay_count;
             let bound = bounded_load(fair_load).min(limit);
             Headroom { bound, remaining: bound }
         });
@@ -212,7 +213,7 @@
     /// The own sample, scaled up and completed by the collector's sum where that tells more.
     fn merged_arrivals(&self, own_total: f64) -> MergedArrivals {
         let mut sample = self.group_sample.clone();
-        let merged = &self.merged_sample.merged;
+        let merged = &self.merged_sample.sum;
         // A sum of less than the own sample is of a collector that has just started.
         let smallest_named = merged.groups.last().filter(|_| merged.total > own_total);
         let Some(smallest_named) = smallest_named else {
@@ -223,7 +224,7 @@
         let scaled = |arrivals: f64| (arrivals * scale).min(smallest_named.arrivals.max(arrivals));
         sample.arrivals.values_mut().for_each(|arrivals| *arrivals = scaled(*arrivals));
         let named = merged.groups.iter().filter(|named| named.arrivals > 0.0);
-        sample.arrivals.extend(named.map(|named| (named.group, named.arrivals)));
+        sample.arrivals.extend(named.map(|named| (named.group_slot, named.arrivals)));
         MergedArrivals { sample, scale }
     }
 }
--- a/src/policy/group_sample.rs
+++ b/src/policy/group_sample.rs
@@ -38,13 +38,14 @@
     }
 
     /// The largest groups, as many as fit a message.
-    pub fn to_message(&self, merged: bool) -> GroupSizes {
+    pub fn to_message(&self, is_sum: bool) -> GroupSizes {
         let arrivals = self.arrivals.iter();
-        let mut groups: Vec<GroupArrivals> =
-            arrivals.map(|(group, arrivals)| GroupArrivals { group: *group, arrivals: *arrivals }).collect();
+        let mut groups: Vec<GroupArrivals> = arrivals
+            .map(|(group, arrivals)| GroupArrivals { group_slot: *group, arrivals: *arrivals })
+            .collect();
         groups.sort_by(|a, b| b.arrivals.total_cmp(&a.arrivals));
         groups.truncate(GroupSizes::MAX_GROUPS);
-        GroupSizes { merged, total: self.total(), groups }
+        GroupSizes { is_sum, total: self.total(), groups }
     }
 }
 
@@ -56,7 +57,7 @@
     /// When it was last sent a sample that it has not answered.
     unanswered_since: Option<Millis>,
     /// Its latest answer, or what this relay has added up itself.
-    pub merged: GroupSizes,
+    pub sum: GroupSizes,
     /// Samples that others have sent here, by relay.
     received: BTreeMap<u32, Vec<GroupArrivals>>,
     /// Own arrivals since a sample was last sent.
@@ -69,8 +70,9 @@
     pub fn record_arrival(&mut self, now: Millis, own: &GroupSample, settings: &Settings) -> Option<Action> {
         self.arrivals_since_report += 1.0;
         let own_total = own.total();
+        // One own arrival for each relay tells enough.
         if own_total > f64::from(settings.relay_count) {
-            self.merged = GroupSizes::default();
+            self.sum = GroupSizes::default();
             return None;
         }
         if !settings.peer_messages || !self.is_report_due(now, own_total, settings.connect_timeout) {
@@ -107,9 +109,9 @@
         own: &GroupSample,
         settings: &Settings,
     ) -> Option<Action> {
-        if message.merged {
+        if message.is_sum {
             if peer == self.collector {
-                self.merged = message;
+                self.sum = message;
                 self.unanswered_since = None;
             }
             return None;
@@ -120,9 +122,9 @@
         self.received.insert(peer, message.groups);
         let mut sum = own.clone();
         for received in self.received.values().flatten() {
-            *sum.arrivals.entry(received.group).or_default() += received.arrivals;
+            *sum.arrivals.entry(received.group_slot).or_default() += received.arrivals;
         }
-        self.merged = sum.to_message(true);
-        Some(Action::SendToPeer { peer, message: PeerMessage::GroupSizes(self.merged.clone()) })
+        self.sum = sum.to_message(true);
+        Some(Action::SendToPeer { peer, message: PeerMessage::GroupSizes(self.sum.clone()) })
     }
 }
--- a/src/policy/hashing.rs
+++ b/src/policy/hashing.rs
@@ -1,4 +1,6 @@
 //! Hashes of keys, the same at every relay: slots of the Maglev table, and numbers drawn from a key.
+//!
+//! Seeds and the table's size must never change: relays of two versions have to agree on every key.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/src/policy/learned_state.rs
+++ b/src/policy/learned_state.rs
@@ -1,8 +1,9 @@
 //! What the load balancer has learned of endpoints and groups, as one process of a relay hands it to the
 //! next.
 //!
-//! Bookkeeping only. Times are carried as ages, since the two processes' clocks need not agree. What comes
-//! in is checked as anything from outside is; what concerns endpoints that the list does not name is passed
+//! Bookkeeping only. Times are carried as ages, since the two processes' clocks need not agree; an
+//! endpoint's start is of the list's clock and is carried as it is. What comes in is checked as anything
+//! from outside is; what concerns endpoints that the list does not name is passed
 //! over. The order and types of the fields are those of the messages between processes and must stay.
 
 use std::sync::Arc;
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -29,8 +29,8 @@
 const CLUSTER_TIMER: u64 = DRAIN_TIMER + 1;
 /// Arrivals that the groups' sizes count for at the most, as other relays or a store report them.
 const MAX_REPORTED_ARRIVALS: f64 = SAMPLE_SIZE / 2.0;
-/// Readings of the clock by which a request's deadline is brought forward: the outcome of its last attempt
-/// has to be answered in time.
+/// A request's deadline is brought forward by this many readings of the clock, so that the outcome of its
+/// last attempt is still answered in time.
 const DEADLINE_MARGIN_READINGS: f64 = 2.0;
 /// Connect time-outs between two cuts of the concurrency limit by other relays' notices.
 const NOTICE_SPAN_CONNECT_TIMEOUTS: f64 = 2.0;
@@ -51,9 +51,10 @@
     pub(super) group_sample: GroupSample,
     /// The sum of several relays' arrivals by group.
     pub(crate) merged_sample: MergedSample,
-    /// Mean of the loads that connections report.
-    pub(super) mean_load: RunningMean,
-    /// Slow messages are reported: load limits follow that better than an even distribution can.
+    /// Mean of the work, in ms a second, that connections report: the unit that loads are counted in.
+    pub(super) reported_work: RunningMean,
+    /// Message delays are reported: load limits follow them better than an even distribution can. Set by the first report,
+    /// and never cleared.
     pub(super) latency_is_reported: bool,
     /// Where clients and groups are held, and what relays exchange about it.
     pub(crate) cluster: ClusterState,
@@ -147,7 +148,7 @@
         self.retry_budget_use.requests.record(now);
         self.record_group_arrival(now, &request, actions);
         self.cluster.count_request();
-        let tracked = self.track(now, request, Stage::Queued);
+        let tracked = self.track(now, request, Stage::Pending);
         self.placements.requests.by_id.insert(id, tracked);
         self.dispatch(now, id, 0.0, actions);
     }
@@ -209,7 +210,7 @@
 
     /// A request as it is kept. Its load counts as a multiple of the mean, where both are known.
     fn track(&self, now: Millis, request: Request, stage: Stage) -> TrackedRequest {
-        let load = request.load.zip(self.mean_load.mean()).map_or(1.0, |(load, mean)| load / mean);
+        let load = request.load.zip(self.reported_work.mean()).map_or(1.0, |(load, mean)| load / mean);
         TrackedRequest::new(now, request, stage, load)
     }
 
--- a/src/policy/load_limit.rs
+++ b/src/policy/load_limit.rs
@@ -32,28 +32,28 @@
 }
 
 impl LoadLimit {
-    /// The limit now. `mean_load` is this relay's mean load of an endpoint: growth starts from there, so
+    /// The limit now. `load_per_endpoint` is this relay's mean load of an endpoint: growth starts from there, so
     /// that a limit near zero recovers too.
-    pub fn current(&self, now: Millis, mean_load: f64) -> f64 {
+    pub fn current(&self, now: Millis, load_per_endpoint: f64) -> f64 {
         if !self.limit.is_finite() {
             return self.limit;
         }
         let healthy_seconds = (now - self.slow_at - SLOW_REPORT_TTL_MS).max(0.0) / SECOND_MS;
-        (self.limit + mean_load) * GROWTH_PER_HEALTHY_SECOND.powf(healthy_seconds) - mean_load
+        (self.limit + load_per_endpoint) * GROWTH_PER_HEALTHY_SECOND.powf(healthy_seconds) - load_per_endpoint
     }
 
     /// The endpoint is slow at this load. Where `limits_load` is set, it is to take no more than that.
-    pub fn record_slow(&mut self, now: Millis, mean_load: f64, load: f64, limits_load: bool) {
+    pub fn record_slow(&mut self, now: Millis, load_per_endpoint: f64, load: f64, limits_load: bool) {
         if limits_load {
-            self.limit = self.current(now, mean_load).min(load);
+            self.limit = self.current(now, load_per_endpoint).min(load);
         }
         self.slow_at = now;
     }
 
     /// The endpoint is overloaded: messages come too late to be worth anything, or it drops connections.
     /// The limit is cut to `factor` of the load, once in a burst of such signs.
-    pub fn record_overload(&mut self, now: Millis, mean_load: f64, load: f64, factor: f64) {
-        self.limit = self.current(now, mean_load);
+    pub fn record_overload(&mut self, now: Millis, load_per_endpoint: f64, load: f64, factor: f64) {
+        self.limit = self.current(now, load_per_endpoint);
         self.slow_at = now;
         if now - self.reduced_at > SLOW_REPORT_TTL_MS {
             self.limit = self.limit.min(load) * factor;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,10 +7,13 @@
 //! |---|---|
 //! | Why was this request rejected, held or answered late? | `admission`; whether a retry was allowed: `retry` |
 //! | Why did this endpoint get this request? | `selection`, over the order of `group_assignment` and `maglev` |
-//! | Why did this endpoint get nothing? | `selection` lists the filters: `slow_start` (warming up), `outlier` (ejected), `load_limit` (at its limit) |
+//! | Why did this endpoint get nothing? | `selection` lists the filters in order |
 //! | Why was this client asked to reconnect? | `drain` (its endpoint drains), `overload` (its endpoint is overloaded), `rebalance` (its endpoint carries too much of the tier's load) |
 //! | What follows from an attempt's end, or from a slow message? | `attempt_outcome`, `overload` |
 //!
+//! Loads are counted in *mean connections*: 1.0 is the mean of the work that connections have reported so far. What was
+//! counted before keeps its value when the mean moves.
+//!
 //! State: `placements` over `endpoint_table` and `request_table`; `estimates` and `group_sample` are what
 //! is measured; `cluster_state` is what relays tell each other; `learned_state` is what a process hands to
 //! the next; `scarcity` is what the core asks about quotas.
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -14,9 +14,10 @@
 /// Divisor of the message objective over which a message counts as slow: the endpoint is to take no more
 /// then.
 const SLOW_MESSAGE_DIVISOR: f64 = 3.0;
-/// Part of its own load on an overloaded endpoint that a relay asks to reconnect for each report, one a
-/// second: a part, so that many relays together do not empty the endpoint.
-const OVERLOAD_MIGRATION_RATE_PER_S: f64 = 0.5;
+/// Probability with which a report of an overloaded endpoint sheds one client, for each mean connection of
+/// this relay's load there: it is certain from 2.0 on. It follows the own load, so that many relays
+/// together do not empty the endpoint.
+const SHED_PROBABILITY_PER_LOAD: f64 = 0.5;
 /// Part of the way that the score of endpoints' faults moves with a client that is shed.
 const SHED_FAULT_STEP: f64 = 1.0 / 4.0;
 
@@ -40,8 +41,8 @@
         if !self.placements.requests.by_id.contains_key(&id) {
             return;
         }
-        self.mean_load.record(load);
-        if let Some(mean) = self.mean_load.mean() {
+        self.reported_work.record(load);
+        if let Some(mean) = self.reported_work.mean() {
             self.placements.set_load(id, load / mean);
         }
     }
@@ -56,13 +57,14 @@
         else {
             return;
         };
-        let mean_load = self.placements.requests.mean_load(self.assignment.ready_endpoints.len());
+        let load_per_endpoint =
+            self.placements.requests.capped_load_per_endpoint(self.assignment.ready_endpoints.len());
         let Some(endpoint) = self.placements.endpoints.by_id.get_mut(&endpoint_id) else { return };
-        endpoint.load_limit.record_slow(now, mean_load, endpoint.load, true);
+        endpoint.load_limit.record_slow(now, load_per_endpoint, endpoint.load, true);
         if delay > objective {
             // The further the delay is over the objective, the further the limit is cut.
             let factor = OVERLOAD_DECREASE.min(2.0 * objective / delay);
-            endpoint.load_limit.record_overload(now, mean_load, endpoint.load, factor);
+            endpoint.load_limit.record_overload(now, load_per_endpoint, endpoint.load, factor);
             let own_load = endpoint.load;
             self.shed_client(&endpoint_id, own_load, actions);
         }
@@ -72,7 +74,7 @@
     /// connection is worth least for the load it brings. Nothing on this endpoint is worth anything as it
     /// is.
     fn shed_client(&mut self, endpoint_id: &EndpointId, own_load: f64, actions: &mut Actions) {
-        if self.random() >= OVERLOAD_MIGRATION_RATE_PER_S * own_load {
+        if self.random() >= SHED_PROBABILITY_PER_LOAD * own_load {
             return;
         }
         let requests = &self.placements.requests.by_id;
--- a/src/policy/placements.rs
+++ b/src/policy/placements.rs
@@ -30,7 +30,7 @@
     }
 
     /// Counts an attempt that is sent now.
-    pub fn start_attempt(&mut self, now: Millis, id: RequestId, endpoint_id: EndpointId) {
+    pub fn count_attempt(&mut self, now: Millis, id: RequestId, endpoint_id: EndpointId) {
         if let Some(tracked) = self.requests.by_id.get_mut(&id) {
             tracked.attempts += 1;
             tracked.attempt_sent_at = now;
@@ -73,7 +73,7 @@
     /// Drops a request and all that was counted for it.
     pub fn remove(&mut self, id: RequestId) {
         self.release(id);
-        self.requests.set_stage(id, Stage::Queued);
+        self.requests.set_stage(id, Stage::Pending);
         self.requests.by_id.remove(&id);
     }
 
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -1,4 +1,5 @@
-//! Which clients are asked to reconnect because their endpoint carries too much of the tier's load.
+//! Which clients are asked to reconnect because their endpoint carries too much of the cluster's load. One of three causes
+//! of a migration, beside `drain` and `overload`.
 //!
 //! Input: what all relays hold at each endpoint, in mean connections, whenever it is reported anew. Output:
 //! a share of the own clients of endpoints that hold more than their fair load
@@ -10,10 +11,10 @@
 use super::api::*;
 use super::load_balancer::LoadBalancer;
 
-/// A report of less than the own load at this part of all relays comes of few of them: its collector has
-/// just started.
+/// A report is ignored whose total is below this part of the own load times the number of relays: it comes
+/// of few of them, since its collector has just started.
 const MIN_REPORTING_PART: f64 = 0.25;
-/// A connection established within this span, in ms, is not moved again.
+/// A connection whose attempt was sent within this span, in ms, is not asked.
 const SETTLING_TIME_MS: Millis = 4000.0;
 
 impl LoadBalancer {
@@ -42,6 +43,6 @@
         let own_load = self.placements.requests.placed_load;
         let least_reported = own_load * MIN_REPORTING_PART * f64::from(self.settings.relay_count);
         let is_of_most_relays = self.placements.endpoints.cluster_load >= least_reported;
-        is_of_most_relays && !self.concurrency_limit.queued() && self.placements.endpoints.all_ready()
+        is_of_most_relays && !self.concurrency_limit.queued() && self.placements.endpoints.none_leaving()
     }
 }
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -8,13 +8,13 @@
 
 /// Most that an endpoint's mean load counts for: one more connection at each of many relays is too much
 /// already.
-const MAX_MEAN_LOAD: f64 = 1.0;
+const MAX_LOAD_PER_ENDPOINT: f64 = 1.0;
 
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// No attempt is out.
-    Queued,
+    Pending,
     /// An attempt is out.
     Attempting,
     /// Its connection is established; only its end is still to come.
@@ -111,9 +111,9 @@
         self.recent_peak_at = now;
     }
 
-    /// Own load that falls to each of so many endpoints on average, at most [`MAX_MEAN_LOAD`].
-    pub fn mean_load(&self, endpoint_count: usize) -> f64 {
-        (self.placed_load / endpoint_count.max(1) as f64).min(MAX_MEAN_LOAD)
+    /// Own load that falls to each of so many endpoints on average, at most [`MAX_LOAD_PER_ENDPOINT`].
+    pub fn capped_load_per_endpoint(&self, endpoint_count: usize) -> f64 {
+        (self.placed_load / endpoint_count.max(1) as f64).min(MAX_LOAD_PER_ENDPOINT)
     }
 
     /// A request, if this is its latest attempt: what comes late of an earlier one says nothing.
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -13,7 +13,7 @@
 /// Where no budget is stated.
 const UNLIMITED_BUDGET: RetryBudget =
     RetryBudget { window: 0.0, min_retries: f64::INFINITY, retry_ratio: 0.0 };
-/// Least part of the backoff step that a pause lasts; up to as much again as a whole step is drawn at random.
+/// A pause lasts the backoff step times this plus a number drawn from `[0, 1)`: 0.5 to 1.5 steps.
 const MIN_JITTER: f64 = 0.5;
 
 /// What the retry budget is reckoned from.
--- a/src/policy/scarcity.rs
+++ b/src/policy/scarcity.rs
@@ -11,14 +11,14 @@
     pub(crate) fn scarcity_signals(&self, now: Millis) -> ScarcitySignals {
         let endpoints = &self.placements.endpoints;
         let ready = &self.assignment.ready_endpoints;
-        let mean_load = self.placements.requests.mean_load(ready.len());
+        let load_per_endpoint = self.placements.requests.capped_load_per_endpoint(ready.len());
         let has_headroom = |id: &EndpointId| {
             let endpoint = endpoints.by_id.get(id);
-            endpoint.is_some_and(|known| known.load + 1.0 <= known.load_limit.current(now, mean_load))
+            endpoint.is_some_and(|known| known.load + 1.0 <= known.load_limit.current(now, load_per_endpoint))
         };
         ScarcitySignals {
             window: !self.queue.is_empty() || self.concurrency_limit.common(now),
-            endpoints: !ready.iter().any(has_headroom) || endpoints.is_overloaded(now),
+            endpoints: !ready.iter().any(has_headroom) || endpoints.is_widely_slow(now),
             descriptors: false,
         }
     }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -3,9 +3,22 @@
 //! Inputs: the request's candidate order (`group_assignment`), and of each candidate its warm-up, ejection,
 //! load limit, load and health. Output: one endpoint, or none where the request has to wait. The ordinary
 //! choice is the first candidate; every exception takes the next ones in the same order, so that relays
-//! that skip an endpoint alike also choose alike. An endpoint that got nothing is, from the first filter to
-//! the last: not ready (not in the table), outside the scope in which a repeat is safe, one that failed
-//! this request, warming up, ejected, at its load limit, or carrying more than its fair load.
+//! that skip an endpoint alike also choose alike.
+//!
+//! An endpoint that gets nothing is excluded, from the first filter to the last, because it
+//!
+//! 1. is not ready, or has no weight while others have (`endpoint_table`);
+//! 2. is outside the scope in which a repeat is safe;
+//! 3. failed this request already;
+//! 4. warms up (`slow_start`);
+//! 5. is ejected (`outlier`), unless all are;
+//! 6. is at its load limit (`load_limit`);
+//! 7. is not assigned to the request's group, while one that is can take it (`group_assignment`).
+//!
+//! It is only ranked lower because it is slow (`load_limit`), carries more than its bounded part of what
+//! all relays hold (known above `FULL_MESH_RELAYS` relays), carries more than an even part of this relay's
+//! load, or comes late in the candidate order. A connection that arrives mid-flow passes filters 5 to 7 by.
+//! Nothing at all is sent while the concurrency limit is closed (`admission`).
 
 use std::cell::{LazyCell, OnceCell};
 
@@ -41,9 +54,9 @@
     /// The client key's number in `[0, 1)`.
     key_draw: f64,
     /// This relay's mean load of an endpoint.
-    mean_load: f64,
+    load_per_endpoint: f64,
     /// Whether the load is too high for all endpoints, once that was needed.
-    overloaded: OnceCell<bool>,
+    widely_slow: OnceCell<bool>,
 }
 
 impl LoadBalancer {
@@ -61,8 +74,11 @@
             tracked,
             idempotency,
             key_draw: unit_of_key(&tracked.request.client_key()),
-            mean_load: self.placements.requests.mean_load(self.assignment.ready_endpoints.len()),
-            overloaded: OnceCell::new(),
+            load_per_endpoint: self
+                .placements
+                .requests
+                .capped_load_per_endpoint(self.assignment.ready_endpoints.len()),
+            widely_slow: OnceCell::new(),
         };
         selection.select()
     }
@@ -70,11 +86,11 @@
 
 impl<'a> Selection<'a> {
     fn select(&self) -> Option<EndpointId> {
-        let order = self.candidate_order();
+        let order = self.order_for_return();
         let mut candidates = self.eligible_candidates(&order);
         let first_eligible = candidates.first().map(|candidate| candidate.id.clone());
         if self.tracked.continues_mid_flow() {
-            // Where its endpoint is not known, the table most likely chose it, whatever its state is now.
+            // Where its endpoint is not known, the Maglev table most likely chose it: neither ejection nor load counts.
             return self.balancer.cluster.sticky_endpoint(&self.tracked.request).or(first_eligible);
         }
         candidates.retain(|candidate| !candidate.endpoint.ejection.is_ejected(self.now));
@@ -90,18 +106,19 @@
         self.best(&candidates).map(|candidate| candidate.id.clone())
     }
 
-    /// The request's candidate order. A client that comes again because its endpoint broke or moved it
+    /// The request's candidate order. A client that reconnects because its endpoint broke or migrated it
     /// draws anew: relays that do not know of that would send it there again and again. Half of the returns
-    /// go one endpoint further, a quarter two, and so on.
-    fn candidate_order(&self) -> CandidateOrder {
+    /// keep the order, a quarter begin one endpoint further, an eighth two, and so on; those passed over
+    /// come right after.
+    fn order_for_return(&self) -> CandidateOrder {
         let request = &self.tracked.request;
         let mut order = self.balancer.assignment.candidate_order(request);
         let draws_anew = request.returned && !request.mid_flow && self.balancer.endpoint_fault_score >= 0.0;
-        if draws_anew && order.positions.len() > 1 && !self.is_overloaded() {
+        if draws_anew && order.positions.len() > 1 && !self.is_widely_slow() {
             let draw = xxh3_64_with_seed(&request.id.0.to_le_bytes(), SLOT_SEED);
-            let skipped = (draw.trailing_ones() as usize).min(order.positions.len() - 1);
-            order.positions[..=skipped].rotate_right(1);
-            order.assigned = order.assigned.max(skipped + 1);
+            let first_rank = (draw.trailing_ones() as usize).min(order.positions.len() - 1);
+            order.positions[..=first_rank].rotate_right(1);
+            order.assigned = order.assigned.max(first_rank + 1);
         }
         order
     }
@@ -145,7 +162,7 @@
     fn is_within_load_limit(&self, endpoint: &Endpoint) -> bool {
         let key_share =
             if endpoint.placed.is_empty() { self.tracked.load * self.key_draw } else { self.tracked.load };
-        endpoint.load + key_share <= endpoint.load_limit.current(self.now, self.mean_load)
+        endpoint.load + key_share <= endpoint.load_limit.current(self.now, self.load_per_endpoint)
     }
 
     /// Keeps a connection among the endpoints that its group is assigned to. One more copy of the group
@@ -153,7 +170,7 @@
     /// can take the connection and there is capacity to spare.
     fn retain_preferred(&self, candidates: &mut Vec<Candidate<'a>>, preferred_ranks: usize) {
         let is_preferred = |candidate: &Candidate<'_>| candidate.rank < preferred_ranks;
-        let may_copy_group = self.has_spare_capacity() || self.knows_cluster_load();
+        let may_copy_group = self.may_even_out() || self.knows_cluster_load();
         let preferred_is_suitable = || {
             candidates.iter().any(|candidate| is_preferred(candidate) && self.is_suitable(candidate.endpoint))
         };
@@ -197,24 +214,24 @@
     /// Whether an endpoint carries no more than an even part of this relay's load. The assignment knows
     /// groups, not who else is here: of what one endpoint has too much, the next has less.
     fn carries_even_part(&self, endpoint: &Endpoint) -> bool {
-        let load_per_capacity = if self.has_spare_capacity() {
-            self.balancer.placements.requests.placed_load.max(1.0) / self.balancer.assignment.capacity
-        } else {
-            f64::INFINITY
-        };
+        if !self.may_even_out() {
+            return true;
+        }
+        let placed_load = self.balancer.placements.requests.placed_load.max(1.0);
+        let load_per_capacity = placed_load / self.balancer.assignment.capacity;
         let warm_up_factor = self.balancer.warm_up_factor(self.now, endpoint);
         endpoint.load <= EVEN_LOAD_FACTOR * load_per_capacity * endpoint.weight * warm_up_factor + 1.0
     }
 
     /// Whether the load is too high for all endpoints.
-    fn is_overloaded(&self) -> bool {
-        *self.overloaded.get_or_init(|| self.balancer.placements.endpoints.is_overloaded(self.now))
+    fn is_widely_slow(&self) -> bool {
+        *self.widely_slow.get_or_init(|| self.balancer.placements.endpoints.is_widely_slow(self.now))
     }
 
     /// Whether load may be evened out: nothing reports slow endpoints one by one, and not all of them are
     /// slow.
-    fn has_spare_capacity(&self) -> bool {
-        !self.balancer.latency_is_reported && !self.is_overloaded()
+    fn may_even_out(&self) -> bool {
+        !self.balancer.latency_is_reported && !self.is_widely_slow()
     }
 
     /// Whether it is known what all relays hold.
--- a/src/policy/tests/group_assignment.rs
+++ b/src/policy/tests/group_assignment.rs
@@ -65,17 +65,17 @@
     let group = |w: &World| {
         let told = w.log.iter().find_map(|a| match a {
             Action::SendToPeer { message: PeerMessage::GroupSizes(sizes), .. } => {
-                sizes.groups.first().map(|first| first.group)
+                sizes.groups.first().map(|first| first.group_slot)
             }
             _ => None,
         });
         told.unwrap()
     };
     let sizes = vec![
-        GroupArrivals { group: group(&world), arrivals: 900.0 },
-        GroupArrivals { group: 1, arrivals: 100.0 },
+        GroupArrivals { group_slot: group(&world), arrivals: 900.0 },
+        GroupArrivals { group_slot: 1, arrivals: 100.0 },
     ];
-    let sum = GroupSizes { merged: true, total: 1000.0, groups: sizes };
+    let sum = GroupSizes { is_sum: true, total: 1000.0, groups: sizes };
     let message = PeerMessage::GroupSizes(sum.clone());
     let spread = |world: &mut World, from: u64| {
         for id in from..from + 60 {
@@ -98,7 +98,7 @@
         peer: 0,
         message: PeerMessage::GroupSizes(GroupSizes {
             total: 0.0,
-            groups: vec![GroupArrivals { group: 9, arrivals: 0.0 }],
+            groups: vec![GroupArrivals { group_slot: 9, arrivals: 0.0 }],
             ..sum
         }),
     });
@@ -113,16 +113,16 @@
     // A sample is answered with the sum, whatever it holds and however often it comes.
     world.log.clear();
     let sample = PeerMessage::GroupSizes(GroupSizes {
-        merged: false,
+        is_sum: false,
         total: 5.0,
-        groups: vec![GroupArrivals { group: 77, arrivals: 5.0 }],
+        groups: vec![GroupArrivals { group_slot: 77, arrivals: 5.0 }],
     });
     (0..2).for_each(|_| world.handle(Event::PeerMessage { peer: 3, message: sample.clone() }));
     let answer = world.log.last().cloned();
     let Some(Action::SendToPeer { peer: 3, message: PeerMessage::GroupSizes(sizes) }) = answer else {
         panic!("no answer")
     };
-    assert!(sizes.merged && sizes.groups.contains(&GroupArrivals { group: 77, arrivals: 5.0 }));
+    assert!(sizes.is_sum && sizes.groups.contains(&GroupArrivals { group_slot: 77, arrivals: 5.0 }));
     let mut alone = World::new(Settings { peer_messages: false, ..pool }, &ready(40));
     (0..20).for_each(|id| alone.ask(id, Some(0), Some("g"), &format!("c{id}"), 2000.0));
     assert_eq!(tells(&alone), 0);
