--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -154,11 +154,11 @@
         let mut relay = Relay::new(settings(at as u32, self.from), vec!["c".into()], seed, self.now);
         let kept =
             if self.from == From::Folder { self.stores[at].values().cloned().collect() } else { Vec::new() };
-        relay.keep();
+        relay.track_affinity_changes();
         if !kept.is_empty() {
-            relay.restore(self.now, kept.into_iter());
+            relay.restore_affinity(self.now, kept.into_iter());
         }
-        relay.list(self.now, ListKind::Cached, fleet());
+        relay.apply_list(self.now, ListKind::Cached, fleet());
         self.relays[at] = Some(relay);
         self.settle(at);
     }
@@ -187,7 +187,7 @@
         };
         let now = self.now;
         let Some(relay) = &mut self.relays[at] else { return };
-        let request = relay.arrive(now, arrival);
+        let request = relay.accept_request(now, arrival);
         self.asked.insert((at, request), (client, group, mid_flow));
         // The connection's number outlives its relays: its end is set once.
         self.connections = self.connections.max(connection + 1);
@@ -252,7 +252,7 @@
                 }
                 Some(Due::Timer(at, token, life)) if self.lives[at] == life => {
                     if let Some(relay) = &mut self.relays[at] {
-                        relay.timer(now, token);
+                        relay.timer_fired(now, token);
                     }
                     self.settle(at);
                 }
@@ -260,14 +260,14 @@
                 Some(Due::Ends(connection)) => {
                     if let Some(h) = self.held.remove(&connection) {
                         if let Some(relay) = &mut self.relays[h.relay] {
-                            relay.ended(now, h.request, Outcome::Ok);
+                            relay.attempt_ended(now, h.request, Outcome::Ok);
                         }
                         self.settle(h.relay);
                     }
                 }
                 Some(Due::Message(to, from, message)) => {
                     if let Some(relay) = &mut self.relays[to] {
-                        relay.told(now, from, message);
+                        relay.receive_peer_message(now, from, message);
                     }
                     self.settle(to);
                 }
@@ -282,9 +282,9 @@
     fn stands(&mut self, at: usize, request: RequestId) {
         let now = self.now;
         let Some(relay) = &mut self.relays[at] else { return };
-        relay.established(now, request, 20.0);
+        relay.connection_established(now, request, 20.0);
         // As the writer does, but at once.
-        let changes = relay.changes(now, usize::MAX);
+        let changes = relay.take_affinity_changes(now, usize::MAX);
         let store = &mut self.stores[at];
         changes.gone.iter().for_each(|key| drop(store.remove(key)));
         store.extend(changes.set.into_iter().map(|r| (r.key(), r)));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,7 @@
 
 pub mod config;
 pub mod discovery;
+pub mod handover;
 pub mod help;
 pub mod listener;
 pub mod logger;
--- a/src/listener/line.rs
+++ b/src/listener/line.rs
@@ -10,7 +10,7 @@
 
 use super::{Answer, Arrive, ClientProtocol, TransferredProtocol};
 use crate::policy::api::*;
-use crate::relay::lifecycle::Operation;
+use crate::relay::ServingMode;
 use crate::relay::{IncomingRequest, LocalReply};
 
 /// Longest line, with its end.
@@ -130,7 +130,7 @@
         let mut arrival = IncomingRequest {
             client: text(key),
             drained_by_endpoint: true,
-            rerouted_by_front: true,
+            reroutable: true,
             ..IncomingRequest::default()
         };
         let (mut left, mut seen, mut tenant) = (None, Vec::new(), None);
@@ -151,7 +151,7 @@
                 "g" => arrival.client = text(value),
                 "r" | "again" => arrival.returned |= value == "1",
                 "mid" => arrival.mid_flow = value == "1",
-                "at" => arrival.at = Some(EndpointId(Arc::from(value))),
+                "at" => arrival.existing_endpoint = Some(EndpointId(Arc::from(value))),
                 "h" => arrival.load = Some(number()?).filter(|h| *h > 0.0),
                 _ => {}
             }
@@ -198,7 +198,13 @@
         self.patience
     }
 
-    fn arrive(&mut self, now: Millis, does: Operation, input: &mut BytesMut, reply: &mut BytesMut) -> Arrive {
+    fn arrive(
+        &mut self,
+        now: Millis,
+        does: ServingMode,
+        input: &mut BytesMut,
+        reply: &mut BytesMut,
+    ) -> Arrive {
         loop {
             let ends = input.iter().take(LINE_BYTES).any(|b| *b == b'\n');
             if !ends && input.len() < LINE_BYTES {
@@ -208,8 +214,8 @@
             let line = line.as_deref().and_then(|l| str::from_utf8(l).ok()).unwrap_or_default();
             if line == "PING" {
                 let word: &[u8] = match does {
-                    Operation::Active => b"PONG\r\n",
-                    Operation::Standby => b"STANDBY\r\n",
+                    ServingMode::Active => b"PONG\r\n",
+                    ServingMode::Standby => b"STANDBY\r\n",
                 };
                 reply.extend_from_slice(word);
                 continue;
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::policy::api::{Millis, Outcome};
-use crate::relay::lifecycle::Operation;
+use crate::relay::ServingMode;
 use crate::relay::{IncomingRequest, LocalReply};
 
 /// What has come of a client's bytes before its connection is placed.
@@ -61,7 +61,13 @@
 
     /// Takes bytes of a client that is not placed yet, and consumes those that it understands. Who asks how the
     /// relay does is told what it does.
-    fn arrive(&mut self, now: Millis, does: Operation, input: &mut BytesMut, reply: &mut BytesMut) -> Arrive;
+    fn arrive(
+        &mut self,
+        now: Millis,
+        does: ServingMode,
+        input: &mut BytesMut,
+        reply: &mut BytesMut,
+    ) -> Arrive;
 
     /// Whether a client is in the middle of saying what it wants, of which this is left.
     fn has_begun(&self, input: &BytesMut) -> bool {
--- a/src/listener/rtmp/mod.rs
+++ b/src/listener/rtmp/mod.rs
@@ -24,7 +24,7 @@
 use self::chunks::{COMMAND, Malformed, Reader, write_command};
 use super::{Answer, Arrive, ClientProtocol};
 use crate::policy::api::*;
-use crate::relay::lifecycle::Operation;
+use crate::relay::ServingMode;
 use crate::relay::{IncomingRequest, LocalReply};
 
 /// Most bytes from a client up to the end of its `connect`.
@@ -129,7 +129,7 @@
                 self.down = Err(Malformed);
                 return Ok(Some(Arrive::Connection(IncomingRequest {
                     mid_flow: true,
-                    holder_only: true,
+                    existing_endpoint_only: true,
                     ..arrival
                 })));
             }
@@ -225,7 +225,7 @@
         !matches!(self.stage, Stage::Start) || !input.is_empty()
     }
 
-    fn arrive(&mut self, now: Millis, _: Operation, input: &mut BytesMut, reply: &mut BytesMut) -> Arrive {
+    fn arrive(&mut self, now: Millis, _: ServingMode, input: &mut BytesMut, reply: &mut BytesMut) -> Arrive {
         self.accepted.get_or_insert(now);
         loop {
             let step = match &mut self.stage {
--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -66,7 +66,11 @@
 pub fn restore(kept: Kept, relay: &mut Relay, now: Millis) -> io::Result<Writer> {
     let mut done = Restored::default();
     // One at a time: a folder may hold more than there is memory for.
-    match kept.store.as_ref().map(|s| s.load(|record| done += relay.restore(now, std::iter::once(record)))) {
+    match kept
+        .store
+        .as_ref()
+        .map(|s| s.load(|record| done += relay.restore_affinity(now, std::iter::once(record))))
+    {
         Some(Ok(loaded)) if loaded.damaged > 0 => {
             warn!("state.folder: {} damaged entries are passed over", loaded.damaged);
         }
@@ -83,7 +87,7 @@
             "state.folder: {ahead} entries were set later than now, and count as set now: was the clock stepped back?"
         );
     }
-    relay.keep();
+    relay.track_affinity_changes();
     let folder = kept.folder;
     Writer::start(kept.store, Box::new(move || Store::open(&folder)))
 }
@@ -104,11 +108,12 @@
             writer.prune(now - max_age);
         }
         if writer.take_lost() {
-            shared.relay.borrow_mut().keep();
+            shared.relay.borrow_mut().track_affinity_changes();
         }
         // What the writer has no room for waits here; what comes after it waits in the tables.
         loop {
-            let batch = waiting.take().unwrap_or_else(|| shared.relay.borrow_mut().changes(now, BATCH));
+            let batch =
+                waiting.take().unwrap_or_else(|| shared.relay.borrow_mut().take_affinity_changes(now, BATCH));
             let more = batch.set.len() >= BATCH;
             if !batch.is_empty() {
                 waiting = writer.write(batch).err();
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -19,11 +19,11 @@
 use super::accept::Seat;
 use super::pool::Pooled;
 use super::{Shared, local_shortage, span};
+use crate::handover::Message;
 use crate::listener::{Answer, Arrive, ClientProtocol};
 use crate::policy::api::RequestId;
 use crate::policy::api::{Key, Millis, Outcome};
-use crate::relay::handover::Message;
-use crate::relay::transfer::TransferredConnection;
+use crate::relay::TransferredConnection;
 use crate::relay::{Attempt, ConnectionCommand, IncomingRequest, LocalReply};
 
 /// How long a last word may take to reach a client, and the client to close after it.
@@ -77,7 +77,7 @@
     input.extend_from_slice(&up);
     first.extend_from_slice(&down);
     let (sender, mut commands) = unbounded_channel();
-    let id = shared.relay.borrow_mut().adopt(shared.clock.now(), connection);
+    let id = shared.relay.borrow_mut().adopt_connection(shared.clock.now(), connection);
     shared.connections.borrow_mut().insert(id, sender);
     let _registered = Registered { shared: shared.clone(), id };
     shared.settle();
@@ -127,8 +127,8 @@
     fn drop(&mut self) {
         self.shared.connections.borrow_mut().remove(&self.id);
         self.shared.core(|relay, now| {
-            relay.left(now, self.id);
-            relay.ended(now, self.id, Outcome::Cancelled);
+            relay.client_gone(now, self.id);
+            relay.attempt_ended(now, self.id, Outcome::Cancelled);
         });
     }
 }
@@ -139,7 +139,7 @@
         let mut spoken = false;
         let mut arrival = loop {
             let now = self.shared.clock.now();
-            let does = self.shared.relay.borrow().operation();
+            let does = self.shared.relay.borrow().serving_mode();
             let arrive = self.protocol.arrive(now, does, &mut self.input, &mut self.reply);
             let written = timeout_at(limit, self.client.write_all_buf(&mut *self.reply)).await;
             match arrive {
@@ -176,7 +176,7 @@
         // The core takes it, and what comes of it is logged later.
         let about = log_enabled!(Level::Debug).then(|| described(&arrival)).unwrap_or_default();
         let (sender, mut commands) = unbounded_channel();
-        let id = self.shared.relay.borrow_mut().arrive(self.shared.clock.now(), arrival);
+        let id = self.shared.relay.borrow_mut().accept_request(self.shared.clock.now(), arrival);
         self.shared.connections.borrow_mut().insert(id, sender);
         debug!("flow {} arrives: {about}", id.0);
         let _registered = Registered { shared: self.shared.clone(), id };
@@ -195,7 +195,7 @@
             }
             Placed::Left => {
                 // At once: its place is another's while it is waited for to close.
-                self.shared.core(|relay, now| relay.left(now, id));
+                self.shared.core(|relay, now| relay.client_gone(now, id));
                 // It may have ended its sending only, and still read.
                 self.protocol.fixed(LocalReply::Failed, &mut self.reply);
                 self.close().await
@@ -220,7 +220,7 @@
                 () = gone(&self.client, &mut self.input, early) => return Ok(Placed::Left),
                 command = commands.recv() => command,
                 () = sleep_until(limit) => {
-                    shared.core(|relay, now| relay.overdue(now, id));
+                    shared.core(|relay, now| relay.deadline_passed(now, id));
                     commands.recv().await
                 }
             };
@@ -252,7 +252,7 @@
                 Waited::Left => return Ok(Placed::Left),
                 // The core has answered for a connection that was overdue.
                 Waited::Answered(response) => return Ok(Placed::Answered(response)),
-                Waited::Overdue => shared.core(|relay, now| relay.overdue(now, id)),
+                Waited::Overdue => shared.core(|relay, now| relay.deadline_passed(now, id)),
                 Waited::Done(Ok((upstream, first))) => {
                     debug!(
                         "flow {}: stands at {} after {:.0} ms",
@@ -260,12 +260,12 @@
                         endpoint.0,
                         shared.clock.now() - sent
                     );
-                    shared.core(|relay, now| relay.established(now, id, now - sent));
+                    shared.core(|relay, now| relay.connection_established(now, id, now - sent));
                     return Ok(Placed::Up(upstream, first));
                 }
                 Waited::Done(Err(outcome)) => {
                     debug!("flow {}: {} {outcome:?}", id.0, endpoint.0);
-                    shared.core(|relay, now| relay.ended(now, id, outcome));
+                    shared.core(|relay, now| relay.attempt_ended(now, id, outcome));
                 }
             }
         }
@@ -313,7 +313,7 @@
 
     /// Gives the connection to the process that serves now, with descriptors of its own; whether it could.
     fn pass(&self, id: RequestId, upstream: &TcpStream, up: &Pipe, down: &Pipe) -> bool {
-        let connection = self.shared.relay.borrow().carry_connection(id);
+        let connection = self.shared.relay.borrow().transfer_connection(id);
         let Some((connection, protocol)) = connection.zip(self.protocol.carry(self.shared.clock.now()))
         else {
             return false;
@@ -350,7 +350,7 @@
         let (mut up, mut down) = (Pipe::with(input), Pipe::with(first));
         let ended = |outcome| {
             debug!("flow {}: stood, {outcome:?}", id.0);
-            shared.core(|relay, now| relay.ended(now, id, outcome));
+            shared.core(|relay, now| relay.attempt_ended(now, id, outcome));
         };
         // Takes what the endpoint has to say; whether there was anything. Where it has broken the connection, all that it
         // had said before was read by then.
@@ -360,7 +360,7 @@
                 0
             });
             if let Some(trip) = protocol.endpoint_sent(shared.clock.now(), down.last(n)) {
-                shared.core(|relay, _| relay.round_trip(id, trip));
+                shared.core(|relay, _| relay.record_round_trip(id, trip));
             }
             n > 0 || down.eof
         };
@@ -478,7 +478,7 @@
                 () = sleep_until(wake.unwrap_or_else(Instant::now)), if wake.is_some() => {
                     let now = shared.clock.now();
                     if let Some(age) = unanswered.map(|since| now - since).filter(|_| slow.due(now)) {
-                        shared.core(|relay, _| relay.round_trip(id, age));
+                        shared.core(|relay, _| relay.record_round_trip(id, age));
                         if age >= SILENCE && moving.is_none() {
                             debug!("flow {}: its streamer is silent", id.0);
                             moving = Some((Outcome::Reset, Instant::now() + BOUNDARY));
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -72,14 +72,14 @@
                         anew = now;
                         let relays = shared.config.borrow().settings.relay_count;
                         let pause = span(shared.endpoint_list.borrow_mut().anew(relays, silent));
-                        shared.core(Relay::unwatched);
+                        shared.core(Relay::subscription_lost);
                         tokio::select! {
                             () = shared.moved.notified() => moved = true,
                             () = tokio::time::sleep(pause) => {}
                         }
                         continue;
                     }
-                    shared.core(|relay, now| relay.list(now, ListKind::Failed, Vec::new()));
+                    shared.core(|relay, now| relay.apply_list(now, ListKind::Failed, Vec::new()));
                     break;
                 }
             }
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -13,7 +13,7 @@
 use super::{Shared, until};
 use crate::config::Config;
 use crate::policy::api::{EndpointEntry, EndpointState, ListKind, Millis};
-use crate::relay::lifecycle::Refusal;
+use crate::relay::operator_calls::OperatorCallError;
 
 /// A caller waits so long at the most for what the office says, and is told meanwhile that it waits.
 const PATIENCE: Millis = 3000.0;
@@ -63,8 +63,8 @@
         let revision = self.endpoint_list.borrow().held().0;
         let whole = kind == ListKind::Full;
         self.core(|relay, now| match revision.filter(|_| whole || kind == ListKind::Delta) {
-            Some(revision) => relay.answered(now, Answer { revision, asked, whole }, entries),
-            None => relay.known(now, revision, entries),
+            Some(revision) => relay.apply_discovery_answer(now, Answer { revision, asked, whole }, entries),
+            None => relay.load_cached_list(now, revision, entries),
         });
     }
 
@@ -78,13 +78,15 @@
     }
 
     /// Carries out an operator's call. What is asked for is waited for a little, so that most hear at once how it stands.
-    pub(super) async fn window_call(&self, call: Call) -> Result<String, Refusal> {
+    pub(super) async fn window_call(&self, call: Call) -> Result<String, OperatorCallError> {
         if self.relay.borrow().is_handed_over() {
-            return Err(Refusal::HandedOver);
+            return Err(OperatorCallError::HandedOver);
         }
         let asks = matches!(call, Call::Window { .. } | Call::Extend(..));
-        let done = self.at_desk(|desk, now| desk.call(now, call)).ok_or(Refusal::Unknown)?;
-        let Some(id) = done.map_err(Refusal::Window)? else { return Ok(self.all_windows()) };
+        let done = self.at_desk(|desk, now| desk.call(now, call)).ok_or(OperatorCallError::Unknown)?;
+        let Some(id) = done.map_err(OperatorCallError::MaintenanceWindow)? else {
+            return Ok(self.all_windows());
+        };
         let until = self.clock.now() + PATIENCE;
         while asks && self.clock.now() < until && self.at_desk(|desk, _| desk.is_open(id)) == Some(true) {
             tokio::time::sleep(LOOK).await;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -79,7 +79,7 @@
 }
 
 /// A standing connection on its way to the next process.
-type Passing = (crate::relay::handover::Message, [OwnedFd; 2]);
+type Passing = (crate::handover::Message, [OwnedFd; 2]);
 
 /// What the drivers share.
 struct Shared {
@@ -146,7 +146,7 @@
                     let shared = self.clone();
                     spawn_local(async move {
                         tokio::time::sleep(span(after)).await;
-                        shared.core(|relay, now| relay.timer(now, token));
+                        shared.core(|relay, now| relay.timer_fired(now, token));
                     });
                 }
                 Command::Subscribe => self.watch.notify_one(),
@@ -252,7 +252,7 @@
                 }
                 if before != now {
                     shared.endpoint_list.borrow_mut().moved();
-                    shared.core(Relay::moved);
+                    shared.core(Relay::discovery_changed);
                     shared.moved.notify_one();
                 }
             }
@@ -273,7 +273,7 @@
     if let Some(post) = &shared.post {
         post.borrow_mut().ladder.renumber(settings.local_index, settings.relay_count);
     }
-    shared.core(|relay, now| relay.retune(now, settings, &classes));
+    shared.core(|relay, now| relay.apply_settings(now, settings, &classes));
     shared.rules.renew(line_names(&shared.relay.borrow(), &shared.config.borrow()));
 }
 
@@ -359,7 +359,7 @@
         // Until it has been waited for once, it is not known to take anything: the first would be lost.
         socket.writable().await?;
     }
-    if !shared.relay.borrow().is_listed() {
+    if !shared.relay.borrow().has_endpoint_list() {
         *shared.endpoint_list.borrow_mut() = endpoint_list;
         shared.listed(ListKind::Cached, known, shared.clock.now());
     }
--- a/src/net/operators.rs
+++ b/src/net/operators.rs
@@ -20,14 +20,14 @@
 
 use super::accept::CALLERS;
 use super::{ACCEPT_PAUSE, Shared};
-use crate::relay::lifecycle::{self, CALL_BYTES, Call, Caller, Refusal};
+use crate::relay::operator_calls::{self, CallParser, MAX_CALL_BYTES, OperatorCall, OperatorCallError};
 
 /// A caller that has not said what he wants by then is told so, and his seat is free again.
 const PATIENCE: Duration = Duration::from_secs(10);
 /// How long a last word may take to reach a caller, and the caller to close after it.
 const LINGER: Duration = Duration::from_millis(500);
 /// Most that is read of a caller who has to make room.
-const LEFT_BYTES: usize = 16 * CALL_BYTES;
+const LEFT_BYTES: usize = 16 * MAX_CALL_BYTES;
 
 /// How far a caller has come, in the order in which they make room.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -104,7 +104,7 @@
 }
 
 async fn serve(shared: &Rc<Shared>, seats: &Seats, id: u64, room: &Notify, mut stream: TcpStream) {
-    let mut caller = Caller::default();
+    let mut caller = CallParser::default();
     let call = tokio::select! {
         biased;
         () = room.notified() => {
@@ -117,19 +117,21 @@
     let call = match call {
         Ok(Some(call)) => call,
         Ok(None) => return,
-        Err(_) => Err(Refusal::Cut),
+        Err(_) => Err(OperatorCallError::Truncated),
     };
     let answer = match call {
-        Ok(Call::Window(call)) => shared.window_call(call).await,
-        Err(Refusal::Window(_)) if shared.desk.is_none() => Err(Refusal::Unknown),
+        Ok(OperatorCall::MaintenanceWindow(call)) => shared.window_call(call).await,
+        Err(OperatorCallError::MaintenanceWindow(_)) if shared.desk.is_none() => {
+            Err(OperatorCallError::Unknown)
+        }
         call => call.and_then(|call| carry_out(shared, call)),
     };
-    let answer = lifecycle::answer(answer);
+    let answer = operator_calls::reply_line(answer);
     let last = async {
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await?;
         // Closed with something unread, the answer could be lost on its way.
-        let mut rest = [0; CALL_BYTES];
+        let mut rest = [0; MAX_CALL_BYTES];
         while stream.read(&mut rest).await? > 0 {}
         std::io::Result::Ok(())
     };
@@ -143,16 +145,19 @@
 
 /// Lets go of a caller at once. What he has asked by now is answered, though it was not read yet; who has not asked, or
 /// asks for what may have to be waited for, is told nothing.
-fn make_room(shared: &Rc<Shared>, mut caller: Caller, stream: &TcpStream) -> std::io::Result<()> {
+fn make_room(shared: &Rc<Shared>, mut caller: CallParser, stream: &TcpStream) -> std::io::Result<()> {
     let socket = SockRef::from(stream);
-    let (mut call, mut read, mut buffer) = (None, 0, [0; CALL_BYTES]);
+    let (mut call, mut read, mut buffer) = (None, 0, [0; MAX_CALL_BYTES]);
     while call.is_none() {
         let n = (&*socket).read(&mut buffer)?;
         call = caller.feed(&buffer[..n]);
     }
     let answer = match call {
-        None | Some(Ok(Call::Window(_)) | Err(Refusal::Window(_))) => return Ok(()),
-        Some(call) => lifecycle::answer(call.and_then(|call| carry_out(shared, call))),
+        None
+        | Some(Ok(OperatorCall::MaintenanceWindow(_)) | Err(OperatorCallError::MaintenanceWindow(_))) => {
+            return Ok(());
+        }
+        Some(call) => operator_calls::reply_line(call.and_then(|call| carry_out(shared, call))),
     };
     (&*socket).write_all(answer.as_bytes())?;
     socket.shutdown(Shutdown::Write)?;
@@ -172,12 +177,12 @@
 
 /// Reads a call; nothing where the connection breaks.
 async fn heard(
-    caller: &mut Caller,
+    caller: &mut CallParser,
     stream: &mut TcpStream,
     seats: &Seats,
     id: u64,
-) -> Option<Result<Call, Refusal>> {
-    let mut buffer = [0; CALL_BYTES];
+) -> Option<Result<OperatorCall, OperatorCallError>> {
+    let mut buffer = [0; MAX_CALL_BYTES];
     loop {
         let n = stream.read(&mut buffer).await.ok()?;
         if let Some(call) = caller.feed(&buffer[..n]) {
@@ -187,30 +192,30 @@
     }
 }
 
-fn carry_out(shared: &Rc<Shared>, call: Call) -> Result<String, Refusal> {
+fn carry_out(shared: &Rc<Shared>, call: OperatorCall) -> Result<String, OperatorCallError> {
     if shared.relay.borrow().is_handed_over() {
-        return Err(Refusal::HandedOver);
+        return Err(OperatorCallError::HandedOver);
     }
     match call {
-        Call::Forms => return super::schema_version::status(shared),
-        Call::Finalize => return super::schema_version::finalize(shared),
+        OperatorCall::SchemaVersions => return super::schema_version::status(shared),
+        OperatorCall::Finalize => return super::schema_version::finalize(shared),
         _ => {}
     }
-    let ready = || *shared.gate.borrow() && shared.relay.borrow().is_listed();
+    let ready = || *shared.gate.borrow() && shared.relay.borrow().has_endpoint_list();
     match call {
-        Call::Status if !ready() => return Err(Refusal::NotReady),
+        OperatorCall::Status if !ready() => return Err(OperatorCallError::NotReady),
         // Answered where it may be waited for.
-        Call::Status | Call::Window(_) => {}
-        Call::Standby => {
+        OperatorCall::Status | OperatorCall::MaintenanceWindow(_) => {}
+        OperatorCall::Standby => {
             warn!("operators: standby");
-            shared.core(|relay, now| relay.stand_by(now));
+            shared.core(|relay, now| relay.enter_standby(now));
         }
-        Call::Active => {
+        OperatorCall::Active => {
             info!("operators: active");
             shared.core(|relay, _| relay.activate());
         }
-        Call::Forms | Call::Finalize => {}
+        OperatorCall::SchemaVersions | OperatorCall::Finalize => {}
     }
     let relay = shared.relay.borrow();
-    Ok(format!("{}, {} standing", relay.operation(), relay.standing()))
+    Ok(format!("{}, {} standing", relay.serving_mode(), relay.established_connections()))
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -52,7 +52,7 @@
                 if let Some((peer, text)) = peer.zip(std::str::from_utf8(&buffer[..length]).ok())
                     && let Some(message) = schema_version::read(&shared, peer as u32, text)
                 {
-                    shared.core(|relay, now| relay.told(now, peer as u32, message));
+                    shared.core(|relay, now| relay.receive_peer_message(now, peer as u32, message));
                 }
             }
             // An error here is of an earlier send: its peer does not listen.
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -15,7 +15,7 @@
 use crate::config::Config;
 use crate::peers;
 use crate::policy::api::{Millis, PeerMessage};
-use crate::relay::lifecycle::Refusal;
+use crate::relay::operator_calls::OperatorCallError;
 
 /// How long a process that starts listens for what is finalized, and how often it asks meanwhile.
 const LISTENS: [Millis; 3] = [100.0, 100.0, 200.0];
@@ -93,7 +93,9 @@
             let text = std::str::from_utf8(&buffer[..length]).ok();
             let Some((peer, text)) = peer.zip(text) else { continue };
             match receive(shared, post, peer as u32, text) {
-                Ok(Some(message)) => shared.core(|relay, now| relay.told(now, peer as u32, message)),
+                Ok(Some(message)) => {
+                    shared.core(|relay, now| relay.receive_peer_message(now, peer as u32, message))
+                }
                 Err(e @ SchemaVersionError::Finalized { .. }) => return Err(refused(e)),
                 _ => {}
             }
@@ -165,15 +167,16 @@
 }
 
 /// What operators are told of forms.
-pub(super) fn status(shared: &Shared) -> Result<String, Refusal> {
-    let post = shared.post.as_ref().ok_or(Refusal::Unknown)?;
+pub(super) fn status(shared: &Shared) -> Result<String, OperatorCallError> {
+    let post = shared.post.as_ref().ok_or(OperatorCallError::Unknown)?;
     Ok(crate::schema_status::status(&post.borrow(), shared.clock.now()))
 }
 
 /// Ends the possibility to go back.
-pub(super) fn finalize(shared: &Shared) -> Result<String, Refusal> {
-    let post = shared.post.as_ref().ok_or(Refusal::Unknown)?;
-    let form = post.borrow_mut().ladder.finalize(shared.clock.now()).map_err(Refusal::SchemaVersion)?;
+pub(super) fn finalize(shared: &Shared) -> Result<String, OperatorCallError> {
+    let post = shared.post.as_ref().ok_or(OperatorCallError::Unknown)?;
+    let form =
+        post.borrow_mut().ladder.finalize(shared.clock.now()).map_err(OperatorCallError::SchemaVersion)?;
     warn!("operators: finalize: nothing is written below form {form} any more");
     shared.forms.notify_one();
     Ok(format!("finalized {form}"))
--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -24,15 +24,16 @@
 
 use super::{Shared, connection, span};
 use crate::discovery::ListError;
+use crate::handover::{
+    FIRST_PROTOCOL_VERSION, MAX_LIST_ENTRIES_PER_MESSAGE, MAX_PASSED_SOCKETS, MAX_RECORDS_PER_MESSAGE,
+    MAX_TRANSFERS_AT_A_TIME, Message, MessageDecoder, PredecessorAction, PredecessorProcess, SuccessorAction,
+    SuccessorProcess, VERSION_MISMATCH, encode, negotiate_version,
+};
 use crate::listener::TransferredProtocol;
 use crate::listener::line::LineProtocol;
 use crate::policy::api::ListKind;
 use crate::policy::learned_state::LearnedState;
-use crate::relay::handover::{
-    ANOTHER_FORM, CONNECTIONS, ElderStep, FORM, Frames, MEMBERS, Message, PredecessorProcess, RECORDS,
-    SOCKETS, Successor, SuccessorStep, agreed, encode,
-};
-use crate::relay::transfer::TransferredConnection;
+use crate::relay::TransferredConnection;
 
 /// The socket's name in the folder.
 const NAME: &str = "sandgw-handover";
@@ -46,7 +47,7 @@
 /// A connection to the other process.
 struct Link {
     stream: UnixStream,
-    frames: Frames,
+    frames: MessageDecoder,
     /// How many bytes were read.
     read: u64,
     /// Descriptors that came, each with how many bytes were read by then, until the message is whole that they came
@@ -59,22 +60,28 @@
 
 impl Link {
     fn new(stream: UnixStream) -> Self {
-        Link { stream, frames: Frames::default(), read: 0, sockets: VecDeque::new(), beside: Vec::new() }
+        Link {
+            stream,
+            frames: MessageDecoder::default(),
+            read: 0,
+            sockets: VecDeque::new(),
+            beside: Vec::new(),
+        }
     }
 
     /// The next message. It loses nothing when dropped on the way.
     async fn next(&mut self) -> io::Result<Message> {
         loop {
-            let message = self.frames.message().map_err(|e| io::Error::other(e.to_string()))?;
+            let message = self.frames.next_message().map_err(|e| io::Error::other(e.to_string()))?;
             if let Some(message) = message {
-                let end = self.read - self.frames.rest() as u64;
+                let end = self.read - self.frames.buffered_bytes() as u64;
                 let own = self.sockets.iter().take_while(|(at, _)| *at <= end).count();
                 self.beside = self.sockets.drain(..own).map(|(_, socket)| socket).collect();
                 return Ok(message);
             }
             self.stream.readable().await?;
             let mut bytes = [0; 4096];
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(SOCKETS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_SOCKETS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let read = self.stream.try_io(Interest::READABLE, || {
                 let mut parts = [IoSliceMut::new(&mut bytes)];
@@ -92,7 +99,7 @@
                     self.sockets.extend(sockets.map(|socket| (self.read, socket)));
                 }
             }
-            self.sockets.truncate(2 * SOCKETS);
+            self.sockets.truncate(2 * MAX_PASSED_SOCKETS);
             self.frames.feed(&bytes[..read]);
         }
     }
@@ -108,7 +115,7 @@
             let mut first = 0;
             while first == 0 {
                 self.stream.writable().await?;
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(SOCKETS))];
+                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_SOCKETS))];
                 let mut control = SendAncillaryBuffer::new(&mut space);
                 if !sockets.is_empty() && !control.push(SendAncillaryMessage::ScmRights(sockets)) {
                     return Err(io::Error::other("too many sockets"));
@@ -137,7 +144,7 @@
 /// The running process, which has told all that it has and still serves.
 pub struct Predecessor {
     link: Link,
-    step: Successor,
+    step: SuccessorProcess,
 }
 
 /// Why the relay was not had from the running process.
@@ -153,15 +160,15 @@
 }
 
 impl Predecessor {
-    async fn next(&mut self) -> Result<(Message, SuccessorStep), Failed> {
-        let message = match self.step.patience() {
+    async fn next(&mut self) -> Result<(Message, SuccessorAction), Failed> {
+        let message = match self.step.message_timeout_ms() {
             Some(patience) => timeout(span(patience), self.link.next()).await,
             None => Ok(self.link.next().await),
         };
         let message = message.map_err(|_| refused("the running process does not answer"))?;
         let message = message.map_err(Failed::Broken)?;
-        match self.step.hears(&message) {
-            SuccessorStep::Fail(why) => Err(refused(why)),
+        match self.step.handle_message(&message) {
+            SuccessorAction::Fail(why) => Err(refused(why)),
             step => Ok((message, step)),
         }
     }
@@ -180,11 +187,15 @@
                 return if alone { Ok(None) } else { Err(e) };
             }
         };
-        let mut old = Predecessor { link: Link::new(stream), step: Successor::default() };
+        let mut old = Predecessor { link: Link::new(stream), step: SuccessorProcess::default() };
         match absorb(shared, &mut old, handed, form).await {
             Ok(()) => return Ok(Some(old)),
             // A process of before there were forms: once more in the one that it speaks.
-            Err(Failed::Refused(e)) if form > FORM && e.to_string().ends_with(ANOTHER_FORM) => form = FORM,
+            Err(Failed::Refused(e))
+                if form > FIRST_PROTOCOL_VERSION && e.to_string().ends_with(VERSION_MISMATCH) =>
+            {
+                form = FIRST_PROTOCOL_VERSION
+            }
             Err(Failed::Refused(e)) => return Err(e),
             Err(Failed::Broken(e)) => warn!("hand-over: the running process has broken off: {e}"),
         }
@@ -194,7 +205,10 @@
 
 /// The newest form of messages that this process speaks.
 fn newest(shared: &Shared) -> u32 {
-    shared.post.as_ref().map_or(FORM, |post| post.borrow().ladder.range().newest().number().into())
+    shared
+        .post
+        .as_ref()
+        .map_or(FIRST_PROTOCOL_VERSION, |post| post.borrow().ladder.range().newest().number().into())
 }
 
 async fn absorb(
@@ -204,34 +218,34 @@
     form: u32,
 ) -> Result<(), Failed> {
     let name = shared.config.borrow().name.clone();
-    old.link.send(&Message::Hello { form, name }, &[]).await.map_err(Failed::Broken)?;
+    old.link.send(&Message::Hello { version: form, relay_name: name }, &[]).await.map_err(Failed::Broken)?;
     let mut list: Option<(Option<u64>, Vec<Value>)> = None;
     loop {
         let (message, step) = old.next().await?;
         match message {
-            Message::List { discovery, revision, members } => {
+            Message::EndpointList { discovery, revision, entries: members } => {
                 let same = discovery == shared.config.borrow().discovery.to_string();
                 let read = members.iter().map(|m| serde_json::from_str(m));
                 let read = read.collect::<Result<Vec<Value>, _>>().map_err(refused)?;
                 let list = list.get_or_insert((revision.filter(|_| same), Vec::new()));
                 list.1.extend(read);
             }
-            Message::Forms { form, listened, word } => {
+            Message::VersionAgreement { version: form, listened, advertisement: word } => {
                 info!("hand-over: in form {form}");
                 super::schema_version::resume(shared, listened, &word).map_err(refused)?;
             }
-            Message::Records(records) => restore(shared, records),
-            Message::Sockets(keys) => {
+            Message::AffinityRecords(records) => restore(shared, records),
+            Message::ListeningSockets(keys) => {
                 handed.extend(keys.into_iter().zip(old.link.take()));
             }
             // The list comes first: what was learned is of its endpoints.
             Message::LearnedState(piece) => {
                 known(shared, list.take()).map_err(refused)?;
-                shared.core(|relay, now| relay.carried(now, piece));
+                shared.core(|relay, now| relay.import_learned_state(now, piece));
             }
             _ => {}
         }
-        if step == SuccessorStep::Take {
+        if step == SuccessorAction::RequestTakeover {
             return known(shared, list.take()).map_err(refused);
         }
     }
@@ -242,40 +256,42 @@
     let Some((revision, members)) = list else { return Ok(()) };
     let entries = shared.endpoint_list.borrow_mut().handed(revision, members)?;
     shared.core(|relay, now| match revision {
-        Some(revision) => relay.answered(now, Answer { revision, asked: now, whole: true }, entries),
-        None => relay.list(now, ListKind::Full, entries),
+        Some(revision) => {
+            relay.apply_discovery_answer(now, Answer { revision, asked: now, whole: true }, entries)
+        }
+        None => relay.apply_list(now, ListKind::Full, entries),
     });
     shared.watch.notify_one();
     Ok(())
 }
 
 fn restore(shared: &Rc<Shared>, records: Vec<Record>) {
-    shared.core(|relay, now| relay.restore(now, records.into_iter()));
+    shared.core(|relay, now| relay.restore_affinity(now, records.into_iter()));
 }
 
 /// Takes the relay over: when this returns, the running process has stopped accepting for good.
 pub async fn take(shared: &Rc<Shared>, old: &mut Predecessor) -> Result<(), Failed> {
-    old.link.send(&Message::Take, &[]).await.map_err(Failed::Broken)?;
+    old.link.send(&Message::TakeoverRequest, &[]).await.map_err(Failed::Broken)?;
     loop {
         let (message, step) = old.next().await?;
         match message {
-            Message::Records(records) => restore(shared, records),
-            Message::Yield { descriptors, standby, cold_in } => {
+            Message::AffinityRecords(records) => restore(shared, records),
+            Message::AcceptingStopped { descriptors, standby, slow_start_pause: cold_in } => {
                 shared.admission.set_others(descriptors as usize);
                 shared.core(|relay, now| {
-                    relay.carried(now, LearnedState::pause(cold_in));
+                    relay.import_learned_state(now, LearnedState::pause(cold_in));
                     if let Some(span) = standby.filter(|span| *span >= 0.0) {
-                        relay.stand_by(now - span);
+                        relay.enter_standby(now - span);
                     }
                 });
             }
             _ => {}
         }
         match step {
-            SuccessorStep::Claim => {
-                old.link.send(&Message::Claim, &[]).await.map_err(Failed::Broken)?;
+            SuccessorAction::ClaimOwnership => {
+                old.link.send(&Message::OwnershipClaim, &[]).await.map_err(Failed::Broken)?;
             }
-            SuccessorStep::Serve => return Ok(()),
+            SuccessorAction::Serve => return Ok(()),
             _ => {}
         }
     }
@@ -287,8 +303,8 @@
     shared.predecessor.set(true);
     while let Ok((message, _)) = old.next().await {
         match message {
-            Message::Held { descriptors } => shared.admission.set_others(descriptors as usize),
-            Message::Records(records) => restore(&shared, records),
+            Message::DescriptorsInUse { descriptors } => shared.admission.set_others(descriptors as usize),
+            Message::AffinityRecords(records) => restore(&shared, records),
             Message::Connection { connection, protocol, up, down } => {
                 let passed = adopt(&shared, old.link.take(), *connection, *protocol, (up, down));
                 if let Err(e) = passed {
@@ -362,9 +378,9 @@
             if let Err(e) = ended {
                 warn!("hand-over: {e}");
             }
-            if elder.takes_back(shared.terminated.get()) {
+            if elder.resumes_accepting(shared.terminated.get()) {
                 warn!("hand-over: it has failed, this process goes on");
-                shared.relay.borrow_mut().take_back();
+                shared.relay.borrow_mut().resume_serving();
                 shared.gate.send_replace(true);
             }
             if elder == PredecessorProcess::HandedOver {
@@ -374,7 +390,7 @@
         }
         if shared.relay.borrow().is_handed_over() {
             // Nobody takes what stands: it is moved where it would be lost.
-            shared.core(|relay, now| relay.stand_by(now));
+            shared.core(|relay, now| relay.enter_standby(now));
             return ending(&shared).await;
         }
     }
@@ -433,7 +449,7 @@
     let mut passing = Passing(shared, shared.passing.1.borrow_mut().take());
     let mut interval = tokio::time::interval(REPORT);
     loop {
-        let message = match elder.patience() {
+        let message = match elder.message_timeout_ms() {
             Some(patience) => timeout(span(patience), link.next()).await??,
             None => tokio::select! {
                 message = link.next() => message?,
@@ -444,7 +460,7 @@
                 _ = interval.tick() => {
                     report(shared, &mut link, &mut told).await?;
                     if shared.terminated.get() {
-                        shared.core(|relay, _| relay.pass(CONNECTIONS));
+                        shared.core(|relay, _| relay.transfer_connections(MAX_TRANSFERS_AT_A_TIME));
                     }
                     if passing.is_empty() && is_over(shared) {
                         info!("hand-over: nothing is left here, ending");
@@ -454,34 +470,44 @@
                 }
             },
         };
-        match elder.hears(&message, &name) {
-            ElderStep::Snapshot if shared.predecessor.get() => {
+        match elder.handle_message(&message, &name) {
+            PredecessorAction::SendSnapshot if shared.predecessor.get() => {
                 return refuse(&mut link, "the process before has not ended").await;
             }
-            ElderStep::Snapshot => {
-                let form = agreed(&message, newest(shared));
-                if let Some((listened, word)) = super::schema_version::word(shared).filter(|_| form > FORM) {
-                    link.send(&Message::Forms { form, listened, word }, &[]).await?;
+            PredecessorAction::SendSnapshot => {
+                let form = negotiate_version(&message, newest(shared));
+                if let Some((listened, word)) =
+                    super::schema_version::word(shared).filter(|_| form > FIRST_PROTOCOL_VERSION)
+                {
+                    link.send(
+                        &Message::VersionAgreement { version: form, listened, advertisement: word },
+                        &[],
+                    )
+                    .await?;
                 }
                 snapshot(shared, &mut link).await?;
             }
-            ElderStep::Yield => {
+            PredecessorAction::StopAccepting => {
                 info!("hand-over: a new process takes the relay");
                 shared.gate.send_replace(false);
                 changes(shared, &mut link).await?;
                 let (standby, cold_in) = {
                     let (now, relay) = (shared.clock.now(), shared.relay.borrow());
-                    (relay.standby_for(now), relay.cold_in(now))
+                    (relay.standby_elapsed(now), relay.slow_start_pause(now))
                 };
                 let descriptors = shared.admission.held() as u32;
-                link.send(&Message::Yield { descriptors, standby, cold_in }, &[]).await?;
+                link.send(
+                    &Message::AcceptingStopped { descriptors, standby, slow_start_pause: cold_in },
+                    &[],
+                )
+                .await?;
             }
-            ElderStep::HandOver => {
+            PredecessorAction::GrantOwnership => {
                 shared.core(|relay, now| relay.hand_over(now));
-                link.send(&Message::Yours, &[]).await?;
+                link.send(&Message::OwnershipGranted, &[]).await?;
                 info!("hand-over: done; this process finishes what it has");
             }
-            ElderStep::Refuse(why) => return refuse(&mut link, why).await,
+            PredecessorAction::Refuse(reason) => return refuse(&mut link, &reason.to_string()).await,
         }
     }
 }
@@ -505,19 +531,19 @@
         let (revision, members) = list.held();
         (revision, members.map(Value::to_string).collect::<Vec<_>>())
     };
-    if shared.relay.borrow().is_listed() {
-        for members in members.chunks(MEMBERS) {
+    if shared.relay.borrow().has_endpoint_list() {
+        for members in members.chunks(MAX_LIST_ENTRIES_PER_MESSAGE) {
             let (discovery, members) = (discovery.clone(), members.to_vec());
-            link.send(&Message::List { discovery, revision, members }, &[]).await?;
+            link.send(&Message::EndpointList { discovery, revision, entries: members }, &[]).await?;
         }
     }
-    let carried = shared.relay.borrow().carry(shared.clock.now());
+    let carried = shared.relay.borrow().export_learned_state(shared.clock.now());
     for piece in carried {
         link.send(&Message::LearnedState(piece), &[]).await?;
     }
-    shared.relay.borrow_mut().keep();
+    shared.relay.borrow_mut().track_affinity_changes();
     while let Some(records) = next_changes(shared) {
-        link.send(&Message::Records(records), &[]).await?;
+        link.send(&Message::AffinityRecords(records), &[]).await?;
     }
     let (keys, sockets): (Vec<_>, Vec<OwnedFd>) = {
         let kept = shared.sockets.borrow();
@@ -525,13 +551,14 @@
         again.collect::<io::Result<Vec<_>>>()?.into_iter().unzip()
     };
     let sockets: Vec<_> = sockets.iter().map(AsFd::as_fd).collect();
-    link.send(&Message::Sockets(keys), &sockets).await?;
-    link.send(&Message::Whole, &[]).await
+    link.send(&Message::ListeningSockets(keys), &sockets).await?;
+    link.send(&Message::SnapshotComplete, &[]).await
 }
 
 /// Clients and groups that have changed since the last call; nothing once that is all.
 fn next_changes(shared: &Shared) -> Option<Vec<Record>> {
-    let changes = shared.relay.borrow_mut().changes(shared.clock.now(), RECORDS);
+    let changes =
+        shared.relay.borrow_mut().take_affinity_changes(shared.clock.now(), MAX_RECORDS_PER_MESSAGE);
     Some(changes.set).filter(|set| !set.is_empty())
 }
 
@@ -540,7 +567,7 @@
     while let Some(mut records) = next_changes(shared) {
         records.retain(|r| matches!(r, Record::Session { .. }));
         if !records.is_empty() {
-            link.send(&Message::Records(records), &[]).await?;
+            link.send(&Message::AffinityRecords(records), &[]).await?;
         }
     }
     Ok(())
@@ -550,7 +577,7 @@
     changes(shared, link).await?;
     let descriptors = shared.admission.held();
     if std::mem::replace(told, descriptors) != descriptors {
-        link.send(&Message::Held { descriptors: descriptors as u32 }, &[]).await?;
+        link.send(&Message::DescriptorsInUse { descriptors: descriptors as u32 }, &[]).await?;
     }
     Ok(())
 }
--- a/src/properties.rs
+++ b/src/properties/mod.rs
@@ -402,7 +402,7 @@
             drained_by_endpoint,
             ..IncomingRequest::default()
         };
-        let id = self.stations[at].relay.arrive(self.now, arrival);
+        let id = self.stations[at].relay.accept_request(self.now, arrival);
         let book = Book {
             client,
             deadline,
@@ -434,7 +434,7 @@
         if self.take_out(at, id, attempt).is_none() {
             return;
         }
-        self.call(at, |relay, now| relay.ended(now, id, outcome));
+        self.call(at, |relay, now| relay.attempt_ended(now, id, outcome));
         let book = &self.stations[at].books[&id];
         // A repeat might act twice: an unsafe connection that may have run is given up as well.
         let given_up = attempt + 1 >= 5 || (CLASSES[book.class] == "unsafe" && outcome.may_have_run());
@@ -479,7 +479,7 @@
                 station.leaving.entry(e.id.clone()).or_insert(now);
             }
         }
-        self.call(at, |relay, now| relay.list(now, kind, entries));
+        self.call(at, |relay, now| relay.apply_list(now, kind, entries));
     }
 
     /// Ends standing connections of an endpoint, a share of them, and their clients come again.
@@ -538,7 +538,7 @@
         let stood = self.stations[at].books.get_mut(&id).and_then(|b| b.stands.take());
         if stood.is_some() {
             self.stations[at].books.remove(&id);
-            self.call(at, |relay, now| relay.ended(now, id, outcome));
+            self.call(at, |relay, now| relay.attempt_ended(now, id, outcome));
         }
     }
 
@@ -623,7 +623,7 @@
                     return self.end_attempt(at, id, attempt, Outcome::Reset);
                 }
                 book.stands = Some((endpoint, now));
-                self.call(at, |relay, now| relay.established(now, id, now - sent));
+                self.call(at, |relay, now| relay.connection_established(now, id, now - sent));
                 let life = self.exponential(LIFE);
                 let outcome = if self.dice.random_bool(0.5) { Outcome::Ok } else { Outcome::Cancelled };
                 self.after(life, Due::Close(at, id, outcome));
@@ -642,11 +642,11 @@
             Due::Leaves(at, id) => self.leave(at, id),
             Due::Timer(at, token) => {
                 self.stations[at].armed.entry(token).and_modify(|n| *n -= 1);
-                self.call(at, |relay, now| relay.timer(now, token));
+                self.call(at, |relay, now| relay.timer_fired(now, token));
             }
             Due::List(at, kind, entries) if self.stations[at].up => self.hear(at, kind, entries),
             Due::Tell(at, from, message) if self.stations[at].up => {
-                self.call(at, |relay, now| relay.told(now, from, message));
+                self.call(at, |relay, now| relay.receive_peer_message(now, from, message));
             }
             Due::Trouble if self.now < START + TROUBLE - 4_500.0 => {
                 self.trouble();
@@ -692,7 +692,7 @@
         let place = if queued { 0 } else { 1 + usize::from(book.out.is_some()) };
         (book.left, book.out) = (true, None);
         self.left[place] += 1;
-        self.call(at, |relay, now| relay.left(now, id));
+        self.call(at, |relay, now| relay.client_gone(now, id));
         let Station { relay, books, .. } = &self.stations[at];
         let open = || books.iter().filter(|(_, b)| !b.answered && !b.left);
         let out = open().filter(|(_, b)| b.out.is_some()).count();
@@ -748,7 +748,7 @@
                 self.close(at, id, Outcome::Ok);
             }
             let station = &self.stations[at];
-            let (waiting, standing) = (station.books.len(), station.relay.standing());
+            let (waiting, standing) = (station.books.len(), station.relay.established_connections());
             let left = station.relay.load_balancer.at_rest();
             self.look(Rule::Rest, waiting == 0 && standing == 0 && left, || {
                 format!("relay {at}: {waiting} flows wait, {standing} stand; at rest: {left}")
--- /dev/null
+++ b/src/relay/affinity.rs
@@ -0,0 +1,28 @@
+//! Access to the cluster's affinity tables of clients and groups, for a store and for monitoring.
+
+use sandgw_affinity::{Changes, Figures, Record, Restored};
+
+use super::Relay;
+use crate::policy::api::Millis;
+
+impl Relay {
+    /// Takes what a store has of clients and groups, before the first list.
+    pub fn restore_affinity(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> Restored {
+        self.load_balancer.cluster_state_mut().restore(now, records)
+    }
+
+    /// From now on removed keys are remembered for [`Relay::take_affinity_changes`], and all entries count as changed.
+    pub fn track_affinity_changes(&mut self) {
+        self.load_balancer.cluster_state_mut().track_changes();
+    }
+
+    /// What has changed of clients and groups since the last call, at most so many entries.
+    pub fn take_affinity_changes(&mut self, now: Millis, max_entries: usize) -> Changes {
+        self.load_balancer.cluster_state_mut().take_changes(now, max_entries)
+    }
+
+    /// Statistics of the tables of clients and groups.
+    pub fn affinity_statistics(&self) -> Figures {
+        self.load_balancer.cluster_state().statistics()
+    }
+}
--- a/src/relay/classes.rs
+++ b/src/relay/classes.rs
@@ -1,98 +1,131 @@
-//! The places of classes. Connections, the core and the load balancer hold a class by its position in the settings, so a position
-//! must mean the same for as long as anybody holds it, whatever settings come in between.
+//! Positions of classes. Connections, the core and the load balancer refer to a class by its position in the settings,
+//! so a position must mean the same for as long as anything refers to it, whatever settings are applied in between.
 //!
-//! Fed each reading of the settings and the positions that connections hold; gives the classes by position, and the
-//! position of a name. It never moves a class.
+//! Inputs are the classes of each new settings and the positions that connections refer to, with times in
+//! milliseconds; outputs are the classes by position, and the position of a name. It never moves a class.
 
 use std::collections::BTreeSet;
 
 use crate::policy::api::{Class, ClassId, Idempotency, Millis};
 
-/// New connections may name a dropped class for so long: clients learn of new settings up to 1.2 s later, and some take
-/// their time to write.
-const STILL_NAMED: Millis = 2000.0;
-/// Dropped classes that are kept though no connection here holds them: connections of theirs may arrive mid-flow.
-const DROPPED_KEPT: usize = 8;
+/// For how long new requests may still name a class that was dropped: clients learn of new settings up to 1.2 s later,
+/// and then take their time to send a request.
+const DROPPED_CLASS_GRACE_MS: Millis = 2000.0;
+/// Dropped classes that stay though no connection here refers to them: connections of theirs may arrive mid-flow.
+const MAX_UNUSED_DROPPED_CLASSES: usize = 8;
 
+/// What a position stands for.
 #[derive(Clone, Debug, PartialEq)]
-struct Place {
+struct NamedClass {
     name: String,
     class: Class,
     /// When it was dropped from the settings, if it was.
-    dropped: Option<Millis>,
+    dropped_at: Option<Millis>,
 }
 
-/// Classes by position, those of the settings and those dropped that somebody may hold yet.
+impl NamedClass {
+    fn is(&self, name: &str, class: &Class) -> bool {
+        self.name == name && self.class == *class
+    }
+}
+
+/// A dropped class that no connection refers to.
+struct UnusedClass {
+    position: usize,
+    dropped_at: Millis,
+}
+
+/// Classes by position: those of the settings, and dropped ones that something may still refer to.
 #[derive(Debug, Default)]
-pub struct Classes {
-    places: Vec<Option<Place>>,
+pub(super) struct ClassTable {
+    /// `None` where a position is free.
+    slots: Vec<Option<NamedClass>>,
 }
 
-impl Classes {
-    /// Takes the classes of new settings; `held` are the positions that connections hold.
-    pub fn renew(&mut self, now: Millis, names: &[String], classes: &[Class], held: &BTreeSet<ClassId>) {
-        let listed: Vec<(&String, &Class)> = names.iter().zip(classes).collect();
-        for place in self.places.iter_mut().flatten() {
-            let stays = listed.contains(&(&place.name, &place.class));
-            place.dropped = if stays { None } else { Some(place.dropped.unwrap_or(now)) };
-        }
-        self.forget(held);
-        for (name, class) in listed {
-            let is = |p: &Place| p.name == *name && p.class == *class;
-            if self.places.iter().flatten().any(is) {
-                continue;
+impl ClassTable {
+    /// Applies the classes of new settings; `in_use` are the positions that connections refer to.
+    pub(super) fn apply_settings(
+        &mut self,
+        now: Millis,
+        names: &[String],
+        classes: &[Class],
+        in_use: &BTreeSet<ClassId>,
+    ) {
+        self.mark_dropped(now, names, classes);
+        self.free_unused(in_use);
+        for (name, class) in names.iter().zip(classes) {
+            if !self.slots.iter().flatten().any(|slot| slot.is(name, class)) {
+                self.add(NamedClass { name: name.clone(), class: class.clone(), dropped_at: None });
             }
-            let place = Some(Place { name: name.clone(), class: class.clone(), dropped: None });
-            match self.places.iter_mut().find(|p| p.is_none()) {
-                Some(free) => *free = place,
-                None => self.places.push(place),
+        }
+    }
+
+    fn mark_dropped(&mut self, now: Millis, names: &[String], classes: &[Class]) {
+        for slot in self.slots.iter_mut().flatten() {
+            let listed = names.iter().zip(classes).any(|(name, class)| slot.is(name, class));
+            slot.dropped_at = if listed { None } else { Some(slot.dropped_at.unwrap_or(now)) };
+        }
+    }
+
+    /// Frees the positions of dropped classes that no connection refers to, but for the last few.
+    fn free_unused(&mut self, in_use: &BTreeSet<ClassId>) {
+        let mut unused = self.unused(in_use);
+        unused.sort_by(|a, b| b.dropped_at.total_cmp(&a.dropped_at));
+        for class in unused.into_iter().skip(MAX_UNUSED_DROPPED_CLASSES) {
+            self.slots[class.position] = None;
+        }
+    }
+
+    fn unused(&self, in_use: &BTreeSet<ClassId>) -> Vec<UnusedClass> {
+        let mut unused = Vec::new();
+        for (position, slot) in self.slots.iter().enumerate() {
+            let dropped_at = slot.as_ref().and_then(|slot| slot.dropped_at);
+            if let Some(dropped_at) = dropped_at.filter(|_| !in_use.contains(&ClassId(position))) {
+                unused.push(UnusedClass { position, dropped_at });
             }
         }
+        unused
     }
 
-    /// Frees the places of dropped classes that no connection holds, but for the last few.
-    fn forget(&mut self, held: &BTreeSet<ClassId>) {
-        let dropped = |p: &Option<Place>| p.as_ref().and_then(|p| p.dropped);
-        let mut idle: Vec<(usize, Millis)> =
-            self.places.iter().enumerate().filter_map(|(i, p)| dropped(p).map(|at| (i, at))).collect();
-        idle.retain(|(i, _)| !held.contains(&ClassId(*i)));
-        idle.sort_by(|a, b| b.1.total_cmp(&a.1));
-        for (i, _) in idle.into_iter().skip(DROPPED_KEPT) {
-            self.places[i] = None;
+    /// Puts a class at the first free position.
+    fn add(&mut self, class: NamedClass) {
+        match self.slots.iter_mut().find(|slot| slot.is_none()) {
+            Some(free) => *free = Some(class),
+            None => self.slots.push(Some(class)),
         }
     }
 
-    /// Names that a connection may come with: each with until when a new one may, where it was dropped. One that arrives
-    /// mid-flow may come with any of them.
-    pub fn names(&self) -> Vec<(String, Option<Millis>)> {
-        let until = |p: &Place| p.dropped.map(|at| at + STILL_NAMED);
-        self.places.iter().flatten().map(|p| (p.name.clone(), until(p))).collect()
+    /// Names that a request may come with. One that was dropped has the time until which a new request may still name
+    /// it; a connection that arrives mid-flow may come with any of them.
+    pub(super) fn names(&self) -> Vec<(String, Option<Millis>)> {
+        let until = |slot: &NamedClass| slot.dropped_at.map(|at| at + DROPPED_CLASS_GRACE_MS);
+        self.slots.iter().flatten().map(|slot| (slot.name.clone(), until(slot))).collect()
     }
 
-    /// The position of a class: the one in force of that name, or else the one that was dropped last.
-    pub fn position(&self, name: &str) -> Option<ClassId> {
-        let named = |p: &&(usize, &Place)| p.1.name == name;
-        let places = self.places.iter().enumerate().filter_map(|(i, p)| Some((i, p.as_ref()?)));
-        let places: Vec<_> = places.collect();
-        let latest = |p: &&(usize, &Place)| p.1.dropped.unwrap_or(f64::INFINITY);
-        let found = places.iter().filter(named).max_by(|a, b| latest(a).total_cmp(&latest(b)));
-        found.map(|(i, _)| ClassId(*i))
+    /// The position of a class: of the one in force of that name, or else of the one that was dropped last.
+    pub(super) fn position(&self, name: &str) -> Option<ClassId> {
+        let dropped_at = |slot: &NamedClass| slot.dropped_at.unwrap_or(f64::INFINITY);
+        let slots = self.slots.iter().enumerate().filter_map(|(i, slot)| Some((ClassId(i), slot.as_ref()?)));
+        let named = slots.filter(|(_, slot)| slot.name == name);
+        let latest = named.max_by(|(_, a), (_, b)| dropped_at(a).total_cmp(&dropped_at(b)));
+        latest.map(|(position, _)| position)
     }
 
     /// The name of a class.
-    pub fn name(&self, class: ClassId) -> Option<&str> {
-        self.places.get(class.0)?.as_ref().map(|p| p.name.as_str())
+    pub(super) fn name(&self, class: ClassId) -> Option<&str> {
+        self.slots.get(class.0)?.as_ref().map(|slot| slot.name.as_str())
     }
 
-    /// The classes for the load balancer, by position. A free place holds one that nobody can name.
-    pub fn by_position(&self) -> Vec<Class> {
-        let free = Class {
+    /// The classes for the load balancer, by position. At a free position is one that nobody can name.
+    pub(super) fn by_position(&self) -> Vec<Class> {
+        let unnamed = Class {
             idempotency: Idempotency::Unsafe,
             latency_objective: f64::INFINITY,
             message_latency_objective: None,
             priority_weight: 0.0,
         };
-        self.places.iter().map(|p| p.as_ref().map_or_else(|| free.clone(), |p| p.class.clone())).collect()
+        let class = |slot: &Option<NamedClass>| slot.as_ref().map_or(&unnamed, |slot| &slot.class).clone();
+        self.slots.iter().map(class).collect()
     }
 }
 
--- a/src/relay/classes/tests.rs
+++ b/src/relay/classes/tests.rs
@@ -9,49 +9,49 @@
     }
 }
 
-fn renew(classes: &mut Classes, now: Millis, listed: &[(&str, Millis)], held: &[usize]) {
+fn apply(classes: &mut ClassTable, now: Millis, listed: &[(&str, Millis)], in_use: &[usize]) {
     let names: Vec<_> = listed.iter().map(|(name, _)| name.to_string()).collect();
     let of: Vec<_> = listed.iter().map(|(_, latency_objective)| class(*latency_objective)).collect();
-    classes.renew(now, &names, &of, &held.iter().map(|i| ClassId(*i)).collect());
+    classes.apply_settings(now, &names, &of, &in_use.iter().map(|i| ClassId(*i)).collect());
 }
 
 #[test]
 fn a_held_position_means_the_same_through_every_change() {
-    let mut classes = Classes::default();
-    renew(&mut classes, 0.0, &[("a", 1.0), ("b", 2.0)], &[]);
-    // Another order, one added, one with another aim.
-    renew(&mut classes, 10.0, &[("c", 3.0), ("b", 2.0), ("a", 9.0)], &[0, 1]);
+    let mut classes = ClassTable::default();
+    apply(&mut classes, 0.0, &[("a", 1.0), ("b", 2.0)], &[]);
+    // Another order, one added, one with another objective.
+    apply(&mut classes, 10.0, &[("c", 3.0), ("b", 2.0), ("a", 9.0)], &[0, 1]);
     assert_eq!(classes.by_position()[..2], [class(1.0), class(2.0)]);
     let at = |name| classes.position(name).unwrap();
     assert_eq!(at("b"), ClassId(1));
-    assert_eq!(classes.by_position()[at("a").0], class(9.0), "new flows get what is in force");
+    assert_eq!(classes.by_position()[at("a").0], class(9.0), "new requests get what is in force");
     assert_eq!(classes.by_position()[at("c").0], class(3.0));
     // What comes back as it was has its old place.
-    renew(&mut classes, 20.0, &[("a", 1.0)], &[0]);
+    apply(&mut classes, 20.0, &[("a", 1.0)], &[0]);
     assert_eq!(classes.position("a"), Some(ClassId(0)));
 }
 
 #[test]
 fn a_dropped_class_is_named_for_a_while_by_new_flows_and_longer_mid_flow() {
-    let mut classes = Classes::default();
-    renew(&mut classes, 0.0, &[("a", 1.0)], &[]);
-    renew(&mut classes, 100.0, &[("b", 1.0)], &[]);
-    assert_eq!(classes.names(), [("a".into(), Some(100.0 + STILL_NAMED)), ("b".into(), None)]);
+    let mut classes = ClassTable::default();
+    apply(&mut classes, 0.0, &[("a", 1.0)], &[]);
+    apply(&mut classes, 100.0, &[("b", 1.0)], &[]);
+    assert_eq!(classes.names(), [("a".into(), Some(100.0 + DROPPED_CLASS_GRACE_MS)), ("b".into(), None)]);
     assert_eq!(classes.position("a"), Some(ClassId(0)));
     // A second reading that lacks it too does not give it more time.
-    renew(&mut classes, 500.0, &[("b", 1.0)], &[]);
-    assert_eq!(classes.names()[0].1, Some(100.0 + STILL_NAMED));
+    apply(&mut classes, 500.0, &[("b", 1.0)], &[]);
+    assert_eq!(classes.names()[0].1, Some(100.0 + DROPPED_CLASS_GRACE_MS));
 }
 
 #[test]
 fn ten_thousand_changes_grow_nothing_and_free_nothing_that_is_held() {
-    let mut classes = Classes::default();
-    renew(&mut classes, 0.0, &[("first", 0.5)], &[]);
+    let mut classes = ClassTable::default();
+    apply(&mut classes, 0.0, &[("first", 0.5)], &[]);
     for n in 0..10_000 {
-        renew(&mut classes, f64::from(n), &[(&format!("n{n}"), f64::from(n))], &[0]);
+        apply(&mut classes, f64::from(n), &[(&format!("n{n}"), f64::from(n))], &[0]);
         let at = classes.position(&format!("n{n}")).unwrap();
         assert_eq!(classes.by_position()[at.0], class(f64::from(n)));
     }
     assert_eq!(classes.by_position()[0], class(0.5));
-    assert!(classes.places.len() <= DROPPED_KEPT + 3, "{} places", classes.places.len());
+    assert!(classes.slots.len() <= MAX_UNUSED_DROPPED_CLASSES + 3, "{} positions", classes.slots.len());
 }
--- /dev/null
+++ b/src/relay/counters.rs
@@ -0,0 +1,21 @@
+//! Totals of one relay since its start.
+
+/// Number of variants of [`Outcome`](crate::policy::api::Outcome), for [`Counters::attempts`].
+pub const OUTCOME_COUNT: usize = 8;
+
+/// Totals since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Counters {
+    /// Requests accepted.
+    pub connections: u64,
+    /// Connections that were established.
+    pub established: u64,
+    /// Attempts ended, by outcome in the order of [`Outcome`](crate::policy::api::Outcome).
+    pub attempts: [u64; OUTCOME_COUNT],
+    /// Local replies that reject.
+    pub rejected: u64,
+    /// Local replies that fail.
+    pub failed: u64,
+    /// Clients asked to reconnect.
+    pub migrations: u64,
+}
--- /dev/null
+++ b/src/relay/drain_exchange.rs
@@ -0,0 +1,105 @@
+//! What relays tell each other about draining endpoints while discovery is slow to answer. All uses of
+//! [`DrainGossip`](sandgw_cluster::drain_gossip::DrainGossip) are here.
+//!
+//! On another relay's message nothing is sent to an endpoint any more; nothing is ever sent to one because of such a
+//! message.
+
+use std::collections::BTreeSet;
+
+use log::debug;
+use sandgw_affinity::codec::EndpointHash;
+use sandgw_affinity::replication::Sends;
+use sandgw_cluster::drain_gossip::{Answer, ClusterSize};
+
+use super::Relay;
+use super::commands::Command;
+use super::timers::CoreTimer;
+use crate::policy::api::{ClusterMessage, Discovery, EndpointState, ListKind, Millis, PeerMessage};
+
+/// What an answer of discovery changes about gossip.
+pub(super) struct Reconciliation {
+    /// Endpoints that were held for draining by gossip only and are ready.
+    pub(super) back: Vec<EndpointHash>,
+    /// Messages to other relays.
+    pub(super) messages: Sends,
+}
+
+impl Relay {
+    /// Discovery is at another address from now on.
+    pub fn discovery_changed(&mut self, now: Millis) {
+        self.drain_gossip.moved(now, self.gossip_cluster());
+        self.send_drain_gossip(now, Sends::new());
+    }
+
+    /// The subscription was lost and the list is requested anew: changes are unknown until that is answered.
+    pub fn subscription_lost(&mut self, now: Millis) {
+        self.drain_gossip.failed(now, self.gossip_cluster());
+        self.send_drain_gossip(now, Sends::new());
+    }
+
+    /// The relays that gossip about draining endpoints: all, where each requests the list from discovery itself.
+    fn gossip_cluster(&self) -> ClusterSize {
+        let settings = self.load_balancer.settings();
+        let gossips = settings.peer_messages && settings.discovery == Discovery::OnRequest;
+        let relays = if gossips { settings.relay_count } else { 0 };
+        ClusterSize { local_index: settings.local_index, relays }
+    }
+
+    pub(super) fn set_list_revision(&mut self, revision: Option<u64>) {
+        self.drain_gossip.known(revision);
+    }
+
+    /// Endpoints that were ready, or are held for draining by gossip only.
+    pub(super) fn usable_endpoints(&self) -> impl Iterator<Item = EndpointHash> {
+        let all = self.endpoints.readiness();
+        all.filter(|(id, ready)| *ready || self.drain_gossip.holds(*id)).map(|(id, _)| id)
+    }
+
+    pub(super) fn reconcile_drain_gossip(
+        &mut self,
+        now: Millis,
+        answer: Answer,
+        departed: &[EndpointHash],
+        ready: &[EndpointHash],
+    ) -> Reconciliation {
+        let cluster = self.gossip_cluster();
+        let mut messages = Sends::new();
+        let back = self.drain_gossip.listed(now, cluster, answer, departed, ready, &mut messages);
+        Reconciliation { back, messages }
+    }
+
+    /// Takes another relay's message about draining endpoints, or answers its query.
+    pub(super) fn receive_drain_gossip(&mut self, now: Millis, peer: u32, message: ClusterMessage) {
+        let cluster = self.gossip_cluster();
+        let mut messages = Sends::new();
+        let readiness = self.endpoints.readiness();
+        let ready: BTreeSet<EndpointHash> = readiness.filter(|(_, ready)| *ready).map(|(id, _)| id).collect();
+        let is_ready = |id: EndpointHash| ready.contains(&id);
+        let draining = self.drain_gossip.told(now, cluster, peer, message, is_ready, &mut messages);
+        if !draining.is_empty() {
+            debug!("relay {peer} reports {} draining endpoints", draining.len());
+            let endpoints = self.entries_as(&draining, EndpointState::Draining);
+            self.apply_list(now, ListKind::Gossip, endpoints);
+        }
+        self.send_drain_gossip(now, messages);
+    }
+
+    /// The timer of the next query is due.
+    pub(super) fn send_drain_query(&mut self, now: Millis) {
+        let cluster = self.gossip_cluster();
+        let mut messages = Sends::new();
+        self.drain_gossip.due(now, cluster, &mut messages);
+        self.send_drain_gossip(now, messages);
+    }
+
+    /// Sends messages to other relays, and sets the timer of the next query.
+    pub(super) fn send_drain_gossip(&mut self, now: Millis, messages: Sends) {
+        for (peer, message) in messages {
+            let message = PeerMessage { cluster: Some(message), ..PeerMessage::default() };
+            self.commands.push(Command::SendToPeer { peer, message });
+        }
+        if let Some(after) = self.drain_gossip.timer(now) {
+            self.set_timer(after, CoreTimer::DrainQuery);
+        }
+    }
+}
--- /dev/null
+++ b/src/relay/endpoints.rs
@@ -0,0 +1,191 @@
+//! What the core knows of endpoints: their listed state, how many connections each has, and round trips measured on
+//! them. Once a tick it reports the endpoints whose messages are slow.
+
+use std::collections::BTreeMap;
+
+use log::debug;
+use sandgw_affinity::codec::EndpointHash;
+
+use super::Relay;
+use super::connections::ConnectionStage;
+use crate::policy::api::{
+    EndpointEntry, EndpointId, EndpointState, Event, ListKind, Measurement, Millis, RequestId, Settings,
+};
+
+/// A message is slow when its round trip takes longer than the shortest objective divided by this, as in the simulator.
+const OBJECTIVE_PER_SLOW_ROUND_TRIP: f64 = 3.0;
+
+/// An endpoint as the relay sees it, for monitoring.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointStatus {
+    /// The endpoint.
+    pub id: EndpointId,
+    /// Its state in the list.
+    pub state: EndpointState,
+    /// Connections established at it.
+    pub established: u64,
+    /// Attempts started to it.
+    pub attempts: u64,
+}
+
+/// An endpoint whose messages are slow, or were at the last report.
+struct SlowEndpoint {
+    endpoint: EndpointId,
+    /// Median of the round trips since the last report.
+    median_ms: Millis,
+}
+
+#[derive(Default)]
+struct TrackedEndpoint {
+    /// `None` where the list does not name it.
+    state: Option<EndpointState>,
+    established: u64,
+    attempts: u64,
+    /// Round trips measured since the last tick.
+    round_trips_ms: Vec<Millis>,
+    /// Messages were slow at the last report.
+    slow: bool,
+}
+
+impl TrackedEndpoint {
+    fn is_ready(&self) -> bool {
+        self.state == Some(EndpointState::Ready)
+    }
+
+    fn is_listed(&self) -> bool {
+        !matches!(self.state, None | Some(EndpointState::Removed))
+    }
+
+    /// Ends the measuring interval: the median of its round trips, where any was measured. The median, since a message
+    /// that waited behind a pause of the endpoint or of this machine says little.
+    fn take_median_ms(&mut self) -> Option<Millis> {
+        self.round_trips_ms.sort_by(f64::total_cmp);
+        let median = self.round_trips_ms.get(self.round_trips_ms.len() / 2).copied();
+        self.round_trips_ms.clear();
+        median
+    }
+}
+
+/// Round trip above which a message counts as slow.
+pub(super) fn slow_round_trip_ms(settings: &Settings) -> Millis {
+    let objectives = settings.classes.iter().filter_map(|class| class.message_latency_objective);
+    objectives.fold(f64::INFINITY, f64::min) / OBJECTIVE_PER_SLOW_ROUND_TRIP
+}
+
+/// All endpoints that are listed or still have connections, sorted by id.
+#[derive(Default)]
+pub(super) struct EndpointTable {
+    entries: BTreeMap<EndpointId, TrackedEndpoint>,
+}
+
+impl EndpointTable {
+    /// Applies a message about the list. An endpoint that is listed no more stays while it has connections.
+    pub(super) fn apply_list(&mut self, kind: ListKind, listed: &[EndpointEntry]) {
+        if matches!(kind, ListKind::Full | ListKind::Cached) {
+            self.entries.values_mut().for_each(|endpoint| endpoint.state = None);
+        }
+        for entry in listed {
+            self.entries.entry(entry.id.clone()).or_default().state = Some(entry.state);
+        }
+        self.entries.retain(|_, endpoint| endpoint.is_listed() || endpoint.established > 0);
+    }
+
+    pub(super) fn attempt_started(&mut self, endpoint: &EndpointId) {
+        self.entries.entry(endpoint.clone()).or_default().attempts += 1;
+    }
+
+    pub(super) fn connection_established(&mut self, endpoint: &EndpointId) {
+        self.entries.entry(endpoint.clone()).or_default().established += 1;
+    }
+
+    pub(super) fn connection_closed(&mut self, endpoint: &EndpointId) {
+        if let Some(endpoint) = self.entries.get_mut(endpoint) {
+            endpoint.established -= 1;
+        }
+    }
+
+    /// Connections established at any endpoint.
+    pub(super) fn established(&self) -> u64 {
+        self.entries.values().map(|endpoint| endpoint.established).sum()
+    }
+
+    pub(super) fn is_ready(&self, endpoint: &EndpointId) -> bool {
+        self.entries.get(endpoint).is_some_and(TrackedEndpoint::is_ready)
+    }
+
+    /// Every endpoint by its hash, and whether it is ready.
+    pub(super) fn readiness(&self) -> impl Iterator<Item = (EndpointHash, bool)> {
+        self.entries.iter().map(|(id, endpoint)| (EndpointHash::of(&id.0), endpoint.is_ready()))
+    }
+
+    fn statuses(&self) -> impl Iterator<Item = EndpointStatus> {
+        self.entries.iter().map(|(id, endpoint)| EndpointStatus {
+            id: id.clone(),
+            state: endpoint.state.unwrap_or(EndpointState::Removed),
+            established: endpoint.established,
+            attempts: endpoint.attempts,
+        })
+    }
+
+    fn record_round_trip(&mut self, endpoint: &EndpointId, round_trip_ms: Millis) {
+        self.entries.entry(endpoint.clone()).or_default().round_trips_ms.push(round_trip_ms);
+    }
+
+    /// Endpoints whose median round trip is above the threshold, and once more those that are back below it.
+    fn take_slow(&mut self, threshold_ms: Millis) -> Vec<SlowEndpoint> {
+        let mut slow = Vec::new();
+        for (id, endpoint) in &mut self.entries {
+            let Some(median_ms) = endpoint.take_median_ms() else { continue };
+            let was_slow = endpoint.slow;
+            endpoint.slow = median_ms > threshold_ms;
+            if was_slow || endpoint.slow {
+                slow.push(SlowEndpoint { endpoint: id.clone(), median_ms });
+            }
+        }
+        slow
+    }
+}
+
+impl Relay {
+    /// Number of connections established now.
+    pub fn established_connections(&self) -> u64 {
+        self.endpoints.established()
+    }
+
+    /// The endpoints, sorted by id.
+    pub fn endpoints(&self) -> impl Iterator<Item = EndpointStatus> {
+        self.endpoints.statuses()
+    }
+
+    /// Whether an endpoint is listed as ready now.
+    pub fn is_ready(&self, endpoint: &EndpointId) -> bool {
+        self.endpoints.is_ready(endpoint)
+    }
+
+    /// A message of an established connection was answered after this many milliseconds, or has not been for as long.
+    pub fn record_round_trip(&mut self, id: RequestId, round_trip_ms: Millis) {
+        let Some(connection) = self.connections.get(id) else { return };
+        let ConnectionStage::Established(endpoint) = &connection.stage else { return };
+        self.endpoints.record_round_trip(endpoint, round_trip_ms);
+    }
+
+    /// To be called once a second: reports endpoints whose messages are slow to the load balancer, and logs what was
+    /// rejected for quotas. No other measurement tells of slow messages on sockets.
+    pub fn tick(&mut self, now: Millis) {
+        let slow = self.endpoints.take_slow(self.slow_round_trip_ms);
+        self.log_quota_rejections();
+        for endpoint in slow {
+            self.report_slow_endpoint(endpoint);
+        }
+        self.drain_actions(now);
+    }
+
+    /// Reports it on one of its connections: that is enough, however many it has.
+    fn report_slow_endpoint(&mut self, slow: SlowEndpoint) {
+        let SlowEndpoint { endpoint, median_ms } = slow;
+        debug!("messages at {} take {median_ms:.0} ms", endpoint.0);
+        let Some(request) = self.connections.lowest_id(|c| c.is_established_at(&endpoint)) else { return };
+        let measurement = Measurement::MessageDelay(median_ms);
+        self.events.push_back(Event::Measured { request, measurement });
+    }
+}
--- /dev/null
+++ b/src/relay/requests.rs
@@ -0,0 +1,178 @@
+//! What happens to one request or connection, from its acceptance to its end. Each handler turns one occurrence into
+//! the load balancer's event and keeps the two guarantees: one final reply, and one attempt out at most.
+
+use log::warn;
+
+use super::Relay;
+use super::commands::{Attempt, ConnectionCommand, LocalReply};
+use super::connections::{Connection, ConnectionStage};
+use super::incoming::IncomingRequest;
+use crate::policy::api::{EndpointId, Event, Millis, Outcome, Request, RequestId};
+
+/// How an attempt or an established connection left its stage.
+struct EndedAttempt {
+    endpoint: EndpointId,
+    was_established: bool,
+}
+
+impl Connection {
+    /// Back to the queue; `None` where no attempt was out.
+    fn end_attempt(&mut self) -> Option<EndedAttempt> {
+        match std::mem::replace(&mut self.stage, ConnectionStage::Queued) {
+            ConnectionStage::Queued => None,
+            ConnectionStage::Attempting(endpoint) => Some(EndedAttempt { endpoint, was_established: false }),
+            ConnectionStage::Established(endpoint) => Some(EndedAttempt { endpoint, was_established: true }),
+        }
+    }
+}
+
+impl Relay {
+    /// Accepts a request. One that an endpoint already has is attempted there and nowhere else.
+    pub fn accept_request(&mut self, now: Millis, incoming: IncomingRequest) -> RequestId {
+        let id = self.connections.allocate_id();
+        self.counters.connections += 1;
+        let over_quota = self.exceeds_quota(now, &incoming);
+        let request = self.policy_request(id, &incoming);
+        let connection = Connection::queued(&incoming, request.class, !over_quota);
+        self.connections.insert(id, connection);
+        match incoming.existing_endpoint {
+            Some(endpoint) => self.attempt_existing_endpoint(request, endpoint),
+            None if over_quota => self.reject_over_quota(id),
+            None => self.events.push_back(Event::Request(request)),
+        }
+        self.drain_actions(now);
+        id
+    }
+
+    fn policy_request(&self, id: RequestId, incoming: &IncomingRequest) -> Request {
+        Request {
+            id,
+            class: self.classes.position(&incoming.class),
+            client: incoming.client.clone(),
+            group: incoming.group.clone(),
+            deadline: incoming.deadline,
+            setup_time_used: incoming.setup_time_used,
+            load: incoming.load,
+            mid_flow: incoming.mid_flow,
+            returned: incoming.returned,
+            drained_by_endpoint: incoming.drained_by_endpoint,
+        }
+    }
+
+    fn attempt_existing_endpoint(&mut self, request: Request, endpoint: EndpointId) {
+        if let Some(connection) = self.connections.get_mut(request.id) {
+            connection.attempts = 1;
+            connection.stage = ConnectionStage::Attempting(endpoint.clone());
+        }
+        let attempt = Attempt {
+            number: 0,
+            endpoint: endpoint.clone(),
+            was_ready: false,
+            until: request.deadline,
+            begin_by: request.deadline,
+        };
+        self.command(request.id, ConnectionCommand::StartAttempt(attempt));
+        self.events.push_back(Event::ExistingConnection { request, endpoint });
+    }
+
+    fn reject_over_quota(&mut self, id: RequestId) {
+        let retry_after = self.load_balancer.settings().max_retry_after;
+        self.reply(id, LocalReply::Rejected(retry_after));
+        self.remove_connection(id);
+    }
+
+    /// The endpoint has taken the connection, `elapsed` milliseconds after the attempt was sent: that was the final
+    /// reply.
+    pub fn connection_established(&mut self, now: Millis, id: RequestId, elapsed: Millis) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let ConnectionStage::Attempting(endpoint) = &connection.stage else { return };
+        let endpoint = endpoint.clone();
+        self.counters.established += 1;
+        self.endpoints.connection_established(&endpoint);
+        connection.stage = ConnectionStage::Established(endpoint);
+        connection.answered = true;
+        let attempt = connection.last_attempt();
+        self.count_established(id);
+        self.events.push_back(Event::Established { request: id, attempt, elapsed });
+        self.drain_actions(now);
+    }
+
+    /// The attempt that is out, or the established connection, has ended.
+    pub fn attempt_ended(&mut self, now: Millis, id: RequestId, outcome: Outcome) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(EndedAttempt { endpoint, was_established }) = connection.end_attempt() else { return };
+        let attempt = connection.last_attempt();
+        let lost = connection.existing_endpoint_only && !was_established;
+        let finished = was_established || lost || connection.answered;
+        self.count_ended_attempt(now, &endpoint, outcome, was_established);
+        if lost {
+            self.reply(id, LocalReply::Failed);
+        }
+        if finished {
+            self.remove_connection(id);
+        }
+        self.events.push_back(Event::AttemptEnded { request: id, attempt, endpoint, outcome, finished });
+        self.drain_actions(now);
+    }
+
+    fn count_ended_attempt(
+        &mut self,
+        now: Millis,
+        endpoint: &EndpointId,
+        outcome: Outcome,
+        was_established: bool,
+    ) {
+        self.counters.attempts[outcome as usize] += 1;
+        if was_established {
+            self.endpoints.connection_closed(endpoint);
+        } else if outcome == Outcome::Rejected {
+            self.count_endpoint_rejection(now);
+        }
+    }
+
+    /// The client has left without a final reply, or had one that was not the core's.
+    pub fn client_gone(&mut self, now: Millis, id: RequestId) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        if connection.answered {
+            return;
+        }
+        connection.answered = true;
+        let queued = connection.stage == ConnectionStage::Queued;
+        self.events.push_back(Event::ClientGone(id));
+        if queued {
+            self.remove_connection(id);
+        }
+        self.drain_actions(now);
+        if !queued {
+            self.attempt_ended(now, id, Outcome::Cancelled);
+        }
+    }
+
+    /// The client is about to give up: whatever the load balancer still queues, the request is answered now.
+    pub fn deadline_passed(&mut self, now: Millis, id: RequestId) {
+        if self.connections.get(id).is_some_and(|connection| !connection.answered) {
+            warn!("connection {}: deadline passed, answered as failed", id.0);
+            self.reply(id, LocalReply::Failed);
+            self.client_gone(now, id);
+        }
+    }
+
+    /// Gives the final reply, unless one was given.
+    pub(super) fn reply(&mut self, id: RequestId, reply: LocalReply) {
+        if self.connections.get(id).is_none_or(|connection| connection.answered) {
+            return;
+        }
+        match reply {
+            LocalReply::Rejected(_) => self.counters.rejected += 1,
+            LocalReply::Failed => self.counters.failed += 1,
+        }
+        self.command(id, ConnectionCommand::Reply(reply));
+    }
+
+    /// A request or connection is over.
+    pub(super) fn remove_connection(&mut self, id: RequestId) {
+        if let Some(connection) = self.connections.remove(id) {
+            self.count_removed(&connection);
+        }
+    }
+}
--- /dev/null
+++ b/src/relay/timers.rs
@@ -0,0 +1,28 @@
+//! The core's own timers. Their tokens stay above those of the load balancer.
+
+const FIRST_CORE_TOKEN: u64 = 1 << 63;
+
+/// A timer of the core.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CoreTimer {
+    /// Next step of the migration of connections off this relay.
+    MigrationStep,
+    /// Next report of the tenants' usage to other relays.
+    UsageReport,
+    /// Next query to another relay about draining endpoints.
+    DrainQuery,
+}
+
+impl CoreTimer {
+    const ALL: [CoreTimer; 3] = [CoreTimer::MigrationStep, CoreTimer::UsageReport, CoreTimer::DrainQuery];
+
+    /// The token that stands for this timer.
+    pub(super) fn token(self) -> u64 {
+        FIRST_CORE_TOKEN + self as u64
+    }
+
+    /// The timer of a token; `None` for those of the load balancer.
+    pub(super) fn from_token(token: u64) -> Option<CoreTimer> {
+        CoreTimer::ALL.into_iter().find(|timer| timer.token() == token)
+    }
+}
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -34,15 +34,15 @@
         )))
     };
     let c = relay.counters();
-    let scalars = [c.connections, c.established, c.busy, c.failed, c.moves];
+    let scalars = [c.connections, c.established, c.rejected, c.failed, c.migrations];
     for (i, n) in (1..).zip(scalars) {
         put(&[1, i, 0], counter(n));
     }
-    put(&[1, 6, 0], gauge(relay.standing()));
+    put(&[1, 6, 0], gauge(relay.established_connections()));
     for (i, n) in (1..).zip(c.attempts) {
         put(&[2, 1, 2, i], counter(n));
     }
-    let a = relay.affinity();
+    let a = relay.affinity_statistics();
     for (i, n) in (1..).zip([a.sessions, a.groups, a.bytes]) {
         put(&[5, i, 0], gauge(n));
     }
@@ -64,7 +64,7 @@
             &[&[3, 1, 2][..], &index].concat(),
             ObjectSyntax::Simple(SimpleSyntax::Integer(Integer::from(state))),
         );
-        put(&[&[3, 1, 3][..], &index].concat(), gauge(row.standing));
+        put(&[&[3, 1, 3][..], &index].concat(), gauge(row.established));
         put(&[&[3, 1, 4][..], &index].concat(), counter(row.attempts));
     }
     view
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1154,12 +1154,12 @@
 #[test]
 fn a_streamer_whose_round_trips_are_long_gets_nothing_new_until_they_are_short() {
     let mut relay = Relay::new(settings(), vec!["safe".into()], 7, START);
-    relay.list(START, ListKind::Cached, ready(2));
+    relay.apply_list(START, ListKind::Cached, ready(2));
     let now = std::cell::Cell::new(START);
     let place = |relay: &mut Relay, client: u64| {
         let client = Some(Key(format!("c{client}").into()));
         let deadline = now.get() + 200.0;
-        let id = relay.arrive(
+        let id = relay.accept_request(
             now.get(),
             IncomingRequest { class: "safe".into(), client, deadline, ..IncomingRequest::default() },
         );
@@ -1174,17 +1174,17 @@
     let mut standing = Vec::new();
     for client in 0..40 {
         let (id, endpoint) = place(&mut relay, client);
-        relay.established(now.get(), id, 5.0);
+        relay.connection_established(now.get(), id, 5.0);
         standing.push((id, endpoint.unwrap()));
     }
     let new_connections = |relay: &mut Relay, trip: Millis, clients: std::ops::Range<u64>| {
         for (id, _) in standing.iter().filter(|(_, at)| *at == endpoint(0)) {
-            relay.round_trip(*id, trip);
+            relay.record_round_trip(*id, trip);
         }
         relay.tick(now.get());
         let placed = clients.filter_map(|client| {
             let (id, endpoint) = place(relay, client);
-            relay.left(now.get(), id);
+            relay.client_gone(now.get(), id);
             endpoint
         });
         placed.filter(|at| *at == endpoint(0)).count()
@@ -1209,18 +1209,18 @@
     fn new(classes: &[(&str, Idempotency)], attempts: u32) -> Core {
         let (settings, names) = named(classes, attempts);
         let mut relay = Relay::new(settings, names, 7, START);
-        relay.list(START, ListKind::Cached, ready(6));
+        relay.apply_list(START, ListKind::Cached, ready(6));
         Core { relay, now: START, told: Vec::new() }
     }
 
     fn retune(&mut self, classes: &[(&str, Idempotency)], attempts: u32) {
         let (settings, names) = named(classes, attempts);
-        self.relay.retune(self.now, settings, &names);
+        self.relay.apply_settings(self.now, settings, &names);
     }
 
     fn arrive(&mut self, class: &str) -> RequestId {
         let deadline = self.now + 2000.0;
-        let id = self.relay.arrive(
+        let id = self.relay.accept_request(
             self.now,
             IncomingRequest { class: class.into(), deadline, ..IncomingRequest::default() },
         );
@@ -1243,11 +1243,11 @@
                 Some(ConnectionCommand::Reply(response)) => return (attempts, response),
                 Some(_) => {
                     attempts += 1;
-                    self.relay.ended(self.now, id, outcome);
+                    self.relay.attempt_ended(self.now, id, outcome);
                 }
                 None => {
                     self.now += 10.0;
-                    self.relay.timer(self.now, id.0);
+                    self.relay.timer_fired(self.now, id.0);
                 }
             }
             self.take();
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use sandgw::relay::handover::{FORM, Frames, Message, encode};
+use sandgw::handover::{FIRST_PROTOCOL_VERSION, Message, MessageDecoder, encode};
 use socket2::SockRef;
 
 /// A relay whose one endpoint is the test itself.
@@ -554,9 +554,9 @@
 }
 
 /// Hears what a process that hands over says, up to this.
-fn hear_until(link: &mut UnixStream, frames: &mut Frames, last: fn(&Message) -> bool) {
+fn hear_until(link: &mut UnixStream, frames: &mut MessageDecoder, last: fn(&Message) -> bool) {
     loop {
-        while let Some(message) = frames.message().unwrap() {
+        while let Some(message) = frames.next_message().unwrap() {
             if last(&message) {
                 return;
             }
@@ -575,11 +575,12 @@
     let (stand, folder) = start_handed();
     let mut link = UnixStream::connect(folder.path().join("sandgw-handover")).unwrap();
     link.set_read_timeout(Some(LONG)).unwrap();
-    let mut frames = Frames::default();
-    link.write_all(&encode(&Message::Hello { form: FORM, name: "n0".into() })).unwrap();
-    hear_until(&mut link, &mut frames, |m| *m == Message::Whole);
-    link.write_all(&encode(&Message::Take)).unwrap();
-    hear_until(&mut link, &mut frames, |m| matches!(m, Message::Yield { .. }));
+    let mut frames = MessageDecoder::default();
+    link.write_all(&encode(&Message::Hello { version: FIRST_PROTOCOL_VERSION, relay_name: "n0".into() }))
+        .unwrap();
+    hear_until(&mut link, &mut frames, |m| *m == Message::SnapshotComplete);
+    link.write_all(&encode(&Message::TakeoverRequest)).unwrap();
+    hear_until(&mut link, &mut frames, |m| matches!(m, Message::AcceptingStopped { .. }));
     // Nobody accepts now.
     let mut clients: Vec<_> = (0..3).map(|_| stand.relay.client()).collect();
     clients[0].open("");
@@ -614,19 +615,21 @@
         clients.iter_mut().for_each(|client| assert_eq!(client.send("PING\r\n").line(), "PONG"));
         let mut link = UnixStream::connect(folder.path().join("sandgw-handover")).unwrap();
         link.set_read_timeout(Some(LONG)).unwrap();
-        let mut frames = Frames::default();
-        link.write_all(&encode(&Message::Hello { form: FORM, name: "n0".into() })).unwrap();
-        hear_until(&mut link, &mut frames, |m| *m == Message::Whole);
+        let mut frames = MessageDecoder::default();
+        link.write_all(&encode(&Message::Hello { version: FIRST_PROTOCOL_VERSION, relay_name: "n0".into() }))
+            .unwrap();
+        hear_until(&mut link, &mut frames, |m| *m == Message::SnapshotComplete);
         stand.relay.terminate();
         until("it is heard", || stand.relay.log().contains("SIGTERM"));
         let mut last = stand.meanwhile(|| {
             let mut last = stand.relay.client();
             last.open("");
             drop(clients);
-            link.write_all(&[encode(&Message::Take), encode(&Message::Claim)].concat()).unwrap();
+            link.write_all(&[encode(&Message::TakeoverRequest), encode(&Message::OwnershipClaim)].concat())
+                .unwrap();
             last
         });
-        hear_until(&mut link, &mut frames, |m| *m == Message::Yours);
+        hear_until(&mut link, &mut frames, |m| *m == Message::OwnershipGranted);
         let _endpoint = forwards(&stand, 1);
         assert_eq!(last.line(), "UP 1");
     }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -16,7 +16,7 @@
 use command_fds::{CommandFdExt, FdMapping};
 use common::*;
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
-use sandgw::relay::handover::{ANOTHER_FORM, FORM, Frames, Message, encode};
+use sandgw::handover::{FIRST_PROTOCOL_VERSION, Message, MessageDecoder, VERSION_MISMATCH, encode};
 
 struct Fleet {
     _endpoint: Endpoint,
@@ -49,9 +49,9 @@
     /// A process that asks for the relay, with a life of its own.
     fn successor(&self, name: &str) -> Asker {
         let mut asker =
-            Asker { stream: UnixStream::connect(self.path()).unwrap(), frames: Frames::default() };
+            Asker { stream: UnixStream::connect(self.path()).unwrap(), frames: MessageDecoder::default() };
         asker.stream.set_read_timeout(Some(LONG)).unwrap();
-        asker.say(&Message::Hello { form: FORM, name: name.into() });
+        asker.say(&Message::Hello { version: FIRST_PROTOCOL_VERSION, relay_name: name.into() });
         asker
     }
 
@@ -60,8 +60,8 @@
         let start = Instant::now();
         loop {
             let mut asker = self.successor("n0");
-            let heard = asker.hear_until(|m| matches!(m, Message::Whole | Message::Refused(_)));
-            if heard.last() == Some(&Message::Whole) {
+            let heard = asker.hear_until(|m| matches!(m, Message::SnapshotComplete | Message::Refused(_)));
+            if heard.last() == Some(&Message::SnapshotComplete) {
                 return asker;
             }
             assert!(start.elapsed() < LONG, "{heard:?}");
@@ -78,7 +78,7 @@
 
 struct Asker {
     stream: UnixStream,
-    frames: Frames,
+    frames: MessageDecoder,
 }
 
 impl Asker {
@@ -88,7 +88,7 @@
 
     fn hear(&mut self) -> Option<Message> {
         loop {
-            if let Some(message) = self.frames.message().unwrap() {
+            if let Some(message) = self.frames.next_message().unwrap() {
                 return Some(message);
             }
             let mut bytes = [0; 4096];
@@ -216,12 +216,14 @@
     // Another relay, and one of a form that nobody has; a later one is met in the first.
     let refused = |m: Option<Message>| matches!(m, Some(Message::Refused(_)));
     assert!(refused(fleet.successor("n7").hear()));
-    let mut other = Asker { stream: UnixStream::connect(fleet.path()).unwrap(), frames: Frames::default() };
-    other.say(&Message::Hello { form: FORM - 1, name: "n0".into() });
+    let mut other =
+        Asker { stream: UnixStream::connect(fleet.path()).unwrap(), frames: MessageDecoder::default() };
+    other.say(&Message::Hello { version: FIRST_PROTOCOL_VERSION - 1, relay_name: "n0".into() });
     assert!(refused(other.hear()));
-    let mut other = Asker { stream: UnixStream::connect(fleet.path()).unwrap(), frames: Frames::default() };
-    other.say(&Message::Hello { form: FORM + 8, name: "n0".into() });
-    assert!(matches!(other.hear(), Some(Message::List { .. })));
+    let mut other =
+        Asker { stream: UnixStream::connect(fleet.path()).unwrap(), frames: MessageDecoder::default() };
+    other.say(&Message::Hello { version: FIRST_PROTOCOL_VERSION + 8, relay_name: "n0".into() });
+    assert!(matches!(other.hear(), Some(Message::EndpointList { .. })));
     drop(other);
     // Gone while it is told.
     drop(fleet.successor("n0"));
@@ -238,8 +240,8 @@
     // Gone, or stalled, when it has asked for the relay and not claimed it: taken back.
     for stalls in [false, true] {
         let mut asker = fleet.whole();
-        asker.say(&Message::Take);
-        asker.hear_until(|m| matches!(m, Message::Yield { .. }));
+        asker.say(&Message::TakeoverRequest);
+        asker.hear_until(|m| matches!(m, Message::AcceptingStopped { .. }));
         assert!(!fleet.serves(), "it has yielded");
         if !stalls {
             drop(asker);
@@ -248,15 +250,15 @@
         }
         until("it serves again", || fleet.serves());
         // The claim comes too late: it is never granted.
-        let _ = asker.stream.write_all(&encode(&Message::Claim));
+        let _ = asker.stream.write_all(&encode(&Message::OwnershipClaim));
         assert_eq!(asker.hear(), None);
     }
     // Killed once the relay was its own, and the running process not told to end: taken back.
     let mut asker = fleet.whole();
-    asker.say(&Message::Take);
-    asker.hear_until(|m| matches!(m, Message::Yield { .. }));
-    asker.say(&Message::Claim);
-    asker.hear_until(|m| *m == Message::Yours);
+    asker.say(&Message::TakeoverRequest);
+    asker.hear_until(|m| matches!(m, Message::AcceptingStopped { .. }));
+    asker.say(&Message::OwnershipClaim);
+    asker.hear_until(|m| *m == Message::OwnershipGranted);
     assert!(!fleet.serves() && fleet.relay.status().starts_with("error handed over"));
     drop(asker);
     until("it serves again", || fleet.serves());
@@ -275,8 +277,8 @@
     let mut asker = fleet.whole();
     fleet.relay.terminate();
     until("it is heard", || fleet.relay.log().contains("SIGTERM"));
-    asker.say(&Message::Take);
-    asker.hear_until(|m| matches!(m, Message::Yield { .. }));
+    asker.say(&Message::TakeoverRequest);
+    asker.hear_until(|m| matches!(m, Message::AcceptingStopped { .. }));
     drop(asker);
     until("it serves again", || fleet.serves());
     let new = fleet.relay.beside();
@@ -408,10 +410,10 @@
     let fleet = Fleet::start();
     let mut held: Vec<_> = (0..100).map(|_| stand(&fleet.relay)).collect();
     let mut asker = fleet.whole();
-    asker.say(&Message::Take);
-    asker.hear_until(|m| matches!(m, Message::Yield { .. }));
-    asker.say(&Message::Claim);
-    asker.hear_until(|m| *m == Message::Yours);
+    asker.say(&Message::TakeoverRequest);
+    asker.hear_until(|m| matches!(m, Message::AcceptingStopped { .. }));
+    asker.say(&Message::OwnershipClaim);
+    asker.hear_until(|m| *m == Message::OwnershipGranted);
     fleet.relay.terminate();
     asker.hear_until(|m| matches!(m, Message::Connection { .. }));
     drop(asker);
@@ -441,20 +443,20 @@
     let stream = accepted(|| listener.set_nonblocking(true).and_then(|()| listener.accept()));
     stream.set_nonblocking(false).unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
-    let mut asker = Asker { stream, frames: Frames::default() };
+    let mut asker = Asker { stream, frames: MessageDecoder::default() };
     asker.hear_until(|m| matches!(m, Message::Hello { .. }));
-    asker.say(&Message::Whole);
-    asker.hear_until(|m| *m == Message::Take);
-    asker.say(&Message::Yield { descriptors: 0, standby: None, cold_in: 0.0 });
-    asker.hear_until(|m| *m == Message::Claim);
-    asker.say(&Message::Yours);
+    asker.say(&Message::SnapshotComplete);
+    asker.hear_until(|m| *m == Message::TakeoverRequest);
+    asker.say(&Message::AcceptingStopped { descriptors: 0, standby: None, slow_start_pause: 0.0 });
+    asker.hear_until(|m| *m == Message::OwnershipClaim);
+    asker.say(&Message::OwnershipGranted);
     asker.stream
 }
 
 /// A standing connection's message.
 fn passed(id: &str, up: Vec<u8>) -> Vec<u8> {
-    let connection = serde_json::json!({"class": "subtitle-stream", "target": "s-1", "client": id, "group": null,
-        "load": null, "sent_away": true, "led_elsewhere": true});
+    let connection = serde_json::json!({"class": "subtitle-stream", "endpoint": "s-1", "client": id, "group": null,
+        "load": null, "drained_by_endpoint": true, "reroutable": true});
     let protocol = serde_json::json!({"id": id, "key": id, "word": [], "partial": 0, "announced": null,
         "unanswered": null});
     let (connection, protocol) =
@@ -512,9 +514,12 @@
 #[test]
 fn a_hand_over_is_in_the_newest_form_that_both_speak() {
     let fleet = Fleet::start_more("[forms]\n");
-    let mut asker = Asker { stream: UnixStream::connect(fleet.path()).unwrap(), frames: Frames::default() };
-    asker.say(&Message::Hello { form: 9, name: "n0".into() });
-    let Some(Message::Forms { form: 2, word, .. }) = asker.hear() else { panic!("not in form 2") };
+    let mut asker =
+        Asker { stream: UnixStream::connect(fleet.path()).unwrap(), frames: MessageDecoder::default() };
+    asker.say(&Message::Hello { version: 9, relay_name: "n0".into() });
+    let Some(Message::VersionAgreement { version: 2, advertisement: word, .. }) = asker.hear() else {
+        panic!("not in form 2")
+    };
     assert!(word.starts_with("3121"), "{word}");
     drop(asker);
     // Who asks in form 1 hears nothing that form 1 has not.
@@ -522,9 +527,9 @@
     let asker = loop {
         // Until the link of before is let go, others are turned away.
         let mut asker = fleet.successor("n0");
-        let heard = asker.hear_until(|m| matches!(m, Message::Whole | Message::Refused(_)));
-        assert!(!heard.iter().any(|m| matches!(m, Message::Forms { .. })));
-        if heard.last() == Some(&Message::Whole) {
+        let heard = asker.hear_until(|m| matches!(m, Message::SnapshotComplete | Message::Refused(_)));
+        assert!(!heard.iter().any(|m| matches!(m, Message::VersionAgreement { .. })));
+        if heard.last() == Some(&Message::SnapshotComplete) {
             break asker;
         }
         assert!(start.elapsed() < LONG, "{heard:?}");
@@ -542,11 +547,11 @@
     std::fs::remove_file(fleet.path()).unwrap();
     let before = UnixListener::bind(fleet.path()).unwrap();
     let new = fleet.relay.beside();
-    for (form, why) in [(2, ANOTHER_FORM), (FORM, "enough")] {
+    for (form, why) in [(2, VERSION_MISMATCH), (FIRST_PROTOCOL_VERSION, "enough")] {
         let stream = accepted(|| before.set_nonblocking(true).and_then(|()| before.accept()));
         stream.set_nonblocking(false).unwrap();
-        let mut asker = Asker { stream, frames: Frames::default() };
-        assert_eq!(asker.hear(), Some(Message::Hello { form, name: "n0".into() }));
+        let mut asker = Asker { stream, frames: MessageDecoder::default() };
+        assert_eq!(asker.hear(), Some(Message::Hello { version: form, relay_name: "n0".into() }));
         asker.say(&Message::Refused(why.into()));
     }
     until("it gives up", || new.has_ended());
--- a/tests/handover_messages.rs
+++ b/tests/handover_messages.rs
@@ -1,61 +1,61 @@
 //! The messages of a hand-over and the two sides of it, without any socket.
 
-use sandgw::relay::handover::*;
+use sandgw::handover::*;
 
 fn hello() -> Message {
-    Message::Hello { form: FORM, name: "n0".into() }
+    Message::Hello { version: FIRST_PROTOCOL_VERSION, relay_name: "n0".into() }
 }
 
 fn yielded() -> Message {
-    Message::Yield { descriptors: 9, standby: None, cold_in: -1.0 }
+    Message::AcceptingStopped { descriptors: 9, standby: None, slow_start_pause: -1.0 }
 }
 
 /// One hand-over between two sides that are cut off from each other after so many messages: who accepts then.
 fn cut_after(messages: usize, terminated: bool) -> (bool, bool) {
-    let (mut elder, mut successor) = (PredecessorProcess::default(), Successor::default());
-    let (mut elder_accepts, mut successor_accepts, mut sent) = (true, false, 0);
+    let (mut predecessor, mut successor) = (PredecessorProcess::default(), SuccessorProcess::default());
+    let (mut predecessor_accepts, mut successor_accepts, mut sent) = (true, false, 0);
     let mut queue = std::collections::VecDeque::from([(true, hello())]);
-    while let Some((to_elder, message)) = queue.pop_front() {
-        assert!(!(elder_accepts && successor_accepts));
+    while let Some((to_predecessor, message)) = queue.pop_front() {
+        assert!(!(predecessor_accepts && successor_accepts));
         if sent == messages {
             break;
         }
         sent += 1;
-        if to_elder {
-            match elder.hears(&message, "n0") {
-                ElderStep::Snapshot => {
-                    queue.push_back((false, Message::Records(Vec::new())));
-                    queue.push_back((false, Message::Whole));
+        if to_predecessor {
+            match predecessor.handle_message(&message, "n0") {
+                PredecessorAction::SendSnapshot => {
+                    queue.push_back((false, Message::AffinityRecords(Vec::new())));
+                    queue.push_back((false, Message::SnapshotComplete));
                 }
-                ElderStep::Yield => {
-                    elder_accepts = false;
+                PredecessorAction::StopAccepting => {
+                    predecessor_accepts = false;
                     queue.push_back((false, yielded()));
                 }
-                ElderStep::HandOver => queue.push_back((false, Message::Yours)),
-                ElderStep::Refuse(why) => panic!("{why}"),
+                PredecessorAction::GrantOwnership => queue.push_back((false, Message::OwnershipGranted)),
+                PredecessorAction::Refuse(why) => panic!("{why}"),
             }
         } else {
-            match successor.hears(&message) {
-                SuccessorStep::Absorb => {}
-                SuccessorStep::Take => queue.push_back((true, Message::Take)),
-                SuccessorStep::Claim => queue.push_back((true, Message::Claim)),
-                SuccessorStep::Serve => successor_accepts = true,
-                SuccessorStep::Fail(why) => panic!("{why}"),
+            match successor.handle_message(&message) {
+                SuccessorAction::Apply => {}
+                SuccessorAction::RequestTakeover => queue.push_back((true, Message::TakeoverRequest)),
+                SuccessorAction::ClaimOwnership => queue.push_back((true, Message::OwnershipClaim)),
+                SuccessorAction::Serve => successor_accepts = true,
+                SuccessorAction::Fail(why) => panic!("{why}"),
             }
         }
     }
     if !successor_accepts {
         // It is gone; it never accepts by this link.
-        elder_accepts |= elder.takes_back(terminated);
+        predecessor_accepts |= predecessor.resumes_accepting(terminated);
     }
-    (elder_accepts, successor_accepts)
+    (predecessor_accepts, successor_accepts)
 }
 
 #[test]
 fn wherever_it_is_cut_exactly_one_accepts() {
     for messages in 0..=7 {
-        let (elder, successor) = cut_after(messages, false);
-        assert!(elder != successor, "after {messages} messages: {elder} {successor}");
+        let (predecessor, successor) = cut_after(messages, false);
+        assert!(predecessor != successor, "after {messages} messages: {predecessor} {successor}");
     }
     assert_eq!(cut_after(7, false), (false, true), "all of it");
     // Told to end before it has handed over, it serves on as ever where the other fails.
@@ -68,44 +68,86 @@
 
 #[test]
 fn who_speaks_out_of_turn_or_is_another_is_refused() {
-    let mut elder = PredecessorProcess::default();
-    assert!(matches!(elder.hears(&Message::Take, "n0"), ElderStep::Refuse(_)));
-    assert!(matches!(elder.hears(&hello(), "n1"), ElderStep::Refuse("it is another relay")));
-    let none = Message::Hello { form: 0, name: "n0".into() };
-    assert!(matches!(elder.hears(&none, "n0"), ElderStep::Refuse(ANOTHER_FORM)));
-    assert_eq!(elder, PredecessorProcess::Asked, "none of it counts");
+    let mut predecessor = PredecessorProcess::default();
+    assert!(matches!(
+        predecessor.handle_message(&Message::TakeoverRequest, "n0"),
+        PredecessorAction::Refuse(_)
+    ));
+    assert!(matches!(
+        predecessor.handle_message(&hello(), "n1"),
+        PredecessorAction::Refuse(RefusalReason::OtherRelay)
+    ));
+    let none = Message::Hello { version: 0, relay_name: "n0".into() };
+    assert!(matches!(
+        predecessor.handle_message(&none, "n0"),
+        PredecessorAction::Refuse(RefusalReason::VersionMismatch)
+    ));
+    assert_eq!(predecessor, PredecessorProcess::AwaitingHello, "none of it counts");
+    assert_eq!(RefusalReason::OtherRelay.to_string(), "it is another relay");
+    assert_eq!(RefusalReason::VersionMismatch.to_string(), VERSION_MISMATCH);
     // A form to come is met with the newest that is known here.
-    assert_eq!(agreed(&Message::Hello { form: 9, name: String::new() }, 2), 2);
-    assert_eq!(agreed(&hello(), 2), FORM);
-    let mut successor = Successor::default();
-    for early in [Message::Yours, yielded(), Message::Held { descriptors: 1 }, hello()] {
-        assert!(matches!(successor.hears(&early), SuccessorStep::Fail(_)), "{early:?}");
+    assert_eq!(negotiate_version(&Message::Hello { version: 9, relay_name: String::new() }, 2), 2);
+    assert_eq!(negotiate_version(&hello(), 2), FIRST_PROTOCOL_VERSION);
+    let mut successor = SuccessorProcess::default();
+    for early in [Message::OwnershipGranted, yielded(), Message::DescriptorsInUse { descriptors: 1 }, hello()]
+    {
+        assert!(matches!(successor.handle_message(&early), SuccessorAction::Fail(_)), "{early:?}");
     }
-    assert_eq!(successor, Successor::Asking);
-    assert_eq!(
-        successor.hears(&Message::Refused("busy".into())),
-        SuccessorStep::Fail("the running process refuses: busy".into())
-    );
+    assert_eq!(successor, SuccessorProcess::ReceivingSnapshot);
+    let refusal = TakeoverError::Refused("busy".into());
+    assert_eq!(refusal.to_string(), "the running process refuses: busy");
+    assert_eq!(successor.handle_message(&Message::Refused("busy".into())), SuccessorAction::Fail(refusal));
 }
 
 #[test]
 fn messages_are_read_however_they_are_cut_and_what_is_none_is_refused() {
-    let messages = [hello(), yielded(), Message::Sockets(vec!["a".into()]), Message::Yours];
+    let messages =
+        [hello(), yielded(), Message::ListeningSockets(vec!["a".into()]), Message::OwnershipGranted];
     let bytes: Vec<u8> = messages.iter().flat_map(encode).collect();
     for size in 1..bytes.len() {
-        let (mut frames, mut read) = (Frames::default(), Vec::new());
+        let (mut decoder, mut read) = (MessageDecoder::default(), Vec::new());
         for part in bytes.chunks(size) {
-            frames.feed(part);
-            while let Some(message) = frames.message().unwrap() {
+            decoder.feed(part);
+            while let Some(message) = decoder.next_message().unwrap() {
                 read.push(message);
             }
         }
         assert_eq!(read, messages, "in parts of {size}");
     }
-    let mut frames = Frames::default();
-    frames.feed(&u32::MAX.to_le_bytes());
-    assert_eq!(frames.message(), Err(Malformed));
-    let mut frames = Frames::default();
-    frames.feed(&[2, 0, 0, 0, 250, 1]);
-    assert_eq!(frames.message(), Err(Malformed));
+    let mut decoder = MessageDecoder::default();
+    decoder.feed(&u32::MAX.to_le_bytes());
+    let too_long = decoder.next_message().unwrap_err();
+    assert_eq!(too_long, DecodeError::TooLong { bytes: u32::MAX as usize });
+    assert_eq!(too_long.to_string(), VERSION_MISMATCH);
+    let mut decoder = MessageDecoder::default();
+    decoder.feed(&[2, 0, 0, 0, 250, 1]);
+    let invalid = decoder.next_message().unwrap_err();
+    assert!(matches!(invalid, DecodeError::InvalidBody(_)), "{invalid:?}");
+    assert_eq!(invalid.to_string(), VERSION_MISMATCH);
+}
+
+/// Processes of two builds hand over to each other: the variants and their fields are encoded by position.
+#[test]
+fn messages_keep_their_bytes() {
+    let agreement = Message::VersionAgreement { version: 2, listened: 0.0, advertisement: "w".into() };
+    let list = Message::EndpointList { discovery: "d".into(), revision: Some(7), entries: vec!["e".into()] };
+    let messages: [(Message, &[u8]); 12] = [
+        (hello(), &[0, 1, 2, b'n', b'0']),
+        (Message::Refused("n".into()), &[1, 1, b'n']),
+        (list, &[2, 1, b'd', 1, 7, 1, 1, b'e']),
+        (Message::AffinityRecords(Vec::new()), &[3, 0]),
+        (Message::ListeningSockets(vec!["a".into()]), &[5, 1, 1, b'a']),
+        (Message::SnapshotComplete, &[6]),
+        (Message::TakeoverRequest, &[7]),
+        (yielded(), &[8, 9, 0, 0, 0, 0, 0, 0, 0, 0xf0, 0xbf]),
+        (Message::OwnershipClaim, &[9]),
+        (Message::OwnershipGranted, &[10]),
+        (Message::DescriptorsInUse { descriptors: 3 }, &[12, 3]),
+        (agreement, &[13, 2, 0, 0, 0, 0, 0, 0, 0, 0, 1, b'w']),
+    ];
+    for (message, body) in messages {
+        let bytes = encode(&message);
+        assert_eq!(bytes[..4], (body.len() as u32).to_le_bytes(), "{message:?}");
+        assert_eq!(&bytes[4..], body, "{message:?}");
+    }
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -48,7 +48,7 @@
         ..Settings::default()
     };
     let mut relay = Relay::new(settings, vec!["safe".into()], 7, START);
-    relay.known(START, Some(40), ready(4));
+    relay.load_cached_list(START, Some(40), ready(4));
     relay.take_commands();
     relay
 }
@@ -64,14 +64,14 @@
             deadline: now + 500.0,
             ..IncomingRequest::default()
         };
-        let id = relay.arrive(now, arrival);
+        let id = relay.accept_request(now, arrival);
         all.extend(relay.take_commands().into_iter().filter_map(|c| match c {
             Command::Connection(_, ConnectionCommand::StartAttempt(Attempt { endpoint, .. })) => {
                 Some(endpoint.0.to_string())
             }
             _ => None,
         }));
-        relay.left(now, id);
+        relay.client_gone(now, id);
         relay.take_commands();
     }
     all
@@ -101,13 +101,13 @@
 fn nothing_is_sent_to_a_streamer_on_a_word_and_a_few_others_are_told() {
     let mut relay = relay(true);
     assert_eq!(sent(&mut relay, START), names(&[0, 1, 2, 3]));
-    relay.told(START, 3, word(41, &[2]));
+    relay.receive_peer_message(START, 3, word(41, &[2]));
     let told = tells(&mut relay);
     assert!(!told.is_empty() && told.len() <= 4, "{told:?}");
     assert!(told.iter().all(|(peer, _)| *peer != 7 && *peer < 300), "{told:?}");
     assert!(!relay.is_ready(&EndpointId("s2".into())));
     assert_eq!(sent(&mut relay, START), names(&[0, 1, 3]));
-    relay.told(START, 4, word(41, &[2]));
+    relay.receive_peer_message(START, 4, word(41, &[2]));
     assert!(tells(&mut relay).is_empty(), "a word is passed on once");
 }
 
@@ -116,21 +116,21 @@
     let mut relay = relay(true);
     let arrival =
         IncomingRequest { class: "safe".into(), deadline: START + 500.0, ..IncomingRequest::default() };
-    let id = relay.arrive(START, arrival);
+    let id = relay.accept_request(START, arrival);
     let endpoint = relay.take_commands().into_iter().find_map(|c| match c {
         Command::Connection(_, ConnectionCommand::StartAttempt(Attempt { endpoint, .. })) => {
             Some(endpoint.0[1..].parse().unwrap())
         }
         _ => None,
     });
-    relay.established(START, id, 5.0);
-    relay.told(START, 3, word(41, &[endpoint.expect("it is sent on")]));
+    relay.connection_established(START, id, 5.0);
+    relay.receive_peer_message(START, 3, word(41, &[endpoint.expect("it is sent on")]));
     let mut moved = false;
     for ms in 0..2000 {
         let now = START + f64::from(ms);
         for command in relay.take_commands() {
             match command {
-                Command::SetTimer { token, .. } => relay.timer(now, token),
+                Command::SetTimer { token, .. } => relay.timer_fired(now, token),
                 Command::Connection(_, ConnectionCommand::Migrate) => moved = true,
                 _ => {}
             }
@@ -142,13 +142,13 @@
 #[test]
 fn a_word_makes_no_streamer_ready_and_none_known() {
     let mut relay = relay(true);
-    relay.answered(
+    relay.apply_discovery_answer(
         START,
         Answer { revision: 41, asked: START, whole: false },
         vec![entry(1, EndpointState::Draining)],
     );
-    relay.told(START, 3, word(42, &[77]));
-    relay.told(START, 3, word(42, &[1]));
+    relay.receive_peer_message(START, 3, word(42, &[77]));
+    relay.receive_peer_message(START, 3, word(42, &[1]));
     assert_eq!(sent(&mut relay, START), names(&[0, 2, 3]));
     assert_eq!(relay.endpoints().count(), 4);
 }
@@ -156,17 +156,17 @@
 #[test]
 fn a_word_of_a_list_that_is_no_newer_is_not_taken() {
     let mut relay = relay(true);
-    relay.told(START, 3, word(40, &[2]));
-    relay.told(START, 3, word(7, &[1]));
+    relay.receive_peer_message(START, 3, word(40, &[2]));
+    relay.receive_peer_message(START, 3, word(7, &[1]));
     assert_eq!(sent(&mut relay, START), names(&[0, 1, 2, 3]));
 }
 
 #[test]
 fn relays_that_may_not_tell_each_other_take_no_word_and_send_none() {
     let mut relay = relay(false);
-    relay.told(START, 3, word(41, &[2]));
+    relay.receive_peer_message(START, 3, word(41, &[2]));
     assert_eq!(sent(&mut relay, START), names(&[0, 1, 2, 3]));
-    relay.answered(
+    relay.apply_discovery_answer(
         START,
         Answer { revision: 41, asked: START, whole: false },
         vec![entry(1, EndpointState::Draining)],
@@ -184,30 +184,30 @@
         [answer(41, START - 1.0, false), answer(45, START - 1.0, false), answer(40, START + 5.0, false)]
     {
         let mut relay = relay(true);
-        relay.told(START, 3, word(41, &[2]));
-        relay.answered(START + 10.0, answer, Vec::new());
+        relay.receive_peer_message(START, 3, word(41, &[2]));
+        relay.apply_discovery_answer(START + 10.0, answer, Vec::new());
         assert_eq!(sent(&mut relay, START + 10.0), all, "{answer:?}");
-        relay.told(START + 20.0, 4, word(41, &[2]));
+        relay.receive_peer_message(START + 20.0, 4, word(41, &[2]));
         assert_eq!(sent(&mut relay, START + 20.0), all, "{answer:?}: the same word once more");
     }
     let mut relay = relay(true);
-    relay.told(START, 3, word(41, &[2]));
-    relay.answered(START + 10.0, answer(41, START - 1.0, true), ready(4));
+    relay.receive_peer_message(START, 3, word(41, &[2]));
+    relay.apply_discovery_answer(START + 10.0, answer(41, START - 1.0, true), ready(4));
     assert_eq!(sent(&mut relay, START + 10.0), all, "the whole list");
 }
 
 #[test]
 fn a_streamer_stays_avoided_while_the_word_is_newer_than_the_answer() {
     let mut relay = relay(true);
-    relay.told(START, 3, word(42, &[2]));
+    relay.receive_peer_message(START, 3, word(42, &[2]));
     let answer = Answer { revision: 41, asked: START - 1.0, whole: false };
-    relay.answered(START + 10.0, answer, vec![entry(0, EndpointState::Removed)]);
+    relay.apply_discovery_answer(START + 10.0, answer, vec![entry(0, EndpointState::Removed)]);
     assert_eq!(sent(&mut relay, START + 10.0), names(&[1, 3]));
     let answer = Answer { revision: 42, asked: START - 1.0, whole: false };
-    relay.answered(START + 20.0, answer, vec![entry(2, EndpointState::Draining)]);
+    relay.apply_discovery_answer(START + 20.0, answer, vec![entry(2, EndpointState::Draining)]);
     assert_eq!(sent(&mut relay, START + 20.0), names(&[1, 3]), "the list says so too");
     let answer = Answer { revision: 43, asked: START + 20.0, whole: false };
-    relay.answered(START + 30.0, answer, Vec::new());
+    relay.apply_discovery_answer(START + 30.0, answer, Vec::new());
     assert_eq!(sent(&mut relay, START + 30.0), names(&[1, 3]), "and has not taken it back");
 }
 
@@ -220,13 +220,15 @@
     let (left, gone) = (|| word(41, &[2]), || word(42, &[2]));
     let id = EndpointId("s2".into());
     type Step<'a> = &'a dyn Fn(&mut Relay);
-    let tell: Step = &|relay| relay.told(START + 1.0, 3, left());
-    let tell_gone: Step = &|relay| relay.told(START + 2.0, 4, gone());
-    let hear_left: Step =
-        &|relay| relay.answered(START + 3.0, answer(41), vec![entry(2, EndpointState::Draining)]);
-    let hear_gone: Step =
-        &|relay| relay.answered(START + 4.0, answer(42), vec![entry(2, EndpointState::Removed)]);
-    let hear_back: Step = &|relay| relay.answered(START + 5.0, answer(43), vec![back()]);
+    let tell: Step = &|relay| relay.receive_peer_message(START + 1.0, 3, left());
+    let tell_gone: Step = &|relay| relay.receive_peer_message(START + 2.0, 4, gone());
+    let hear_left: Step = &|relay| {
+        relay.apply_discovery_answer(START + 3.0, answer(41), vec![entry(2, EndpointState::Draining)])
+    };
+    let hear_gone: Step = &|relay| {
+        relay.apply_discovery_answer(START + 4.0, answer(42), vec![entry(2, EndpointState::Removed)])
+    };
+    let hear_back: Step = &|relay| relay.apply_discovery_answer(START + 5.0, answer(43), vec![back()]);
     let crossings: [&[Step]; 8] = [
         &[hear_back, tell, tell_gone],
         &[tell, hear_back, tell_gone],
@@ -241,9 +243,9 @@
         let mut relay = relay(true);
         steps.iter().for_each(|step| step(&mut relay));
         assert!(relay.is_ready(&id), "crossing {n}");
-        relay.told(START + 20.0, 5, word(44, &[2]));
+        relay.receive_peer_message(START + 20.0, 5, word(44, &[2]));
         assert!(!relay.is_ready(&id), "crossing {n}: it leaves again");
-        relay.answered(START + 30.0, answer(44), vec![entry(2, EndpointState::Draining)]);
+        relay.apply_discovery_answer(START + 30.0, answer(44), vec![entry(2, EndpointState::Draining)]);
         assert!(!relay.is_ready(&id), "crossing {n}: as the list says");
     }
 }
@@ -252,14 +254,14 @@
 fn words_of_the_service_before_do_no_harm_after_a_move() {
     let mut relay = relay(true);
     let answer = |revision, asked, whole| Answer { revision, asked, whole };
-    relay.answered(START, answer(40, START, false), Vec::new());
-    relay.told(START, 3, word(2000, &[2]));
-    relay.moved(START + 10.0);
-    relay.answered(START + 20.0, answer(5, START + 15.0, true), ready(4));
+    relay.apply_discovery_answer(START, answer(40, START, false), Vec::new());
+    relay.receive_peer_message(START, 3, word(2000, &[2]));
+    relay.discovery_changed(START + 10.0);
+    relay.apply_discovery_answer(START + 20.0, answer(5, START + 15.0, true), ready(4));
     assert_eq!(sent(&mut relay, START + 20.0), names(&[0, 1, 2, 3]), "taken before the move");
-    relay.told(START + 30.0, 3, word(2001, &[1]));
-    relay.answered(START + 40.0, answer(5, START + 25.0, false), Vec::new());
-    relay.answered(START + 50.0, answer(6, START + 45.0, false), Vec::new());
+    relay.receive_peer_message(START + 30.0, 3, word(2001, &[1]));
+    relay.apply_discovery_answer(START + 40.0, answer(5, START + 25.0, false), Vec::new());
+    relay.apply_discovery_answer(START + 50.0, answer(6, START + 45.0, false), Vec::new());
     assert_eq!(sent(&mut relay, START + 50.0), names(&[0, 1, 2, 3]), "taken after the move");
 }
 
@@ -267,11 +269,11 @@
 fn what_comes_on_a_watch_that_goes_on_is_told_to_nobody_but_those_who_ask() {
     let mut relay = relay(true);
     let answer = |revision| Answer { revision, asked: START, whole: false };
-    relay.answered(START, answer(41), Vec::new());
+    relay.apply_discovery_answer(START, answer(41), Vec::new());
     tells(&mut relay);
-    relay.answered(START + 100.0, answer(42), vec![entry(1, EndpointState::Draining)]);
+    relay.apply_discovery_answer(START + 100.0, answer(42), vec![entry(1, EndpointState::Draining)]);
     assert!(tells(&mut relay).is_empty(), "in calm times");
-    relay.told(
+    relay.receive_peer_message(
         START + 200.0,
         99,
         PeerMessage { cluster: Some(ClusterMessage::DrainQuery(40)), ..PeerMessage::default() },
@@ -280,12 +282,12 @@
         panic!("who asks is not answered")
     };
     assert_eq!(*endpoints, [EndpointHash::of("s1")]);
-    relay.answered(START + 300.0, answer(43), vec![entry(2, EndpointState::Removed)]);
+    relay.apply_discovery_answer(START + 300.0, answer(43), vec![entry(2, EndpointState::Removed)]);
     let [(99, ClusterMessage::Draining { revision: 43, endpoints })] = &tells(&mut relay)[..] else {
         panic!("who has asked is not told what is new")
     };
     assert_eq!(*endpoints, [EndpointHash::of("s2")]);
-    relay.answered(START + 60_000.0, answer(44), vec![entry(3, EndpointState::Removed)]);
+    relay.apply_discovery_answer(START + 60_000.0, answer(44), vec![entry(3, EndpointState::Removed)]);
     assert!(tells(&mut relay).is_empty(), "a minute later");
 }
 
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -122,7 +122,7 @@
         }
     }
     let log: Vec<String> = relays.iter().flatten().map(Relay::log).collect();
-    let says = log.iter().any(|log| log.contains("shares: places are short"));
+    let says = log.iter().any(|log| log.contains("quota: capacity is short"));
     assert_eq!(says, enforce, "refusals by share are logged, and there are none where it is off");
     ([0, 1].map(|m| served[m] as f64 / came[m] as f64), [held[0].len(), held[1].len()])
 }
