--- /dev/null
+++ b/src/properties/internals.rs
@@ -0,0 +1,34 @@
+//! The only place of these tests that reads the load balancer's internals.
+
+use std::collections::BTreeSet;
+
+use crate::policy::api::RequestId;
+use crate::relay::Relay;
+
+/// What a relay's load balancer has recorded of requests and connections.
+pub(super) struct BalancerState {
+    /// All that it knows.
+    pub(super) tracked: Vec<RequestId>,
+    pub(super) queued: BTreeSet<RequestId>,
+    /// Attempts that are out.
+    pub(super) attempting: usize,
+    /// Load of all attempts and connections.
+    pub(super) load: f64,
+    /// Attempts and connections at all endpoints.
+    pub(super) placed: usize,
+    /// Nothing is recorded of any connection.
+    pub(super) at_rest: bool,
+}
+
+pub(super) fn balancer_state(relay: &Relay) -> BalancerState {
+    let load_balancer = &relay.load_balancer;
+    let ledger = &load_balancer.ledger;
+    BalancerState {
+        tracked: ledger.conns.keys().copied().collect(),
+        queued: load_balancer.queue.iter().copied().collect(),
+        attempting: ledger.trying as usize,
+        load: ledger.total,
+        placed: ledger.endpoints.values().map(|endpoint| endpoint.conns.len()).sum(),
+        at_rest: load_balancer.at_rest(),
+    }
+}
