--- a/src/listener/line.rs
+++ b/src/listener/line.rs
@@ -11,7 +11,7 @@
 use super::{Answer, Arrive, ClientProtocol, TransferredProtocol};
 use crate::policy::api::*;
 use crate::relay::ServingMode;
-use crate::relay::{IncomingRequest, LocalReply};
+use crate::relay::{AcceptedClass, IncomingRequest, LocalReply};
 
 /// Longest line, with its end.
 const LINE_BYTES: usize = 4096;
@@ -29,7 +29,7 @@
     pub groups: bool,
     /// Classes, each with until when new connections may name it, where it was dropped. Connections that arrive mid-flow began
     /// when it was in force.
-    pub classes: Vec<(String, Option<Millis>)>,
+    pub classes: Vec<AcceptedClass>,
     /// Tenants; where there are none any will do.
     pub tenants: Vec<String>,
 }
@@ -60,7 +60,7 @@
 
     fn knows_class(&self, now: Millis, class: &str, mid_flow: bool) -> bool {
         let may = |until: &Option<Millis>| mid_flow || until.is_none_or(|until| now < until);
-        self.names.borrow().classes.iter().any(|(name, until)| name == class && may(until))
+        self.names.borrow().classes.iter().any(|c| c.name == class && may(&c.accepted_until))
     }
 
     fn knows_tenant(&self, tenant: &str, mid_flow: bool) -> bool {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -157,7 +157,7 @@
 }
 
 fn line_names(relay: &Relay, config: &Config) -> LineNames {
-    LineNames { groups: config.groups, classes: relay.class_names(), tenants: config.tenants.clone() }
+    LineNames { groups: config.groups, classes: relay.accepted_classes(), tenants: config.tenants.clone() }
 }
 
 async fn tick(shared: Rc<Shared>) {
--- a/src/properties/attempts.rs
+++ b/src/properties/attempts.rs
@@ -5,7 +5,8 @@
 use super::checks::Rule;
 use super::timeline::{AttemptRef, RequestRef, ScheduledEvent};
 use super::world::{
-    CLASSES, COLD_CAPACITY_FRACTION, FAULTS_MS, MAX_ATTEMPTS, ObservedConnection, WARM_UP_MS, World,
+    CLASSES, COLD_CAPACITY_FRACTION, FAULTS_MS, MAX_ATTEMPTS, OVERLOAD_MULTIPLE, ObservedConnection,
+    Placement, WARM_UP_CAPACITY_FRACTION, WARM_UP_MS, World,
 };
 use crate::policy::api::{EndpointId, EndpointState, Millis, Outcome};
 use crate::relay::Attempt;
@@ -45,7 +46,7 @@
         };
         let allowed = attempt_allowed(connection, &attempt);
         connection.attempts += 1;
-        connection.attempting = Some((attempt.endpoint.clone(), now));
+        connection.attempting = Some(Placement { endpoint: attempt.endpoint.clone(), since: now });
         let Attempt { number, endpoint, until, .. } = attempt;
         self.check(Rule::OneAttempt, allowed, || format!("{id:?}: attempt {number}, until {until}"));
         self.check_draining(request, &endpoint);
@@ -83,8 +84,8 @@
     }
 
     fn max_cold_attempts(&self, age: Millis) -> f64 {
-        let warmth = COLD_CAPACITY_FRACTION + 0.69 * age / WARM_UP_MS;
-        let bound = 3.0 * warmth * CAPACITY_PER_S * COLD_WINDOW_MS / 1000.0;
+        let warmth = COLD_CAPACITY_FRACTION + WARM_UP_CAPACITY_FRACTION * age / WARM_UP_MS;
+        let bound = OVERLOAD_MULTIPLE * warmth * CAPACITY_PER_S * COLD_WINDOW_MS / 1000.0;
         // Hundreds of relays send each by itself: the count is as uneven as that of any independent arrivals.
         let chance = SLACK_ROOTS * bound.sqrt() + SLACK_CONNECTIONS;
         bound + if self.relays.len() > FEW_RELAYS { chance } else { FEW_RELAYS_SLACK }
@@ -92,14 +93,14 @@
 
     fn draw_outcome(&mut self, attempt: AttemptRef, endpoint: usize) {
         let kind = self.random.random_range(0..100);
-        let calm = self.now > START + FAULTS_MS;
-        let took = if calm { self.random_span(5.0, 40.0) } else { self.random_span(5.0, 400.0) };
+        let recovering = self.now > START + FAULTS_MS;
+        let took = if recovering { self.random_span(5.0, 40.0) } else { self.random_span(5.0, 400.0) };
         let ends = |outcome| ScheduledEvent::AttemptEnds { attempt, outcome };
         match (self.endpoints[endpoint].state, kind) {
             (EndpointState::Removed, 0..70) => self.after(1.0, ends(Outcome::ConnectFailed)),
             (EndpointState::Removed, _) => self.after(200.0, ends(Outcome::ConnectFailed)),
             (EndpointState::Draining, 0..60) => self.after(2.0, ends(Outcome::Rejected)),
-            _ if calm => self.after(took, ScheduledEvent::Established(attempt)),
+            _ if recovering => self.after(took, ScheduledEvent::Established(attempt)),
             (_, 0..6) => self.after(took, ends(Outcome::Error)),
             (_, 6..12) => self.after(2.0, ends(Outcome::Rejected)),
             (_, 12..16) => self.after(1.0, ends(Outcome::ConnectFailed)),
@@ -111,7 +112,7 @@
     }
 
     /// Whether this attempt of a connection is still out; then it no longer is.
-    fn take_attempt(&mut self, attempt: AttemptRef) -> Option<(EndpointId, Millis)> {
+    fn take_attempt(&mut self, attempt: AttemptRef) -> Option<Placement> {
         let RequestRef { relay, id } = attempt.request;
         let connection = self.relays[relay].connections.get_mut(&id)?;
         let attempts = connection.attempts;
@@ -121,14 +122,14 @@
     pub(super) fn establish(&mut self, attempt: AttemptRef) {
         let RequestRef { relay, id } = attempt.request;
         let now = self.now;
-        let Some((endpoint, sent)) = self.take_attempt(attempt) else { return };
+        let Some(Placement { endpoint, since: sent }) = self.take_attempt(attempt) else { return };
         let removed = self.endpoints[index_of(&endpoint)].state == EndpointState::Removed;
         let Some(connection) = self.relays[relay].connections.get_mut(&id) else { return };
         if removed {
-            connection.attempting = Some((endpoint, sent));
+            connection.attempting = Some(Placement { endpoint, since: sent });
             return self.end_attempt(attempt, Outcome::Reset);
         }
-        connection.established = Some((endpoint, now));
+        connection.established = Some(Placement { endpoint, since: now });
         self.call(relay, |relay, now| relay.connection_established(now, id, now - sent));
         let duration = self.random_exponential(CONNECTION_MS);
         let outcome = if self.random.random_bool(0.5) { Outcome::Ok } else { Outcome::Cancelled };
--- a/src/properties/checks.rs
+++ b/src/properties/checks.rs
@@ -26,7 +26,11 @@
 }
 
 /// A broken rule, with what was seen.
-pub(super) type Violation = (Rule, String);
+#[derive(Debug)]
+pub(super) struct Violation {
+    pub(super) rule: Rule,
+    pub(super) what: String,
+}
 
 /// What a run has recorded about the rules.
 #[derive(Default)]
@@ -38,7 +42,8 @@
 
 impl Checks {
     pub(super) fn violation(&mut self, now: Millis, rule: Rule, what: String) {
-        self.violations.push((rule, format!("{:.0} ms: {what}", now - START)));
+        let what = format!("{:.0} ms: {what}", now - START);
+        self.violations.push(Violation { rule, what });
     }
 
     /// Records an occasion of a rule, and a violation where it does not hold.
--- a/src/properties/faults.rs
+++ b/src/properties/faults.rs
@@ -6,7 +6,7 @@
 
 use super::checks::Rule;
 use super::timeline::{RequestRef, ScheduledEvent};
-use super::world::{ENDPOINTS, FAULTS_MS, ObservedConnection, World, new_relay};
+use super::world::{ENDPOINTS, FAULTS_MS, ObservedConnection, Placement, World, new_relay};
 use crate::policy::api::{EndpointState, ListKind, Millis, Outcome, RequestId};
 use crate::tests::{START, endpoint};
 
@@ -111,8 +111,8 @@
                 continue;
             }
             let long_there = |c: &ObservedConnection| {
-                let established = c.established.as_ref();
-                established.is_some_and(|(id, at)| *id == endpoint(i) && now - at > MIGRATED_WITHIN_MS)
+                let long = |at: &Placement| at.endpoint == endpoint(i) && now - at.since > MIGRATED_WITHIN_MS;
+                c.established.as_ref().is_some_and(long)
             };
             let due = process.connections.iter().filter(|(_, c)| !c.drained_by_endpoint && long_there(c));
             all.extend(due.map(|(id, c)| (relay, *id, c.migrated)));
@@ -129,7 +129,7 @@
     fn break_connections(&mut self, i: usize, fraction: f64) {
         for relay in 0..self.relays.len() {
             let at =
-                |c: &ObservedConnection| c.established.as_ref().is_some_and(|(id, _)| *id == endpoint(i));
+                |c: &ObservedConnection| c.established.as_ref().is_some_and(|at| at.endpoint == endpoint(i));
             let connections = self.relays[relay].connections.iter().filter(|(_, c)| at(c));
             for id in connections.map(|(id, _)| *id).collect::<Vec<_>>() {
                 if self.random.random_bool(fraction) {
--- a/src/properties/runs.rs
+++ b/src/properties/runs.rs
@@ -8,7 +8,7 @@
 use super::checks::{Rule, Violation};
 use super::internals::balancer_state;
 use super::timeline::RequestRef;
-use super::world::{CALM_MS, ClientsGone, FAULTS_MS, World};
+use super::world::{ClientsGone, FAULTS_MS, RECOVERY_MS, World};
 use crate::policy::api::Outcome;
 use crate::tests::START;
 
@@ -85,7 +85,7 @@
     /// Plays a run to its end: once all faults have ended and no client is left, nothing is recorded any more, and new
     /// connections are served.
     fn play(&mut self) {
-        self.run_until(START + FAULTS_MS + CALM_MS);
+        self.run_until(START + FAULTS_MS + RECOVERY_MS);
         for relay in 0..self.relays.len() {
             self.check_rest(relay);
         }
@@ -168,9 +168,9 @@
 /// The rule held in all runs, and could have been broken at least so often.
 pub(super) fn assert_holds(runs: &[RunReport], rule: Rule, min_occasions: u64) {
     for run in runs {
-        let mut violations = run.violations.iter().filter(|(broken, _)| *broken == rule);
+        let mut violations = run.violations.iter().filter(|violation| violation.rule == rule);
         let count = violations.clone().count();
-        let first = violations.next();
+        let first = violations.next().map(|violation| &violation.what);
         let RunParameters { seed, relays, .. } = run.parameters;
         assert!(first.is_none(), "seed {seed}, {relays} relays: broken {count} times, first {first:?}");
     }
--- a/src/properties/world.rs
+++ b/src/properties/world.rs
@@ -19,24 +19,34 @@
 pub(super) const MAX_ATTEMPTS: u32 = 5;
 /// Faults and new clients last for so long; then the clients leave.
 pub(super) const FAULTS_MS: Millis = 14_000.0;
-pub(super) const CALM_MS: Millis = 12_000.0;
+pub(super) const RECOVERY_MS: Millis = 12_000.0;
 pub(super) const RETRY_AFTER_MS: Millis = 1_500.0;
 pub(super) const REPLY_SLACK_MS: Millis = 8.0;
-/// Part of its capacity that an endpoint has when it starts, and when it is warm.
+/// Part of its capacity that an endpoint has when it starts.
 pub(super) const COLD_CAPACITY_FRACTION: f64 = 0.31;
+/// What it gains until it is warm.
+pub(super) const WARM_UP_CAPACITY_FRACTION: f64 = 0.69;
 pub(super) const WARM_UP_MS: Millis = 8_600.0;
+/// An endpoint fails when it is sent more than this multiple of its capacity.
+pub(super) const OVERLOAD_MULTIPLE: f64 = 3.0;
 const FIRST_FAULT_MS: Millis = 1_500.0;
 pub(super) const TICK_MS: Millis = 1_000.0;
 
+/// An endpoint of an attempt or a connection.
+pub(super) struct Placement {
+    pub(super) endpoint: EndpointId,
+    /// When the attempt was sent, or the connection established.
+    pub(super) since: Millis,
+}
+
 /// A connection as an independent observer records it.
 pub(super) struct ObservedConnection {
     pub(super) client: u32,
     pub(super) deadline: Millis,
     pub(super) attempts: u32,
-    /// The attempt that is out: its endpoint and when it was sent.
-    pub(super) attempting: Option<(EndpointId, Millis)>,
-    /// Where it is established, and since when.
-    pub(super) established: Option<(EndpointId, Millis)>,
+    /// The attempt that is out.
+    pub(super) attempting: Option<Placement>,
+    pub(super) established: Option<Placement>,
     pub(super) answered: bool,
     /// Its client has left.
     pub(super) client_gone: bool,
@@ -120,7 +130,7 @@
         max_retry_after: Some(RETRY_AFTER_MS),
         cold_capacity_fraction: COLD_CAPACITY_FRACTION,
         warm_up_time: WARM_UP_MS,
-        overload_multiple: 3.0,
+        overload_multiple: OVERLOAD_MULTIPLE,
         ..settings()
     };
     Relay::new(settings, CLASSES.map(str::to_owned).to_vec(), seed, now)
--- a/src/relay/classes.rs
+++ b/src/relay/classes.rs
@@ -14,6 +14,16 @@
 /// Dropped classes that stay though no connection here refers to them: connections of theirs may arrive mid-flow.
 const MAX_UNUSED_DROPPED_CLASSES: usize = 8;
 
+/// A class that requests may name.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AcceptedClass {
+    /// Its name.
+    pub name: String,
+    /// Where it was dropped from the settings, the time until which a new request may still name it. A connection that
+    /// arrives mid-flow may come with it all the same.
+    pub accepted_until: Option<Millis>,
+}
+
 /// What a position stands for.
 #[derive(Clone, Debug, PartialEq)]
 struct NamedClass {
@@ -95,11 +105,13 @@
         }
     }
 
-    /// Names that a request may come with. One that was dropped has the time until which a new request may still name
-    /// it; a connection that arrives mid-flow may come with any of them.
-    pub(super) fn names(&self) -> Vec<(String, Option<Millis>)> {
-        let until = |slot: &NamedClass| slot.dropped_at.map(|at| at + DROPPED_CLASS_GRACE_MS);
-        self.slots.iter().flatten().map(|slot| (slot.name.clone(), until(slot))).collect()
+    /// Classes that requests may name, by position.
+    pub(super) fn accepted(&self) -> Vec<AcceptedClass> {
+        let accepted = |slot: &NamedClass| AcceptedClass {
+            name: slot.name.clone(),
+            accepted_until: slot.dropped_at.map(|at| at + DROPPED_CLASS_GRACE_MS),
+        };
+        self.slots.iter().flatten().map(accepted).collect()
     }
 
     /// The position of a class: of the one in force of that name, or else of the one that was dropped last.
--- a/src/relay/classes/tests.rs
+++ b/src/relay/classes/tests.rs
@@ -36,11 +36,13 @@
     let mut classes = ClassTable::default();
     apply(&mut classes, 0.0, &[("a", 1.0)], &[]);
     apply(&mut classes, 100.0, &[("b", 1.0)], &[]);
-    assert_eq!(classes.names(), [("a".into(), Some(100.0 + DROPPED_CLASS_GRACE_MS)), ("b".into(), None)]);
+    let dropped = AcceptedClass { name: "a".into(), accepted_until: Some(100.0 + DROPPED_CLASS_GRACE_MS) };
+    let in_force = AcceptedClass { name: "b".into(), accepted_until: None };
+    assert_eq!(classes.accepted(), [dropped, in_force]);
     assert_eq!(classes.position("a"), Some(ClassId(0)));
     // A second reading that lacks it too does not give it more time.
     apply(&mut classes, 500.0, &[("b", 1.0)], &[]);
-    assert_eq!(classes.names()[0].1, Some(100.0 + DROPPED_CLASS_GRACE_MS));
+    assert_eq!(classes.accepted()[0].accepted_until, Some(100.0 + DROPPED_CLASS_GRACE_MS));
 }
 
 #[test]
--- a/src/relay/drain_exchange.rs
+++ b/src/relay/drain_exchange.rs
@@ -51,8 +51,7 @@
 
     /// Endpoints that were ready, or are held for draining by gossip only.
     pub(super) fn usable_endpoints(&self) -> impl Iterator<Item = EndpointHash> {
-        let all = self.endpoints.readiness();
-        all.filter(|(id, ready)| *ready || self.drain_gossip.holds(*id)).map(|(id, _)| id)
+        self.endpoints.ready_or(|endpoint| self.drain_gossip.holds(endpoint))
     }
 
     pub(super) fn reconcile_drain_gossip(
@@ -72,8 +71,7 @@
     pub(super) fn receive_drain_gossip(&mut self, now: Millis, peer: u32, message: ClusterMessage) {
         let cluster = self.gossip_cluster();
         let mut messages = Sends::new();
-        let readiness = self.endpoints.readiness();
-        let ready: BTreeSet<EndpointHash> = readiness.filter(|(_, ready)| *ready).map(|(id, _)| id).collect();
+        let ready: BTreeSet<EndpointHash> = self.endpoints.ready_or(|_| false).collect();
         let is_ready = |id: EndpointHash| ready.contains(&id);
         let draining = self.drain_gossip.told(now, cluster, peer, message, is_ready, &mut messages);
         if !draining.is_empty() {
--- a/src/relay/endpoints.rs
+++ b/src/relay/endpoints.rs
@@ -113,9 +113,10 @@
         self.entries.get(endpoint).is_some_and(TrackedEndpoint::is_ready)
     }
 
-    /// Every endpoint by its hash, and whether it is ready.
-    pub(super) fn readiness(&self) -> impl Iterator<Item = (EndpointHash, bool)> {
-        self.entries.iter().map(|(id, endpoint)| (EndpointHash::of(&id.0), endpoint.is_ready()))
+    /// Hashes of the endpoints that are ready, or that the predicate is true for.
+    pub(super) fn ready_or(&self, or: impl Fn(EndpointHash) -> bool) -> impl Iterator<Item = EndpointHash> {
+        let hashed = self.entries.iter().map(|(id, endpoint)| (EndpointHash::of(&id.0), endpoint));
+        hashed.filter(move |(hash, endpoint)| endpoint.is_ready() || or(*hash)).map(|(hash, _)| hash)
     }
 
     fn statuses(&self) -> impl Iterator<Item = EndpointStatus> {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -30,6 +30,7 @@
 
 use sandgw_cluster::drain_gossip::DrainGossip;
 
+pub use self::classes::AcceptedClass;
 pub use self::commands::{Attempt, Command, ConnectionCommand, LocalReply};
 pub use self::counters::{Counters, OUTCOME_COUNT};
 pub use self::endpoints::EndpointStatus;
@@ -110,10 +111,9 @@
         self.drain_actions(now);
     }
 
-    /// Names of classes that a request may come with. One that was dropped has the time until which a new request may
-    /// still name it.
-    pub fn class_names(&self) -> Vec<(String, Option<Millis>)> {
-        self.classes.names()
+    /// Classes that requests may name.
+    pub fn accepted_classes(&self) -> Vec<AcceptedClass> {
+        self.classes.accepted()
     }
 
     /// The commands since the last call, in order.
