--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -15,7 +15,7 @@
 use super::{Shared, until};
 use crate::config::Config;
 use crate::policy::api::{EndpointEntry, EndpointState, ListKind, Millis};
-use crate::relay::lifecycle::Refusal;
+use crate::relay::operator_calls::OperatorCallError;
 
 /// How long a call waits at most for the leader's decision. Its reply says so where there is none by then.
 const MAX_CALL_WAIT_MS: Millis = 3000.0;
@@ -71,9 +71,9 @@
         self.core(|relay, now| match revision.filter(|_| is_answer) {
             Some(revision) => {
                 let answer = Answer { revision, asked: requested_at, whole: is_full };
-                relay.answered(now, answer, entries)
+                relay.apply_discovery_answer(now, answer, entries)
             }
-            None => relay.known(now, revision, entries),
+            None => relay.load_cached_list(now, revision, entries),
         });
     }
 
@@ -92,13 +92,14 @@
     /// # Errors
     ///
     /// The reason why the call was not carried out.
-    pub(super) async fn window_call(&self, call: Call) -> Result<String, Refusal> {
+    pub(super) async fn window_call(&self, call: Call) -> Result<String, OperatorCallError> {
         if self.relay.borrow().is_handed_over() {
-            return Err(Refusal::HandedOver);
+            return Err(OperatorCallError::HandedOver);
         }
         let awaits_decision = matches!(call, Call::Request(_) | Call::Extend { .. });
         let handled = self.with_maintenance(|service, now| service.handle_call(now, call));
-        let window = handled.ok_or(Refusal::Unknown)?.map_err(Refusal::Window)?;
+        let window =
+            handled.ok_or(OperatorCallError::Unknown)?.map_err(OperatorCallError::MaintenanceWindow)?;
         let Some(id) = window else { return Ok(self.all_windows()) };
         if awaits_decision {
             self.wait_for_decision(id).await;
