--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -13,7 +13,7 @@
 use sandgw::policy::api::*;
 use sandgw::relay::{Attempt, Command, ConnectionCommand, IncomingRequest, Relay};
 use sandgw_affinity::Record;
-use sandgw_affinity::codec::Kind;
+use sandgw_affinity::codec::TableKind;
 
 const RELAYS: u32 = 4;
 const ENDPOINTS: usize = 14;
@@ -65,7 +65,7 @@
     relays: Vec<Option<Relay>>,
     /// How often each has started: timers of an earlier life are void.
     lives: Vec<u32>,
-    stores: Vec<BTreeMap<(Kind, u64), Record>>,
+    stores: Vec<BTreeMap<(TableKind, u64), Record>>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     due: HashMap<u64, Due>,
     number: u64,
@@ -286,8 +286,8 @@
         // As the writer does, but at once.
         let changes = relay.changes(now, usize::MAX);
         let store = &mut self.stores[at];
-        changes.gone.iter().for_each(|key| drop(store.remove(key)));
-        store.extend(changes.set.into_iter().map(|r| (r.key(), r)));
+        changes.removed.iter().for_each(|key| drop(store.remove(key)));
+        store.extend(changes.updated.into_iter().map(|r| (r.key(), r)));
         self.settle(at);
         let Some((_, _, mid_flow)) = self.asked.remove(&(at, request)) else { return };
         let Some(own) = self.held.values().find(|h| h.relay == at && h.request == request) else { return };
--- a/crates/affinity-store/benches/startup.rs
+++ b/crates/affinity-store/benches/startup.rs
@@ -25,14 +25,14 @@
     for entries in [10_000u64, 100_000, 1_000_000] {
         let folder = tempfile::tempdir().expect("a folder");
         let store = Store::open(folder.path()).expect("a store").store;
-        let whole = Changes { set: (0..entries).map(record).collect(), ..Changes::default() };
+        let whole = Changes { updated: (0..entries).map(record).collect(), ..Changes::default() };
         store.write(&whole).expect("written");
         let mut batches = Vec::new();
         for run in 0..RUNS as u64 {
             // A second's worth at twelve connections a second, and a hundred times that.
             let set = (0..1200).map(|n| record((run * 7919 + n * 31) % entries)).collect();
             let start = Instant::now();
-            store.write(&Changes { set, ..Changes::default() }).expect("written");
+            store.write(&Changes { updated: set, ..Changes::default() }).expect("written");
             batches.push(start.elapsed().as_secs_f64() * 1e3);
         }
         drop(store);
@@ -45,7 +45,7 @@
             let mut affinity = Affinity::new(limits, NOW);
             let mut records = Vec::new();
             store.load(|r| records.push(r)).expect("read");
-            taken = affinity.restore(NOW, records.into_iter()).taken;
+            taken = affinity.restore(NOW, records.into_iter()).accepted;
             starts.push(start.elapsed().as_secs_f64() * 1e3);
         }
         let bytes = std::fs::metadata(folder.path().join(FILE)).expect("a file").len();
--- a/crates/affinity-store/src/commands.rs
+++ b/crates/affinity-store/src/commands.rs
@@ -79,7 +79,11 @@
     fn add(self, changes: &mut Changes) -> Result<(), String> {
         match self {
             Line::Client { key: k, holder, at_ms } => {
-                changes.set.push(Record::Session { key: key(&k)?, holder: tag(&holder)?, at: time(at_ms)? });
+                changes.updated.push(Record::Session {
+                    key: key(&k)?,
+                    holder: tag(&holder)?,
+                    at: time(at_ms)?,
+                });
             }
             Line::Group { key: k, holders, at_ms } => {
                 let holders = holders.into_iter().map(|(t, load)| {
@@ -90,7 +94,7 @@
                     }
                 });
                 let holders = holders.collect::<Result<_, _>>()?;
-                changes.set.push(Record::Group { key: key(&k)?, holders, at: time(at_ms)? });
+                changes.updated.push(Record::Group { key: key(&k)?, holders, at: time(at_ms)? });
             }
             Line::Endpoint { tag: t, id, started_ms } => {
                 let tag = tag(&t)?;
--- a/crates/affinity-store/src/lib.rs
+++ b/crates/affinity-store/src/lib.rs
@@ -22,7 +22,7 @@
 
 use log::error;
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition};
-use sandgw_affinity::codec::Kind;
+use sandgw_affinity::codec::TableKind;
 use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
 use sandgw_affinity::{Changes, Millis, Record};
 use xxhash_rust::xxh3::xxh3_64;
@@ -37,7 +37,8 @@
 const CLIENTS: TableDefinition<u64, &[u8]> = TableDefinition::new("clients");
 const GROUPS: TableDefinition<u64, &[u8]> = TableDefinition::new("groups");
 /// Groups before clients: they are few, and a plan starts from them.
-const TABLES: [(TableDefinition<u64, &[u8]>, Kind); 2] = [(GROUPS, Kind::Groups), (CLIENTS, Kind::Sessions)];
+const TABLES: [(TableDefinition<u64, &[u8]>, TableKind); 2] =
+    [(GROUPS, TableKind::Groups), (CLIENTS, TableKind::Sessions)];
 const ENDPOINTS: TableDefinition<u32, &[u8]> = TableDefinition::new("streamers");
 
 /// Why a store could not be opened or used.
@@ -284,13 +285,13 @@
         {
             let mut clients = write.open_table(CLIENTS).map_err(other)?;
             let mut groups = write.open_table(GROUPS).map_err(other)?;
-            for (kind, key) in &changes.gone {
-                let table = if *kind == Kind::Groups { &mut groups } else { &mut clients };
+            for (kind, key) in &changes.removed {
+                let table = if *kind == TableKind::Groups { &mut groups } else { &mut clients };
                 table.remove(key).map_err(other)?;
             }
-            for record in &changes.set {
+            for record in &changes.updated {
                 let (kind, key) = record.key();
-                let table = if kind == Kind::Groups { &mut groups } else { &mut clients };
+                let table = if kind == TableKind::Groups { &mut groups } else { &mut clients };
                 table.insert(key, encode(record)?.as_slice()).map_err(other)?;
             }
             let mut endpoints = write.open_table(ENDPOINTS).map_err(other)?;
--- a/crates/affinity-store/src/writer.rs
+++ b/crates/affinity-store/src/writer.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use log::{error, info};
-use sandgw_affinity::codec::Kind;
+use sandgw_affinity::codec::TableKind;
 use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
 use sandgw_affinity::{Changes, Millis, Record};
 
@@ -139,7 +139,7 @@
 /// What has come up and is not written: each entry as it is now, nothing where it has gone.
 #[derive(Default)]
 struct Pending {
-    entries: BTreeMap<(Kind, u64), Option<Record>>,
+    entries: BTreeMap<(TableKind, u64), Option<Record>>,
     names: HashMap<EndpointTag, EndpointName>,
 }
 
@@ -147,8 +147,8 @@
     /// Adds a batch; says how many entries there was no room for.
     fn add(&mut self, changes: Changes) -> u64 {
         let mut left_out = 0;
-        let gone = changes.gone.into_iter().map(|key| (key, None));
-        for (key, entry) in gone.chain(changes.set.into_iter().map(|r| (r.key(), Some(r)))) {
+        let gone = changes.removed.into_iter().map(|key| (key, None));
+        for (key, entry) in gone.chain(changes.updated.into_iter().map(|r| (r.key(), Some(r)))) {
             if self.entries.len() < MOST_PENDING || self.entries.contains_key(&key) {
                 self.entries.insert(key, entry);
             } else {
@@ -166,8 +166,8 @@
     fn changes(&self) -> Changes {
         let gone = self.entries.iter().filter(|(_, r)| r.is_none()).map(|(key, _)| *key).collect();
         Changes {
-            set: self.entries.values().flatten().cloned().collect(),
-            gone,
+            updated: self.entries.values().flatten().cloned().collect(),
+            removed: gone,
             names: self.names.values().cloned().collect(),
         }
     }
--- a/crates/affinity-store/tests/faults.rs
+++ b/crates/affinity-store/tests/faults.rs
@@ -8,7 +8,7 @@
 
 use disk::{Disk, until};
 use proptest::prelude::*;
-use sandgw_affinity::codec::Kind;
+use sandgw_affinity::codec::TableKind;
 use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
 use sandgw_affinity::{Changes, Record};
 use sandgw_affinity_store::writer::Writer;
@@ -27,10 +27,10 @@
 }
 
 fn set(records: impl IntoIterator<Item = Record>) -> Changes {
-    Changes { set: records.into_iter().collect(), ..Changes::default() }
+    Changes { updated: records.into_iter().collect(), ..Changes::default() }
 }
 
-fn contents(store: &Store) -> BTreeMap<(Kind, u64), Record> {
+fn contents(store: &Store) -> BTreeMap<(TableKind, u64), Record> {
     let mut all = BTreeMap::new();
     let loaded = store.load(|record| drop(all.insert(record.key(), record))).unwrap();
     assert_eq!(loaded.damaged, 0);
@@ -40,7 +40,7 @@
 /// Three batches that set, change and drop entries.
 fn batches() -> Vec<Changes> {
     let mut second = set((40..90).map(|k| client(k, 2.0)).chain((0..10).map(|k| group(k, 3.0))));
-    second.gone = (0..30).map(|k| (Kind::Sessions, k)).chain([(Kind::Groups, 50)]).collect();
+    second.removed = (0..30).map(|k| (TableKind::Sessions, k)).chain([(TableKind::Groups, 50)]).collect();
     vec![
         set((0..60).map(|k| client(k, 1.0)).chain((0..60).map(|k| group(k, 1.0)))),
         second,
@@ -49,12 +49,12 @@
 }
 
 /// The state after each batch, from nothing on.
-fn states() -> Vec<BTreeMap<(Kind, u64), Record>> {
+fn states() -> Vec<BTreeMap<(TableKind, u64), Record>> {
     let mut states = vec![BTreeMap::new()];
     for batch in batches() {
         let mut next = states.last().unwrap().clone();
-        batch.gone.iter().for_each(|key| drop(next.remove(key)));
-        next.extend(batch.set.into_iter().map(|r| (r.key(), r)));
+        batch.removed.iter().for_each(|key| drop(next.remove(key)));
+        next.extend(batch.updated.into_iter().map(|r| (r.key(), r)));
         states.push(next);
     }
     states
@@ -230,7 +230,7 @@
     };
     hand(set([client(1, 2.0), client(3, 2.0)]));
     until("the disk fails", || writer.written().failing);
-    hand(Changes { gone: vec![(Kind::Sessions, 2)], ..set([client(1, 3.0)]) });
+    hand(Changes { removed: vec![(TableKind::Sessions, 2)], ..set([client(1, 3.0)]) });
     // Far more than is kept.
     for i in 0..80u64 {
         hand(set((0..1000).map(|k| client(1 << 20 | i << 10 | k, 1.0))));
@@ -243,9 +243,9 @@
     assert!(writer.take_lost() && !writer.take_lost());
     drop(writer);
     let found = contents(&disk.after(None).open().unwrap());
-    assert_eq!(found.get(&(Kind::Sessions, 1)), Some(&client(1, 3.0)));
-    assert_eq!(found.get(&(Kind::Sessions, 2)), None);
-    assert_eq!(found.get(&(Kind::Sessions, 3)), Some(&client(3, 2.0)));
+    assert_eq!(found.get(&(TableKind::Sessions, 1)), Some(&client(1, 3.0)));
+    assert_eq!(found.get(&(TableKind::Sessions, 2)), None);
+    assert_eq!(found.get(&(TableKind::Sessions, 3)), Some(&client(3, 2.0)));
     assert!(found.len() > 16_000 && found.len() <= 16_385, "{}", found.len());
 }
 
--- a/crates/affinity-store/tests/forms.rs
+++ b/crates/affinity-store/tests/forms.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 
 use disk::Disk;
-use sandgw_affinity::codec::Kind;
+use sandgw_affinity::codec::TableKind;
 use sandgw_affinity::endpoint_registry::EndpointTag;
 use sandgw_affinity::{Changes, Record};
 use sandgw_affinity_store::file_format::ShareRow;
@@ -17,7 +17,7 @@
 /// A file as the program of before forms had numbers wrote it: three clients, a group, two endpoints.
 const FORM_1: &[u8] = include_bytes!("fixtures/form-1.redb");
 
-fn contents(store: &Store) -> Vec<((Kind, u64), Record)> {
+fn contents(store: &Store) -> Vec<((TableKind, u64), Record)> {
     let mut all = Vec::new();
     let loaded = store.load(|record| all.push((record.key(), record))).unwrap();
     assert_eq!(loaded.damaged, 0);
@@ -73,7 +73,7 @@
     for (from, step, to, finalized) in [(1, up, 2, 1), (2, back, 1, 1), (1, finalize, 2, 2)] {
         let (begun, mut seen) = (Disk::new(), [0, 0]);
         let store = begun.open().unwrap();
-        store.write(&Changes { set: vec![client(1), client(2)], ..Changes::default() }).unwrap();
+        store.write(&Changes { updated: vec![client(1), client(2)], ..Changes::default() }).unwrap();
         store.move_to(from).unwrap();
         store.write_shares(&rows(5)).unwrap();
         let before = contents(&store);
--- a/crates/affinity/benches/rivals.rs
+++ b/crates/affinity/benches/rivals.rs
@@ -18,7 +18,7 @@
 impl Rival for Ours {
     fn ask(&mut self, key: u64) -> bool {
         let known = self.0.get(key).is_some();
-        self.0.set(0, key, [0; 100]);
+        self.0.insert(0, key, [0; 100]);
         known
     }
 }
--- a/crates/affinity/benches/table.rs
+++ b/crates/affinity/benches/table.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use sandgw_affinity::endpoint_registry::State;
+use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
 use sandgw_affinity::{Affinity, Limits};
 
 /// Keys of a full period, spread over the table.
@@ -17,9 +17,10 @@
     let limits = Limits { bytes: entries as usize * 160, max_age: 1e9, ..Limits::default() };
     let mut affinity = Affinity::new(limits, 0.0);
     let id: Arc<str> = Arc::from("s-1");
-    affinity.list(0.0, true, std::iter::once((&id, 0.0, State::Ready)));
+    let listed = ListedEndpoint { id: &id, started: 0.0, state: ListedState::Ready };
+    affinity.apply_list(0.0, true, std::iter::once(listed));
     for n in 0..entries {
-        affinity.note(0.0, key(n), "s-1");
+        affinity.record_session(0.0, key(n), "s-1");
     }
     affinity
 }
@@ -29,7 +30,7 @@
     group.sample_size(30);
     for entries in [10_000u64, 100_000, 1_000_000] {
         let mut affinity = filled(entries);
-        let held = affinity.figures().sessions;
+        let held = affinity.statistics().sessions;
         let mut n = 0;
         group.bench_function(BenchmarkId::new("lookup", entries), |b| {
             b.iter(|| {
@@ -45,7 +46,7 @@
         group.bench_function(BenchmarkId::new("set-known", entries), |b| {
             b.iter(|| {
                 n = (n + 7919) % held;
-                black_box(affinity.note(1.0, key(n), "s-1"))
+                black_box(affinity.record_session(1.0, key(n), "s-1"))
             });
         });
         let mut n = entries * 4;
@@ -55,7 +56,7 @@
                     n += 1;
                     key(n)
                 },
-                |key| black_box(affinity.note(1.0, key, "s-1")),
+                |key| black_box(affinity.record_session(1.0, key, "s-1")),
                 BatchSize::SmallInput,
             );
         });
@@ -63,17 +64,17 @@
         group.bench_function(BenchmarkId::new("group-place", entries), |b| {
             b.iter(|| {
                 n = (n + 7919) % (entries / 4);
-                affinity.place(1.0, key(n), "s-1", 1.0);
+                affinity.record_group_connection(1.0, key(n), "s-1", 1.0);
             });
         });
-        let (sessions, groups) = affinity.most_bytes();
-        let f = affinity.figures();
+        let table_bytes = affinity.max_table_bytes();
+        let statistics = affinity.statistics();
         eprintln!(
             "{entries}: {} clients held at {:.1} bytes an entry, groups' table {} bytes of {}",
-            f.sessions,
-            sessions as f64 / f.sessions as f64,
-            groups,
-            f.bytes
+            statistics.sessions,
+            table_bytes.sessions as f64 / statistics.sessions as f64,
+            table_bytes.groups,
+            statistics.max_bytes
         );
     }
     group.finish();
--- a/crates/affinity/tests/common/mod.rs
+++ b/crates/affinity/tests/common/mod.rs
@@ -1,12 +1,13 @@
-//! What the tests of this crate share: endpoints, and a tier of relays' tables on a lossy network in virtual time.
+//! What the tests of this crate share: endpoints, and a cluster of relays' tables on a lossy network in virtual time.
 
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use sandgw_affinity::codec::{ClusterMessage, MOST_BYTES};
-use sandgw_affinity::endpoint_registry::State;
+use sandgw_affinity::codec::{ClusterMessage, MAX_MESSAGE_BYTES};
+use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
+use sandgw_affinity::outbox::Outbox;
 use sandgw_affinity::replication::Replication;
 use sandgw_affinity::{Affinity, Limits, Millis};
 
@@ -17,12 +18,19 @@
 }
 
 /// Endpoints s-0, s-1, ... that started then.
-pub fn endpoints(n: usize, started: Millis) -> Vec<(Arc<str>, Millis, State)> {
-    (0..n).map(|i| (Arc::from(format!("s-{i}")), started, State::Ready)).collect()
+pub fn endpoints(n: usize, started: Millis) -> Vec<(Arc<str>, Millis, ListedState)> {
+    (0..n).map(|i| (Arc::from(format!("s-{i}")), started, ListedState::Ready)).collect()
 }
 
-pub fn list(affinity: &mut Affinity, now: Millis, whole: bool, entries: &[(Arc<str>, Millis, State)]) {
-    affinity.list(now, whole, entries.iter().map(|(id, started, state)| (id, *started, *state)));
+pub fn list(
+    affinity: &mut Affinity,
+    now: Millis,
+    is_full: bool,
+    entries: &[(Arc<str>, Millis, ListedState)],
+) {
+    let listed =
+        entries.iter().map(|(id, started, state)| ListedEndpoint { id, started: *started, state: *state });
+    affinity.apply_list(now, is_full, listed);
 }
 
 /// Random numbers that are the same every time (SplitMix64).
@@ -46,12 +54,12 @@
     }
 }
 
-/// How a network treats pieces.
+/// How a network treats messages.
 #[derive(Clone, Copy, Default)]
 pub struct Net {
     pub lost: f64,
     pub doubled: f64,
-    /// Delays are drawn from 1 ms up to this: with more than one piece out they overtake each other.
+    /// Delays are drawn from 1 ms up to this: with more than one message in flight they overtake each other.
     pub delay: u64,
 }
 
@@ -98,20 +106,20 @@
     pub fn call<T>(
         &mut self,
         at: usize,
-        call: impl FnOnce(&mut Affinity, &mut Replication, Millis, &mut Vec<(u32, ClusterMessage)>) -> T,
+        call: impl FnOnce(&mut Affinity, &mut Replication, Millis, &mut Outbox) -> T,
     ) -> T {
         let mut out = Vec::new();
-        let (affinity, tier) = &mut self.nodes[at];
-        let result = call(affinity, tier, self.now, &mut out);
-        if let Some(after) = tier.timer(self.now) {
+        let (affinity, replication) = &mut self.nodes[at];
+        let result = call(affinity, replication, self.now, &mut out);
+        if let Some(after) = replication.timer(self.now) {
             self.count += 1;
             self.timers.insert(((self.now + after).ceil() as u64, self.count), at);
         }
-        for (peer, piece) in out {
-            let text = piece.text().expect("a piece fits a datagram");
-            assert!(text.len() <= MOST_BYTES && peer as usize != at);
+        for sent in out {
+            let text = sent.message.encode().expect("a message fits a datagram");
+            assert!(text.len() <= MAX_MESSAGE_BYTES && sent.peer as usize != at);
             self.sent.push((self.now, at, text.len()));
-            self.post(at as u32, peer as usize, text);
+            self.post(at as u32, sent.peer as usize, text);
         }
         result
     }
@@ -139,18 +147,18 @@
             self.now = self.now.max(next as f64);
             if mail == Some(next) {
                 let ((_, _), (to, from, text)) = self.mail.pop_first().unwrap();
-                if let Some(piece) = ClusterMessage::read(&text) {
-                    self.call(to, |a, t, now, out| t.told(a, now, from, piece, out));
+                if let Some(message) = ClusterMessage::decode(&text) {
+                    self.call(to, |a, r, now, out| r.receive(a, now, from, message, out));
                 }
             } else {
                 let (_, at) = self.timers.pop_first().unwrap();
-                self.call(at, |a, t, now, out| t.due(a, now, out));
+                self.call(at, |a, r, now, out| r.on_timer(a, now, out));
             }
         }
         self.now = end;
     }
 
     pub fn recover(&mut self, at: usize) {
-        self.call(at, |a, t, now, out| t.recover(a, now, out));
+        self.call(at, |a, r, now, out| r.recover(a, now, out));
     }
 }
--- a/crates/affinity/tests/members.rs
+++ b/crates/affinity/tests/members.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use proptest::prelude::*;
-use sandgw_affinity::endpoint_registry::{EndpointTag, State};
+use sandgw_affinity::endpoint_registry::{EndpointTag, ListedState};
 use sandgw_affinity::replication::Replication;
 use sandgw_affinity::{Affinity, Record};
 
@@ -43,8 +43,8 @@
     Arc::from(format!("s-{s}"))
 }
 
-fn state(n: u8) -> State {
-    [State::Ready, State::Draining, State::Removed][usize::from(n)]
+fn state(n: u8) -> ListedState {
+    [ListedState::Ready, ListedState::Draining, ListedState::Removed][usize::from(n)]
 }
 
 fn start(n: u8) -> f64 {
@@ -57,19 +57,19 @@
     #[test]
     fn only_the_incarnation_meant_is_given_and_only_while_it_is_ready(ops in proptest::collection::vec(op(), 1..200)) {
         let mut affinity = Affinity::new(limits(), START);
-        let mut tier = Replication::new(1);
+        let mut replication = Replication::new(1);
         // What the list says: start and state. And which incarnations each key may have been placed at.
-        let mut listed: HashMap<u8, (u8, State)> = HashMap::new();
+        let mut listed: HashMap<u8, (u8, ListedState)> = HashMap::new();
         let mut clients: HashMap<u64, Vec<(u8, u8)>> = HashMap::new();
         let mut groups: HashMap<u64, Vec<(u8, u8)>> = HashMap::new();
         let mut now = START;
         for op in ops {
             now += 10.0;
-            let change = |listed: &mut HashMap<u8, (u8, State)>, s: u8, at: u8, st: State| {
+            let change = |listed: &mut HashMap<u8, (u8, ListedState)>, s: u8, at: u8, st: ListedState| {
                 // A start only moves forward.
                 if listed.get(&s).is_none_or(|(was, _)| at >= *was) {
                     match st {
-                        State::Removed => drop(listed.remove(&s)),
+                        ListedState::Removed => drop(listed.remove(&s)),
                         st => drop(listed.insert(s, (at, st))),
                     }
                 }
@@ -87,11 +87,11 @@
                     named.for_each(|((st, at), s)| change(&mut listed, s, *at, state(*st)));
                 }
                 Op::Measurement(key, s) => {
-                    affinity.note(now, key, &id(s));
+                    affinity.record_session(now, key, &id(s));
                     clients.entry(key).or_default().extend(listed.get(&s).map(|(at, _)| (s, *at)));
                 }
                 Op::Place(key, s) => {
-                    affinity.place(now, key, &id(s), 1.0);
+                    affinity.record_group_connection(now, key, &id(s), 1.0);
                     groups.entry(key).or_default().extend(listed.get(&s).map(|(at, _)| (s, *at)));
                 }
                 Op::Loaded(key, s, at) => {
@@ -106,14 +106,14 @@
                 }
                 Op::Told(key, s, at) => {
                     let mut other = Affinity::new(limits(), START);
-                    list(&mut other, now, true, &[(id(s), start(at), State::Ready)]);
-                    other.note(now, key, &id(s));
-                    let news = other.news(&[key]).remove(0);
-                    tier.told(&mut affinity, now, 1, news, &mut Vec::new());
+                    list(&mut other, now, true, &[(id(s), start(at), ListedState::Ready)]);
+                    other.record_session(now, key, &id(s));
+                    let update = other.location_updates(&[key]).remove(0);
+                    replication.receive(&mut affinity, now, 1, update, &mut Vec::new());
                     clients.entry(key).or_default().push((s, at));
                 }
             }
-            let ready = |s: u8, at: u8| listed.get(&s) == Some(&(at, State::Ready));
+            let ready = |s: u8, at: u8| listed.get(&s) == Some(&(at, ListedState::Ready));
             for (key, places) in &clients {
                 if let Some(given) = affinity.session(*key) {
                     let right = places.iter().any(|(s, at)| id(*s) == given && ready(*s, *at));
@@ -121,7 +121,8 @@
                 }
             }
             for (key, places) in &groups {
-                for (given, _) in affinity.holders(now, *key) {
+                for holder in affinity.group_holders(now, *key) {
+                    let given = holder.endpoint;
                     let right = places.iter().any(|(s, at)| id(*s) == given && ready(*s, *at));
                     prop_assert!(right, "group {key} at {given}, placed {places:?}, listed {listed:?}");
                 }
@@ -140,14 +141,14 @@
     let tag = |i: usize| EndpointTag::of(&format!("s-{i}"), 0.0);
     for key in 0..1000u64 {
         let at = (key % 20) as usize;
-        affinity.note(START, key, &fleet[at].0.clone());
-        affinity.place(START, key, &fleet[at].0.clone(), 1.0);
+        affinity.record_session(START, key, &fleet[at].0.clone());
+        affinity.record_group_connection(START, key, &fleet[at].0.clone(), 1.0);
     }
     // All but the last leave, one after another, and successors join.
     for leaving in 0..19 {
         let now = START + 24_000.0 / 19.0 * leaving as f64;
-        fleet[leaving].2 = State::Draining;
-        fleet.push((Arc::from(format!("n-{leaving}")), now, State::Ready));
+        fleet[leaving].2 = ListedState::Draining;
+        fleet.push((Arc::from(format!("n-{leaving}")), now, ListedState::Ready));
         list(&mut affinity, now, false, &fleet[leaving..=leaving]);
         list(&mut affinity, now, false, &fleet[fleet.len() - 1..]);
         // Loaded and told after the notice.
@@ -158,18 +159,18 @@
             let wanted = (at > leaving).then(|| format!("s-{at}"));
             assert_eq!(affinity.session(key).map(|id| id.to_string()), wanted, "client {key}");
             assert_eq!(
-                affinity.holders(now, key).first().map(|(id, _)| id.to_string()),
+                affinity.group_holders(now, key).first().map(|holder| holder.endpoint.to_string()),
                 wanted,
                 "group {key}"
             );
         }
         assert_eq!(affinity.session(5000 + leaving as u64), None);
     }
-    assert!(affinity.figures().stale > 0);
+    assert!(affinity.statistics().stale_lookups > 0);
     // One that is named ready again, without a new start, is found again; with a new start it is not.
-    list(&mut affinity, START + 25_000.0, false, &[(fleet[0].0.clone(), 0.0, State::Ready)]);
+    list(&mut affinity, START + 25_000.0, false, &[(fleet[0].0.clone(), 0.0, ListedState::Ready)]);
     assert_eq!(affinity.session(0).as_deref(), Some("s-0"));
-    list(&mut affinity, START + 25_000.0, false, &[(fleet[0].0.clone(), START, State::Ready)]);
+    list(&mut affinity, START + 25_000.0, false, &[(fleet[0].0.clone(), START, ListedState::Ready)]);
     assert_eq!(affinity.session(0), None);
 }
 
@@ -183,7 +184,7 @@
         at: START - 5000.0,
     };
     let records = [record(1, "s-0", 0.0), record(2, "s-1", 500.0), record(3, "other", 0.0)];
-    assert_eq!(affinity.restore(START, records.into_iter()).taken, 3);
+    assert_eq!(affinity.restore(START, records.into_iter()).accepted, 3);
     assert_eq!((affinity.session(1), affinity.session(2)), (None, None));
     list(&mut affinity, START, true, &endpoints(2, 0.0));
     assert_eq!(affinity.session(1).as_deref(), Some("s-0"));
@@ -201,12 +202,12 @@
     let times = [START + 86_400_000.0, f64::INFINITY, f64::NAN, f64::NEG_INFINITY, -1.0, START - 1000.0];
     let records = times.iter().zip(0..).map(|(at, key)| Record::Session { key, holder, at: *at });
     let done = affinity.restore(START, records);
-    assert_eq!((done.taken, done.ahead, done.old), (5, 4, 1));
+    assert_eq!((done.accepted, done.in_future, done.expired), (5, 4, 1));
     assert!(affinity.session(0).is_some());
     // The clock goes back while it runs: time stands still here until it has caught up.
-    affinity.note(START - 3_600_000.0, 9, "s-0");
+    affinity.record_session(START - 3_600_000.0, 9, "s-0");
     assert!(affinity.session(9).is_some());
     let later = START + affinity.limits().max_age + 200.0;
-    affinity.note(later, 10, "s-0");
+    affinity.record_session(later, 10, "s-0");
     assert_eq!((affinity.session(0), affinity.session(9)), (None, None));
 }
--- a/crates/affinity/tests/table.rs
+++ b/crates/affinity/tests/table.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use proptest::prelude::*;
-use sandgw_affinity::endpoint_registry::State;
+use sandgw_affinity::endpoint_registry::ListedState;
 use sandgw_affinity::table::Table;
 use sandgw_affinity::{Affinity, Limits};
 
@@ -53,7 +53,7 @@
     Get(u64),
     Remove(u64),
     Sweep(u32),
-    Told,
+    TakeChanges,
 }
 
 fn ops() -> impl Strategy<Value = Vec<Op>> {
@@ -64,7 +64,7 @@
         4 => key().prop_map(Op::Get),
         1 => key().prop_map(Op::Remove),
         1 => (0u32..8).prop_map(Op::Sweep),
-        1 => Just(Op::Told),
+        1 => Just(Op::TakeChanges),
     ];
     proptest::collection::vec(op, 1..400)
 }
@@ -77,47 +77,47 @@
     #[test]
     fn a_table_gives_what_was_set_last_or_nothing(ops in ops(), most in 1usize..24) {
         let mut table = Table::new(most);
-        let (mut model, mut untold): (HashMap<u64, u32>, HashSet<u64>) = Default::default();
+        let (mut model, mut unreported): (HashMap<u64, u32>, HashSet<u64>) = Default::default();
         let mut now = 0;
         for op in ops {
             now += 1;
             match op {
                 Op::Set(key, value) => {
                     let full = table.len() == most && table.peek(key).is_none();
-                    let gone = table.set(now, key, value);
+                    let gone = table.insert(now, key, value);
                     prop_assert_eq!(gone.is_some(), full);
                     if let Some(gone) = gone {
                         prop_assert_eq!(model.remove(&gone.key), Some(gone.value));
-                        untold.remove(&gone.key);
+                        unreported.remove(&gone.key);
                     }
                     model.insert(key, value);
-                    untold.insert(key);
+                    unreported.insert(key);
                 }
-                Op::Get(key) => prop_assert_eq!(table.get(key).map(|(v, _)| v), model.get(&key).copied()),
+                Op::Get(key) => prop_assert_eq!(table.get(key).map(|stored| stored.value), model.get(&key).copied()),
                 Op::Remove(key) => {
                     prop_assert_eq!(table.remove(key), model.remove(&key));
-                    untold.remove(&key);
+                    unreported.remove(&key);
                 }
                 Op::Sweep(back) => {
                     let mut gone = Vec::new();
                     table.sweep(most, now.saturating_sub(back * 8), |v| v % 7 == 0, &mut gone);
                     for gone in gone {
                         prop_assert_eq!(model.remove(&gone.key), Some(gone.value));
-                        untold.remove(&gone.key);
+                        unreported.remove(&gone.key);
                     }
                 }
-                Op::Told => {
-                    while let Some((key, value, _)) = table.changed() {
-                        prop_assert!(untold.remove(&key));
-                        prop_assert_eq!(model.get(&key), Some(&value));
+                Op::TakeChanges => {
+                    while let Some(changed) = table.next_changed() {
+                        prop_assert!(unreported.remove(&changed.key));
+                        prop_assert_eq!(model.get(&changed.key), Some(&changed.value));
                     }
-                    prop_assert!(untold.is_empty());
+                    prop_assert!(unreported.is_empty());
                 }
             }
             prop_assert!(table.len() <= most);
             prop_assert_eq!(table.len(), model.len());
         }
-        let mut all: Vec<_> = table.iter().map(|(k, v, _)| (k, *v)).collect();
+        let mut all: Vec<_> = table.iter().map(|entry| (entry.key, *entry.value)).collect();
         let mut wanted: Vec<_> = model.into_iter().collect();
         all.sort_unstable();
         wanted.sort_unstable();
@@ -143,11 +143,11 @@
             let group = (group.unwrap_or(0) as u64).wrapping_mul(0x1234_5678_9abc_def1) | 1;
             if i > 200_000 {
                 asked += 1;
-                found += u64::from(!affinity.holders(now, group).is_empty());
+                found += u64::from(!affinity.group_holders(now, group).is_empty());
             }
-            affinity.place(now, group, "s-1", 1.0);
+            affinity.record_group_connection(now, group, "s-1", 1.0);
         } else if flood {
-            affinity.place(now, dice.next() | 1, "s-2", 1.0);
+            affinity.record_group_connection(now, dice.next() | 1, "s-2", 1.0);
         }
     }
     found as f64 / asked as f64
@@ -159,7 +159,7 @@
     let tables = || {
         let mut affinity = Affinity::new(Limits { bytes, max_age: 1e9, ..limits() }, START);
         list(&mut affinity, START, true, &endpoints(14, 0.0));
-        affinity.keep();
+        affinity.track_changes();
         affinity
     };
     let calm = hits(false, &mut tables());
@@ -168,12 +168,12 @@
     let most = most_held(|| {
         let mut affinity = tables();
         flooded = hits(true, &mut affinity);
-        held = Some(affinity.figures());
+        held = Some(affinity.statistics());
     });
-    let figures = held.unwrap();
+    let statistics = held.unwrap();
     assert!(calm - flooded <= 0.02, "hit ratio {calm:.3} without the flood, {flooded:.3} with it");
     assert!(calm > 0.95, "{calm}");
-    assert!(figures.refused > 800_000, "{figures:?}");
+    assert!(statistics.not_admitted > 800_000, "{statistics:?}");
     // Beside the tables there is the directory of 14 endpoints.
     assert!(most <= bytes + 16_384, "{most} bytes for a bound of {bytes}");
 }
@@ -184,13 +184,13 @@
     for bytes in [64 << 10, 1 << 20] {
         let most = most_held(|| {
             let mut affinity = Affinity::new(Limits { bytes, ..limits() }, START);
-            affinity.keep();
+            affinity.track_changes();
             list(&mut affinity, START, true, &endpoints(14, 0.0));
             let mut dice = Dice(3);
             for i in 0..200_000u64 {
                 let now = START + i as f64;
-                affinity.note(now, dice.next() & 0xff_ffff_ffff, "s-3");
-                affinity.place(now, dice.next(), "s-4", 1.0);
+                affinity.record_session(now, dice.next() & 0xff_ffff_ffff, "s-3");
+                affinity.record_group_connection(now, dice.next(), "s-4", 1.0);
             }
         });
         assert!(most <= bytes + 16_384, "{most} bytes for a bound of {bytes}");
@@ -201,18 +201,18 @@
 fn entries_age_out_and_are_counted() {
     let mut affinity = Affinity::new(Limits { max_age: 10_000.0, ..limits() }, START);
     list(&mut affinity, START, true, &endpoints(2, 0.0));
-    affinity.note(START, 1, "s-0");
-    affinity.place(START, 7, "s-0", 1.0);
+    affinity.record_session(START, 1, "s-0");
+    affinity.record_group_connection(START, 7, "s-0", 1.0);
     let later = START + 10_200.0;
-    affinity.note(later, 2, "s-1");
+    affinity.record_session(later, 2, "s-1");
     assert_eq!(affinity.session(1), None);
-    assert!(affinity.holders(later, 7).is_empty());
+    assert!(affinity.group_holders(later, 7).is_empty());
     for i in 0..10 {
-        affinity.note(later, 10 + i, "s-1");
-        affinity.place(later, 10 + i, "s-1", 1.0);
+        affinity.record_session(later, 10 + i, "s-1");
+        affinity.record_group_connection(later, 10 + i, "s-1", 1.0);
     }
-    assert_eq!(affinity.figures().aged, 2);
+    assert_eq!(affinity.statistics().expired, 2);
     // A list event at an earlier time does not bring it back.
-    list(&mut affinity, START, false, &[("s-0".into(), 0.0, State::Ready)]);
+    list(&mut affinity, START, false, &[("s-0".into(), 0.0, ListedState::Ready)]);
     assert_eq!(affinity.session(1), None);
 }
--- a/crates/affinity/tests/tier.rs
+++ b/crates/affinity/tests/tier.rs
@@ -7,7 +7,7 @@
 use common::*;
 use proptest::prelude::*;
 use sandgw_affinity::Limits;
-use sandgw_affinity::codec::{ClusterMessage, StickyClients};
+use sandgw_affinity::codec::{ClusterMessage, LocatedClients, StickyClients, TableKind};
 
 const ENDPOINTS: usize = 14;
 
@@ -20,7 +20,7 @@
             list(a, now, true, &fleet);
             for key in 0..clients {
                 // Spread over the buckets.
-                a.note(
+                a.record_session(
                     now,
                     key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24,
                     &fleet[key as usize % ENDPOINTS].0,
@@ -35,7 +35,12 @@
             world.call(at, |a, _, now, _| {
                 for n in 0..3 {
                     let group = (step * 7 + n) % 40;
-                    a.place(now, group << 50 | group, &format!("s-{}", group as usize % ENDPOINTS), 1.0);
+                    a.record_group_connection(
+                        now,
+                        group << 50 | group,
+                        &format!("s-{}", group as usize % ENDPOINTS),
+                        1.0,
+                    );
                 }
             });
         }
@@ -54,7 +59,8 @@
 }
 
 fn sizes(world: &World, at: usize) -> BTreeMap<u64, f64> {
-    world.nodes[at].0.sizes(world.now, 1000).into_iter().collect()
+    let sizes = world.nodes[at].0.group_sizes(world.now, 1000);
+    sizes.into_iter().map(|size| (size.group, size.load)).collect()
 }
 
 /// Starts relay 0 again from nothing and gives it this long.
@@ -72,7 +78,7 @@
 fn a_relay_that_starts_again_knows_clients_and_groups_within_a_second() {
     let mut world = recovered(Net { delay: 32, ..Net::default() }, 700, 1000.0);
     assert_eq!(known(&mut world, 0, 700), 700);
-    assert!(!world.nodes[0].1.asks());
+    assert!(!world.nodes[0].1.is_recovering());
     let (got, wanted) = (sizes(&world, 0), sizes(&world, 1));
     assert_eq!(got.len(), wanted.len());
     for (group, size) in &wanted {
@@ -80,10 +86,11 @@
         let share = got[group] / size / 0.75;
         assert!((0.93..1.07).contains(&share), "group {group}: {} for {size}", got[group]);
     }
-    assert_eq!(world.nodes[0].1.repeated(), 0);
-    let (load, belief) = world.nodes[0].0.fleet(world.now);
+    assert_eq!(world.nodes[0].1.resent_chunks(), 0);
+    let estimate = world.nodes[0].0.estimated_load(world.now);
+    let (load, confidence) = (estimate.load, estimate.confidence);
     let all = 0.75 * wanted.values().sum::<f64>();
-    assert!((0.9..1.1).contains(&(load / all)) && belief > 0.9, "{load} of {all}, {belief}");
+    assert!((0.9..1.1).contains(&(load / all)) && confidence > 0.9, "{load} of {all}, {confidence}");
 }
 
 #[test]
@@ -92,9 +99,9 @@
         let net = Net { lost, doubled: 0.3, delay: 60 };
         let mut world = recovered(net, 700, 8000.0);
         assert_eq!(known(&mut world, 0, 700), 700, "{lost} lost");
-        assert!(world.nodes[0].1.repeated() > 0);
+        assert!(world.nodes[0].1.resent_chunks() > 0);
         // Doubled pieces add no load: the sum is what the three carry.
-        let (load, _) = world.nodes[0].0.fleet(world.now);
+        let load = world.nodes[0].0.estimated_load(world.now).load;
         let all = 0.75 * sizes(&world, 1).values().sum::<f64>();
         assert!((0.85..1.15).contains(&(load / all)), "{load} of {all} with {lost} lost");
     }
@@ -116,7 +123,7 @@
 
 #[test]
 fn no_second_has_more_bytes_than_the_rate() {
-    let limits = Limits { rate: 4096.0, bytes: 8 << 20, ..limits() };
+    let limits = Limits { sync_bytes_per_s: 4096.0, bytes: 8 << 20, ..limits() };
     let mut world = world(Net { lost: 0.1, doubled: 0.0, delay: 20 }, 4000, limits);
     world.restart(0, 5);
     let fleet = endpoints(ENDPOINTS, 0.0);
@@ -130,7 +137,10 @@
             let second = sent[i..].iter().take_while(|s| s.0 < first.0 + 1000.0);
             let bytes: usize = second.map(|s| s.2).sum();
             // A second's worth, the burst after a rest, and a piece that was begun.
-            assert!(bytes as f64 <= limits.rate * 1.25 + 512.0, "{bytes} bytes in a second from {from}");
+            assert!(
+                bytes as f64 <= limits.sync_bytes_per_s * 1.25 + 512.0,
+                "{bytes} bytes in a second from {from}"
+            );
         }
     }
 }
@@ -148,7 +158,7 @@
     world.recover(0);
     world.pass(8000.0);
     assert_eq!(known(&mut world, 0, 300), 300);
-    let (load, _) = world.nodes[0].0.fleet(world.now);
+    let load = world.nodes[0].0.estimated_load(world.now).load;
     let all = 0.75 * sizes(&world, 1).values().sum::<f64>();
     assert!((0.85..1.15).contains(&(load / all)), "{load} of {all}: loads came in twice");
 }
@@ -166,7 +176,7 @@
         world.pass(500.0);
     };
     start(&mut world);
-    world.call(1, |a, _, now, _| assert!(a.note(now, 0, "s-0")));
+    world.call(1, |a, _, now, _| assert!(a.record_session(now, 0, "s-0")));
     start(&mut world);
     assert_eq!(known(&mut world, 0, 1), 1);
 }
@@ -175,14 +185,14 @@
 #[test]
 fn silent_relays_are_given_up() {
     let mut world = recovered(Net { lost: 1.0, ..Net::default() }, 10, 60_000.0);
-    assert!(!world.nodes[0].1.asks() && known(&mut world, 0, 10) == 0);
+    assert!(!world.nodes[0].1.is_recovering() && known(&mut world, 0, 10) == 0);
     let sent = world.sent.len();
     world.pass(60_000.0);
     assert_eq!(world.sent.len(), sent, "it goes on asking");
     (0..4).for_each(|at| world.restart(at, 40 + at as u64));
     (0..4).for_each(|at| world.recover(at));
     world.pass(60_000.0);
-    assert!(world.nodes.iter().all(|(_, tier)| !tier.asks()));
+    assert!(world.nodes.iter().all(|(_, replication)| !replication.is_recovering()));
 }
 
 fn held() -> impl Strategy<Value = Vec<StickyClients>> {
@@ -201,23 +211,24 @@
     /// Whatever a datagram holds, it is read as a piece or as none, and a piece survives its text.
     #[test]
     fn any_text_is_read_or_passed_over(rows in held(), flips in proptest::collection::vec((any::<usize>(), any::<u8>()), 0..8), other in ".{0,80}") {
-        let _ = ClusterMessage::read(&other);
-        let pieces = [
-            ClusterMessage::LocationUpdate(rows.iter().map(|h| (h.tag, h.clients.clone())).collect()),
-            ClusterMessage::Sessions { round: 9, bucket: 200, number: 60_000, rows },
-            ClusterMessage::SyncPlan { round: 1, kind: sandgw_affinity::codec::Kind::Groups, counts: vec![u16::MAX; 40] },
+        let _ = ClusterMessage::decode(&other);
+        let located = |row: &StickyClients| LocatedClients { tag: row.tag, clients: row.clients.clone() };
+        let messages = [
+            ClusterMessage::LocationUpdate(rows.iter().map(located).collect()),
+            ClusterMessage::Sessions { round: 9, bucket: 200, chunk: 60_000, rows },
+            ClusterMessage::SyncPlan { round: 1, table: TableKind::Groups, chunk_counts: vec![u16::MAX; 40] },
         ];
         let mut world = World::new(2, Net::default(), limits());
-        for piece in pieces {
-            let Some(text) = piece.text() else { continue };
-            prop_assert_eq!(ClusterMessage::read(&text), Some(piece));
+        for message in messages {
+            let Some(text) = message.encode() else { continue };
+            prop_assert_eq!(ClusterMessage::decode(&text), Some(message));
             let mut bytes = text.into_bytes();
             for (at, by) in &flips {
                 let at = at % bytes.len();
                 bytes[at] ^= by & 0x7f;
             }
-            if let Some(piece) = String::from_utf8(bytes).ok().and_then(|t| ClusterMessage::read(&t)) {
-                world.call(0, |a, t, now, out| t.told(a, now, 1, piece, out));
+            if let Some(message) = String::from_utf8(bytes).ok().and_then(|t| ClusterMessage::decode(&t)) {
+                world.call(0, |a, r, now, out| r.receive(a, now, 1, message, out));
             }
         }
         world.pass(5000.0);
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,11 +1,14 @@
-//! What the relays of one tier tell each other beside their tables, so that what it costs a connection is the same in
-//! a tier of ten and of three hundred.
+//! What the relays of a cluster exchange beside their affinity tables, at a cost for each connection that does not
+//! grow with the number of relays.
 //!
-//! [`location_gossip`] tells where clients' connections stand; [`load_aggregation`] is what they hold together at each
-//! endpoint, and [`rebalance`] which of them carry too much; [`concurrency_limit`] is how many set-ups a relay may have out while
-//! something shared is slow; [`poll_scheduler`] is when it asks discovery for the list, and [`drain_gossip`] what it tells
-//! of that to those whom discovery can't answer in time. All is free of I/O, with the time
-//! passed in; which endpoint a connection goes to is decided by the load balancer. `docs/tier.md` names the ways weighed.
+//! [`location_gossip`] replicates where clients' connections are placed; [`load_aggregation`] sums the load of each
+//! endpoint over all relays, and [`rebalance`] finds the endpoints that carry too much of it; [`concurrency_limit`]
+//! bounds the set-ups that a relay has in flight while something shared is slow, and [`overload_gossip`] warns other
+//! relays of that; [`poll_scheduler`] says when a relay polls discovery for the list, and [`drain_gossip`] passes
+//! changes of it on to relays that discovery can't answer in time.
+//!
+//! Nothing here does I/O: time is an argument, messages are returned. Which endpoint a connection goes to is decided
+//! by the load balancer. `docs/tier.md` describes the alternatives that were weighed.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -18,4 +21,5 @@
 pub mod poll_scheduler;
 pub mod rebalance;
 
+pub use sandgw_affinity::position::ClusterPosition;
 pub use sandgw_units::Millis;
--- a/crates/cluster/src/location_gossip.rs
+++ b/crates/cluster/src/location_gossip.rs
@@ -1,164 +1,198 @@
-//! News of clients' places: who is told of them, and who is asked on a miss.
+//! Replication of clients' locations: which relays are sent them, and which are queried on a miss.
 //!
-//! In a small tier every relay is told, and a connection that arrives mid-stream is found without a question. In a large
-//! one that would cost a datagram a relay for each connection. There every client has a few *keepers*, the same by
-//! every relay's reckoning: its place is told to them, and a relay that meets it mid-flow and does not know
-//! it asks them. The cost is a fixed number of datagrams a connection, whatever the number of relays.
+//! Owns the updates that are to be sent and the queries in flight. Inputs are placements, queries and the affinity
+//! tables, with the time in milliseconds; outputs are messages to send and when to look again. The locations
+//! themselves are in [`Affinity`].
+//!
+//! In a small cluster every relay is sent every update, and a connection that arrives mid-stream is found without a
+//! query. In a large one that would cost a datagram a relay for each connection. There every client has a few
+//! replicas, the same by every relay's computation: they are sent its location, and a relay that meets the client
+//! mid-stream and does not know it queries them. The cost is a fixed number of datagrams a connection, whatever the
+//! number of relays.
 
 use std::collections::BTreeMap;
 
 use sandgw_affinity::codec::{Client, ClusterMessage};
-use sandgw_affinity::replication::{FULL_MESH_RELAYS, Sends};
+use sandgw_affinity::outbox::{Outbox, OutgoingMessage};
 use sandgw_affinity::{Affinity, Millis};
+use sandgw_units::timer::AcknowledgedTimer;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Keepers of a client in a larger tier: one may be down or the datagram lost, both seldom are.
+use crate::ClusterPosition;
+
+/// Replicas of a client's location in a large cluster: one may be down or the datagram lost, both seldom are.
 pub const LOCATION_REPLICAS: u32 = 2;
-/// How long news is gathered before it is told. Who is killed takes that much with it.
-const NEWS_AFTER: Millis = 500.0;
-/// A keeper's answer is waited for this long: four of the longest ways of a datagram.
-const ANSWER_WITHIN: Millis = 160.0;
-/// How often it is looked for meanwhile.
-const LOOK_AGAIN: Millis = 16.0;
-/// Questions under way at the most; a connection beyond them does without.
-const MOST_ASKED: usize = 1024;
+/// How long updates are batched before they are sent. A relay that is killed loses that much.
+const UPDATE_BATCH_MS: Millis = 500.0;
+/// How long a replica's answer is waited for: four times the longest way of a datagram.
+const QUERY_TIMEOUT_MS: Millis = 160.0;
+/// How often a location is looked up while its query is in flight.
+const LOOKUP_INTERVAL_MS: Millis = 16.0;
+/// Queries in flight at most; a connection beyond them does without.
+const MAX_QUERIES: usize = 1024;
 
-/// News to be told, and questions under way.
+#[derive(Clone, Copy)]
+struct PendingQuery {
+    started_at: Millis,
+    attempts: u32,
+}
+
+/// Updates to be sent, and queries in flight.
 ///
 /// ```
-/// use sandgw_affinity::endpoint_registry::State;
+/// use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
 /// use sandgw_affinity::codec::ClusterMessage;
-/// use sandgw_affinity::replication::Sends;
+/// use sandgw_affinity::outbox::Outbox;
 /// use sandgw_affinity::{Affinity, Limits};
 /// use sandgw_cluster::location_gossip::{LocationGossip, location_replicas};
 ///
-/// let (relays, client) = (40, Affinity::client(b"a viewer"));
-/// let keeper = location_replicas(client, relays).next().expect("a keeper");
+/// let (relays, client) = (40, Affinity::client_key(b"a viewer"));
+/// let replica = location_replicas(client, relays).next().expect("a replica");
 /// let relay = |local_index| {
 ///     let mut affinity = Affinity::new(Limits { relays, local_index, ..Limits::default() }, 0.0);
-///     affinity.list(0.0, true, [(&"s-1".into(), 0.0, State::Ready)].into_iter());
+///     let endpoint = ListedEndpoint { id: &"s-1".into(), started: 0.0, state: ListedState::Ready };
+///     affinity.apply_list(0.0, true, [endpoint].into_iter());
 ///     affinity
 /// };
 ///
-/// // A relay that is no keeper of it meets the client mid-flow: it asks both location_replicas, and is to look again soon.
-/// let local_index = (0..relays).find(|local_index| !location_replicas(client, relays).any(|k| k == *local_index)).expect("another");
-/// let (mut news, affinity, mut out) = (LocationGossip::default(), relay(local_index), Sends::new());
-/// assert!(news.ask(&affinity, 1000.0, client, &mut out).is_some());
-/// let asked = out.iter().find(|(to, _)| *to == keeper).expect("a question").1.clone();
-/// let ClusterMessage::LocationQuery(clients) = asked else { panic!("no question") };
+/// // A relay that is no replica of it meets the client mid-stream: it queries both, and is to look again soon.
+/// let is_replica = |relay: u32| location_replicas(client, relays).any(|replica| replica == relay);
+/// let local_index = (0..relays).find(|relay| !is_replica(*relay)).expect("another");
+/// let (mut gossip, affinity, mut out) = (LocationGossip::default(), relay(local_index), Outbox::new());
+/// assert!(gossip.query(&affinity, 1000.0, client, &mut out).is_some());
+/// let sent = out.iter().find(|sent| sent.peer == replica).expect("a query").message.clone();
+/// let ClusterMessage::LocationQuery(clients) = sent else { panic!("no query") };
 ///
-/// // The keeper knows the place and answers.
-/// let mut kept = relay(keeper);
-/// kept.note(900.0, client, "s-1");
-/// let mut answer = Sends::new();
-/// LocationGossip::default().answer(&kept, local_index, &clients, &mut answer);
-/// assert!(matches!(&answer[..], [(to, ClusterMessage::LocationUpdate(_))] if *to == local_index));
+/// // The replica knows the location and answers.
+/// let mut tables = relay(replica);
+/// tables.record_session(900.0, client, "s-1");
+/// let mut answer = Outbox::new();
+/// LocationGossip::default().handle_query(&tables, local_index, &clients, &mut answer);
+/// assert!(answer.iter().all(|sent| sent.peer == local_index));
+/// assert!(matches!(answer[0].message, ClusterMessage::LocationUpdate(_)));
 /// ```
 #[derive(Default)]
 pub struct LocationGossip {
-    /// Clients placed here that nobody was told of yet, and since when.
-    untold: Vec<u64>,
-    untold_since: Millis,
-    /// Clients asked about, since when, and how often.
-    asked: BTreeMap<u64, (Millis, u32)>,
-    /// When a call is due that was asked for.
-    armed: Option<Millis>,
+    /// Clients placed here whose location was not sent yet, and since when the oldest of them waits.
+    pending_updates: Vec<u64>,
+    pending_since: Millis,
+    queries: BTreeMap<u64, PendingQuery>,
+    timer: AcknowledgedTimer,
 }
 
 impl LocationGossip {
-    /// Notes that a client's new place is to be told.
+    /// A client's new location is to be sent.
     ///
     /// ```
-    /// # use sandgw_affinity::replication::Sends;
-    /// # use sandgw_affinity::{Affinity, Limits, endpoint_registry::State};
+    /// # use sandgw_affinity::outbox::Outbox;
+    /// # use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
+    /// # use sandgw_affinity::{Affinity, Limits};
     /// # use sandgw_cluster::location_gossip::LocationGossip;
     /// let mut affinity = Affinity::new(Limits { relays: 4, local_index: 0, ..Limits::default() }, 0.0);
-    /// affinity.list(0.0, true, [(&"s-1".into(), 0.0, State::Ready)].into_iter());
-    /// let client = Affinity::client(b"a viewer");
-    /// affinity.note(1000.0, client, "s-1");
+    /// let endpoint = ListedEndpoint { id: &"s-1".into(), started: 0.0, state: ListedState::Ready };
+    /// affinity.apply_list(0.0, true, [endpoint].into_iter());
+    /// let client = Affinity::client_key(b"a viewer");
+    /// affinity.record_session(1000.0, client, "s-1");
     ///
-    /// let (mut news, mut out) = (LocationGossip::default(), Sends::new());
-    /// news.tell(1000.0, client);
-    /// let after = news.timer(1000.0).expect("a call is due");
-    /// news.due(&affinity, 1000.0 + after, &mut out);
-    /// assert_eq!(out.len(), 3, "the three others of a small tier are told");
+    /// let (mut gossip, mut out) = (LocationGossip::default(), Outbox::new());
+    /// gossip.queue_update(1000.0, client);
+    /// let after = gossip.timer(1000.0).expect("a batch is due");
+    /// gossip.on_timer(&affinity, 1000.0 + after, &mut out);
+    /// assert_eq!(out.len(), 3, "one for each of the others in a small cluster");
     /// ```
-    pub fn tell(&mut self, now: Millis, client: u64) {
-        if self.untold.is_empty() {
-            self.untold_since = now;
+    pub fn queue_update(&mut self, now: Millis, client: u64) {
+        if self.pending_updates.is_empty() {
+            self.pending_since = now;
         }
-        self.untold.push(client);
+        self.pending_updates.push(client);
     }
 
-    /// Tells what is due.
-    pub fn due(&mut self, affinity: &Affinity, now: Millis, out: &mut Sends) {
-        if self.armed.is_some_and(|at| now + 1.0 >= at) {
-            self.armed = None;
-        }
-        if self.untold.is_empty() || now - self.untold_since < NEWS_AFTER {
+    /// Sends the batch of updates that is due.
+    pub fn on_timer(&mut self, affinity: &Affinity, now: Millis, out: &mut Outbox) {
+        self.timer.acknowledge(now);
+        if self.pending_updates.is_empty() || now - self.pending_since < UPDATE_BATCH_MS {
             return;
         }
-        let (local_index, relays) = (affinity.limits().local_index, affinity.limits().relays);
-        let mut to: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
-        for client in self.untold.drain(..) {
-            location_replicas(client, relays).for_each(|peer| to.entry(peer).or_default().push(client));
+        let position = affinity.position();
+        let mut clients_by_peer: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
+        for client in self.pending_updates.drain(..) {
+            for peer in location_replicas(client, position.relay_count) {
+                clients_by_peer.entry(peer).or_default().push(client);
+            }
         }
-        for (peer, clients) in to.into_iter().filter(|(peer, _)| *peer != local_index) {
-            out.extend(affinity.news(&clients).into_iter().map(|news| (peer, news)));
+        clients_by_peer.remove(&position.local_index);
+        for (peer, clients) in clients_by_peer {
+            send_locations(affinity, peer, &clients, out);
         }
     }
 
-    /// In how long [`LocationGossip::due`] is to be called, if nothing earlier was asked for already.
+    /// In how long to call [`LocationGossip::on_timer`], unless that was requested before.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
-        let next = (!self.untold.is_empty()).then_some(self.untold_since + NEWS_AFTER)?;
-        if self.armed.is_some_and(|armed| armed <= next + 1.0 && armed >= now - NEWS_AFTER) {
+        if self.pending_updates.is_empty() {
             return None;
         }
-        self.armed = Some(next);
-        Some((next - now).max(1.0))
+        self.timer.arm(now, self.pending_since + UPDATE_BATCH_MS, UPDATE_BATCH_MS)
     }
 
-    /// A client has arrived mid-flow: in how long to look again for its place, which its keepers are asked for.
-    /// Nothing where it is known, where nobody else would know it, or where the answer has taken too long.
-    pub fn ask(&mut self, affinity: &Affinity, now: Millis, client: u64, out: &mut Sends) -> Option<Millis> {
-        let (local_index, relays) = (affinity.limits().local_index, affinity.limits().relays);
-        if relays <= FULL_MESH_RELAYS || affinity.session(client).is_some() {
-            self.asked.remove(&client);
+    /// A client has arrived mid-stream: in how long to look again for its location, which its replicas are queried for.
+    /// Nothing where it is known, where no other relay would know it, or where the query has timed out.
+    pub fn query(
+        &mut self,
+        affinity: &Affinity,
+        now: Millis,
+        client: u64,
+        out: &mut Outbox,
+    ) -> Option<Millis> {
+        let position = affinity.position();
+        if !position.is_large() || affinity.session(client).is_some() {
+            self.queries.remove(&client);
             return None;
         }
-        let (since, asks) = match self.asked.get(&client) {
-            Some((since, _)) if now - since >= ANSWER_WITHIN => {
-                self.asked.remove(&client);
-                return None;
-            }
-            Some((since, asks)) => (*since, *asks),
-            None => {
-                self.asked.retain(|_, (since, _)| now - *since < 2.0 * ANSWER_WITHIN);
-                if self.asked.len() >= MOST_ASKED {
-                    return None;
-                }
-                (now, 0)
-            }
-        };
-        // Once more halfway: the question or the answer may be lost.
-        if now - since >= f64::from(asks) * ANSWER_WITHIN / 2.0 {
-            self.asked.insert(client, (since, asks + 1));
-            let others = location_replicas(client, relays).filter(|peer| *peer != local_index);
-            out.extend(others.map(|peer| (peer, ClusterMessage::LocationQuery(vec![Client::of(client)]))));
+        let query = self.pending_query(now, client)?;
+        // The query or its answer may be lost: it is sent again halfway to the timeout.
+        if now - query.started_at >= f64::from(query.attempts) * QUERY_TIMEOUT_MS / 2.0 {
+            self.queries.insert(client, PendingQuery { attempts: query.attempts + 1, ..query });
+            send_query(position, client, out);
         }
-        Some(LOOK_AGAIN)
+        Some(LOOKUP_INTERVAL_MS)
     }
 
-    /// Answers a question about clients as far as their places are known; of others nothing is said.
-    pub fn answer(&self, affinity: &Affinity, peer: u32, clients: &[Client], out: &mut Sends) {
-        if peer < affinity.limits().relays {
-            let known: Vec<u64> = clients.iter().map(|c| c.key()).collect();
-            out.extend(affinity.news(&known).into_iter().map(|news| (peer, news)));
+    /// Answers a query for clients as far as their locations are known; of others nothing is sent.
+    pub fn handle_query(&self, affinity: &Affinity, peer: u32, clients: &[Client], out: &mut Outbox) {
+        if peer < affinity.position().relay_count {
+            let keys: Vec<u64> = clients.iter().map(|client| client.key()).collect();
+            send_locations(affinity, peer, &keys, out);
         }
     }
+
+    /// The query for a client, a new one if there is none; nothing if it has timed out or there are too many.
+    fn pending_query(&mut self, now: Millis, client: u64) -> Option<PendingQuery> {
+        if let Some(query) = self.queries.get(&client).copied() {
+            if now - query.started_at < QUERY_TIMEOUT_MS {
+                return Some(query);
+            }
+            self.queries.remove(&client);
+            return None;
+        }
+        self.queries.retain(|_, query| now - query.started_at < 2.0 * QUERY_TIMEOUT_MS);
+        let has_room = self.queries.len() < MAX_QUERIES;
+        has_room.then_some(PendingQuery { started_at: now, attempts: 0 })
+    }
+}
+
+fn send_query(position: ClusterPosition, client: u64, out: &mut Outbox) {
+    let replicas = location_replicas(client, position.relay_count);
+    let others = replicas.filter(|peer| *peer != position.local_index);
+    let query = ClusterMessage::LocationQuery(vec![Client::of(client)]);
+    out.extend(others.map(|peer| OutgoingMessage::new(peer, query.clone())));
+}
+
+fn send_locations(affinity: &Affinity, peer: u32, clients: &[u64], out: &mut Outbox) {
+    let updates = affinity.location_updates(clients);
+    out.extend(updates.into_iter().map(|update| OutgoingMessage::new(peer, update)));
 }
 
-/// The relays that are told of a client's place: all of a small tier, else so many that its key names.
+/// The relays that a client's location is sent to: all of a small cluster, else the replicas that its key determines.
 ///
 /// ```
 /// use sandgw_cluster::location_gossip::location_replicas;
@@ -166,12 +200,12 @@
 /// assert_eq!(location_replicas(7, 4).count(), 4);
 /// assert_eq!(location_replicas(7, 300).count(), 2);
 /// ```
-pub fn location_replicas(client: u64, relays: u32) -> impl Iterator<Item = u32> {
-    let few = relays > FULL_MESH_RELAYS;
-    let each = move |n: u32| {
-        let drawn = (xxh3_64_with_seed(&client.to_le_bytes(), 0) % u64::from(relays.max(1))) as u32;
-        // The keepers lie half a tier apart: relays next in number are often restarted together.
-        if few { (drawn + n * (relays / LOCATION_REPLICAS)) % relays } else { n }
+pub fn location_replicas(client: u64, relay_count: u32) -> impl Iterator<Item = u32> {
+    let is_large = ClusterPosition { local_index: 0, relay_count }.is_large();
+    let first = (xxh3_64_with_seed(&client.to_le_bytes(), 0) % u64::from(relay_count.max(1))) as u32;
+    // Replicas lie half a cluster apart: relays with adjacent indices are often restarted together.
+    let nth = move |n: u32| {
+        if is_large { (first + n * (relay_count / LOCATION_REPLICAS)) % relay_count } else { n }
     };
-    (0..if few { LOCATION_REPLICAS } else { relays }).map(each)
+    (0..if is_large { LOCATION_REPLICAS } else { relay_count }).map(nth)
 }
--- a/crates/cluster/src/overload_gossip.rs
+++ b/crates/cluster/src/overload_gossip.rs
@@ -1,75 +1,93 @@
-//! How the relays of a large tier learn that set-ups come late at all endpoints before each has seen it itself.
+//! How the relays of a large cluster learn that set-ups are late at all endpoints before each has observed it itself.
 //!
-//! Owns what was heard of late set-ups lately and when this relay last told; is fed its own late set-ups and others'
-//! words; gives words to send and whether the fault is common to all. It decides nothing about set-ups: that is
-//! [`crate::concurrency_limit`].
+//! Owns the notices that came in lately and when this relay last sent one. Inputs are its late set-ups and other
+//! relays' notices, with the time in milliseconds; outputs are notices to send and whether the fault is common to all
+//! endpoints. It decides nothing about set-ups: that is [`crate::concurrency_limit`].
 //!
-//! A thousand clients that come within two seconds are a handful for each of three hundred relays: all their set-ups
-//! are out before any relay has seen three of them come late. Who sees one come late tells a few others, drawn anew,
-//! and of which endpoint. Few words reach everybody soon when hundreds tell, and hardly anybody while one endpoint is
-//! slow, so no relay needs to know how many there are in all: words of several endpoints within a second are of a
-//! fault that they share. A word is five bytes.
+//! A thousand clients that arrive within two seconds are a handful for each of three hundred relays: all their set-ups
+//! are in flight before any relay has observed three late ones. A relay that observes one notifies a few others, drawn
+//! at random, and names the endpoint. Notices reach everybody soon when hundreds of relays send them, and hardly
+//! anybody while one endpoint is slow, so no relay needs to know how many there are in all: notices of several
+//! endpoints within a second mean a fault that they share. A notice is five bytes.
 
 use sandgw_affinity::codec::ClusterMessage;
-use sandgw_affinity::replication::{FULL_MESH_RELAYS, Sends};
-use xxhash_rust::xxh3::xxh3_64_with_seed;
+use sandgw_affinity::outbox::{Outbox, OutgoingMessage};
+use sandgw_units::random::SeededRandom;
 
-use crate::Millis;
 use crate::load_aggregation::Tag;
+use crate::{ClusterPosition, Millis};
 
-/// Others that are told of a late set-up, and how long a relay is silent then.
-const TOLD: u64 = 4;
-const SILENT: Millis = 250.0;
-/// Words of so many endpoints within such a time are of a common fault.
-const ENDPOINTS: usize = 3;
-const WITHIN: Millis = 1000.0;
-/// Words that are kept.
-const KEPT: usize = 16;
+/// Relays that are notified of a late set-up.
+const NOTICE_FANOUT: u64 = 4;
+/// A relay sends no further notices for this long after one.
+const NOTICE_INTERVAL_MS: Millis = 250.0;
+/// Notices of this many endpoints within [`NOTICE_TTL_MS`] mean a common fault.
+const COMMON_FAULT_ENDPOINTS: usize = 3;
+/// How long a notice counts.
+const NOTICE_TTL_MS: Millis = 1000.0;
+/// Notices that are stored at most.
+const MAX_STORED_NOTICES: usize = 16;
 
-/// One relay's part; see the load balancer's text.
+#[derive(Clone, Copy, Debug)]
+struct Notice {
+    received_at: Millis,
+    endpoint: Tag,
+}
+
+/// One relay's part in the exchange.
 ///
 /// ```
 /// use sandgw_cluster::overload_gossip::OverloadGossip;
 ///
-/// let mut storm = OverloadGossip::new(7);
-/// assert!(!storm.heard(0.0, [1, 1]) && !storm.heard(10.0, [1, 1]), "one streamer may be slow");
-/// assert!(!storm.heard(20.0, [2, 2]) && storm.heard(30.0, [3, 3]), "three at once share a fault");
-/// assert!(!storm.heard(5_000.0, [4, 4]), "which is over by now");
+/// let mut gossip = OverloadGossip::new(7);
+/// assert!(!gossip.receive_notice(0.0, [1, 1]) && !gossip.receive_notice(10.0, [1, 1]), "one endpoint may be slow");
+/// assert!(!gossip.receive_notice(20.0, [2, 2]) && gossip.receive_notice(30.0, [3, 3]), "three share a fault");
+/// assert!(!gossip.receive_notice(5_000.0, [4, 4]), "which is over by now");
 /// ```
 #[derive(Clone, Debug)]
 pub struct OverloadGossip {
-    heard: Vec<(Millis, Tag)>,
-    told_at: Millis,
-    seed: u64,
+    notices: Vec<Notice>,
+    last_sent_at: Millis,
+    random: SeededRandom,
 }
 
 impl OverloadGossip {
-    /// Nothing was heard yet. The seed is the relay's own.
+    /// No notice was sent or received yet. `seed` is the relay's own.
     pub fn new(seed: u64) -> Self {
-        OverloadGossip { heard: Vec::new(), told_at: f64::NEG_INFINITY, seed }
+        OverloadGossip {
+            notices: Vec::new(),
+            last_sent_at: f64::NEG_INFINITY,
+            random: SeededRandom::new(seed),
+        }
     }
 
-    /// A set-up of this relay's has come late at an endpoint; some others of so many are told.
-    pub fn late(&mut self, now: Millis, endpoint: Tag, (local_index, relays): (u32, u32), out: &mut Sends) {
-        if relays <= FULL_MESH_RELAYS || now - self.told_at < SILENT {
+    /// A set-up of this relay's was late at an endpoint: notifies some other relays.
+    pub fn report_late_setup(
+        &mut self,
+        now: Millis,
+        endpoint: Tag,
+        position: ClusterPosition,
+        out: &mut Outbox,
+    ) {
+        if !position.is_large() || now - self.last_sent_at < NOTICE_INTERVAL_MS {
             return;
         }
-        self.told_at = now;
-        for _ in 0..TOLD {
-            self.seed = xxh3_64_with_seed(&[], self.seed);
-            let peer = (self.seed % u64::from(relays)) as u32;
-            if peer != local_index {
-                out.push((peer, ClusterMessage::OverloadNotice(endpoint)));
+        self.last_sent_at = now;
+        for _ in 0..NOTICE_FANOUT {
+            let peer = (self.random.next_u64() % u64::from(position.relay_count)) as u32;
+            if peer != position.local_index {
+                out.push(OutgoingMessage::new(peer, ClusterMessage::OverloadNotice(endpoint)));
             }
         }
     }
 
-    /// Another relay's set-up has come late; whether the fault is common to all endpoints.
-    pub fn heard(&mut self, now: Millis, endpoint: Tag) -> bool {
-        self.heard.retain(|(at, tag)| now - at <= WITHIN && *tag != endpoint);
-        if self.heard.len() < KEPT {
-            self.heard.push((now, endpoint));
+    /// A set-up of another relay's was late at an endpoint; whether the fault is common to all endpoints.
+    pub fn receive_notice(&mut self, now: Millis, endpoint: Tag) -> bool {
+        self.notices
+            .retain(|notice| now - notice.received_at <= NOTICE_TTL_MS && notice.endpoint != endpoint);
+        if self.notices.len() < MAX_STORED_NOTICES {
+            self.notices.push(Notice { received_at: now, endpoint });
         }
-        self.heard.len() >= ENDPOINTS
+        self.notices.len() >= COMMON_FAULT_ENDPOINTS
     }
 }
--- a/crates/cluster/tests/leaving.rs
+++ b/crates/cluster/tests/drain_gossip.rs
@@ -6,8 +6,12 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sandgw_affinity::codec::{ClusterMessage, EndpointHash};
-use sandgw_cluster::drain_gossip::{Answer, ClusterSize, DrainGossip};
-use sandgw_cluster::poll_scheduler::{ClusterView, PollScheduler, broken, silent};
+use sandgw_affinity::outbox::{Outbox, OutgoingMessage};
+use sandgw_cluster::ClusterPosition;
+use sandgw_cluster::drain_gossip::{DiscoveryAnswer, DrainGossip, ListChange};
+use sandgw_cluster::poll_scheduler::{
+    PollScheduler, PollSettings, delay_after_broken_watch, delay_after_silent_watch,
+};
 
 /// Milliseconds from one look to the next, and a datagram's way.
 const STEP: f64 = 5.0;
@@ -17,7 +21,7 @@
 const GIVES_UP: f64 = 2500.0;
 /// A watch that has fallen silent is noticed after this long at the most.
 const NOTICED: f64 = 3500.0;
-/// When the fault begins, and how long is played.
+/// When the fault begins, and how long is outcome.
 const FAULT: f64 = 2000.0;
 const LONG: f64 = 60_000.0;
 /// From then on a change counts as told.
@@ -52,7 +56,7 @@
     cost: f64,
     loss: f64,
     /// Whether relays may tell each other of endpoints that leave.
-    words: bool,
+    gossips: bool,
     seed: u64,
 }
 
@@ -69,8 +73,8 @@
 }
 
 struct Relay {
-    asking: PollScheduler,
-    leaving: DrainGossip,
+    scheduler: PollScheduler,
+    gossip: DrainGossip,
     stage: Stage,
     revision: u64,
     /// Endpoints that it sends nothing to.
@@ -80,35 +84,35 @@
 }
 
 #[derive(Debug, Default)]
-struct Played {
+struct Outcome {
     /// How long after a change could have been had each relay was told of it, the latest last.
     after: Vec<f64>,
     /// Relays that were told late of some change.
     late: usize,
-    words: usize,
+    messages: usize,
     bytes: usize,
     calls: usize,
 }
 
 /// Datagrams on their way: when each arrives, from whom, at whom.
 #[derive(Default)]
-struct VersionedChannel {
-    on_their_way: VecDeque<(f64, u32, u32, ClusterMessage)>,
+struct Network {
+    in_flight: VecDeque<(f64, u32, u32, ClusterMessage)>,
     loss: f64,
-    words: usize,
+    messages: usize,
     bytes: usize,
 }
 
-impl VersionedChannel {
-    fn send(&mut self, now: f64, local_index: u32, out: &mut Vec<(u32, ClusterMessage)>, dice: &mut StdRng) {
-        for (peer, piece) in out.drain(..) {
-            assert_ne!(peer, local_index, "it tells itself");
-            if matches!(piece, ClusterMessage::Draining { .. } | ClusterMessage::DrainQuery(_)) {
-                self.words += 1;
-                self.bytes += piece.text().expect("it fits").len();
+impl Network {
+    fn send(&mut self, now: f64, local_index: u32, out: &mut Outbox, dice: &mut StdRng) {
+        for OutgoingMessage { peer, message } in out.drain(..) {
+            assert_ne!(peer, local_index, "it sends to itself");
+            if matches!(message, ClusterMessage::Draining { .. } | ClusterMessage::DrainQuery(_)) {
+                self.messages += 1;
+                self.bytes += message.encode().expect("it fits").len();
             }
             if !dice.random_bool(self.loss) {
-                self.on_their_way.push_back((now + WAY, local_index, peer, piece));
+                self.in_flight.push_back((now + WAY, local_index, peer, message));
             }
         }
     }
@@ -119,22 +123,34 @@
 }
 
 /// Each change is one endpoint that leaves; the list's version counts them.
-fn play(plan: Plan, changes: &[f64]) -> Played {
-    let Plan { relays, fault, cost, loss, words, seed } = plan;
+fn play(plan: Plan, changes: &[f64]) -> Outcome {
+    let Plan { relays, fault, cost, loss, gossips, seed } = plan;
     let mut dice = StdRng::seed_from_u64(seed);
-    let tier = |local_index| ClusterView { relays, local_index, step: 200.0, most: 5_000.0 };
-    let of = |local_index| ClusterSize { local_index, relays: if words { relays } else { 0 } };
+    let settings = |local_index| PollSettings {
+        position: ClusterPosition { local_index, relay_count: relays },
+        first_backoff: 200.0,
+        max_interval: 5_000.0,
+    };
+    let position =
+        |local_index| ClusterPosition { local_index, relay_count: if gossips { relays } else { 0 } };
     let fresh = |local_index: u32, life: u64| {
         let seed = seed * 1000 + u64::from(local_index) + life * 500_000;
-        let mut leaving = DrainGossip::new(seed);
-        leaving.known(Some(0));
+        let mut gossip = DrainGossip::new(seed);
+        gossip.set_revision(Some(0));
         let (stage, told) = (Stage::Watches { noticed: None }, vec![None; changes.len()]);
-        Relay { asking: PollScheduler::new(seed), leaving, stage, revision: 0, avoids: BTreeSet::new(), told }
+        Relay {
+            scheduler: PollScheduler::new(seed),
+            gossip,
+            stage,
+            revision: 0,
+            avoids: BTreeSet::new(),
+            told,
+        }
     };
     let mut all: Vec<Relay> = (0..relays).map(|local_index| fresh(local_index, 0)).collect();
     let (mut turn, mut busy): (VecDeque<(u32, f64)>, f64) = (VecDeque::new(), 0.0);
-    let mut post = VersionedChannel { loss, ..VersionedChannel::default() };
-    let (mut played, mut begun) = (Played::default(), false);
+    let mut network = Network { loss, ..Network::default() };
+    let (mut outcome, mut begun) = (Outcome::default(), false);
     let mut now = 0.0;
     while now < LONG {
         now += STEP;
@@ -144,11 +160,12 @@
             turn.clear();
             for local_index in 0..relays {
                 let one = &mut all[local_index as usize];
-                let broken_off = |dice: &mut StdRng| Stage::Anew(now + broken(relays, dice.random()));
+                let broken_off =
+                    |dice: &mut StdRng| Stage::Anew(now + delay_after_broken_watch(relays, dice.random()));
                 match fault {
                     Fault::Refuses(_) | Fault::Resets => {
                         one.stage = broken_off(&mut dice);
-                        one.leaving.failed(now, of(local_index));
+                        one.gossip.discovery_failed(now, position(local_index));
                     }
                     Fault::Silent(_) | Fault::WatchesSilent => {
                         one.stage =
@@ -157,8 +174,8 @@
                     Fault::Restarts if dice.random_bool(0.7) => {
                         *one = fresh(local_index, 1);
                         one.stage = Stage::Waits;
-                        one.asking.start(now, &tier(local_index));
-                        one.leaving.failed(now, of(local_index));
+                        one.scheduler.start(now, &settings(local_index));
+                        one.gossip.discovery_failed(now, position(local_index));
                     }
                     Fault::Restarts => {}
                 }
@@ -168,21 +185,21 @@
         let mut answered = Vec::new();
         for local_index in 0..relays {
             let one = &mut all[local_index as usize];
-            one.leaving.due(now, of(local_index), &mut out);
+            one.gossip.on_timer(now, position(local_index), &mut out);
             let calls = match one.stage {
                 Stage::Anew(at) => at <= now,
-                Stage::Waits => one.asking.due(now),
+                Stage::Waits => one.scheduler.take_due(now),
                 Stage::Out { since, .. } => {
                     if now - since > GIVES_UP {
                         one.stage = Stage::Waits;
-                        one.asking.failed(now, &tier(local_index), &mut out);
-                        one.leaving.failed(now, of(local_index));
+                        one.scheduler.record_failure(now, &settings(local_index), &mut out);
+                        one.gossip.discovery_failed(now, position(local_index));
                     }
                     false
                 }
                 Stage::Watches { noticed: Some(at) } if at <= now => {
-                    one.stage = Stage::Anew(now + silent(relays, dice.random()));
-                    one.leaving.failed(now, of(local_index));
+                    one.stage = Stage::Anew(now + delay_after_silent_watch(relays, dice.random()));
+                    one.gossip.discovery_failed(now, position(local_index));
                     false
                 }
                 Stage::Watches { noticed: None } if !down && one.revision < revision => {
@@ -192,12 +209,12 @@
                 Stage::Watches { .. } => false,
             };
             if calls {
-                played.calls += 1;
+                outcome.calls += 1;
                 match fault {
                     Fault::Refuses(_) if down => {
                         one.stage = Stage::Waits;
-                        one.asking.failed(now, &tier(local_index), &mut out);
-                        one.leaving.failed(now, of(local_index));
+                        one.scheduler.record_failure(now, &settings(local_index), &mut out);
+                        one.gossip.discovery_failed(now, position(local_index));
                     }
                     Fault::Silent(_) if down => one.stage = Stage::Out { since: now, lost: true },
                     _ => {
@@ -206,7 +223,7 @@
                     }
                 }
             }
-            post.send(now, local_index, &mut out, &mut dice);
+            network.send(now, local_index, &mut out, &mut dice);
         }
         busy = (busy - STEP).max(-STEP);
         while busy <= 0.0
@@ -221,9 +238,9 @@
             if now - since > PATIENCE {
                 let one = &mut all[local_index as usize];
                 one.stage = Stage::Waits;
-                one.asking.failed(now, &tier(local_index), &mut out);
-                one.leaving.failed(now, of(local_index));
-                post.send(now, local_index, &mut out, &mut dice);
+                one.scheduler.record_failure(now, &settings(local_index), &mut out);
+                one.gossip.discovery_failed(now, position(local_index));
+                network.send(now, local_index, &mut out, &mut dice);
             } else {
                 answered.push((local_index, since));
             }
@@ -232,46 +249,55 @@
             let one = &mut all[local_index as usize];
             let left: Vec<_> = (one.revision..revision).map(endpoint).collect();
             one.stage = Stage::Watches { noticed: None };
-            one.asking.answered(now, &tier(local_index), &mut out);
-            let answer = Answer { revision, asked, whole: false };
-            let back = one.leaving.listed(now, of(local_index), answer, &left, &[], &mut out);
+            one.scheduler.record_answer(now, &settings(local_index), &mut out);
+            let answer = DiscoveryAnswer { revision, requested_at: asked, is_full: false };
+            let change = ListChange { departed: &left, ready: &[] };
+            let back = one.gossip.apply_answer(now, position(local_index), answer, change, &mut out);
             assert!(back.is_empty(), "relay {local_index} takes back what has left: {back:?}");
             one.revision = revision;
             one.avoids.extend(left);
             for told in &mut one.told[..revision as usize] {
                 told.get_or_insert(now);
             }
-            post.send(now, local_index, &mut out, &mut dice);
+            network.send(now, local_index, &mut out, &mut dice);
         }
-        while post.on_their_way.front().is_some_and(|d| d.0 <= now)
-            && let Some((_, from, local_index, piece)) = post.on_their_way.pop_front()
+        while network.in_flight.front().is_some_and(|d| d.0 <= now)
+            && let Some((_, from, local_index, message)) = network.in_flight.pop_front()
         {
             let one = &mut all[local_index as usize];
-            if let ClusterMessage::PollRate { each, took } = piece {
-                one.asking.told(now, f64::from(each), f64::from(took), &tier(local_index));
+            if let ClusterMessage::PollRate { interval_ms, call_duration_ms } = message {
+                let (interval, call_duration) = (f64::from(interval_ms), f64::from(call_duration_ms));
+                one.scheduler.receive_poll_rate(now, interval, call_duration, &settings(local_index));
                 continue;
             }
             let avoids = &one.avoids;
-            let fresh =
-                one.leaving.told(now, of(local_index), from, piece, |s| !avoids.contains(&s), &mut out);
+            let fresh = one.gossip.receive(
+                now,
+                position(local_index),
+                from,
+                message,
+                |s| !avoids.contains(&s),
+                &mut out,
+            );
             for s in &fresh {
                 let n = (0..changes.len()).find(|n| endpoint(*n as u64) == *s).expect("one that left");
                 assert!(changes[n] <= now, "a word of what has not happened");
                 one.told[n].get_or_insert(now);
             }
             one.avoids.extend(fresh);
-            post.send(now, local_index, &mut out, &mut dice);
+            network.send(now, local_index, &mut out, &mut dice);
         }
     }
     for one in &all {
         let after = |(told, at): (&Option<f64>, &f64)| told.unwrap_or(LONG) - at.max(fault.back());
         let after: Vec<_> = one.told.iter().zip(changes).map(after).collect();
-        played.late += usize::from(after.iter().any(|after| *after > TOLD));
-        played.after.extend(after);
+        outcome.late += usize::from(after.iter().any(|after| *after > TOLD));
+        outcome.after.extend(after);
     }
-    played.after.sort_by(f64::total_cmp);
-    (played.words, played.bytes) = (post.words, post.bytes);
-    played
+    outcome.after.sort_by(f64::total_cmp);
+    outcome.messages = network.messages;
+    outcome.bytes = network.bytes;
+    outcome
 }
 
 /// Changes in the outage, as it ends and after it.
@@ -282,24 +308,24 @@
     all
 }
 
-fn told(fault: Fault, cost: f64, loss: f64, words: bool) -> Vec<(u32, usize, f64)> {
+fn told(fault: Fault, cost: f64, loss: f64, gossips: bool) -> Vec<(u32, usize, f64)> {
     let mut all = Vec::new();
     for relays in [1, 4, 8, 30, 100, 300] {
         let (mut late, mut latest) = (0, 0.0_f64);
         for seed in 0..5 {
-            let played = play(Plan { relays, fault, cost, loss, words, seed }, &changes(fault));
-            let median = played.after[played.after.len() / 2];
-            let most = played.after[played.after.len() - 1];
+            let outcome = play(Plan { relays, fault, cost, loss, gossips, seed }, &changes(fault));
+            let median = outcome.after[outcome.after.len() / 2];
+            let most = outcome.after[outcome.after.len() - 1];
             let each = |n: usize| n as f64 / f64::from(relays);
             eprintln!(
-                "{fault:?}, {relays} relays, {cost} ms, {loss} lost, words {words}, seed {seed}: {} late, median \
-                {median:.0}, latest {most:.0}, {:.1} calls, {:.1} words, {:.0} bytes a relay",
-                played.late,
-                each(played.calls),
-                each(played.words),
-                each(played.bytes),
+                "{fault:?}, {relays} relays, {cost} ms, {loss} lost, gossip {gossips}, seed {seed}: {} late, median \
+                {median:.0}, latest {most:.0}, {:.1} calls, {:.1} messages, {:.0} bytes a relay",
+                outcome.late,
+                each(outcome.calls),
+                each(outcome.messages),
+                each(outcome.bytes),
             );
-            late += played.late;
+            late += outcome.late;
             latest = latest.max(most);
         }
         all.push((relays, late, latest));
--- a/crates/cluster/tests/census.rs
+++ b/crates/cluster/tests/load_aggregation.rs
@@ -1,18 +1,19 @@
-//! What relays learn of the tier's load: how near to the truth, at what cost, and through which failures.
+//! What relays learn of the cluster's load: how near to the truth, at what cost, and through which failures.
 
 use std::collections::BTreeMap;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sandgw_affinity::codec::ClusterMessage;
-use sandgw_affinity::replication::Sends;
+use sandgw_affinity::outbox::Outbox;
+use sandgw_cluster::ClusterPosition;
 use sandgw_cluster::load_aggregation::{ClusterLoad, LoadAggregation, Tag};
 
 const ENDPOINTS: u8 = 90;
 
 struct Relay {
-    census: LoadAggregation,
-    holds: BTreeMap<Tag, f64>,
+    aggregation: LoadAggregation,
+    loads: BTreeMap<Tag, f64>,
     view: Option<ClusterLoad>,
     up: bool,
 }
@@ -27,8 +28,12 @@
 
 impl World {
     fn new(relays: u32, lost: f64) -> World {
-        let relay =
-            |_| Relay { census: LoadAggregation::default(), holds: BTreeMap::new(), view: None, up: true };
+        let relay = |_| Relay {
+            aggregation: LoadAggregation::default(),
+            loads: BTreeMap::new(),
+            view: None,
+            up: true,
+        };
         let dice = StdRng::seed_from_u64(11);
         World { relays: (0..relays).map(relay).collect(), dice, lost, now: 0.0, datagrams: 0 }
     }
@@ -46,8 +51,8 @@
                 let at = self.dice.random_range(0..self.relays.len());
                 let relay = &mut self.relays[at];
                 if relay.up {
-                    *relay.holds.entry(tag).or_default() += 1.0;
-                    relay.census.came();
+                    *relay.loads.entry(tag).or_default() += 1.0;
+                    relay.aggregation.record_connection();
                 }
             }
             for local_index in 0..self.relays.len() {
@@ -57,33 +62,38 @@
     }
 
     fn turn(&mut self, local_index: usize) {
-        let of = (local_index as u32, self.relays.len() as u32);
+        let position =
+            ClusterPosition { local_index: local_index as u32, relay_count: self.relays.len() as u32 };
         let relay = &mut self.relays[local_index];
         if !relay.up {
             return;
         }
-        let mut out = Sends::new();
-        let holds = || relay.holds.iter().map(|(tag, load)| (*tag, *load)).collect();
-        relay.census.tell(self.now, of, holds, &mut out);
-        self.deliver(of.0, out);
+        let mut out = Outbox::new();
+        let loads = || relay.loads.iter().map(|(tag, load)| (*tag, *load)).collect();
+        relay.aggregation.report(self.now, position, loads, &mut out);
+        self.deliver(position.local_index, out);
         let relay = &mut self.relays[local_index];
-        relay.view = relay.census.take().or(relay.view.take());
+        relay.view = relay.aggregation.take_cluster_load().or(relay.view.take());
     }
 
-    fn deliver(&mut self, from: u32, out: Sends) {
-        for (to, piece) in out {
+    fn deliver(&mut self, from: u32, out: Outbox) {
+        for sent in out {
+            let to = sent.peer;
             self.datagrams += 1;
             if self.dice.random_bool(self.lost) || !self.relays[to as usize].up {
                 continue;
             }
-            let piece = piece.text().and_then(|text| ClusterMessage::read(&text)).expect("a piece that fits");
+            let text = sent.message.encode().expect("a message that fits");
+            let message = ClusterMessage::decode(&text).expect("a message");
             let (relays, relay) = (self.relays.len() as u32, &mut self.relays[to as usize]);
-            let mut answers = Sends::new();
-            match piece {
+            let mut answers = Outbox::new();
+            match message {
                 ClusterMessage::LoadReport(rows) => {
-                    relay.census.answer(self.now, from, relays, rows, |_| 1.0, &mut answers)
+                    relay.aggregation.handle_report(self.now, from, relays, rows, |_| 1.0, &mut answers)
+                }
+                ClusterMessage::ClusterLoads { total, rows } => {
+                    relay.aggregation.handle_cluster_loads(from, total, &rows)
                 }
-                ClusterMessage::ClusterLoads { total, rows } => relay.census.answered(from, total, &rows),
                 other => panic!("unexpected {other:?}"),
             }
             self.deliver(to, answers);
@@ -95,14 +105,14 @@
     fn off(&self) -> (f64, f64) {
         let mut truth: BTreeMap<Tag, f64> = BTreeMap::new();
         let up = || self.relays.iter().filter(|r| r.up);
-        up().flat_map(|r| &r.holds).for_each(|(tag, load)| *truth.entry(*tag).or_default() += load);
+        up().flat_map(|r| &r.loads).for_each(|(tag, load)| *truth.entry(*tag).or_default() += load);
         let all: f64 = truth.values().sum();
         let mut busiest: Vec<_> = truth.iter().collect();
         busiest.sort_by(|a, b| b.1.total_cmp(a.1));
         let views: Vec<&ClusterLoad> = up().filter_map(|r| r.view.as_ref()).collect();
         let each = |view: &ClusterLoad, (tag, load): &(&Tag, &f64)| {
-            let told = view.loads.get(*tag).copied().unwrap_or(0.0) / view.total.max(1.0);
-            (told / (**load / all) - 1.0).abs()
+            let reported = view.loads.get(*tag).copied().unwrap_or(0.0) / view.total.max(1.0);
+            (reported / (**load / all) - 1.0).abs()
         };
         let errors = views.iter().flat_map(|v| busiest.iter().take(10).map(move |row| each(v, row)));
         let errors: Vec<f64> = errors.collect();
@@ -140,15 +150,16 @@
     println!("without the first 220: off by {off:.2}, known at {have:.2}");
     assert!(off < 0.4 && have > 0.9, "off by {off}, known at {have}");
     for relay in world.relays.iter_mut().take(220) {
-        *relay = Relay { census: LoadAggregation::default(), holds: BTreeMap::new(), view: None, up: true };
+        *relay =
+            Relay { aggregation: LoadAggregation::default(), loads: BTreeMap::new(), view: None, up: true };
     }
     let before = world.datagrams;
     world.run(1000.0, 500.0);
-    let storm = world.datagrams - before;
+    let burst = world.datagrams - before;
     world.run(25_000.0, 200.0);
     let (off, have) = world.off();
-    println!("with them again: {storm} datagrams in the first second, off by {off:.2}, known at {have:.2}");
-    assert!(storm < 312 * 4, "{storm} datagrams within a second");
+    println!("with them again: {burst} datagrams in the first second, off by {off:.2}, known at {have:.2}");
+    assert!(burst < 312 * 4, "{burst} datagrams within a second");
     assert!(off < 0.4 && have > 0.9, "off by {off}, known at {have}");
 }
 
@@ -158,17 +169,19 @@
     let mut world = World::new(100, 0.0);
     world.run(60_000.0, 0.0);
     assert_eq!(world.datagrams, 0);
-    assert!(!LoadAggregation::holds(4) && !LoadAggregation::holds(6) && LoadAggregation::holds(32));
+    assert!(
+        !LoadAggregation::is_needed(4) && !LoadAggregation::is_needed(6) && LoadAggregation::is_needed(32)
+    );
 }
 
 /// A connection that comes long before the relay would tell anyway brings the call forward.
 #[test]
 fn a_flow_brings_the_next_telling_forward() {
-    let (mut census, mut out) = (LoadAggregation::default(), Sends::new());
-    census.came();
-    census.tell(0.0, (1, 100), Vec::new, &mut out);
-    assert!(census.timer(0.0).is_some_and(|after| after > 5000.0));
-    census.came();
-    assert!(census.timer(10.0).is_some_and(|after| after < 1000.0));
-    assert_eq!(census.timer(11.0), None, "asked for once");
+    let (mut aggregation, mut out) = (LoadAggregation::default(), Outbox::new());
+    aggregation.record_connection();
+    aggregation.report(0.0, ClusterPosition { local_index: 1, relay_count: 100 }, Vec::new, &mut out);
+    assert!(aggregation.timer(0.0).is_some_and(|after| after > 5000.0));
+    aggregation.record_connection();
+    assert!(aggregation.timer(10.0).is_some_and(|after| after < 1000.0));
+    assert_eq!(aggregation.timer(11.0), None, "asked for once");
 }
--- a/crates/cluster/tests/news.rs
+++ b/crates/cluster/tests/location_gossip.rs
@@ -1,11 +1,12 @@
-//! What telling of clients' places costs a connection by the number of relays, and whether a relay that meets a client
+//! What replicating clients' locations costs a connection by the number of relays, and whether a relay that meets a client
 //! mid-flow finds its endpoint.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sandgw_affinity::codec::ClusterMessage;
-use sandgw_affinity::endpoint_registry::State;
-use sandgw_affinity::replication::{FULL_MESH_RELAYS, Sends};
+use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
+use sandgw_affinity::outbox::Outbox;
+use sandgw_affinity::replication::{FULL_MESH_RELAYS, Replication};
 use sandgw_affinity::{Affinity, Limits};
 use sandgw_cluster::location_gossip::{LOCATION_REPLICAS, LocationGossip, location_replicas};
 
@@ -31,28 +32,29 @@
     fn start(relays: u32, local_index: u32) -> (Affinity, LocationGossip) {
         let mut affinity = Affinity::new(Limits { relays, local_index, ..Limits::default() }, 1000.0);
         let ids: Vec<_> = (0..50).map(|n| format!("s-{n}").into()).collect();
-        affinity.list(1000.0, true, ids.iter().map(|id| (id, 0.0, State::Ready)));
+        let ready = |id| ListedEndpoint { id, started: 0.0, state: ListedState::Ready };
+        affinity.apply_list(1000.0, true, ids.iter().map(ready));
         (affinity, LocationGossip::default())
     }
 
-    fn deliver(&mut self, from: u32, mut out: Sends) {
-        while let Some((to, piece)) = out.pop() {
+    fn deliver(&mut self, from: u32, mut out: Outbox) {
+        while let Some(sent) = out.pop() {
+            let to = sent.peer;
             self.datagrams += 1;
             if self.dice.random_bool(self.lost) {
                 continue;
             }
-            let piece = piece.text().and_then(|text| ClusterMessage::read(&text)).expect("a piece that fits");
-            let (affinity, news) = &mut self.relays[to as usize];
-            let mut answers = Sends::new();
-            match &piece {
-                ClusterMessage::LocationQuery(clients) => news.answer(affinity, from, clients, &mut answers),
-                ClusterMessage::LocationUpdate(_) => sandgw_affinity::replication::Replication::new(1).told(
-                    affinity,
-                    self.now,
-                    from,
-                    piece,
-                    &mut answers,
-                ),
+            let text = sent.message.encode().expect("a message that fits");
+            let message = ClusterMessage::decode(&text).expect("a message");
+            let (affinity, gossip) = &mut self.relays[to as usize];
+            let mut answers = Outbox::new();
+            match &message {
+                ClusterMessage::LocationQuery(clients) => {
+                    gossip.handle_query(affinity, from, clients, &mut answers)
+                }
+                ClusterMessage::LocationUpdate(_) => {
+                    Replication::new(1).receive(affinity, self.now, from, message, &mut answers);
+                }
                 other => panic!("unexpected {other:?}"),
             }
             self.deliver(to, answers);
@@ -64,22 +66,22 @@
         for connection in 0..CONNECTIONS {
             self.now += 5.0;
             let at = self.dice.random_range(0..self.relays.len());
-            let (affinity, news) = &mut self.relays[at];
-            let client = Affinity::client(&connection.to_le_bytes());
-            assert!(affinity.note(self.now, client, &format!("s-{}", connection % 50)));
-            news.tell(self.now, client);
+            let (affinity, gossip) = &mut self.relays[at];
+            let client = Affinity::client_key(&connection.to_le_bytes());
+            assert!(affinity.record_session(self.now, client, &format!("s-{}", connection % 50)));
+            gossip.queue_update(self.now, client);
             for at in 0..self.relays.len() {
-                let mut out = Sends::new();
-                let (affinity, news) = &mut self.relays[at];
-                news.due(affinity, self.now, &mut out);
+                let mut out = Outbox::new();
+                let (affinity, gossip) = &mut self.relays[at];
+                gossip.on_timer(affinity, self.now, &mut out);
                 self.deliver(at as u32, out);
             }
         }
         self.now += 1000.0;
         for at in 0..self.relays.len() {
-            let mut out = Sends::new();
-            let (affinity, news) = &mut self.relays[at];
-            news.due(affinity, self.now, &mut out);
+            let mut out = Outbox::new();
+            let (affinity, gossip) = &mut self.relays[at];
+            gossip.on_timer(affinity, self.now, &mut out);
             self.deliver(at as u32, out);
         }
     }
@@ -90,13 +92,13 @@
         let mut found = 0;
         for connection in 0..CONNECTIONS {
             let at = self.dice.random_range(0..relays);
-            let client = Affinity::client(&connection.to_le_bytes());
+            let client = Affinity::client_key(&connection.to_le_bytes());
             let fresh = World::start(relays, at);
             let old = std::mem::replace(&mut self.relays[at as usize], fresh);
             for _ in 0..20 {
-                let (affinity, news) = &mut self.relays[at as usize];
-                let mut out = Sends::new();
-                let again = news.ask(affinity, self.now, client, &mut out);
+                let (affinity, gossip) = &mut self.relays[at as usize];
+                let mut out = Outbox::new();
+                let again = gossip.query(affinity, self.now, client, &mut out);
                 self.deliver(at, out);
                 let Some(after) = again else { break };
                 self.now += after;
@@ -109,7 +111,7 @@
     }
 }
 
-/// Whatever the number of relays, a connection costs as many datagrams as its client has keepers.
+/// Whatever the number of relays, a connection costs as many datagrams as its client has replicas.
 #[test]
 fn a_flow_costs_as_many_datagrams_in_a_large_tier_as_in_one_of_ten() {
     for (relays, most) in [(4, 3.0), (32, 2.0), (100, 2.0), (312, 2.0)] {
@@ -140,13 +142,13 @@
     let mut world = World::new(312, 1.0);
     world.place();
     let started = world.now;
-    let client = Affinity::client(&3u64.to_le_bytes());
+    let client = Affinity::client_key(&3u64.to_le_bytes());
     let at = (0..312)
-        .find(|at| location_replicas(client, 312).all(|keeper| keeper != *at))
+        .find(|at| location_replicas(client, 312).all(|replica| replica != *at))
         .expect("not all keep it");
     world.relays[at as usize] = World::start(312, at);
-    let (affinity, news) = &mut world.relays[at as usize];
-    while let Some(after) = news.ask(affinity, world.now, client, &mut Sends::new()) {
+    let (affinity, gossip) = &mut world.relays[at as usize];
+    while let Some(after) = gossip.query(affinity, world.now, client, &mut Outbox::new()) {
         world.now += after;
         assert!(world.now - started < 250.0, "still held after {} ms", world.now - started);
     }
--- a/crates/cluster/tests/level.rs
+++ b/crates/cluster/tests/rebalance.rs
@@ -1,8 +1,12 @@
-//! What relays that each move their own share do together.
+//! What relays that each migrate a fraction of their connections do together.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_cluster::rebalance::shares;
+use sandgw_cluster::rebalance::{EndpointLoad, migration_fractions};
+
+fn endpoint(load: f64, capacity: f64) -> EndpointLoad {
+    EndpointLoad { load, capacity }
+}
 
 #[test]
 fn a_streamer_that_came_back_is_filled_by_moves_and_hardly_more_move_than_have_to() {
@@ -12,12 +16,12 @@
         let mut connections: Vec<(u32, usize)> = (0..540).map(|n| (n as u32 % 100, n % 9)).collect();
         let mut moved = 0;
         for _ in 0..8 {
-            let held = |at| connections.iter().filter(|(_, on)| *on == at).count() as f64;
-            let told: Vec<(f64, f64)> = (0..12).map(|at| (held(at), 8.0)).collect();
-            let share = shares(&told);
+            let load = |at| connections.iter().filter(|(_, on)| *on == at).count() as f64;
+            let loads: Vec<EndpointLoad> = (0..12).map(|at| endpoint(load(at), 8.0)).collect();
+            let fractions = migration_fractions(&loads);
             // Each relay draws for its own; who moves goes to the emptiest.
             for (_, on) in &mut connections {
-                if dice.random::<f64>() < share[*on] {
+                if dice.random::<f64>() < fractions[*on] {
                     *on = 9 + dice.random_range(0..3);
                     moved += 1;
                 }
@@ -32,14 +36,15 @@
 
 #[test]
 fn what_is_even_but_for_chance_stays() {
-    assert_eq!(shares(&[(46.0, 8.0), (44.0, 8.0), (12.0, 2.0), (0.0, 0.0)]), [0.0; 4]);
-    assert!(shares(&[]).is_empty());
-    assert_eq!(shares(&[(0.0, 8.0), (0.0, 0.0)]), [0.0; 2]);
+    let loads = [endpoint(46.0, 8.0), endpoint(44.0, 8.0), endpoint(12.0, 2.0), endpoint(0.0, 0.0)];
+    assert_eq!(migration_fractions(&loads), [0.0; 4]);
+    assert!(migration_fractions(&[]).is_empty());
+    assert_eq!(migration_fractions(&[endpoint(0.0, 8.0), endpoint(0.0, 0.0)]), [0.0; 2]);
 }
 
 #[test]
 fn a_streamer_that_can_do_less_may_hold_less() {
-    let share = shares(&[(50.0, 8.0), (50.0, 2.0)]);
-    assert_eq!(share[0], 0.0);
-    assert!(share[1] > 0.1 && share[1] < 0.3, "{share:?}");
+    let fractions = migration_fractions(&[endpoint(50.0, 8.0), endpoint(50.0, 2.0)]);
+    assert_eq!(fractions[0], 0.0);
+    assert!(fractions[1] > 0.1 && fractions[1] < 0.3, "{fractions:?}");
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -565,8 +565,8 @@
     let (mut bytes, mut flush) = (memory.bytes as f64, 1000.0);
     set("memory_kb", 64.0, 4_194_304.0, 1024.0, &mut bytes);
     set("max_age_s", 1.0, 604_800.0, 1000.0, &mut memory.max_age);
-    set("life_s", 1.0, 86_400.0, 1000.0, &mut memory.life);
-    set("peers_kb_s", 1.0, 1_048_576.0, 1024.0, &mut memory.rate);
+    set("life_s", 1.0, 86_400.0, 1000.0, &mut memory.mean_lifetime);
+    set("peers_kb_s", 1.0, 1_048_576.0, 1024.0, &mut memory.sync_bytes_per_s);
     set("flush_ms", 100.0, 600_000.0, 1.0, &mut flush);
     memory.bytes = bytes as usize;
     let folder = r.text("folder")?;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -215,7 +215,11 @@
     /// In how long to ask anew after a watch has fallen silent, or was broken otherwise, in a tier of so many relays.
     pub fn anew(&mut self, relays: u32, silent: bool) -> Millis {
         let draw = self.draw();
-        if silent { poll_scheduler::silent(relays, draw) } else { poll_scheduler::broken(relays, draw) }
+        if silent {
+            poll_scheduler::delay_after_silent_watch(relays, draw)
+        } else {
+            poll_scheduler::delay_after_broken_watch(relays, draw)
+        }
     }
 
     fn draw(&mut self) -> f64 {
--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use log::{error, info, warn};
-use sandgw_affinity::Restored;
+use sandgw_affinity::RestoreSummary;
 use sandgw_affinity_store::writer::Writer;
 use sandgw_affinity_store::{Opened, Store, StoreError};
 use sandgw_schema_version::SchemaVersion;
@@ -64,7 +64,7 @@
 
 /// Hands what is in the store to the core and starts the thread that writes.
 pub fn restore(kept: Kept, relay: &mut Relay, now: Millis) -> io::Result<Writer> {
-    let mut done = Restored::default();
+    let mut done = RestoreSummary::default();
     // One at a time: a folder may hold more than there is memory for.
     match kept.store.as_ref().map(|s| s.load(|record| done += relay.restore(now, std::iter::once(record)))) {
         Some(Ok(loaded)) if loaded.damaged > 0 => {
@@ -75,10 +75,10 @@
     }
     info!(
         "state.folder: {} entries taken, {} too old, {} without room; they count once their streamers are listed",
-        done.taken, done.old, done.over
+        done.accepted, done.expired, done.rejected
     );
-    if done.ahead > 0 {
-        let ahead = done.ahead;
+    if done.in_future > 0 {
+        let ahead = done.in_future;
         warn!(
             "state.folder: {ahead} entries were set later than now, and count as set now: was the clock stepped back?"
         );
@@ -109,7 +109,7 @@
         // What the writer has no room for waits here; what comes after it waits in the tables.
         loop {
             let batch = waiting.take().unwrap_or_else(|| shared.relay.borrow_mut().changes(now, BATCH));
-            let more = batch.set.len() >= BATCH;
+            let more = batch.updated.len() >= BATCH;
             if !batch.is_empty() {
                 waiting = writer.write(batch).err();
             }
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use log::{debug, info, warn};
-use sandgw_cluster::drain_gossip::Answer;
+use sandgw_cluster::drain_gossip::DiscoveryAnswer;
 use sandgw_maintenance::call::Call;
 use sandgw_maintenance::plan::Endpoint;
 use sandgw_maintenance::{MaintenanceService, Row, WindowId, codec};
@@ -63,7 +63,11 @@
         let revision = self.endpoint_list.borrow().held().0;
         let whole = kind == ListKind::Full;
         self.core(|relay, now| match revision.filter(|_| whole || kind == ListKind::Delta) {
-            Some(revision) => relay.answered(now, Answer { revision, asked, whole }, entries),
+            Some(revision) => relay.answered(
+                now,
+                DiscoveryAnswer { revision, requested_at: asked, is_full: whole },
+                entries,
+            ),
             None => relay.known(now, revision, entries),
         });
     }
--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -15,7 +15,7 @@
     SendFlags, recvmsg, sendmsg,
 };
 use sandgw_affinity::Record;
-use sandgw_cluster::drain_gossip::Answer;
+use sandgw_cluster::drain_gossip::DiscoveryAnswer;
 use serde_json::Value;
 use tokio::io::{AsyncWriteExt, Interest};
 use tokio::net::{TcpStream, UnixListener, UnixStream};
@@ -242,7 +242,9 @@
     let Some((revision, members)) = list else { return Ok(()) };
     let entries = shared.endpoint_list.borrow_mut().handed(revision, members)?;
     shared.core(|relay, now| match revision {
-        Some(revision) => relay.answered(now, Answer { revision, asked: now, whole: true }, entries),
+        Some(revision) => {
+            relay.answered(now, DiscoveryAnswer { revision, requested_at: now, is_full: true }, entries)
+        }
         None => relay.list(now, ListKind::Full, entries),
     });
     shared.watch.notify_one();
@@ -532,7 +534,7 @@
 /// Clients and groups that have changed since the last call; nothing once that is all.
 fn next_changes(shared: &Shared) -> Option<Vec<Record>> {
     let changes = shared.relay.borrow_mut().changes(shared.clock.now(), RECORDS);
-    Some(changes.set).filter(|set| !set.is_empty())
+    Some(changes.updated).filter(|set| !set.is_empty())
 }
 
 /// Where clients came to stand since. Groups are left out: told twice, their load would count twice.
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -1,39 +1,49 @@
-//! The tables of clients and groups beside the load balancer: what is remembered over restarts, with its exchange
-//! between relays. Bookkeeping only; what follows from it is decided in `rules.rs`.
+//! The relay's part of the cluster's state: the tables of clients and groups, and what is exchanged of them, of loads
+//! and of polls with the other relays.
+//!
+//! Inputs are placements, lists, other relays' messages and stored records, with the time in milliseconds; outputs are
+//! messages and timers (by [`ClusterState::flush`]), locations, sizes and loads. It is bookkeeping only: what follows
+//! from it is decided by the load balancer.
 
 use std::collections::BTreeMap;
 
 use sandgw_affinity::codec::ClusterMessage;
-use sandgw_affinity::endpoint_registry::State;
-use sandgw_affinity::replication::{Replication, Sends};
-use sandgw_affinity::{Affinity, Changes, Figures, Limits, Record, Restored};
+use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
+use sandgw_affinity::outbox::{Outbox, OutgoingMessage};
+use sandgw_affinity::replication::Replication;
+use sandgw_affinity::{Affinity, Changes, Limits, Record, RestoreSummary, Statistics};
+use sandgw_cluster::ClusterPosition;
 use sandgw_cluster::load_aggregation::{ClusterLoad, LoadAggregation, Tag};
 use sandgw_cluster::location_gossip::LocationGossip;
 use sandgw_cluster::overload_gossip::OverloadGossip;
-use sandgw_cluster::poll_scheduler::{ClusterView, PollScheduler};
+use sandgw_cluster::poll_scheduler::{PollScheduler, PollSettings};
 
 use crate::policy::api::*;
+use crate::policy::hashing;
 use crate::policy::state::Sample;
 
-/// Groups whose sizes a plan starts from: those beyond them are small.
-const MOST_SIZES: usize = 512;
+/// Groups whose learned sizes are taken over: those beyond them are small.
+const MAX_LEARNED_GROUPS: usize = 512;
+/// The list may go without a poll for this fraction of its maximum age.
+const MAX_POLL_INTERVAL_DIVISOR: f64 = 2.0;
 
-/// Where clients and groups are held, as far as it is known.
+/// What this relay knows of the cluster, and its part in every exchange with the other relays.
 pub(crate) struct ClusterState {
     affinity: Affinity,
-    tier: Replication,
-    news: LocationGossip,
-    census: LoadAggregation,
-    asking: PollScheduler,
-    storm: OverloadGossip,
-    among: ClusterView,
-    /// Whether the list has to be asked for.
-    asks: bool,
-    /// Whether clients' places matter, and whether others may be told.
+    replication: Replication,
+    location_gossip: LocationGossip,
+    load_aggregation: LoadAggregation,
+    poll_scheduler: PollScheduler,
+    overload_gossip: OverloadGossip,
+    poll_settings: PollSettings,
+    /// Whether the list has to be polled.
+    polls_discovery: bool,
+    /// Whether clients' locations matter.
     packet_passthrough: bool,
-    peers: bool,
-    sizes_learned: bool,
-    sends: Sends,
+    /// Whether the relays may send each other messages.
+    peer_messages: bool,
+    has_restored_sizes: bool,
+    outbox: Outbox,
 }
 
 impl Default for ClusterState {
@@ -50,81 +60,79 @@
             local_index: settings.local_index,
             ..settings.affinity_limits
         };
-        let (affinity, tier) = (Affinity::new(limits, now), Replication::new(seed));
-        let (packet_passthrough, peers) = (settings.packet_passthrough, settings.peer_messages);
-        let (news, census, sends) = (LocationGossip::default(), LoadAggregation::default(), Sends::new());
-        let (asking, storm) = (PollScheduler::new(seed), OverloadGossip::new(seed));
-        let (among, asks) = (among(settings), asks(settings));
         ClusterState {
-            affinity,
-            tier,
-            news,
-            census,
-            asking,
-            storm,
-            among,
-            asks,
-            packet_passthrough,
-            peers,
-            sizes_learned: false,
-            sends,
+            affinity: Affinity::new(limits, now),
+            replication: Replication::new(seed),
+            location_gossip: LocationGossip::default(),
+            load_aggregation: LoadAggregation::default(),
+            poll_scheduler: PollScheduler::new(seed),
+            overload_gossip: OverloadGossip::new(seed),
+            poll_settings: poll_settings(settings),
+            polls_discovery: polls_discovery(settings),
+            packet_passthrough: settings.packet_passthrough,
+            peer_messages: settings.peer_messages,
+            has_restored_sizes: false,
+            outbox: Outbox::new(),
         }
     }
 
-    /// Takes new settings; what the tables may take up stays as it was.
+    /// Takes new settings; the size of the tables stays as it was.
     pub fn apply_settings(&mut self, settings: &Settings) {
-        (self.packet_passthrough, self.peers) = (settings.packet_passthrough, settings.peer_messages);
-        (self.among, self.asks) = (among(settings), asks(settings));
-        self.affinity.renumber(settings.relay_count, settings.local_index);
+        self.packet_passthrough = settings.packet_passthrough;
+        self.peer_messages = settings.peer_messages;
+        self.poll_settings = poll_settings(settings);
+        self.polls_discovery = polls_discovery(settings);
+        self.affinity.set_position(position(settings));
     }
 
-    /// Takes news of the list. With the list as last held, which is the first, the others are asked.
+    /// Takes a list or changes to it. With the cached list, which is the first, the other relays' tables are requested.
     pub fn apply_list(&mut self, now: Millis, kind: ListKind, entries: &[EndpointEntry]) {
-        let state = |e: &EndpointEntry| match e.state {
-            EndpointState::Ready => State::Ready,
-            EndpointState::Draining => State::Draining,
-            EndpointState::Removed => State::Removed,
-        };
-        let entries = entries.iter().map(|e| (&e.id.0, e.started, state(e)));
-        self.affinity.list(now, matches!(kind, ListKind::Full | ListKind::Cached), entries);
+        let is_full = matches!(kind, ListKind::Full | ListKind::Cached);
+        self.affinity.apply_list(now, is_full, entries.iter().map(listed_endpoint));
         match kind {
-            ListKind::Full | ListKind::Delta => self.asking.answered(now, &self.among, &mut self.sends),
-            ListKind::Cached if self.asks => self.asking.start(now, &self.among),
+            ListKind::Full | ListKind::Delta => {
+                self.poll_scheduler.record_answer(now, &self.poll_settings, &mut self.outbox);
+            }
+            ListKind::Cached if self.polls_discovery => {
+                self.poll_scheduler.start(now, &self.poll_settings);
+            }
             ListKind::Cached | ListKind::Failed | ListKind::Gossip => {}
         }
-        if kind == ListKind::Cached && self.peers {
-            self.tier.recover(&self.affinity, now, &mut self.sends);
+        if kind == ListKind::Cached && self.peer_messages {
+            self.replication.recover(&self.affinity, now, &mut self.outbox);
         }
     }
 
-    /// A call of the list has failed, or its watch broke off.
+    /// A poll of the list has failed, or its watch broke off.
     pub fn list_poll_failed(&mut self, now: Millis) {
-        self.asking.failed(now, &self.among, &mut self.sends);
+        self.poll_scheduler.record_failure(now, &self.poll_settings, &mut self.outbox);
     }
 
-    /// A set-up has come late at a server.
+    /// A set-up was late at an endpoint.
     pub fn report_late_setup(&mut self, now: Millis, endpoint: &EndpointId) {
-        let of = (self.among.local_index, self.among.relays);
-        self.storm.late(now, crate::policy::hashing::tag(&endpoint.0), of, &mut self.sends);
+        let tag = hashing::tag(&endpoint.0);
+        let position = self.poll_settings.position;
+        self.overload_gossip.report_late_setup(now, tag, position, &mut self.outbox);
     }
 
-    /// Another balancer's set-up has come late; whether that is common to all servers.
+    /// Another relay's set-up was late; whether that is common to all endpoints.
     pub fn receive_overload_notice(&mut self, now: Millis, endpoint: Tag) -> bool {
-        self.storm.heard(now, endpoint)
+        self.overload_gossip.receive_notice(now, endpoint)
     }
 
-    /// A connection has come to stand. Where, is told to the others.
+    /// A connection is established. Its location is sent to the other relays.
     pub fn record_established(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) {
-        // Of one that arrived mid-flow too: who keeps its place may have started again since.
-        if (self.record_location(now, request, load, endpoint) || self.packet_passthrough && request.mid_flow)
-            && self.peers
-        {
-            self.news.tell(now, Affinity::client(&request.client_key()));
+        let is_new = self.record_location(now, request, load, endpoint);
+        // The location of a connection that arrived mid-flow is sent even if it is known here: its replicas may have
+        // restarted since.
+        let is_mid_flow = self.packet_passthrough && request.mid_flow;
+        if (is_new || is_mid_flow) && self.peer_messages {
+            self.location_gossip.queue_update(now, Affinity::client_key(&request.client_key()));
         }
     }
 
-    /// A connection stands, since before the start or as of now; whether its client's place is news. Those of before
-    /// the start are told to who asks only: all at once they would be many messages.
+    /// A connection is established, since before the start or as of now; whether its client's location is new. Locations
+    /// from before the start are sent in answer to queries only: all at once they would be many messages.
     pub fn record_location(
         &mut self,
         now: Millis,
@@ -133,38 +141,52 @@
         endpoint: &EndpointId,
     ) -> bool {
         if let Some(group) = &request.group {
-            self.affinity.place(now, crate::policy::hashing::hash(group.0.as_bytes()), &endpoint.0, load);
+            let group = hashing::hash(group.0.as_bytes());
+            self.affinity.record_group_connection(now, group, &endpoint.0, load);
         }
-        self.packet_passthrough
-            && self.affinity.note(now, Affinity::client(&request.client_key()), &endpoint.0)
+        if !self.packet_passthrough {
+            return false;
+        }
+        let client = Affinity::client_key(&request.client_key());
+        self.affinity.record_session(now, client, &endpoint.0)
     }
 
-    /// The ready server that a client's connection stands at, if that is known.
+    /// The ready endpoint that holds a client's connection, if that is known.
     pub fn sticky_endpoint(&self, request: &Request) -> Option<EndpointId> {
-        self.affinity.session(Affinity::client(&request.client_key())).map(EndpointId)
+        let client = Affinity::client_key(&request.client_key());
+        self.affinity.session(client).map(EndpointId)
     }
 
-    /// In how long to look again for the holder of a connection that arrives mid-flow, where others are asked for it.
+    /// In how long to look again for the holder of a connection that arrives mid-flow, if other relays are queried.
     pub fn query_location(&mut self, now: Millis, request: &Request) -> Option<Millis> {
-        let client = Affinity::client(&request.client_key());
-        self.peers.then(|| self.news.ask(&self.affinity, now, client, &mut self.sends))?
+        if !self.peer_messages {
+            return None;
+        }
+        let client = Affinity::client_key(&request.client_key());
+        self.location_gossip.query(&self.affinity, now, client, &mut self.outbox)
     }
 
-    /// Takes another balancer's piece.
-    pub fn receive(&mut self, now: Millis, peer: u32, piece: ClusterMessage) {
-        match piece {
+    /// Takes another relay's message.
+    pub fn receive(&mut self, now: Millis, peer: u32, message: ClusterMessage) {
+        match message {
             ClusterMessage::LocationQuery(clients) => {
-                self.news.answer(&self.affinity, peer, &clients, &mut self.sends)
+                self.location_gossip.handle_query(&self.affinity, peer, &clients, &mut self.outbox);
+            }
+            ClusterMessage::PollRate { interval_ms, call_duration_ms } => {
+                let interval = f64::from(interval_ms);
+                let call_duration = f64::from(call_duration_ms);
+                self.poll_scheduler.receive_poll_rate(now, interval, call_duration, &self.poll_settings);
             }
-            ClusterMessage::PollRate { each, took } => {
-                self.asking.told(now, f64::from(each), f64::from(took), &self.among);
+            ClusterMessage::ClusterLoads { total, rows } => {
+                self.load_aggregation.handle_cluster_loads(peer, total, &rows);
+            }
+            message => {
+                self.replication.receive(&mut self.affinity, now, peer, message, &mut self.outbox);
             }
-            ClusterMessage::ClusterLoads { total, rows } => self.census.answered(peer, total, &rows),
-            piece => self.tier.told(&mut self.affinity, now, peer, piece, &mut self.sends),
         }
     }
 
-    /// Takes what another balancer holds, and answers it with what all hold.
+    /// Takes another relay's load report, and answers it with the cluster's load.
     pub fn receive_load_report(
         &mut self,
         now: Millis,
@@ -172,105 +194,134 @@
         rows: Vec<(Tag, u8)>,
         sizes: &BTreeMap<Tag, f64>,
     ) {
-        let relays = self.affinity.limits().relays;
-        if self.peers && LoadAggregation::holds(relays) {
-            let size = |tag| sizes.get(&tag).copied().unwrap_or_default();
-            self.census.answer(now, peer, relays, rows, size, &mut self.sends);
+        if !self.aggregates_load() {
+            return;
         }
+        let relay_count = self.affinity.position().relay_count;
+        let weight = |tag| sizes.get(&tag).copied().unwrap_or_default();
+        self.load_aggregation.handle_report(now, peer, relay_count, rows, weight, &mut self.outbox);
     }
 
-    /// A connection has come; others may be told what stands here, by server.
+    /// A connection has arrived; this relay's load may be reported.
     pub fn count_request(&mut self) {
-        self.census.came();
+        self.load_aggregation.record_connection();
     }
 
-    /// Tells what stands here where that is due; gives what all balancers hold, once it is known anew.
+    /// Reports this relay's load by endpoint where that is due; gives the cluster's load, once it is known anew.
     pub fn take_cluster_load(
         &mut self,
         now: Millis,
-        holds: impl FnOnce() -> Vec<(Tag, f64)>,
+        local_load: impl FnOnce() -> Vec<(Tag, f64)>,
     ) -> Option<ClusterLoad> {
-        let of = (self.affinity.limits().local_index, self.affinity.limits().relays);
-        if !self.peers || !LoadAggregation::holds(of.1) {
+        if !self.aggregates_load() {
             return None;
         }
-        self.census.tell(now, of, holds, &mut self.sends);
-        self.census.take()
+        let position = self.affinity.position();
+        self.load_aggregation.report(now, position, local_load, &mut self.outbox);
+        self.load_aggregation.take_cluster_load()
     }
 
     /// A timer of [`ClusterState::flush`] is due.
     pub fn on_timer(&mut self, now: Millis) {
-        self.tier.due(&self.affinity, now, &mut self.sends);
-        self.news.due(&self.affinity, now, &mut self.sends);
+        self.replication.on_timer(&self.affinity, now, &mut self.outbox);
+        self.location_gossip.on_timer(&self.affinity, now, &mut self.outbox);
     }
 
-    /// What is to be sent, and the timer that it wants.
+    /// Messages to be sent, a poll that is due, and the timers for the next call.
     pub fn flush(&mut self, now: Millis, token: u64, out: &mut Actions) {
-        if self.asking.due(now) {
+        if self.poll_scheduler.take_due(now) {
             out.push(Action::Subscribe);
         }
-        if !self.peers {
-            self.sends.clear();
+        if !self.peer_messages {
+            self.outbox.clear();
         }
-        let message = |piece| PeerMessage { cluster: Some(piece), ..PeerMessage::default() };
-        out.extend(
-            self.sends.drain(..).map(|(peer, piece)| Action::SendToPeer { peer, message: message(piece) }),
-        );
-        let timers =
-            self.tier.timer(now).into_iter().chain(self.news.timer(now)).chain(self.census.timer(now));
-        let timers = timers.chain(self.asking.timer(now));
+        out.extend(self.outbox.drain(..).map(send_to_peer));
+        let timers = [
+            self.replication.timer(now),
+            self.location_gossip.timer(now),
+            self.load_aggregation.timer(now),
+            self.poll_scheduler.timer(now),
+        ];
+        let timers = timers.into_iter().flatten();
         out.extend(timers.map(|after| Action::SetTimer { after, token }));
     }
 
-    /// The groups' sizes, once after others or a store have told of them, by slot: as a sample of as many arrivals as
-    /// they rest on, so many at the most.
-    pub fn take_learned_sizes(&mut self, now: Millis, most: f64) -> Option<Sample> {
-        if !std::mem::take(&mut self.sizes_learned) && !self.tier.take_learned() {
+    /// The groups' sizes by slot, once after other relays or a store have reported them: as a sample of as many
+    /// arrivals as they rest on, at most `max_arrivals`.
+    pub fn take_learned_sizes(&mut self, now: Millis, max_arrivals: f64) -> Option<Sample> {
+        let has_learned = std::mem::take(&mut self.has_restored_sizes) || self.replication.take_learned();
+        if !has_learned {
             return None;
         }
-        let sizes = self.affinity.sizes(now, MOST_SIZES);
-        let all: f64 = sizes.iter().map(|(_, n)| n).sum();
-        let sum = self.affinity.counted(now).min(most);
+        let sizes = self.affinity.group_sizes(now, MAX_LEARNED_GROUPS);
+        let total: f64 = sizes.iter().map(|size| size.load).sum();
+        let arrivals = self.affinity.counted_load(now).min(max_arrivals);
         let mut sample = Sample::default();
-        for (group, n) in sizes {
-            *sample.0.entry(crate::policy::hashing::place(group)).or_default() += n / all * sum;
+        for size in sizes {
+            *sample.0.entry(hashing::place(size.group)).or_default() += size.load / total * arrivals;
         }
-        (all > 0.0).then_some(sample)
+        (total > 0.0).then_some(sample)
     }
 
-    /// What the fleet carries, by others' or a store's word, and how far that goes before the own count.
+    /// The load of the cluster as other relays or a store have reported it, and how much to trust it over this relay's
+    /// own count, from 0 to 1.
     pub fn fleet_load(&self, now: Millis) -> (f64, f64) {
-        self.affinity.fleet(now)
+        let estimate = self.affinity.estimated_load(now);
+        (estimate.load, estimate.confidence)
     }
 
-    /// From now on changes are kept for [`ClusterState::take_changes`], of which all that is known is the first.
+    /// From now on changes are tracked for [`ClusterState::take_changes`], of which all that is known is the first.
     pub fn track_changes(&mut self) {
-        self.affinity.keep();
+        self.affinity.track_changes();
     }
 
-    /// Changes since the last call, so many at the most.
-    pub fn take_changes(&mut self, now: Millis, most: usize) -> Changes {
-        self.affinity.changes(now, most)
+    /// Changes since the last call, at most `max_entries` entries.
+    pub fn take_changes(&mut self, now: Millis, max_entries: usize) -> Changes {
+        self.affinity.take_changes(now, max_entries)
     }
 
-    /// Takes what a store has kept.
-    pub fn restore(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> Restored {
-        self.sizes_learned = true;
+    /// Takes stored entries.
+    pub fn restore(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> RestoreSummary {
+        self.has_restored_sizes = true;
         self.affinity.restore(now, records)
     }
 
-    /// Figures for those who ask.
-    pub fn statistics(&self) -> Figures {
-        Figures { repeated: self.tier.repeated(), ..self.affinity.figures() }
+    /// Counters and gauges of the tables.
+    pub fn statistics(&self) -> Statistics {
+        Statistics { resent_chunks: self.replication.resent_chunks(), ..self.affinity.statistics() }
     }
+
+    fn aggregates_load(&self) -> bool {
+        self.peer_messages && LoadAggregation::is_needed(self.affinity.position().relay_count)
+    }
+}
+
+fn position(settings: &Settings) -> ClusterPosition {
+    ClusterPosition { local_index: settings.local_index, relay_count: settings.relay_count }
 }
 
-/// Among whom the list is asked for.
-fn among(settings: &Settings) -> ClusterView {
-    let (relays, local_index) = (settings.relay_count, settings.local_index);
-    ClusterView { relays, local_index, step: settings.connect_timeout, most: settings.list_max_age / 2.0 }
+fn poll_settings(settings: &Settings) -> PollSettings {
+    PollSettings {
+        position: position(settings),
+        first_backoff: settings.connect_timeout,
+        max_interval: settings.list_max_age / MAX_POLL_INTERVAL_DIVISOR,
+    }
 }
 
-fn asks(settings: &Settings) -> bool {
+fn polls_discovery(settings: &Settings) -> bool {
     settings.discovery == Discovery::OnRequest
 }
+
+fn listed_endpoint(entry: &EndpointEntry) -> ListedEndpoint<'_> {
+    let state = match entry.state {
+        EndpointState::Ready => ListedState::Ready,
+        EndpointState::Draining => ListedState::Draining,
+        EndpointState::Removed => ListedState::Removed,
+    };
+    ListedEndpoint { id: &entry.id.0, started: entry.started, state }
+}
+
+fn send_to_peer(outgoing: OutgoingMessage) -> Action {
+    let message = PeerMessage { cluster: Some(outgoing.message), ..PeerMessage::default() };
+    Action::SendToPeer { peer: outgoing.peer, message }
+}
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -282,14 +282,17 @@
     fn level(&mut self, now: Millis, out: &mut Actions) {
         let few = self.ledger.told < self.ledger.total * FEW * f64::from(self.settings.relay_count);
         if few
-            || self.pace.queued()
+            || self.pace.latest_met_queue()
             || self.ledger.endpoints.values().any(|s| s.state != EndpointState::Ready)
         {
             return;
         }
         let each = self.ring.iter().map(|id| &self.ledger.endpoints[id]);
-        let each: Vec<_> = each.map(|s| (s.told, s.weight * self.warmth(now, s))).collect();
-        for (at, share) in rebalance::shares(&each).into_iter().enumerate().filter(|(_, share)| *share > 0.0)
+        let load =
+            |s: &Endpoint| rebalance::EndpointLoad { load: s.told, capacity: s.weight * self.warmth(now, s) };
+        let each: Vec<_> = each.map(load).collect();
+        for (at, share) in
+            rebalance::migration_fractions(&each).into_iter().enumerate().filter(|(_, share)| *share > 0.0)
         {
             let since = now - SETTLED;
             let own =
@@ -342,7 +345,11 @@
             }
             Some(ClusterMessage::OverloadNotice(endpoint)) => {
                 if self.cluster.receive_overload_notice(now, endpoint) {
-                    self.pace.warned(now, self.ledger.trying, 2.0 * self.settings.connect_timeout);
+                    self.pace.record_peer_warning(
+                        now,
+                        self.ledger.trying,
+                        2.0 * self.settings.connect_timeout,
+                    );
                 }
             }
             Some(piece) => self.cluster.receive(now, peer, piece),
@@ -458,11 +465,13 @@
         let (trying, latency_objective) = (self.ledger.trying, self.latency_objective(conn));
         // One that goes on where it stands sets nothing up.
         let mid_flow = conn.request.mid_flow && conn.attempts == 0;
-        let next = if mid_flow { 0.0 } else { self.pace.next(now, trying, latency_objective) };
+        let next = if mid_flow { 0.0 } else { self.pace.time_until_slot(now, trying, latency_objective) };
         if next > 0.0 {
             // Held only while its turn is expected in time for a set-up, by how fast they go and who waits.
             self.queue.remove(&id);
-            if now + self.pace.expected(now, trying, self.queue.len(), latency_objective) + latency_objective
+            if now
+                + self.pace.expected_wait(now, trying, self.queue.len(), latency_objective)
+                + latency_objective
                 > limit
             {
                 return self.refuse(id, harmless, out);
@@ -499,7 +508,7 @@
             return self.advance(now, id, look, out);
         };
         // What cannot be tried again is waited for; a slow set-up everywhere stretches the time-out.
-        let patient = repeat == Idempotency::Unsafe || self.pace.common(now);
+        let patient = repeat == Idempotency::Unsafe || self.pace.fault_is_common(now);
         // What a slow handshake has used of the set-up time is gone, for the first attempt.
         let setup_time_used = if conn.attempts == 0 { conn.request.setup_time_used } else { 0.0 };
         let patience = if patient {
@@ -515,7 +524,7 @@
             self.next_cold = now + self.cold_pause(now, &self.ring);
         }
         self.ledger.send(id, endpoint.clone(), now);
-        self.pace.sent(now, self.seed);
+        self.pace.record_attempt(now, self.seed);
         out.push(Action::StartAttempt { request: id, endpoint, until: limit.min(now + patience), begin_by });
     }
 
@@ -644,7 +653,7 @@
         endpoint.iter().for_each(|at| self.cluster.record_established(now, &conn.request, conn.load, at));
         match &endpoint {
             Some(at) if anew && elapsed > latency_objective => self.late(now, at),
-            _ if anew => self.pace.in_time(now, elapsed / latency_objective),
+            _ if anew => self.pace.record_in_time(now, elapsed / latency_objective),
             _ => {}
         }
         if let Some(s) = endpoint.as_ref().and_then(|id| self.ledger.endpoints.get_mut(id)) {
@@ -694,7 +703,7 @@
                 s.jam(now, per_endpoint, CUT);
             }
             s.down |= outcome == Outcome::ConnectFailed && !open;
-            let late = outcome == Outcome::TimedOut && !self.pace.common(now);
+            let late = outcome == Outcome::TimedOut && !self.pace.fault_is_common(now);
             let failed = outcome == Outcome::Reset || (!open && (late || outcome == Outcome::ConnectFailed));
             if failed && now >= s.skip_until {
                 s.skip_until = now + self.settings.connect_timeout * f64::from(1u32 << s.failures.min(4));
@@ -723,7 +732,7 @@
     /// A late set-up or an error.
     fn late(&mut self, now: Millis, endpoint: &EndpointId) {
         let (at, within) = (hash(endpoint.0.as_bytes()), self.settings.connect_timeout);
-        self.pace.late(now, at, self.ledger.trying, within);
+        self.pace.record_late(now, at, self.ledger.trying, within);
         self.cluster.report_late_setup(now, endpoint);
     }
 
@@ -736,7 +745,7 @@
                 self.queue.iter().rev().max_by(|a, b| priority_weight(a).total_cmp(&priority_weight(b)));
             let Some(id) = best.copied() else { return };
             let latency_objective = self.ledger.conns.get(&id).map_or(0.0, |c| self.latency_objective(c));
-            if self.pace.next(now, self.ledger.trying, latency_objective) > 0.0 {
+            if self.pace.time_until_slot(now, self.ledger.trying, latency_objective) > 0.0 {
                 return;
             }
             self.queue.remove(&id);
--- a/src/policy/scarcity.rs
+++ b/src/policy/scarcity.rs
@@ -13,7 +13,7 @@
         let room =
             |id: &EndpointId| self.ledger.endpoints.get(id).is_some_and(|s| s.load + 1.0 <= s.cap(now, each));
         ScarcitySignals {
-            window: !self.queue.is_empty() || self.pace.common(now),
+            window: !self.queue.is_empty() || self.pace.fault_is_common(now),
             endpoints: !self.ring.iter().any(room) || self.ledger.crowded(now),
             descriptors: false,
         }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -14,9 +14,10 @@
 
 use log::{debug, error, warn};
 use sandgw_affinity::codec::EndpointHash;
-use sandgw_affinity::replication::Sends;
-use sandgw_affinity::{Changes, Figures, Record, Restored};
-use sandgw_cluster::drain_gossip::{Answer, ClusterSize, DrainGossip};
+use sandgw_affinity::outbox::Outbox;
+use sandgw_affinity::{Changes, Record, RestoreSummary, Statistics};
+use sandgw_cluster::ClusterPosition;
+use sandgw_cluster::drain_gossip::{DiscoveryAnswer, DrainGossip, ListChange};
 use sandgw_quota::policy::ScarcitySignals;
 
 use crate::LoadBalancer;
@@ -534,48 +535,51 @@
     }
 
     /// Among whom relays tell each other of endpoints that leave: where each asks discovery.
-    fn of(&self) -> ClusterSize {
+    fn of(&self) -> ClusterPosition {
         let s = &self.load_balancer.settings();
         let tells = s.peer_messages && s.discovery == Discovery::OnRequest;
-        ClusterSize { local_index: s.local_index, relays: if tells { s.relay_count } else { 0 } }
+        ClusterPosition { local_index: s.local_index, relay_count: if tells { s.relay_count } else { 0 } }
     }
 
     /// The list as last held, and its version if it is known to be this discovery service's.
     pub fn known(&mut self, now: Millis, revision: Option<u64>, endpoints: Vec<EndpointEntry>) {
-        self.leaving.known(revision);
+        self.leaving.set_revision(revision);
         self.list(now, ListKind::Cached, endpoints);
     }
 
     /// Another discovery service is asked from now on.
     pub fn moved(&mut self, now: Millis) {
-        self.leaving.moved(now, self.of());
-        self.ask_others(now, Sends::new());
+        self.leaving.discovery_replaced(now, self.of());
+        self.ask_others(now, Outbox::new());
     }
 
     /// A watch was broken off, and the list is asked for anew: what changes is not heard of until that is answered.
     pub fn unwatched(&mut self, now: Millis) {
-        self.leaving.failed(now, self.of());
-        self.ask_others(now, Sends::new());
+        self.leaving.discovery_failed(now, self.of());
+        self.ask_others(now, Outbox::new());
     }
 
     /// Discovery has answered, with the whole list or with changes to it.
-    pub fn answered(&mut self, now: Millis, answer: Answer, mut endpoints: Vec<EndpointEntry>) {
+    pub fn answered(&mut self, now: Millis, answer: DiscoveryAnswer, mut endpoints: Vec<EndpointEntry>) {
         let hash = |id: &EndpointId| EndpointHash::of(&id.0);
         let (ready, others): (Vec<_>, Vec<_>) =
             endpoints.iter().partition(|e| e.state == EndpointState::Ready);
         let ready: Vec<_> = ready.into_iter().map(|e| hash(&e.id)).collect();
         let others: Vec<_> = others.into_iter().map(|e| hash(&e.id)).collect();
-        let set: BTreeSet<_> = if answer.whole { &ready } else { &others }.iter().copied().collect();
+        let set: BTreeSet<_> = if answer.is_full { &ready } else { &others }.iter().copied().collect();
         let was_ready =
             self.endpoints.iter().map(|(id, t)| (hash(id), t.state == Some(EndpointState::Ready)));
-        let was_ready = was_ready.filter(|(id, ready)| *ready || self.leaving.holds(*id)).map(|(id, _)| id);
-        let left: Vec<_> = was_ready.filter(|id| set.contains(id) != answer.whole).collect();
-        let mut out = Sends::new();
-        let back = self.leaving.listed(now, self.of(), answer, &left, &ready, &mut out);
-        if !answer.whole {
+        let was_ready = was_ready
+            .filter(|(id, ready)| *ready || self.leaving.is_reported_draining(*id))
+            .map(|(id, _)| id);
+        let left: Vec<_> = was_ready.filter(|id| set.contains(id) != answer.is_full).collect();
+        let mut out = Outbox::new();
+        let change = ListChange { departed: &left, ready: &ready };
+        let back = self.leaving.apply_answer(now, self.of(), answer, change, &mut out);
+        if !answer.is_full {
             endpoints.extend(self.entries(&back, EndpointState::Ready));
         }
-        self.list(now, if answer.whole { ListKind::Full } else { ListKind::Delta }, endpoints);
+        self.list(now, if answer.is_full { ListKind::Full } else { ListKind::Delta }, endpoints);
         self.ask_others(now, out);
     }
 
@@ -585,9 +589,9 @@
     }
 
     /// Tells other relays of endpoints that have left, or asks them; and sets the timer for the next question.
-    fn ask_others(&mut self, now: Millis, out: Sends) {
+    fn ask_others(&mut self, now: Millis, out: Outbox) {
         let message = |piece| PeerMessage { cluster: Some(piece), ..PeerMessage::default() };
-        let tell = out.into_iter().map(|(peer, piece)| Command::SendToPeer { peer, message: message(piece) });
+        let tell = out.into_iter().map(|m| Command::SendToPeer { peer: m.peer, message: message(m.message) });
         self.commands.extend(tell);
         let timer = self.leaving.timer(now).map(|after| Command::SetTimer { after, token: LEFT });
         self.commands.extend(timer);
@@ -596,10 +600,10 @@
     /// Takes another relay's word of endpoints that have left, or answers its question. On a word nothing is sent to a
     /// endpoint any more; nothing is ever sent to one on a word.
     fn told_of_leaving(&mut self, now: Millis, peer: u32, piece: ClusterMessage) {
-        let (of, mut out) = (self.of(), Sends::new());
+        let (of, mut out) = (self.of(), Outbox::new());
         let ready = self.endpoints.iter().filter(|(_, t)| t.state == Some(EndpointState::Ready));
         let ready: BTreeSet<_> = ready.map(|(id, _)| EndpointHash::of(&id.0)).collect();
-        let fresh = self.leaving.told(now, of, peer, piece, |id| ready.contains(&id), &mut out);
+        let fresh = self.leaving.receive(now, of, peer, piece, |id| ready.contains(&id), &mut out);
         if !fresh.is_empty() {
             debug!("relay {peer} tells of {} streamers that leave", fresh.len());
             let endpoints = self.entries(&fresh, EndpointState::Draining);
@@ -648,8 +652,8 @@
             EMPTY => return self.empty(now),
             SHARES => return self.tell_shares(now),
             LEFT => {
-                let mut out = Sends::new();
-                self.leaving.due(now, self.of(), &mut out);
+                let mut out = Outbox::new();
+                self.leaving.on_timer(now, self.of(), &mut out);
                 return self.ask_others(now, out);
             }
             _ => {}
@@ -825,7 +829,7 @@
     }
 
     /// Takes what a store has kept of clients and groups, before the first list.
-    pub fn restore(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> Restored {
+    pub fn restore(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> RestoreSummary {
         self.load_balancer.cluster_state_mut().restore(now, records)
     }
 
@@ -840,7 +844,7 @@
     }
 
     /// Figures of the tables of clients and groups.
-    pub fn affinity(&self) -> Figures {
+    pub fn affinity(&self) -> Statistics {
         self.load_balancer.cluster_state().statistics()
     }
 
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -398,7 +398,7 @@
 /// Reads a message of a peer; nothing of one that is too long, of another version or malformed.
 pub(crate) fn message(text: &str) -> Option<PeerMessage> {
     if text.starts_with(VERSION) {
-        let cluster = Some(ClusterMessage::read(text)?);
+        let cluster = Some(ClusterMessage::decode(text)?);
         return Some(PeerMessage { cluster, ..PeerMessage::default() });
     }
     if text.starts_with(KIND) {
@@ -424,7 +424,7 @@
 pub(crate) fn message_text(message: &PeerMessage) -> String {
     if let Some(piece) = &message.cluster {
         // No piece is made that does not fit; an empty text reads as no message.
-        return piece.text().unwrap_or_default();
+        return piece.encode().unwrap_or_default();
     }
     if let Some(told) = &message.quota {
         return told.text().unwrap_or_default();
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -43,10 +43,18 @@
         put(&[2, 1, 2, i], counter(n));
     }
     let a = relay.affinity();
-    for (i, n) in (1..).zip([a.sessions, a.groups, a.bytes]) {
+    for (i, n) in (1..).zip([a.sessions, a.groups, a.max_bytes]) {
         put(&[5, i, 0], gauge(n));
     }
-    let totals = [a.evicted, a.refused, a.aged, a.stale, a.repeated, written.entries, written.failed];
+    let totals = [
+        a.evicted,
+        a.not_admitted,
+        a.expired,
+        a.stale_lookups,
+        a.resent_chunks,
+        written.entries,
+        written.failed,
+    ];
     for (i, n) in (4..).zip(totals) {
         put(&[5, i, 0], counter(n));
     }
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1122,11 +1122,11 @@
         before.ask(id, Some(0), Some(&group), &format!("c{id}"), 2000.0);
         before.establish(RequestId(id), 5.0);
     }
-    let kept = before.load_balancer.cluster.take_changes(before.now, usize::MAX).set;
+    let kept = before.load_balancer.cluster.take_changes(before.now, usize::MAX).updated;
     // A store that has lost some is given all of it again.
     before.load_balancer.cluster.track_changes();
     let again = before.load_balancer.cluster.take_changes(before.now, usize::MAX);
-    assert!(again.set.len() == kept.len() && again.names.len() == 12, "{again:?}");
+    assert!(again.updated.len() == kept.len() && again.names.len() == 12, "{again:?}");
     let places = |world: &mut World| -> Vec<EndpointId> {
         let place = |id: u64| {
             world.ask(id, Some(0), Some("large"), &format!("c{id}"), 2000.0);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -9,7 +9,7 @@
 };
 use sandgw::relay::{Attempt, Command, ConnectionCommand, IncomingRequest, Relay};
 use sandgw_affinity::codec::EndpointHash;
-use sandgw_cluster::drain_gossip::Answer;
+use sandgw_cluster::drain_gossip::DiscoveryAnswer;
 use sandgw_test_cluster::fault_schedule::Fault;
 use sandgw_test_cluster::log::{Event, What};
 use sandgw_test_cluster::{Size, TestCluster};
@@ -144,7 +144,7 @@
     let mut relay = relay(true);
     relay.answered(
         START,
-        Answer { revision: 41, asked: START, whole: false },
+        DiscoveryAnswer { revision: 41, requested_at: START, is_full: false },
         vec![entry(1, EndpointState::Draining)],
     );
     relay.told(START, 3, word(42, &[77]));
@@ -168,7 +168,7 @@
     assert_eq!(sent(&mut relay, START), names(&[0, 1, 2, 3]));
     relay.answered(
         START,
-        Answer { revision: 41, asked: START, whole: false },
+        DiscoveryAnswer { revision: 41, requested_at: START, is_full: false },
         vec![entry(1, EndpointState::Draining)],
     );
     assert!(tells(&mut relay).is_empty());
@@ -177,7 +177,7 @@
 #[test]
 fn a_streamer_is_sent_to_again_once_an_answer_knows_better_than_a_word() {
     let all = names(&[0, 1, 2, 3]);
-    let answer = |revision, asked, whole| Answer { revision, asked, whole };
+    let answer = |revision, asked, whole| DiscoveryAnswer { revision, requested_at: asked, is_full: whole };
     // Of the word's version or a later one, or to a call that was made after the word came, whatever its version: the
     // word may be of another service.
     for answer in
@@ -200,13 +200,13 @@
 fn a_streamer_stays_avoided_while_the_word_is_newer_than_the_answer() {
     let mut relay = relay(true);
     relay.told(START, 3, word(42, &[2]));
-    let answer = Answer { revision: 41, asked: START - 1.0, whole: false };
+    let answer = DiscoveryAnswer { revision: 41, requested_at: START - 1.0, is_full: false };
     relay.answered(START + 10.0, answer, vec![entry(0, EndpointState::Removed)]);
     assert_eq!(sent(&mut relay, START + 10.0), names(&[1, 3]));
-    let answer = Answer { revision: 42, asked: START - 1.0, whole: false };
+    let answer = DiscoveryAnswer { revision: 42, requested_at: START - 1.0, is_full: false };
     relay.answered(START + 20.0, answer, vec![entry(2, EndpointState::Draining)]);
     assert_eq!(sent(&mut relay, START + 20.0), names(&[1, 3]), "the list says so too");
-    let answer = Answer { revision: 43, asked: START + 20.0, whole: false };
+    let answer = DiscoveryAnswer { revision: 43, requested_at: START + 20.0, is_full: false };
     relay.answered(START + 30.0, answer, Vec::new());
     assert_eq!(sent(&mut relay, START + 30.0), names(&[1, 3]), "and has not taken it back");
 }
@@ -216,7 +216,7 @@
 #[test]
 fn words_of_a_start_before_do_no_harm_to_a_streamer_that_is_back() {
     let back = || EndpointEntry { started: START - 100.0, ..entry(2, EndpointState::Ready) };
-    let answer = |revision| Answer { revision, asked: START - 1.0, whole: false };
+    let answer = |revision| DiscoveryAnswer { revision, requested_at: START - 1.0, is_full: false };
     let (left, gone) = (|| word(41, &[2]), || word(42, &[2]));
     let id = EndpointId("s2".into());
     type Step<'a> = &'a dyn Fn(&mut Relay);
@@ -251,7 +251,7 @@
 #[test]
 fn words_of_the_service_before_do_no_harm_after_a_move() {
     let mut relay = relay(true);
-    let answer = |revision, asked, whole| Answer { revision, asked, whole };
+    let answer = |revision, asked, whole| DiscoveryAnswer { revision, requested_at: asked, is_full: whole };
     relay.answered(START, answer(40, START, false), Vec::new());
     relay.told(START, 3, word(2000, &[2]));
     relay.moved(START + 10.0);
@@ -266,7 +266,7 @@
 #[test]
 fn what_comes_on_a_watch_that_goes_on_is_told_to_nobody_but_those_who_ask() {
     let mut relay = relay(true);
-    let answer = |revision| Answer { revision, asked: START, whole: false };
+    let answer = |revision| DiscoveryAnswer { revision, requested_at: START, is_full: false };
     relay.answered(START, answer(41), Vec::new());
     tells(&mut relay);
     relay.answered(START + 100.0, answer(42), vec![entry(1, EndpointState::Draining)]);
