--- a/crates/affinity/benches/rivals.rs
+++ b/crates/affinity/benches/rivals.rs
@@ -10,13 +10,13 @@
 
 /// A cache of keys: whether it knew the key, which is in it after that if it is admitted.
 trait Rival {
-    fn ask(&mut self, key: u64) -> bool;
+    fn lookup(&mut self, key: u64) -> bool;
 }
 
 struct Ours(Table<[u8; 100]>);
 
 impl Rival for Ours {
-    fn ask(&mut self, key: u64) -> bool {
+    fn lookup(&mut self, key: u64) -> bool {
         let known = self.0.get(key).is_some();
         self.0.insert(0, key, [0; 100]);
         known
@@ -26,7 +26,7 @@
 struct Lru(lru::LruCache<u64, ()>);
 
 impl Rival for Lru {
-    fn ask(&mut self, key: u64) -> bool {
+    fn lookup(&mut self, key: u64) -> bool {
         let known = self.0.get(&key).is_some();
         self.0.put(key, ());
         known
@@ -40,7 +40,7 @@
 }
 
 impl Rival for Segmented {
-    fn ask(&mut self, key: u64) -> bool {
+    fn lookup(&mut self, key: u64) -> bool {
         if self.protected.get(&key).is_some() {
             return true;
         }
@@ -58,7 +58,7 @@
 struct TinyLfu(mini_moka::unsync::Cache<u64, ()>);
 
 impl Rival for TinyLfu {
-    fn ask(&mut self, key: u64) -> bool {
+    fn lookup(&mut self, key: u64) -> bool {
         let known = self.0.get(&key).is_some();
         if !known {
             self.0.insert(key, ());
@@ -70,7 +70,7 @@
 struct Quick(quick_cache::unsync::Cache<u64, ()>);
 
 impl Rival for Quick {
-    fn ask(&mut self, key: u64) -> bool {
+    fn lookup(&mut self, key: u64) -> bool {
         let known = self.0.get(&key).is_some();
         if !known {
             self.0.insert(key, ());
@@ -79,12 +79,12 @@
     }
 }
 
-fn room(n: usize) -> NonZeroUsize {
+fn capacity(n: usize) -> NonZeroUsize {
     NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN)
 }
 
 fn rivals(most: usize) -> Vec<(&'static str, Box<dyn Rival>)> {
-    let lru = |n| lru::LruCache::new(room(n));
+    let lru = |n| lru::LruCache::new(capacity(n));
     let protected = most * 4 / 5;
     vec![
         ("S3-FIFO (here)", Box::new(Ours(Table::new(most)))),
@@ -126,8 +126,8 @@
 }
 
 fn main() {
-    const ROOM: usize = 600;
-    println!("hit ratio of groups in use, {ROOM} entries, median of 5 seeds (least to most)");
+    const CAPACITY: usize = 600;
+    println!("hit ratio of groups in use, {CAPACITY} entries, median of 5 seeds (least to most)");
     let traces: [(&str, Make); 5] = [
         ("2,000 groups, Zipf 0.8", |d| zipf(2000, 0.8, 200_000, d)),
         ("400 groups, Zipf 1, flood of 1,000,000 from the start", |d| {
@@ -147,12 +147,12 @@
             let mut ratios: Vec<f64> = (0..5)
                 .map(|seed| {
                     let trace = make(&mut StdRng::seed_from_u64(seed));
-                    let mut cache = rivals(ROOM).swap_remove(at).1;
+                    let mut cache = rivals(CAPACITY).swap_remove(at).1;
                     // The first tenth fills the tables.
                     let skip = trace.len() / 10;
                     let (mut asked, mut known) = (0u64, 0u64);
                     for (i, (key, counts)) in trace.into_iter().enumerate() {
-                        let hit = cache.ask(key);
+                        let hit = cache.lookup(key);
                         asked += u64::from(counts && i >= skip);
                         known += u64::from(counts && i >= skip && hit);
                     }
--- a/crates/affinity/tests/table.rs
+++ b/crates/affinity/tests/table.rs
@@ -37,7 +37,7 @@
 static ALLOCATOR: Counting = Counting;
 
 /// The most bytes held at a time during the call, beyond those held before.
-fn most_held(call: impl FnOnce()) -> usize {
+fn peak_bytes(call: impl FnOnce()) -> usize {
     let before = HELD.with(|(held, most)| {
         let before = held.load(Relaxed);
         most.store(before, Relaxed);
@@ -165,7 +165,7 @@
     let calm = hits(false, &mut tables());
     let mut flooded = 0.0;
     let mut held = None;
-    let most = most_held(|| {
+    let most = peak_bytes(|| {
         let mut affinity = tables();
         flooded = hits(true, &mut affinity);
         held = Some(affinity.statistics());
@@ -182,7 +182,7 @@
 #[test]
 fn the_bound_in_bytes_holds_for_everything() {
     for bytes in [64 << 10, 1 << 20] {
-        let most = most_held(|| {
+        let most = peak_bytes(|| {
             let mut affinity = Affinity::new(Limits { bytes, ..limits() }, START);
             affinity.track_changes();
             list(&mut affinity, START, true, &endpoints(14, 0.0));
--- a/crates/affinity/tests/form1.rs
+++ b/crates/affinity/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Form 1 of what relays tell, byte for byte as the program of before forms had numbers wrote it: a change here is
-//! a new form, and old processes would read it as nothing.
+//! What relays send each other, byte for byte as the first version wrote it: a change here is a new version, which
+//! processes of the first one would ignore.
 
 use sandgw_affinity::codec::{
     BUCKETS, Client, ClusterMessage, DRAINING_PER_MESSAGE, EndpointHash, GroupRow, HolderRow, LocatedClients,
--- a/crates/cluster/tests/poll_scheduler.rs
+++ b/crates/cluster/tests/poll_scheduler.rs
@@ -5,23 +5,40 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sandgw_affinity::codec::ClusterMessage;
+use sandgw_affinity::outbox::Outbox;
 use sandgw_cluster::ClusterPosition;
 use sandgw_cluster::poll_scheduler::{PollScheduler, PollSettings, delay_after_silent_watch};
 
-/// A call that has waited so long fails, and costs its turn all the same.
+/// A poll that has waited so long fails, and costs its turn all the same.
 const SERVICE_TIMEOUT_MS: f64 = 2000.0;
 /// One in so many datagrams is lost.
 const LOSS: f64 = 0.1;
+/// The time that a datagram takes.
+const DATAGRAM_DELAY_MS: f64 = 10.0;
+/// How long is simulated.
+const END_MS: u32 = 60_000;
 
-/// What a service is like: milliseconds a call, and until when it is down, when each call fails at once.
+/// What a service is like.
 #[derive(Clone, Copy)]
 struct Service {
+    /// Milliseconds that a poll takes it.
     cost: f64,
+    /// Until when it is down and each poll fails at once.
     down: f64,
 }
 
-/// An announcement of the poll rate on its way.
+/// Relays that start together; all others start within the first second.
 #[derive(Clone, Copy)]
+struct LateStart {
+    /// How many.
+    relays: u32,
+    /// When.
+    at: f64,
+}
+
+const NO_LATE_START: LateStart = LateStart { relays: 0, at: 0.0 };
+
+/// An announcement of the poll rate on its way.
 struct Announcement {
     arrives_at: f64,
     peer: u32,
@@ -29,115 +46,184 @@
     call_duration: f64,
 }
 
+/// A poll that waits for the service.
+struct Poll {
+    relay: u32,
+    sent_at: f64,
+}
+
 #[derive(Default)]
 struct Outcome {
     /// When each relay was first answered, sorted.
-    had: Vec<f64>,
-    calls: usize,
+    answered_at: Vec<f64>,
+    polls: usize,
     failed: usize,
-    announced: usize,
-    /// Calls by second.
-    by_second: BTreeMap<u64, usize>,
+    announcements: usize,
+    polls_by_second: BTreeMap<u64, usize>,
 }
 
 impl Outcome {
+    /// When the last relay was answered.
     fn all_by(&self, relays: u32) -> f64 {
-        if self.had.len() == relays as usize { self.had[self.had.len() - 1] } else { f64::INFINITY }
+        if self.answered_at.len() == relays as usize {
+            self.answered_at[self.answered_at.len() - 1]
+        } else {
+            f64::INFINITY
+        }
     }
 }
 
-/// Relays that start within a second, all but so many; the rest start together later. `announces`: they announce the poll rate.
-fn play(relays: u32, (later, at): (u32, f64), service: Service, announces: bool, seed: u64) -> Outcome {
+struct Relay {
+    scheduler: PollScheduler,
+    starts_at: Option<f64>,
+    answered_at: Option<f64>,
+}
+
+struct Simulation {
+    seed: u64,
+    service: Service,
+    /// Whether the relays announce the poll rate to each other.
+    announces: bool,
+    dice: StdRng,
+    relays: Vec<Relay>,
+    /// Polls that wait for the service, and for how long it is busy.
+    queue: VecDeque<Poll>,
+    busy_ms: f64,
+    datagrams: VecDeque<Announcement>,
+    outcome: Outcome,
+}
+
+fn play(relays: u32, late_start: LateStart, service: Service, announces: bool, seed: u64) -> Outcome {
     let mut dice = StdRng::seed_from_u64(seed);
-    let settings = |local_index| settings(local_index, relays);
-    let mut schedulers: Vec<PollScheduler> =
-        (0..relays).map(|local_index| PollScheduler::new(seed * 1000 + u64::from(local_index))).collect();
-    let starts =
-        (0..relays).map(|local_index| if local_index < later { at } else { dice.random_range(0.0..1000.0) });
-    let mut starts: Vec<Option<f64>> = starts.map(Some).collect();
-    let (mut turn, mut busy): (VecDeque<(u32, f64)>, f64) = (VecDeque::new(), 0.0);
-    let mut datagrams: VecDeque<Announcement> = VecDeque::new();
-    let (mut had, mut out, mut outcome) = (vec![None; relays as usize], Vec::new(), Outcome::default());
-    for ms in 0..60_000_u32 {
-        let now = f64::from(ms);
-        for local_index in 0..relays {
-            let one = &mut schedulers[local_index as usize];
-            if starts[local_index as usize].take_if(|start| *start <= now).is_some() {
-                *one = PollScheduler::new(seed * 1000 + 500 + u64::from(local_index));
-                had[local_index as usize] = None;
-                one.start(now, &settings(local_index));
-            }
-            if !one.take_due(now) {
-                continue;
-            }
-            outcome.calls += 1;
-            *outcome.by_second.entry(u64::from(ms) / 1000).or_default() += 1;
-            if now < service.down {
-                outcome.failed += 1;
-                one.record_failure(now, &settings(local_index), &mut out);
-            } else {
-                turn.push_back((local_index, now));
-            }
+    let mut relay = |local_index| {
+        let is_late = local_index < late_start.relays;
+        let starts_at = if is_late { late_start.at } else { dice.random_range(0.0..1000.0) };
+        let scheduler = PollScheduler::new(seed * 1000 + u64::from(local_index));
+        Relay { scheduler, starts_at: Some(starts_at), answered_at: None }
+    };
+    let relays: Vec<Relay> = (0..relays).map(&mut relay).collect();
+    let mut simulation = Simulation {
+        seed,
+        service,
+        announces,
+        dice,
+        relays,
+        queue: VecDeque::new(),
+        busy_ms: 0.0,
+        datagrams: VecDeque::new(),
+        outcome: Outcome::default(),
+    };
+    for ms in 0..END_MS {
+        simulation.step(f64::from(ms));
+    }
+    simulation.into_outcome()
+}
+
+impl Simulation {
+    fn step(&mut self, now: f64) {
+        let mut out = Outbox::new();
+        for local_index in 0..self.relays.len() as u32 {
+            self.run_relay(now, local_index, &mut out);
+        }
+        self.run_service(now, &mut out);
+        if self.announces {
+            self.send(now, out);
         }
-        busy = (busy - 1.0).max(-1.0);
-        while busy <= 0.0
-            && let Some((local_index, since)) = turn.pop_front()
+        while self.datagrams.front().is_some_and(|datagram| datagram.arrives_at <= now)
+            && let Some(arrived) = self.datagrams.pop_front()
         {
-            busy += service.cost;
-            if now - since > SERVICE_TIMEOUT_MS {
-                outcome.failed += 1;
-                schedulers[local_index as usize].record_failure(now, &settings(local_index), &mut out);
+            let Announcement { peer, interval, call_duration, .. } = arrived;
+            let settings = self.settings(peer);
+            let scheduler = &mut self.relays[peer as usize].scheduler;
+            scheduler.receive_poll_rate(now, interval, call_duration, &settings);
+        }
+    }
+
+    fn settings(&self, local_index: u32) -> PollSettings {
+        settings(local_index, self.relays.len() as u32)
+    }
+
+    fn run_relay(&mut self, now: f64, local_index: u32, out: &mut Outbox) {
+        let settings = self.settings(local_index);
+        let relay = &mut self.relays[local_index as usize];
+        if relay.starts_at.take_if(|starts_at| *starts_at <= now).is_some() {
+            relay.scheduler = PollScheduler::new(self.seed * 1000 + 500 + u64::from(local_index));
+            relay.answered_at = None;
+            relay.scheduler.start(now, &settings);
+        }
+        if !relay.scheduler.take_due(now) {
+            return;
+        }
+        self.outcome.polls += 1;
+        *self.outcome.polls_by_second.entry(now as u64 / 1000).or_default() += 1;
+        if now < self.service.down {
+            self.outcome.failed += 1;
+            relay.scheduler.record_failure(now, &settings, out);
+        } else {
+            self.queue.push_back(Poll { relay: local_index, sent_at: now });
+        }
+    }
+
+    fn run_service(&mut self, now: f64, out: &mut Outbox) {
+        self.busy_ms = (self.busy_ms - 1.0).max(-1.0);
+        while self.busy_ms <= 0.0
+            && let Some(poll) = self.queue.pop_front()
+        {
+            self.busy_ms += self.service.cost;
+            let settings = self.settings(poll.relay);
+            let relay = &mut self.relays[poll.relay as usize];
+            if now - poll.sent_at > SERVICE_TIMEOUT_MS {
+                self.outcome.failed += 1;
+                relay.scheduler.record_failure(now, &settings, out);
             } else {
-                schedulers[local_index as usize].record_answer(now, &settings(local_index), &mut out);
-                had[local_index as usize].get_or_insert(now);
+                relay.scheduler.record_answer(now, &settings, out);
+                relay.answered_at.get_or_insert(now);
             }
         }
-        for sent in out.drain(..).filter(|_| announces) {
+    }
+
+    fn send(&mut self, now: f64, out: Outbox) {
+        for sent in out {
             let ClusterMessage::PollRate { interval_ms, call_duration_ms } = sent.message else {
                 panic!("{sent:?}")
             };
-            outcome.announced += 1;
-            if !dice.random_bool(LOSS) {
-                let (interval, call_duration) = (f64::from(interval_ms), f64::from(call_duration_ms));
-                datagrams.push_back(Announcement {
-                    arrives_at: now + 10.0,
+            self.outcome.announcements += 1;
+            if !self.dice.random_bool(LOSS) {
+                self.datagrams.push_back(Announcement {
+                    arrives_at: now + DATAGRAM_DELAY_MS,
                     peer: sent.peer,
-                    interval,
-                    call_duration,
+                    interval: f64::from(interval_ms),
+                    call_duration: f64::from(call_duration_ms),
                 });
             }
         }
-        while let Some(arrived) = datagrams.front().copied().filter(|datagram| datagram.arrives_at <= now) {
-            datagrams.pop_front();
-            let Announcement { peer, interval, call_duration, .. } = arrived;
-            schedulers[peer as usize].receive_poll_rate(now, interval, call_duration, &settings(peer));
-        }
     }
-    outcome.had = had.into_iter().flatten().collect();
-    outcome.had.sort_by(f64::total_cmp);
-    outcome
+
+    fn into_outcome(self) -> Outcome {
+        let mut answered_at: Vec<f64> = self.relays.iter().filter_map(|relay| relay.answered_at).collect();
+        answered_at.sort_by(f64::total_cmp);
+        Outcome { answered_at, ..self.outcome }
+    }
 }
 
-/// The settings of one relay in tests.
+/// The settings of one relay.
 fn settings(local_index: u32, relay_count: u32) -> PollSettings {
     let position = ClusterPosition { local_index, relay_count };
     PollSettings { position, first_backoff: 200.0, max_interval: 5_000.0 }
 }
 
-const TOGETHER: (u32, f64) = (0, 0.0);
-
 #[test]
 fn hundreds_that_start_together_all_get_their_list_whatever_the_service_bears() {
     for (relays, cost) in [(100, 50.0), (250, 30.0), (250, 50.0), (250, 100.0), (312, 20.0)] {
         for seed in 0..5 {
-            let outcome = play(relays, TOGETHER, Service { cost, down: 0.0 }, true, seed);
+            let outcome = play(relays, NO_LATE_START, Service { cost, down: 0.0 }, true, seed);
             let (all, least) = (outcome.all_by(relays), f64::from(relays) * cost + 1000.0);
-            let failed = outcome.failed as f64 / outcome.calls as f64;
+            let failed = outcome.failed as f64 / outcome.polls as f64;
             eprintln!(
                 "{relays} at {cost} ms, seed {seed}: all after {:.2} of the least, {failed:.3} failed, \
                 {:.1} datagrams a relay",
                 all / least,
-                outcome.announced as f64 / f64::from(relays)
+                outcome.announcements as f64 / f64::from(relays)
             );
             // Half of what the aims are for may take longer, but does not collapse.
             let (late, lost) = if cost > 50.0 { (2.2, 0.5) } else { (1.3, 0.1) };
@@ -150,8 +236,8 @@
 #[test]
 fn without_a_word_between_them_the_same_relays_keep_the_service_busy_for_nothing() {
     // What the one above guards against; with calls that cost nothing once given up it would prove nothing.
-    let outcome = play(250, TOGETHER, Service { cost: 100.0, down: 0.0 }, false, 1);
-    assert!(outcome.failed * 3 > outcome.calls, "{} of {} failed", outcome.failed, outcome.calls);
+    let outcome = play(250, NO_LATE_START, Service { cost: 100.0, down: 0.0 }, false, 1);
+    assert!(outcome.failed * 3 > outcome.polls, "{} of {} failed", outcome.failed, outcome.polls);
 }
 
 #[test]
@@ -159,15 +245,20 @@
     for relays in [100, 312] {
         for seed in 0..5 {
             let service = Service { cost: 30.0, down: 8_000.0 };
-            let outcome = play(relays, TOGETHER, service, true, seed);
-            let politely = (3..8).map(|second| outcome.by_second.get(&second).copied().unwrap_or(0)).max();
+            let outcome = play(relays, NO_LATE_START, service, true, seed);
+            let politely =
+                (3..8).map(|second| outcome.polls_by_second.get(&second).copied().unwrap_or(0)).max();
             eprintln!(
                 "{relays}, seed {seed}: {politely:?} a second at most, first {}, all {}",
-                outcome.had[0],
+                outcome.answered_at[0],
                 outcome.all_by(relays)
             );
             assert!(politely < Some(20), "{relays}, seed {seed}: {politely:?} calls a second");
-            assert!(outcome.had[0] < 9_500.0, "{relays}, seed {seed}: first at {}", outcome.had[0]);
+            assert!(
+                outcome.answered_at[0] < 9_500.0,
+                "{relays}, seed {seed}: first at {}",
+                outcome.answered_at[0]
+            );
             let least = 8_000.0 + 30.0 * f64::from(relays);
             assert!(outcome.all_by(relays) < 8_000.0 + 3.5 * (least - 8_000.0), "{}", outcome.all_by(relays));
         }
@@ -177,11 +268,12 @@
 #[test]
 fn seven_in_ten_that_start_again_together_have_their_list_within_seconds() {
     for seed in 0..5 {
-        let outcome = play(250, (175, 13_000.0), Service { cost: 50.0, down: 0.0 }, true, seed);
+        let outcome =
+            play(250, LateStart { relays: 175, at: 13_000.0 }, Service { cost: 50.0, down: 0.0 }, true, seed);
         let all = outcome.all_by(250) - 13_000.0;
-        eprintln!("seed {seed}: {all}, {} of {} failed", outcome.failed, outcome.calls);
+        eprintln!("seed {seed}: {all}, {} of {} failed", outcome.failed, outcome.polls);
         assert!(all < 1.5 * 175.0 * 50.0, "seed {seed}: after {all}");
-        assert!(outcome.failed * 10 < outcome.calls, "{} of {}", outcome.failed, outcome.calls);
+        assert!(outcome.failed * 10 < outcome.polls, "{} of {}", outcome.failed, outcome.polls);
     }
 }
 
