--- a/crates/affinity/benches/table.rs
+++ b/crates/affinity/benches/table.rs
@@ -30,11 +30,11 @@
     group.sample_size(30);
     for entries in [10_000u64, 100_000, 1_000_000] {
         let mut affinity = filled(entries);
-        let held = affinity.statistics().sessions;
+        let sessions = affinity.statistics().sessions;
         let mut n = 0;
         group.bench_function(BenchmarkId::new("lookup", entries), |b| {
             b.iter(|| {
-                n = (n + 7919) % held;
+                n = (n + 7919) % sessions;
                 black_box(affinity.session(key(n)))
             });
         });
@@ -45,7 +45,7 @@
         let mut n = 0;
         group.bench_function(BenchmarkId::new("set-known", entries), |b| {
             b.iter(|| {
-                n = (n + 7919) % held;
+                n = (n + 7919) % sessions;
                 black_box(affinity.record_session(1.0, key(n), "s-1"))
             });
         });
@@ -70,7 +70,7 @@
         let table_bytes = affinity.max_table_bytes();
         let statistics = affinity.statistics();
         eprintln!(
-            "{entries}: {} clients held at {:.1} bytes an entry, groups' table {} bytes of {}",
+            "{entries}: {} clients stored at {:.1} bytes an entry, groups' table {} bytes of {}",
             statistics.sessions,
             table_bytes.sessions as f64 / statistics.sessions as f64,
             table_bytes.groups,
--- a/crates/affinity/src/affinity/mod.rs
+++ b/crates/affinity/src/affinity/mod.rs
@@ -30,7 +30,7 @@
 /// Load under which a holder counts as none, in mean connections.
 const NEGLIGIBLE_LOAD: f32 = 0.05;
 
-/// Where clients and groups are held; see the crate's documentation.
+/// Which endpoints hold clients and groups; see the crate's documentation.
 pub struct Affinity {
     limits: Limits,
     registry: EndpointRegistry,
@@ -43,7 +43,7 @@
     learned_at: Option<Millis>,
     /// All loads placed, reported and restored, whether or not their groups are still known.
     counted_load: DecayingSum,
-    /// Removed keys that the store has not been told of.
+    /// Removed keys that were not given to the store yet.
     removed_keys: Vec<(TableKind, u64)>,
     tracks_changes: bool,
     stale_lookups: Cell<u64>,
@@ -77,13 +77,12 @@
 
     /// This relay's place in the cluster.
     pub fn position(&self) -> ClusterPosition {
-        self.limits.position()
+        self.limits.position
     }
 
     /// The cluster was resized, or this relay has another index in it.
     pub fn set_position(&mut self, position: ClusterPosition) {
-        self.limits.relays = position.relay_count;
-        self.limits.local_index = position.local_index;
+        self.limits.position = position;
     }
 
     /// The key of a client in the table of sessions.
@@ -154,7 +153,8 @@
     /// are few because the others carry them, and those of the included relays. Reported loads decay; what arrives
     /// after them is known at this relay alone.
     fn scale_to_cluster(&self, now: Millis) -> f64 {
-        f64::from(self.limits.relays) / (1.0 + self.included_relays.value_at(now, self.limits.mean_lifetime))
+        let relay_count = f64::from(self.limits.position.relay_count);
+        relay_count / (1.0 + self.included_relays.value_at(now, self.limits.mean_lifetime))
     }
 
     fn decay(&self, span: Millis) -> f64 {
--- a/crates/affinity/src/limits.rs
+++ b/crates/affinity/src/limits.rs
@@ -22,29 +22,19 @@
     /// Mean lifetime of a connection, in milliseconds: loads decay with it, so that their sum is about what is
     /// established.
     pub mean_lifetime: Millis,
-    /// Relays of the cluster, this one included.
-    pub relays: u32,
-    /// Index of this one.
-    pub local_index: u32,
+    /// This relay's place in the cluster.
+    pub position: ClusterPosition,
     /// Bytes that are sent to other relays within a second at most, location updates aside.
     pub sync_bytes_per_s: f64,
 }
 
-impl Limits {
-    /// The relay's place in the cluster.
-    pub fn position(&self) -> ClusterPosition {
-        ClusterPosition { local_index: self.local_index, relay_count: self.relays }
-    }
-}
-
 impl Default for Limits {
     fn default() -> Self {
         Limits {
             bytes: DEFAULT_BYTES,
             max_age: DEFAULT_MAX_AGE_MS,
             mean_lifetime: DEFAULT_MEAN_LIFETIME_MS,
-            relays: 1,
-            local_index: 0,
+            position: ClusterPosition { local_index: 0, relay_count: 1 },
             sync_bytes_per_s: DEFAULT_SYNC_BYTES_PER_S,
         }
     }
--- a/crates/affinity/src/statistics.rs
+++ b/crates/affinity/src/statistics.rs
@@ -1,4 +1,4 @@
-//! What the tables tell about themselves: counters, sizes and estimates.
+//! Counters, sizes and estimates of the tables.
 
 use std::sync::Arc;
 
--- a/crates/affinity/tests/common/mod.rs
+++ b/crates/affinity/tests/common/mod.rs
@@ -8,13 +8,14 @@
 use sandgw_affinity::codec::{ClusterMessage, MAX_MESSAGE_BYTES};
 use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
 use sandgw_affinity::outbox::Outbox;
+use sandgw_affinity::position::ClusterPosition;
 use sandgw_affinity::replication::Replication;
 use sandgw_affinity::{Affinity, Limits, Millis};
 
 pub const START: Millis = 1_700_000_000_000.0;
 
 pub fn limits() -> Limits {
-    Limits { relays: 4, ..Limits::default() }
+    Limits { position: ClusterPosition { local_index: 0, relay_count: 4 }, ..Limits::default() }
 }
 
 /// Endpoints s-0, s-1, ... that started then.
@@ -90,7 +91,8 @@
             sent: Vec::new(),
         };
         for local_index in 0..n {
-            let limits = Limits { relays: n as u32, local_index: local_index as u32, ..limits };
+            let position = ClusterPosition { local_index: local_index as u32, relay_count: n as u32 };
+            let limits = Limits { position, ..limits };
             world.nodes.push((Affinity::new(limits, START), Replication::new(local_index as u64)));
         }
         world
--- a/crates/affinity/tests/endpoint_registry.rs
+++ b/crates/affinity/tests/endpoint_registry.rs
@@ -18,11 +18,11 @@
     Change(u8, u8, u8),
     /// A whole list: for each endpoint its state, or that it is missing, and its start.
     Whole(Vec<(u8, u8)>),
-    Measurement(u64, u8),
-    Place(u64, u8),
-    /// Loaded, or told by a relay that knows another list: client or group, endpoint, start.
-    Loaded(u64, u8, u8),
-    Told(u64, u8, u8),
+    Session(u64, u8),
+    GroupConnection(u64, u8),
+    /// Restored, or reported by a relay that knows another list: client or group, endpoint, start.
+    Restored(u64, u8, u8),
+    Reported(u64, u8, u8),
 }
 
 const ENDPOINTS: u8 = 5;
@@ -32,10 +32,10 @@
     prop_oneof![
         2 => (s.clone(), start.clone(), 0u8..3).prop_map(|(s, at, st)| Op::Change(s, at, st)),
         1 => proptest::collection::vec((0u8..4, 0u8..4), ENDPOINTS as usize).prop_map(Op::Whole),
-        3 => (key.clone(), s.clone()).prop_map(|(k, s)| Op::Measurement(k, s)),
-        3 => (key.clone(), s.clone()).prop_map(|(k, s)| Op::Place(k, s)),
-        2 => (key.clone(), s.clone(), start.clone()).prop_map(|(k, s, at)| Op::Loaded(k, s, at)),
-        2 => (key, s, start).prop_map(|(k, s, at)| Op::Told(k, s, at)),
+        3 => (key.clone(), s.clone()).prop_map(|(k, s)| Op::Session(k, s)),
+        3 => (key.clone(), s.clone()).prop_map(|(k, s)| Op::GroupConnection(k, s)),
+        2 => (key.clone(), s.clone(), start.clone()).prop_map(|(k, s, at)| Op::Restored(k, s, at)),
+        2 => (key, s, start).prop_map(|(k, s, at)| Op::Reported(k, s, at)),
     ]
 }
 
@@ -86,15 +86,15 @@
                     listed.retain(|s, _| all[usize::from(*s)].0 < 3);
                     named.for_each(|((st, at), s)| change(&mut listed, s, *at, state(*st)));
                 }
-                Op::Measurement(key, s) => {
+                Op::Session(key, s) => {
                     affinity.record_session(now, key, &id(s));
                     clients.entry(key).or_default().extend(listed.get(&s).map(|(at, _)| (s, *at)));
                 }
-                Op::Place(key, s) => {
+                Op::GroupConnection(key, s) => {
                     affinity.record_group_connection(now, key, &id(s), 1.0);
                     groups.entry(key).or_default().extend(listed.get(&s).map(|(at, _)| (s, *at)));
                 }
-                Op::Loaded(key, s, at) => {
+                Op::Restored(key, s, at) => {
                     let holder = EndpointTag::of(&id(s), start(at));
                     let records = [
                         Record::Session { key, holder, at: now },
@@ -104,7 +104,7 @@
                     clients.entry(key).or_default().push((s, at));
                     groups.entry(key).or_default().push((s, at));
                 }
-                Op::Told(key, s, at) => {
+                Op::Reported(key, s, at) => {
                     let mut other = Affinity::new(limits(), START);
                     list(&mut other, now, true, &[(id(s), start(at), ListedState::Ready)]);
                     other.record_session(now, key, &id(s));
@@ -132,7 +132,7 @@
 }
 
 /// A rolling deploy replaces 95% of the endpoints within 24 s. From the notice on, entries of those that leave
-/// give nothing, whether placed here, loaded, or told by a relay later; what stays is found.
+/// give nothing, whether placed here, restored, or reported by a relay later; what stays is found.
 #[test]
 fn entries_of_replaced_streamers_stop_at_the_notice() {
     let mut affinity = Affinity::new(limits(), START);
@@ -151,7 +151,7 @@
         fleet.push((Arc::from(format!("n-{leaving}")), now, ListedState::Ready));
         list(&mut affinity, now, false, &fleet[leaving..=leaving]);
         list(&mut affinity, now, false, &fleet[fleet.len() - 1..]);
-        // Loaded and told after the notice.
+        // Restored and reported after the notice.
         let late = [Record::Session { key: 5000 + leaving as u64, holder: tag(leaving), at: now }];
         affinity.restore(now, late.into_iter());
         for key in 0..1000u64 {
--- a/crates/affinity/tests/replication.rs
+++ b/crates/affinity/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Recovery from the other relays over a network that loses, doubles and reorders pieces.
+//! Recovery from the other relays over a network that loses, duplicates and reorders messages.
 
 mod common;
 
@@ -100,7 +100,7 @@
         let mut world = recovered(net, 700, 8000.0);
         assert_eq!(known(&mut world, 0, 700), 700, "{lost} lost");
         assert!(world.nodes[0].1.resent_chunks() > 0);
-        // Doubled pieces add no load: the sum is what the three carry.
+        // Duplicated chunks add no load: the sum is what the three carry.
         let load = world.nodes[0].0.estimated_load(world.now).load;
         let all = 0.75 * sizes(&world, 1).values().sum::<f64>();
         assert!((0.85..1.15).contains(&(load / all)), "{load} of {all} with {lost} lost");
@@ -114,7 +114,7 @@
         world.sent.iter().filter(|s| s.1 == from).map(|s| s.2).sum()
     };
     let world = recovered(Net::default(), 700, 3000.0);
-    // Relay 1 is asked first; the others tell their groups and a plan.
+    // Clients are requested from relay 1 first; the others send their groups and a plan.
     let (first, others) = (sessions(&world, 1), sessions(&world, 2) + sessions(&world, 3));
     assert!(others < 2 * (first / 3), "{first} bytes from the first, {others} from the others");
     // About eight bytes a client, where one question once brought three answers of ten.
@@ -136,7 +136,7 @@
         for (i, first) in sent.iter().enumerate() {
             let second = sent[i..].iter().take_while(|s| s.0 < first.0 + 1000.0);
             let bytes: usize = second.map(|s| s.2).sum();
-            // A second's worth, the burst after a rest, and a piece that was begun.
+            // A second's worth, the burst after a rest, and a message that was begun.
             assert!(
                 bytes as f64 <= limits.sync_bytes_per_s * 1.25 + 512.0,
                 "{bytes} bytes in a second from {from}"
@@ -181,7 +181,7 @@
     assert_eq!(known(&mut world, 0, 1), 1);
 }
 
-/// A silent relay is given up, the next one asked; a whole tier that starts is soon quiet.
+/// A silent relay is given up and the next one is queried; a whole cluster that starts is soon quiet.
 #[test]
 fn silent_relays_are_given_up() {
     let mut world = recovered(Net { lost: 1.0, ..Net::default() }, 10, 60_000.0);
@@ -195,7 +195,7 @@
     assert!(world.nodes.iter().all(|(_, replication)| !replication.is_recovering()));
 }
 
-fn held() -> impl Strategy<Value = Vec<StickyClients>> {
+fn sticky_clients() -> impl Strategy<Value = Vec<StickyClients>> {
     let one = (any::<[u8; 4]>(), any::<u8>(), proptest::collection::vec(any::<[u8; 5]>(), 0..40));
     let one = one.prop_map(|(tag, age, clients)| StickyClients {
         tag: sandgw_affinity::endpoint_registry::EndpointTag(tag),
@@ -208,9 +208,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever a datagram holds, it is read as a piece or as none, and a piece survives its text.
+    /// Whatever a datagram holds, it is read as a message or ignored, and a message survives its encoding.
     #[test]
-    fn any_text_is_read_or_passed_over(rows in held(), flips in proptest::collection::vec((any::<usize>(), any::<u8>()), 0..8), other in ".{0,80}") {
+    fn any_text_is_read_or_passed_over(rows in sticky_clients(), flips in proptest::collection::vec((any::<usize>(), any::<u8>()), 0..8), other in ".{0,80}") {
         let _ = ClusterMessage::decode(&other);
         let located = |row: &StickyClients| LocatedClients { tag: row.tag, clients: row.clients.clone() };
         let messages = [
--- a/crates/affinity/tests/wire_format.rs
+++ b/crates/affinity/tests/wire_format.rs
@@ -13,7 +13,7 @@
     let client = |n: u8| Client([n, 0, 0xff, 3, n]);
     let (sessions, groups) = (TableKind::Sessions, TableKind::Groups);
     let holder = |tag, load_units| HolderRow { tag, load_units };
-    let held = StickyClients { tag, age: 2, clients: vec![client(4)] };
+    let clients_of_endpoint = StickyClients { tag, age: 2, clients: vec![client(4)] };
     let group = GroupRow { key: [8; 8], holders: vec![holder(tag, 16), holder(EndpointTag([5; 4]), 1000)] };
     let whole = concat!(
         "2AQEAIAcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHBwcHB",
@@ -35,7 +35,7 @@
         ),
         (
             "2AwUfAgEBAgMEAgEEAP8DBA",
-            ClusterMessage::Sessions { round: 5, bucket: 31, chunk: 2, rows: vec![held] },
+            ClusterMessage::Sessions { round: 5, bucket: 31, chunk: 2, rows: vec![clients_of_endpoint] },
         ),
         (
             "2BAUAAAEICAgICAgICAIBAgMEEAUFBQXoBw",
--- a/crates/cluster/src/concurrency_limit.rs
+++ b/crates/cluster/src/concurrency_limit.rs
@@ -41,7 +41,7 @@
 /// (1..=3).for_each(|endpoint| limit.record_late(1000.0, endpoint, 8, 500.0));
 /// assert!(limit.fault_is_common(0.0) && limit.latest_met_queue());
 /// assert_eq!(limit.time_until_slot(1000.0, 4, 500.0), f64::INFINITY, "when one of the four has ended");
-/// // A connection that waits behind others is told when to retry.
+/// // A connection that waits behind others can be given a time to retry.
 /// assert!(limit.expected_wait(1000.0, 4, 10, 500.0) > 500.0);
 /// // A quick one opens the window again.
 /// limit.record_in_time(1010.0, 0.1);
--- a/crates/cluster/src/drain_gossip/mod.rs
+++ b/crates/cluster/src/drain_gossip/mod.rs
@@ -5,8 +5,8 @@
 //! which endpoints are to be treated as draining or no longer. It sends nothing and knows no address.
 //!
 //! Discovery takes polls in turn: after an outage, hundreds can't all be answered within the 6 s after which a change
-//! has to be known. Not to send to an endpoint on another relay's word is always allowed, to send on it never is; so
-//! only departures are gossiped. A relay whose list came by a new poll sends a few others what has left since its list
+//! has to be known. To stop sending to an endpoint because of another relay's report is always allowed, to start never is;
+//! so only departures are gossiped. A relay whose list came by a new poll sends a few others what has left since its list
 //! before, and a relay that learns something from such a report passes it on once: reports multiply as long as most
 //! relays do not know. A relay whose poll is still pending knows that too: it queries one other from time to
 //! time, which sends it reports for some seconds. What arrives on watches that go on is gossiped to nobody else: all
--- a/crates/cluster/src/location_gossip.rs
+++ b/crates/cluster/src/location_gossip.rs
@@ -44,12 +44,14 @@
 /// use sandgw_affinity::codec::ClusterMessage;
 /// use sandgw_affinity::outbox::Outbox;
 /// use sandgw_affinity::{Affinity, Limits};
+/// use sandgw_cluster::ClusterPosition;
 /// use sandgw_cluster::location_gossip::{LocationGossip, location_replicas};
 ///
 /// let (relays, client) = (40, Affinity::client_key(b"a viewer"));
 /// let replica = location_replicas(client, relays).next().expect("a replica");
 /// let relay = |local_index| {
-///     let mut affinity = Affinity::new(Limits { relays, local_index, ..Limits::default() }, 0.0);
+///     let position = ClusterPosition { local_index, relay_count: relays };
+///     let mut affinity = Affinity::new(Limits { position, ..Limits::default() }, 0.0);
 ///     let endpoint = ListedEndpoint { id: &"s-1".into(), started: 0.0, state: ListedState::Ready };
 ///     affinity.apply_list(0.0, true, [endpoint].into_iter());
 ///     affinity
@@ -87,8 +89,9 @@
     /// # use sandgw_affinity::outbox::Outbox;
     /// # use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
     /// # use sandgw_affinity::{Affinity, Limits};
-    /// # use sandgw_cluster::location_gossip::LocationGossip;
-    /// let mut affinity = Affinity::new(Limits { relays: 4, local_index: 0, ..Limits::default() }, 0.0);
+    /// # use sandgw_cluster::{ClusterPosition, location_gossip::LocationGossip};
+    /// let position = ClusterPosition { local_index: 0, relay_count: 4 };
+    /// let mut affinity = Affinity::new(Limits { position, ..Limits::default() }, 0.0);
     /// let endpoint = ListedEndpoint { id: &"s-1".into(), started: 0.0, state: ListedState::Ready };
     /// affinity.apply_list(0.0, true, [endpoint].into_iter());
     /// let client = Affinity::client_key(b"a viewer");
--- a/crates/cluster/src/poll_scheduler/mod.rs
+++ b/crates/cluster/src/poll_scheduler/mod.rs
@@ -95,7 +95,7 @@
 /// let at = scheduler.timer(0.0).expect("the first poll is due");
 /// assert!(scheduler.take_due(at) && !scheduler.take_due(at), "it is made once");
 /// scheduler.record_answer(at + 900.0, &settings, &mut out);
-/// assert_eq!(out.len(), 299, "it took long: all are told to leave each poll more time");
+/// assert_eq!(out.len(), 299, "it took long: a longer interval is announced to all");
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollScheduler {
--- a/crates/cluster/src/poll_scheduler/shared_rate.rs
+++ b/crates/cluster/src/poll_scheduler/shared_rate.rs
@@ -1,7 +1,7 @@
 //! The rate at which all relays of a cluster together poll discovery, adapted like a congestion window.
 //!
 //! A relay whose poll was slow, or was turned away, lowers the rate; one whose poll met no queue raises it. Only a poll
-//! that was sent since the latest change counts, since an older one tells of the rate before. Every change is
+//! that was sent since the latest change counts, since an older one shows the effect of the rate before. Every change is
 //! announced to all relays.
 
 use super::PollSettings;
--- a/crates/cluster/tests/concurrency_limit.rs
+++ b/crates/cluster/tests/concurrency_limit.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// Lateness at a single endpoint is that endpoint's: nothing is held for it.
+/// Lateness at a single endpoint is that endpoint's: nothing waits for it.
 #[test]
 fn one_late_streamer_closes_no_window() {
     let mut limit = ConcurrencyLimit::new(0.0);
--- a/crates/cluster/tests/drain_gossip.rs
+++ b/crates/cluster/tests/drain_gossip.rs
@@ -82,11 +82,11 @@
 
 #[test]
 fn without_words_most_of_hundreds_are_told_late() {
-    // What the ones above guard against, and what is left where relays may not tell each other.
+    // What the ones above guard against, and what is left where relays may not send each other reports.
     for fault in FAULTS {
         for Summary { relays, late, latest } in summaries(fault, 50.0, 0.1, false) {
             eprintln!(
-                "{fault:?}: without words {late} of five times {relays} relays late, the latest after {latest}"
+                "{fault:?}: without gossip {late} of five times {relays} relays late, the latest after {latest}"
             );
             assert!(relays > 8 || late == 0, "{fault:?}: {late} of five times {relays} relays late");
             assert!(relays < 300 || late > 300, "{fault:?}: {late} of five times {relays} relays late");
--- a/crates/cluster/tests/load_aggregation.rs
+++ b/crates/cluster/tests/load_aggregation.rs
@@ -163,7 +163,7 @@
     assert!(off < 0.4 && have > 0.9, "off by {off}, known at {have}");
 }
 
-/// Who holds nothing and is told nothing says nothing; in a small tier nobody does.
+/// A relay without load that receives no reports sends nothing; in a small cluster no relay does.
 #[test]
 fn a_relay_without_flows_is_silent() {
     let mut world = World::new(100, 0.0);
@@ -174,7 +174,7 @@
     );
 }
 
-/// A connection that comes long before the relay would tell anyway brings the call forward.
+/// A connection that arrives long before the idle report brings the timer forward.
 #[test]
 fn a_flow_brings_the_next_telling_forward() {
     let (mut aggregation, mut out) = (LoadAggregation::default(), Outbox::new());
--- a/crates/cluster/tests/location_gossip.rs
+++ b/crates/cluster/tests/location_gossip.rs
@@ -8,6 +8,7 @@
 use sandgw_affinity::outbox::Outbox;
 use sandgw_affinity::replication::{FULL_MESH_RELAYS, Replication};
 use sandgw_affinity::{Affinity, Limits};
+use sandgw_cluster::ClusterPosition;
 use sandgw_cluster::location_gossip::{LOCATION_REPLICAS, LocationGossip, location_replicas};
 
 const CONNECTIONS: u64 = 2000;
@@ -30,7 +31,8 @@
     }
 
     fn start(relays: u32, local_index: u32) -> (Affinity, LocationGossip) {
-        let mut affinity = Affinity::new(Limits { relays, local_index, ..Limits::default() }, 1000.0);
+        let position = ClusterPosition { local_index, relay_count: relays };
+        let mut affinity = Affinity::new(Limits { position, ..Limits::default() }, 1000.0);
         let ids: Vec<_> = (0..50).map(|n| format!("s-{n}").into()).collect();
         let ready = |id| ListedEndpoint { id, started: 0.0, state: ListedState::Ready };
         affinity.apply_list(1000.0, true, ids.iter().map(ready));
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Connections one after another at relays drawn at random, each told of.
+    /// Connections one after another at relays drawn at random, each sent to its replicas.
     fn place(&mut self) {
         for connection in 0..CONNECTIONS {
             self.now += 5.0;
@@ -136,7 +138,7 @@
     }
 }
 
-/// Nobody answers: the connection is held no longer than an answer may take, then goes where the table says.
+/// Nobody answers: the connection waits no longer than an answer may take, then goes where the table says.
 #[test]
 fn a_question_without_an_answer_ends() {
     let mut world = World::new(312, 1.0);
@@ -150,21 +152,21 @@
     let (affinity, gossip) = &mut world.relays[at as usize];
     while let Some(after) = gossip.query(affinity, world.now, client, &mut Outbox::new()) {
         world.now += after;
-        assert!(world.now - started < 250.0, "still held after {} ms", world.now - started);
+        assert!(world.now - started < 250.0, "still waiting after {} ms", world.now - started);
     }
 }
 
 #[test]
 fn keepers_are_others_and_spread_evenly() {
     for relays in [FULL_MESH_RELAYS + 1, 100, 312] {
-        let mut kept = vec![0; relays as usize];
+        let mut clients_of = vec![0; relays as usize];
         for client in 0..10_000u64 {
             let of: Vec<u32> = location_replicas(client, relays).collect();
             assert_eq!(of.len(), LOCATION_REPLICAS as usize);
             assert_ne!(of[0], of[1]);
-            of.iter().for_each(|k| kept[*k as usize] += 1);
+            of.iter().for_each(|k| clients_of[*k as usize] += 1);
         }
-        let mean = 20_000 / kept.len();
-        assert!(kept.iter().all(|n| *n < 2 * mean + 20), "{relays} relays: {kept:?}");
+        let mean = 20_000 / clients_of.len();
+        assert!(clients_of.iter().all(|n| *n < 2 * mean + 20), "{relays} relays: {clients_of:?}");
     }
 }
--- a/crates/cluster/tests/overload_gossip.rs
+++ b/crates/cluster/tests/overload_gossip.rs
@@ -1,4 +1,4 @@
-//! Notices of late set-ups in a tier of hundreds: how soon all relays know of a slow store, and how few are misled by
+//! Notices of late set-ups in a cluster of hundreds: how soon all relays know of a slow store, and how few are misled by
 //! endpoints that are slow alone.
 
 use rand::rngs::StdRng;
--- a/crates/cluster/tests/poll_scheduler.rs
+++ b/crates/cluster/tests/poll_scheduler.rs
@@ -302,6 +302,6 @@
         now += after;
         assert!(scheduler.take_due(now) && !scheduler.take_due(now + 10_000.0));
     }
-    assert!(out.is_empty(), "a handful tells nobody");
+    assert!(out.is_empty(), "a handful announces nothing");
     assert_eq!(delay_after_silent_watch(4, 0.9), 0.0);
 }
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -55,11 +55,7 @@
 impl ClusterState {
     /// Empty tables.
     pub fn new(settings: &Settings, seed: u64, now: Millis) -> Self {
-        let limits = Limits {
-            relays: settings.relay_count,
-            local_index: settings.local_index,
-            ..settings.affinity_limits
-        };
+        let limits = Limits { position: position(settings), ..settings.affinity_limits };
         ClusterState {
             affinity: Affinity::new(limits, now),
             replication: Replication::new(seed),
