--- a/crates/cluster/src/poll_scheduler/mod.rs
+++ b/crates/cluster/src/poll_scheduler/mod.rs
@@ -8,7 +8,7 @@
 //! much as one that it answers. Hundreds of polls at once, retried a moment after they failed, keep it busy with
 //! polls of which none succeeds. A watch that goes on costs next to nothing: only its start has to be spread. A relay
 //! knows how many relays there are, but neither what discovery bears nor how many are polling. So the cluster shares
-//! one rate, adapted like a congestion window ([`shared_rate`]), and every relay moves its pending poll to it.
+//! one rate, adapted like a congestion window (`shared_rate`), and every relay moves its pending poll to it.
 //! `docs/cold-start.md` describes the alternatives that were weighed.
 
 mod shared_rate;
