--- a/crates/cluster/src/poll_scheduler/shared_rate.rs
+++ b/crates/cluster/src/poll_scheduler/shared_rate.rs
@@ -9,8 +9,8 @@
 
 /// Interval between two polls of the cluster as long as nothing is known of the service.
 const INITIAL_INTERVAL_MS: Millis = 70.0;
-/// The longest interval, however slow the service is: the load on one that never answers is bounded whatever the
-/// size of the cluster, and the time to reach all relays after it is back too.
+/// The longest interval, however slow the service is. At this interval the load on a service that never answers is
+/// bounded, whatever the size of the cluster.
 const MAX_INTERVAL_MS: Millis = 150.0;
 /// A poll that took at least this long has met a queue that is to shrink. Well below the 2 s after which discovery
 /// fails a poll: what is in flight by then is still answered.
