--- a/src/config/sections.rs
+++ b/src/config/sections.rs
@@ -68,10 +68,10 @@
         limits.max_age = seconds * MS_PER_S;
     }
     if let Some(seconds) = section.number("life_s", 1.0..=MAX_LIFETIME_S) {
-        limits.life = seconds * MS_PER_S;
+        limits.mean_lifetime = seconds * MS_PER_S;
     }
     if let Some(kib) = section.number("peers_kb_s", 1.0..=MAX_RATE_KIB_PER_S) {
-        limits.rate = kib * BYTES_PER_KIB;
+        limits.sync_bytes_per_s = kib * BYTES_PER_KIB;
     }
     let flush = section.number("flush_ms", MIN_FLUSH_MS..=MAX_TIMEOUT_MS).unwrap_or(DEFAULT_FLUSH_MS);
     let folder = section.text("folder")?;
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use log::{debug, info, warn};
-use sandgw_cluster::drain_gossip::Answer;
+use sandgw_cluster::drain_gossip::DiscoveryAnswer;
 use sandgw_maintenance::call::Call;
 use sandgw_maintenance::plan::{CapacityPlan, Endpoint};
 use sandgw_maintenance::{MaintenanceService, ServiceConfig, WholeMillis, WindowId, WindowRow, codec};
@@ -70,7 +70,7 @@
         let is_answer = is_full || kind == ListKind::Delta;
         self.core(|relay, now| match revision.filter(|_| is_answer) {
             Some(revision) => {
-                let answer = Answer { revision, asked: requested_at, whole: is_full };
+                let answer = DiscoveryAnswer { revision, requested_at, is_full };
                 relay.apply_discovery_answer(now, answer, entries)
             }
             None => relay.load_cached_list(now, revision, entries),
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -25,7 +25,7 @@
 /// Writes a message as a datagram. No message is made that does not fit; an empty text reads as no message.
 pub fn encode(message: &PeerMessage) -> String {
     match message {
-        PeerMessage::Cluster(message) => message.text().unwrap_or_default(),
+        PeerMessage::Cluster(message) => message.encode().unwrap_or_default(),
         PeerMessage::Quota(report) => report.text().unwrap_or_default(),
         PeerMessage::GroupSizes(sizes) => encode_group_sizes(sizes),
     }
@@ -34,7 +34,7 @@
 /// Reads a datagram; `None` where it is no message.
 pub fn decode(text: &str) -> Option<PeerMessage> {
     if text.starts_with(CLUSTER_KIND) {
-        return ClusterMessage::read(text).map(PeerMessage::Cluster);
+        return ClusterMessage::decode(text).map(PeerMessage::Cluster);
     }
     if text.starts_with(QUOTA_KIND) {
         return UsageReport::read(text).map(PeerMessage::Quota);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -58,7 +58,7 @@
         while let Some(id) = self.highest_priority_queued() {
             let requests = &self.placements.requests;
             let objective = requests.by_id.get(&id).map_or(0.0, |tracked| self.latency_objective(tracked));
-            if self.concurrency_limit.next(now, requests.attempts_out, objective) > 0.0 {
+            if self.concurrency_limit.time_until_slot(now, requests.attempts_out, objective) > 0.0 {
                 return;
             }
             self.queue.remove(&id);
@@ -87,7 +87,7 @@
             return 0.0;
         }
         let attempts_out = self.placements.requests.attempts_out;
-        self.concurrency_limit.next(now, attempts_out, self.latency_objective(tracked))
+        self.concurrency_limit.time_until_slot(now, attempts_out, self.latency_objective(tracked))
     }
 
     /// Holds a request until its turn, only while that is expected in time for a set-up: by how fast
@@ -105,7 +105,8 @@
         let deadline = tracked.request.deadline;
         let objective = self.latency_objective(tracked);
         let attempts_out = self.placements.requests.attempts_out;
-        let expected_wait = self.concurrency_limit.expected(now, attempts_out, self.queue.len(), objective);
+        let expected_wait =
+            self.concurrency_limit.expected_wait(now, attempts_out, self.queue.len(), objective);
         if now + expected_wait + objective > deadline {
             return self.answer_finally(id, is_safe_to_reject, actions);
         }
@@ -162,7 +163,7 @@
         self.placements.requests.update_recent_peak(now, self.settings.warm_up_time);
         self.record_slow_start_send(now, &endpoint);
         self.placements.count_attempt(now, id, endpoint.clone());
-        self.concurrency_limit.sent(now, self.random_state);
+        self.concurrency_limit.record_attempt(now, self.random_state);
         actions.push(Action::StartAttempt { request: id, endpoint, until, begin_by });
     }
 
@@ -170,7 +171,7 @@
     /// everywhere is too.
     fn attempt_timeout(&self, now: Millis, tracked: &TrackedRequest) -> Millis {
         let is_unsafe = self.idempotency(&tracked.request) == Idempotency::Unsafe;
-        if is_unsafe || self.concurrency_limit.common(now) {
+        if is_unsafe || self.concurrency_limit.fault_is_common(now) {
             return f64::INFINITY;
         }
         let objective = self.latency_objective(tracked);
--- a/src/policy/attempt_outcome.rs
+++ b/src/policy/attempt_outcome.rs
@@ -105,7 +105,7 @@
     ) {
         match endpoint {
             Some(endpoint) if elapsed > objective => self.record_late_setup(now, endpoint),
-            _ => self.concurrency_limit.in_time(now, elapsed / objective),
+            _ => self.concurrency_limit.record_in_time(now, elapsed / objective),
         }
     }
 
@@ -114,7 +114,7 @@
     fn record_late_setup(&mut self, now: Millis, endpoint: &EndpointId) {
         let endpoint_hash = key_hash(endpoint.0.as_bytes());
         let attempts_out = self.placements.requests.attempts_out;
-        self.concurrency_limit.late(now, endpoint_hash, attempts_out, self.settings.connect_timeout);
+        self.concurrency_limit.record_late(now, endpoint_hash, attempts_out, self.settings.connect_timeout);
         self.cluster.report_late_setup(now, endpoint);
     }
 
@@ -182,7 +182,7 @@
     fn record_endpoint_outcome(&mut self, now: Millis, end: &AttemptEnd, was_established: bool) {
         let load_per_endpoint =
             self.placements.requests.capped_load_per_endpoint(self.assignment.ready_endpoints.len());
-        let fault_is_common = self.concurrency_limit.common(now);
+        let fault_is_common = self.concurrency_limit.fault_is_common(now);
         let Some(endpoint) = self.placements.endpoints.by_id.get_mut(&end.endpoint) else { return };
         if end.outcome == Outcome::Reset {
             endpoint.load_limit.record_overload(now, load_per_endpoint, endpoint.load, OVERLOAD_DECREASE);
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -172,7 +172,11 @@
             PeerMessage::Cluster(ClusterMessage::OverloadNotice(endpoint)) => {
                 if self.cluster.receive_overload_notice(now, endpoint) {
                     let span = NOTICE_SPAN_CONNECT_TIMEOUTS * self.settings.connect_timeout;
-                    self.concurrency_limit.warned(now, self.placements.requests.attempts_out, span);
+                    self.concurrency_limit.record_peer_warning(
+                        now,
+                        self.placements.requests.attempts_out,
+                        span,
+                    );
                 }
             }
             PeerMessage::Cluster(message) => self.cluster.receive(now, peer, message),
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -6,7 +6,7 @@
 //! (`sandgw_cluster::rebalance`). Nobody is moved while set-ups queue, while an endpoint drains, or by a
 //! report that only few relays are in.
 
-use sandgw_cluster::rebalance;
+use sandgw_cluster::rebalance::{EndpointLoad, migration_fractions};
 
 use super::api::*;
 use super::load_balancer::LoadBalancer;
@@ -24,18 +24,22 @@
             return;
         }
         let ready = self.assignment.ready_endpoints.iter().map(|id| &self.placements.endpoints.by_id[id]);
-        let loads: Vec<(f64, f64)> =
-            ready.map(|endpoint| (endpoint.cluster_load, self.effective_capacity(now, endpoint))).collect();
+        let loads: Vec<EndpointLoad> = ready
+            .map(|endpoint| EndpointLoad {
+                load: endpoint.cluster_load,
+                capacity: self.effective_capacity(now, endpoint),
+            })
+            .collect();
         let settled_before = now - SETTLING_TIME_MS;
-        for (position, share) in rebalance::shares(&loads).into_iter().enumerate() {
-            if share <= 0.0 {
+        for (position, fraction) in migration_fractions(&loads).into_iter().enumerate() {
+            if fraction <= 0.0 {
                 continue;
             }
             let id = &self.assignment.ready_endpoints[position];
             let clients = self.placements.placed_at(id, |tracked| {
                 tracked.is_established() && tracked.attempt_sent_at < settled_before
             });
-            actions.extend(clients.into_iter().filter(|_| self.random() < share).map(Action::Migrate));
+            actions.extend(clients.into_iter().filter(|_| self.random() < fraction).map(Action::Migrate));
         }
     }
 
@@ -43,6 +47,8 @@
         let own_load = self.placements.requests.placed_load;
         let least_reported = own_load * MIN_REPORTING_PART * f64::from(self.settings.relay_count);
         let is_of_most_relays = self.placements.endpoints.cluster_load >= least_reported;
-        is_of_most_relays && !self.concurrency_limit.queued() && self.placements.endpoints.none_leaving()
+        is_of_most_relays
+            && !self.concurrency_limit.latest_met_queue()
+            && self.placements.endpoints.none_leaving()
     }
 }
--- a/src/relay/affinity.rs
+++ b/src/relay/affinity.rs
@@ -1,13 +1,13 @@
 //! Access to the cluster's affinity tables of clients and groups, for a store and for monitoring.
 
-use sandgw_affinity::{Changes, Figures, Record, Restored};
+use sandgw_affinity::{Changes, Record, RestoreSummary, Statistics};
 
 use super::Relay;
 use crate::policy::api::Millis;
 
 impl Relay {
     /// Takes what a store has of clients and groups, before the first list.
-    pub fn restore_affinity(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> Restored {
+    pub fn restore_affinity(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> RestoreSummary {
         self.load_balancer.cluster_state_mut().restore(now, records)
     }
 
@@ -22,7 +22,7 @@
     }
 
     /// Statistics of the tables of clients and groups.
-    pub fn affinity_statistics(&self) -> Figures {
+    pub fn affinity_statistics(&self) -> Statistics {
         self.load_balancer.cluster_state().statistics()
     }
 }
--- a/src/relay/discovery_events.rs
+++ b/src/relay/discovery_events.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use sandgw_affinity::codec::EndpointHash;
-use sandgw_cluster::drain_gossip::Answer;
+use sandgw_cluster::drain_gossip::DiscoveryAnswer;
 
 use super::Relay;
 use crate::policy::api::{EndpointEntry, EndpointState, Event, ListKind, Millis};
@@ -40,14 +40,19 @@
     }
 
     /// Discovery has answered, with the full list or with changes to it.
-    pub fn apply_discovery_answer(&mut self, now: Millis, answer: Answer, mut endpoints: Vec<EndpointEntry>) {
+    pub fn apply_discovery_answer(
+        &mut self,
+        now: Millis,
+        answer: DiscoveryAnswer,
+        mut endpoints: Vec<EndpointEntry>,
+    ) {
         let entries = AnswerEntries::of(&endpoints);
-        let departed = entries.departed(answer.whole, self.usable_endpoints());
+        let departed = entries.departed(answer.is_full, self.usable_endpoints());
         let reconciliation = self.reconcile_drain_gossip(now, answer, &departed, &entries.ready);
-        if !answer.whole {
+        if !answer.is_full {
             endpoints.extend(self.entries_as(&reconciliation.back, EndpointState::Ready));
         }
-        let kind = if answer.whole { ListKind::Full } else { ListKind::Delta };
+        let kind = if answer.is_full { ListKind::Full } else { ListKind::Delta };
         self.apply_list(now, kind, endpoints);
         self.send_drain_gossip(now, reconciliation.messages);
     }
--- a/src/relay/drain_exchange.rs
+++ b/src/relay/drain_exchange.rs
@@ -8,8 +8,9 @@
 
 use log::debug;
 use sandgw_affinity::codec::EndpointHash;
-use sandgw_affinity::replication::Sends;
-use sandgw_cluster::drain_gossip::{Answer, ClusterSize};
+use sandgw_affinity::outbox::Outbox;
+use sandgw_cluster::ClusterPosition;
+use sandgw_cluster::drain_gossip::{DiscoveryAnswer, ListChange};
 
 use super::Relay;
 use super::commands::Command;
@@ -21,59 +22,60 @@
     /// Endpoints that were held for draining by gossip only and are ready.
     pub(super) back: Vec<EndpointHash>,
     /// Messages to other relays.
-    pub(super) messages: Sends,
+    pub(super) messages: Outbox,
 }
 
 impl Relay {
     /// Discovery is at another address from now on.
     pub fn discovery_changed(&mut self, now: Millis) {
-        self.drain_gossip.moved(now, self.gossip_cluster());
-        self.send_drain_gossip(now, Sends::new());
+        self.drain_gossip.discovery_replaced(now, self.gossip_cluster());
+        self.send_drain_gossip(now, Outbox::new());
     }
 
     /// The subscription was lost and the list is requested anew: changes are unknown until that is answered.
     pub fn subscription_lost(&mut self, now: Millis) {
-        self.drain_gossip.failed(now, self.gossip_cluster());
-        self.send_drain_gossip(now, Sends::new());
+        self.drain_gossip.discovery_failed(now, self.gossip_cluster());
+        self.send_drain_gossip(now, Outbox::new());
     }
 
     /// The relays that gossip about draining endpoints: all, where each requests the list from discovery itself.
-    fn gossip_cluster(&self) -> ClusterSize {
+    fn gossip_cluster(&self) -> ClusterPosition {
         let settings = self.load_balancer.settings();
         let gossips = settings.peer_messages && settings.discovery == Discovery::OnRequest;
-        let relays = if gossips { settings.relay_count } else { 0 };
-        ClusterSize { local_index: settings.local_index, relays }
+        let relay_count = if gossips { settings.relay_count } else { 0 };
+        ClusterPosition { local_index: settings.local_index, relay_count }
     }
 
     pub(super) fn set_list_revision(&mut self, revision: Option<u64>) {
-        self.drain_gossip.known(revision);
+        self.drain_gossip.set_revision(revision);
     }
 
     /// Endpoints that were ready, or are held for draining by gossip only.
     pub(super) fn usable_endpoints(&self) -> impl Iterator<Item = EndpointHash> {
-        self.endpoints.ready_or(|endpoint| self.drain_gossip.holds(endpoint))
+        self.endpoints.ready_or(|endpoint| self.drain_gossip.is_reported_draining(endpoint))
     }
 
     pub(super) fn reconcile_drain_gossip(
         &mut self,
         now: Millis,
-        answer: Answer,
+        answer: DiscoveryAnswer,
         departed: &[EndpointHash],
         ready: &[EndpointHash],
     ) -> Reconciliation {
         let cluster = self.gossip_cluster();
-        let mut messages = Sends::new();
-        let back = self.drain_gossip.listed(now, cluster, answer, departed, ready, &mut messages);
+        let mut messages = Outbox::new();
+        let change = ListChange { departed, ready };
+        let back = self.drain_gossip.apply_answer(now, cluster, answer, change, &mut messages);
         Reconciliation { back, messages }
     }
 
     /// Takes another relay's message about draining endpoints, or answers its query.
     pub(super) fn receive_drain_gossip(&mut self, now: Millis, peer: u32, message: ClusterMessage) {
         let cluster = self.gossip_cluster();
-        let mut messages = Sends::new();
+        let mut messages = Outbox::new();
         let ready: BTreeSet<EndpointHash> = self.endpoints.ready_or(|_| false).collect();
         let is_ready = |id: EndpointHash| ready.contains(&id);
-        let draining = self.drain_gossip.told(now, cluster, peer, message, is_ready, &mut messages);
+        let draining = self.drain_gossip.receive(now, cluster, peer, message, is_ready, &mut messages);
         if !draining.is_empty() {
             debug!("relay {peer} reports {} draining endpoints", draining.len());
             let endpoints = self.entries_as(&draining, EndpointState::Draining);
@@ -85,16 +87,16 @@
     /// The timer of the next query is due.
     pub(super) fn send_drain_query(&mut self, now: Millis) {
         let cluster = self.gossip_cluster();
-        let mut messages = Sends::new();
-        self.drain_gossip.due(now, cluster, &mut messages);
+        let mut messages = Outbox::new();
+        self.drain_gossip.on_timer(now, cluster, &mut messages);
         self.send_drain_gossip(now, messages);
     }
 
     /// Sends messages to other relays, and sets the timer of the next query.
-    pub(super) fn send_drain_gossip(&mut self, now: Millis, messages: Sends) {
-        for (peer, message) in messages {
-            let message = PeerMessage::Cluster(message);
-            self.commands.push(Command::SendToPeer { peer, message });
+    pub(super) fn send_drain_gossip(&mut self, now: Millis, messages: Outbox) {
+        for outgoing in messages {
+            let message = PeerMessage::Cluster(outgoing.message);
+            self.commands.push(Command::SendToPeer { peer: outgoing.peer, message });
         }
         if let Some(after) = self.drain_gossip.timer(now) {
             self.set_timer(after, CoreTimer::DrainQuery);
