--- a/crates/schema-version/src/error.rs
+++ b/crates/schema-version/src/error.rs
@@ -1,69 +1,69 @@
-//! What can go wrong with forms, and what an operator can do about each.
+//! Errors of schema versions, each with what an operator can do about it.
 
 use crate::{Millis, SchemaVersion, SupportedVersions};
 
-/// Why a form can't be read, written or made final.
+/// Why a version or a datagram can't be read, written or finalized.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SchemaVersionError {
-    /// A number that no form has.
+    /// The number is outside the range of versions.
     #[error("{number} is no form; forms are numbered from 1 to 35")]
-    NoForm {
+    InvalidNumber {
         /// The number.
         number: u64,
     },
-    /// A range that ends before it begins.
+    /// A range whose end is before its start.
     #[error("a range from form {oldest} to form {newest} has nothing in it")]
-    Backwards {
-        /// Where it begins.
+    EmptyRange {
+        /// Start of the range.
         oldest: SchemaVersion,
-        /// Where it ends.
+        /// End of the range.
         newest: SchemaVersion,
     },
-    /// It is of a form that came after this program.
-    #[error("it is of form {form}, and this process reads up to form {newest}")]
-    Future {
-        /// Its form.
-        form: SchemaVersion,
-        /// The newest that is read here.
+    /// The version is newer than this program.
+    #[error("it is of form {version}, and this process reads up to form {newest}")]
+    TooNew {
+        /// The version that was asked for.
+        version: SchemaVersion,
+        /// The newest that is supported here.
         newest: SchemaVersion,
     },
-    /// A part of a datagram is of a kind that came after this program.
-    #[error("it begins with {letter:?}, which no form up to {newest} has")]
-    Unknown {
-        /// Its first letter.
-        letter: char,
-        /// The newest that is read here.
+    /// A part of a datagram is of a kind that this program does not know.
+    #[error("it begins with {prefix:?}, which no form up to {newest} has")]
+    UnknownPart {
+        /// First character of the part.
+        prefix: char,
+        /// The newest version that is supported here.
         newest: SchemaVersion,
     },
-    /// It was cut short or altered.
+    /// The datagram was truncated or altered.
     #[error("it is cut short or altered: {bytes} bytes, and {part} can't be read")]
-    Cut {
-        /// How long it is.
+    Malformed {
+        /// Length of what was read.
         bytes: usize,
         /// What can't be read.
         part: &'static str,
     },
-    /// The tier can't go back to what this process reads.
-    #[error("the tier is finalized at form {finalized}, and this process reads form {range}")]
+    /// The cluster is finalized at a version that this process does not support.
+    #[error("the tier is finalized at form {finalized}, and this process reads form {supported}")]
     Finalized {
-        /// The form below which nothing is written any more.
+        /// The version below which nothing is written any more.
         finalized: SchemaVersion,
-        /// What this process reads.
-        range: SupportedVersions,
+        /// What this process supports.
+        supported: SupportedVersions,
     },
-    /// An older process is alive, so nothing can be made final.
-    #[error("a process that reads no more than form {form} was heard of {ago:.0} ms ago")]
+    /// An older process is alive, so nothing can be finalized.
+    #[error("a process that reads no more than form {version} was heard of {age_ms:.0} ms ago")]
     OlderAlive {
-        /// The newest form that it reads.
-        form: SchemaVersion,
-        /// How long ago.
-        ago: Millis,
+        /// The newest version that the process supports.
+        version: SchemaVersion,
+        /// Time since it was last seen.
+        age_ms: Millis,
     },
-    /// It is not known yet whether an older process is alive.
-    #[error("this process has listened for older ones for too short a time: {left:.0} ms are left")]
+    /// The quiet period is not over, so an older process may still be alive.
+    #[error("this process has listened for older ones for too short a time: {remaining_ms:.0} ms are left")]
     TooEarly {
-        /// How long it listens yet.
-        left: Millis,
+        /// Remaining part of the quiet period.
+        remaining_ms: Millis,
     },
 }
 
@@ -76,17 +76,17 @@
     /// ```
     pub fn help(&self) -> &'static str {
         match self {
-            SchemaVersionError::NoForm { .. } => "set forms.most to a form that this program knows",
-            SchemaVersionError::Backwards { .. } => {
+            SchemaVersionError::InvalidNumber { .. } => "set forms.most to a form that this program knows",
+            SchemaVersionError::EmptyRange { .. } => {
                 "look at the process that told it: it is not of this program"
             }
-            SchemaVersionError::Future { .. } => {
+            SchemaVersionError::TooNew { .. } => {
                 "upgrade this process, or set forms.most of the newer ones to what all read; nothing was changed"
             }
-            SchemaVersionError::Unknown { .. } => {
+            SchemaVersionError::UnknownPart { .. } => {
                 "upgrade this process if newer ones run; otherwise something else sends to peer_listen"
             }
-            SchemaVersionError::Cut { .. } => {
+            SchemaVersionError::Malformed { .. } => {
                 "nothing where it is seldom; otherwise look for what cuts datagrams under 256 bytes"
             }
             SchemaVersionError::Finalized { .. } => {
--- a/crates/schema-version/src/lib.rs
+++ b/crates/schema-version/src/lib.rs
@@ -1,19 +1,23 @@
-//! Numbered forms of shared state: which of them the relays of a tier write while old and new processes run side by
-//! side, and the steps between neighbouring forms.
+//! Versions of the state that relays share: which version is written while processes of several releases run side by
+//! side, and the conversion between neighbouring versions.
 //!
-//! A [`SchemaVersion`] is a number, a [`SupportedVersions`] what one process reads. [`version_negotiator`] decides which form is written: the newest
-//! that all alive can read. [`version_advertisement`] is how a process tells its range, [`versioned_message`] a datagram of form 2 and the
-//! steps between it and form 1, [`versioned_channel`] what a relay asks before it sends and when it has received. All is free of
-//! I/O, with the time passed in; it never reads what a form 1 text says, and never decides where a connection goes.
-//! `docs/forms.md` names the ways weighed.
+//! - [`SchemaVersion`] is the number of a version, [`SupportedVersions`] the range that one process reads.
+//! - [`version_negotiator`] decides which version is written: the newest that all live processes support.
+//! - [`version_advertisement`] is how a process announces its range.
+//! - [`versioned_message`] is a version 2 datagram and its conversion from and to version 1.
+//! - [`versioned_channel`] sits between a relay's messages and its datagrams.
 //!
-//! Form 1 is what relays told and kept before there were numbers. Who says nothing of a range reads form 1 only.
+//! The crate does no I/O; time is an argument, in milliseconds. It never interprets a version 1 text and never decides
+//! where a connection goes. `docs/forms.md` compares the designs that were considered.
+//!
+//! Version 1 is what relays exchanged and stored before versions had numbers. A process that advertises nothing
+//! supports version 1 only.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod compatibility_table;
 mod error;
+pub mod quota_rows;
 pub mod version_advertisement;
 pub mod version_negotiator;
 pub mod versioned_channel;
@@ -26,21 +30,21 @@
 
 pub use sandgw_units::Millis;
 
-/// The number of a form, 1 to 35: one character of a datagram.
+/// The number of a version, 1 to 35: one base-36 digit of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SchemaVersion(u8);
 
 impl SchemaVersion {
-    /// What is written since before forms had numbers.
+    /// What was written before versions had numbers.
     pub const FIRST: SchemaVersion = SchemaVersion(1);
-    /// The one that carries the members' shares.
+    /// The first that carries tenants' usage.
     pub const SECOND: SchemaVersion = SchemaVersion(2);
-    /// The newest that this program knows.
+    /// The newest that this program supports.
     pub const NEWEST: SchemaVersion = SchemaVersion::SECOND;
-    /// The greatest number that a datagram can name.
-    pub const GREATEST: SchemaVersion = SchemaVersion(35);
+    /// The greatest number that a datagram can carry.
+    pub const MAX: SchemaVersion = SchemaVersion(35);
 
-    /// The form of this number.
+    /// The version of this number.
     ///
     /// ```
     /// use sandgw_schema_version::SchemaVersion;
@@ -48,12 +52,16 @@
     /// assert!(SchemaVersion::new(0).is_err() && SchemaVersion::new(36).is_err());
     /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
     /// ```
+    ///
+    /// # Errors
+    /// [`SchemaVersionError::InvalidNumber`] where the number is 0 or over [`SchemaVersion::MAX`].
     pub fn new(number: u64) -> Result<SchemaVersion, SchemaVersionError> {
-        let known = u8::try_from(number).ok().filter(|n| (1..=SchemaVersion::GREATEST.0).contains(n));
-        known.map(SchemaVersion).ok_or(SchemaVersionError::NoForm { number })
+        let valid = SchemaVersion::FIRST.0..=SchemaVersion::MAX.0;
+        let version = u8::try_from(number).ok().filter(|number| valid.contains(number));
+        version.map(SchemaVersion).ok_or(SchemaVersionError::InvalidNumber { number })
     }
 
-    /// Its number.
+    /// The number.
     pub fn number(self) -> u8 {
         self.0
     }
@@ -65,7 +73,7 @@
     }
 }
 
-/// The forms that a process reads: all from its oldest to its newest. It writes one of them, as the [`version_negotiator`] says.
+/// The contiguous range of versions that a process reads. It writes one of them, chosen by the [`version_negotiator`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SupportedVersions {
     oldest: SchemaVersion,
@@ -73,67 +81,77 @@
 }
 
 impl SupportedVersions {
-    /// What a process reads that says nothing of it.
-    pub const SILENT: SupportedVersions =
+    /// What a process supports that advertises nothing.
+    pub const UNADVERTISED: SupportedVersions =
         SupportedVersions { oldest: SchemaVersion::FIRST, newest: SchemaVersion::FIRST };
 
-    /// All forms from one to another.
+    /// All versions from one to another, both included.
     ///
     /// ```
     /// use sandgw_schema_version::{SchemaVersion, SupportedVersions};
-    /// let range = SupportedVersions::new(SchemaVersion::FIRST, SchemaVersion::SECOND)?;
-    /// assert!(range.reads(SchemaVersion::SECOND) && !SupportedVersions::SILENT.reads(SchemaVersion::SECOND));
+    /// let supported = SupportedVersions::new(SchemaVersion::FIRST, SchemaVersion::SECOND)?;
+    /// assert!(supported.contains(SchemaVersion::SECOND));
+    /// assert!(!SupportedVersions::UNADVERTISED.contains(SchemaVersion::SECOND));
     /// assert!(SupportedVersions::new(SchemaVersion::SECOND, SchemaVersion::FIRST).is_err());
     /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
     /// ```
+    ///
+    /// # Errors
+    /// [`SchemaVersionError::EmptyRange`] where `oldest` is after `newest`.
     pub fn new(
         oldest: SchemaVersion,
         newest: SchemaVersion,
     ) -> Result<SupportedVersions, SchemaVersionError> {
-        let range = SupportedVersions { oldest, newest };
-        if oldest <= newest { Ok(range) } else { Err(SchemaVersionError::Backwards { oldest, newest }) }
+        if oldest > newest {
+            return Err(SchemaVersionError::EmptyRange { oldest, newest });
+        }
+        Ok(SupportedVersions { oldest, newest })
     }
 
-    /// What this program reads and may write where an operator lets it go so far.
-    pub fn up_to(most: SchemaVersion) -> Result<SupportedVersions, SchemaVersionError> {
-        if most > SchemaVersion::NEWEST {
-            return Err(SchemaVersionError::Future { form: most, newest: SchemaVersion::NEWEST });
+    /// What this program supports where its operator allows versions up to `newest`.
+    ///
+    /// # Errors
+    /// [`SchemaVersionError::TooNew`] where this program does not know `newest`.
+    pub fn up_to(newest: SchemaVersion) -> Result<SupportedVersions, SchemaVersionError> {
+        if newest > SchemaVersion::NEWEST {
+            return Err(SchemaVersionError::TooNew { version: newest, newest: SchemaVersion::NEWEST });
         }
-        SupportedVersions::new(SchemaVersion::FIRST, most)
+        SupportedVersions::new(SchemaVersion::FIRST, newest)
     }
 
-    /// The oldest that it reads.
+    /// The oldest version of the range.
     pub fn oldest(self) -> SchemaVersion {
         self.oldest
     }
 
-    /// The newest.
+    /// The newest version of the range.
     pub fn newest(self) -> SchemaVersion {
         self.newest
     }
 
-    /// Whether it reads a form.
-    pub fn reads(self, form: SchemaVersion) -> bool {
-        self.forms().contains(&form)
+    /// Whether a version is in the range.
+    pub fn contains(self, version: SchemaVersion) -> bool {
+        self.versions().contains(&version)
     }
 
-    /// The forms that it reads.
-    pub fn forms(self) -> RangeInclusive<SchemaVersion> {
+    /// The range.
+    pub fn versions(self) -> RangeInclusive<SchemaVersion> {
         self.oldest..=self.newest
     }
 
-    /// The newest form that both read, where there is one.
+    /// The newest version that both ranges contain, if there is one.
     ///
     /// ```
     /// use sandgw_schema_version::{SchemaVersion, SupportedVersions};
     /// let new = SupportedVersions::up_to(SchemaVersion::SECOND)?;
-    /// assert_eq!(new.both(SupportedVersions::SILENT), Some(SchemaVersion::FIRST));
-    /// assert_eq!(new.both(new), Some(SchemaVersion::SECOND));
+    /// assert_eq!(new.newest_common(SupportedVersions::UNADVERTISED), Some(SchemaVersion::FIRST));
+    /// assert_eq!(new.newest_common(new), Some(SchemaVersion::SECOND));
     /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
     /// ```
-    pub fn both(self, other: SupportedVersions) -> Option<SchemaVersion> {
+    pub fn newest_common(self, other: SupportedVersions) -> Option<SchemaVersion> {
         let newest = self.newest.min(other.newest);
-        (newest >= self.oldest.max(other.oldest)).then_some(newest)
+        let oldest = self.oldest.max(other.oldest);
+        (newest >= oldest).then_some(newest)
     }
 }
 
--- a/crates/schema-version/src/version_advertisement.rs
+++ b/crates/schema-version/src/version_advertisement.rs
@@ -1,79 +1,116 @@
-//! How a process tells what it reads: a few plain characters, at the head of each datagram of form 2 and alone
-//! where a datagram of form 1 goes to somebody who may not know.
+//! How a process announces which versions it supports: a short text at the head of each version 2 datagram, and a
+//! datagram of its own before a version 1 datagram to a relay that may not know yet.
 //!
-//! `3`, then the oldest and the newest form that it reads and the finalized one, a character each (1 to 9, a to z).
-//! Then, for each form below its newest, how long ago a process was last heard of that reads no more than that:
-//! the form and two characters of tenths of a second; nothing where that is longer ago than anybody asks.
-//! This layout is kept by all forms to come, so that a process can tell from any word whether it is too old. A
-//! process of before it passes a datagram that begins so over, as it does all that it can't read.
+//! Layout: [`PREFIX`], then the oldest and newest supported version and the finalized one, a base-36 digit each. Then,
+//! for each version below the newest of which an older process was seen lately, three digits: the version, and the age
+//! of that sighting in tenths of a second.
+//!
+//! All versions to come keep this layout, so that a process can tell from any advertisement that it is too old itself.
+//! Releases before version 2 ignore a datagram with this prefix, as they do everything that they can't read.
 
-use sandgw_datagram::base36::{digit, digit_value as value};
+use sandgw_datagram::base36::{BASE, digit, digit_value};
 
 use crate::{Millis, SchemaVersion, SchemaVersionError, SupportedVersions};
 
-/// First character of a word: neither of form 1's two.
-pub const MARK: char = '3';
-/// A tenth of a second: the unit of ages.
-const UNIT: Millis = 100.0;
-/// The greatest age that two characters can name.
-const OLDEST: u32 = 36 * 36 - 1;
+/// First character of an advertisement; version 1 texts begin with others.
+pub const PREFIX: char = '3';
+/// Unit of an encoded age: a tenth of a second.
+const AGE_UNIT_MS: Millis = 100.0;
+/// The greatest age, in units, that two digits can hold.
+const MAX_AGE_UNITS: u32 = BASE * BASE - 1;
+
+/// Evidence that a process was alive which supports no version newer than `version`.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct OlderSighting {
+    /// The newest version that the process supports.
+    pub version: SchemaVersion,
+    /// Time since it was last seen.
+    pub age_ms: Millis,
+}
 
-/// What a process tells of itself.
+/// What a process announces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionAdvertisement {
-    /// What it reads.
-    pub range: SupportedVersions,
-    /// Below this nothing is written any more.
+    /// The versions that it supports.
+    pub supported: SupportedVersions,
+    /// The version below which nothing is written any more.
     pub finalized: SchemaVersion,
-    /// Forms below its newest, and how long ago a process was alive that reads no newer one.
-    pub older: Vec<(SchemaVersion, Millis)>,
+    /// Sightings of older processes, by version.
+    pub older: Vec<OlderSighting>,
+}
+
+/// An advertisement at the head of a datagram.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AdvertisementHead<'a> {
+    /// The advertisement.
+    pub advertisement: VersionAdvertisement,
+    /// What follows its separator, if there is one.
+    pub rest: Option<&'a str>,
 }
 
 impl VersionAdvertisement {
-    /// The word as text.
+    /// The advertisement as text.
     ///
     /// ```
-    /// use sandgw_schema_version::{SchemaVersion, SupportedVersions, version_advertisement::VersionAdvertisement};
-    /// let range = SupportedVersions::up_to(SchemaVersion::SECOND)?;
-    /// let word = VersionAdvertisement { range, finalized: SchemaVersion::FIRST, older: vec![(SchemaVersion::FIRST, 1500.0)] };
-    /// assert_eq!(word.text(), "312110g");
-    /// let (read, rest) = VersionAdvertisement::read("312110g|more")?;
-    /// assert_eq!((read.range, rest), (range, Some("more")));
+    /// use sandgw_schema_version::version_advertisement::{OlderSighting, VersionAdvertisement};
+    /// use sandgw_schema_version::{SchemaVersion, SupportedVersions};
+    /// let supported = SupportedVersions::up_to(SchemaVersion::SECOND)?;
+    /// let older = vec![OlderSighting { version: SchemaVersion::FIRST, age_ms: 1500.0 }];
+    /// let advertisement = VersionAdvertisement { supported, finalized: SchemaVersion::FIRST, older };
+    /// assert_eq!(advertisement.encode(), "312110g");
+    /// let head = VersionAdvertisement::decode("312110g|more")?;
+    /// assert_eq!((head.advertisement.supported, head.rest), (supported, Some("more")));
     /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
     /// ```
-    pub fn text(&self) -> String {
-        let mut text = self.short();
-        for (form, ago) in &self.older {
-            // Rounded up by a whole unit: told on and on, an age grows by more than a datagram's way takes from it.
-            let age = ((ago.max(0.0) / UNIT).ceil() + 1.0).min(f64::from(OLDEST)) as u32;
-            text.extend([digit(form.0.into()), digit(age / 36), digit(age % 36)]);
+    pub fn encode(&self) -> String {
+        let mut text = self.encode_without_sightings();
+        for sighting in &self.older {
+            let age = age_units(sighting.age_ms);
+            text.extend([digit(sighting.version.0.into()), digit(age / BASE), digit(age % BASE)]);
         }
         text
     }
 
-    /// Without older processes: for a datagram that has no room.
-    pub fn short(&self) -> String {
-        let forms = [self.range.oldest, self.range.newest, self.finalized];
-        [MARK].into_iter().chain(forms.map(|f| digit(f.0.into()))).collect()
+    /// The advertisement without sightings of older processes, for a datagram that has no room for them.
+    pub fn encode_without_sightings(&self) -> String {
+        let versions = [self.supported.oldest, self.supported.newest, self.finalized];
+        [PREFIX].into_iter().chain(versions.map(|version| digit(version.0.into()))).collect()
     }
 
-    /// Reads the word that a datagram begins with; gives what follows it, if something does.
-    pub fn read(text: &str) -> Result<(VersionAdvertisement, Option<&str>), SchemaVersionError> {
-        let (head, rest) = text.split_once('|').map_or((text, None), |(head, rest)| (head, Some(rest)));
-        let cut = SchemaVersionError::Cut { bytes: text.len(), part: "the word" };
-        let digits: Option<Vec<u32>> = head.strip_prefix(MARK).and_then(|d| d.chars().map(value).collect());
-        let digits = digits.ok_or_else(|| cut.clone())?;
-        let (Some([oldest, newest, finalized]), ages) = (digits.first_chunk(), digits.get(3..)) else {
-            return Err(cut);
+    /// Reads the advertisement at the head of a datagram.
+    ///
+    /// # Errors
+    /// [`SchemaVersionError::Malformed`], [`SchemaVersionError::InvalidNumber`] or [`SchemaVersionError::EmptyRange`].
+    pub fn decode(text: &str) -> Result<AdvertisementHead<'_>, SchemaVersionError> {
+        let (head, rest) = match text.split_once('|') {
+            Some((head, rest)) => (head, Some(rest)),
+            None => (text, None),
         };
-        let form = |n: &u32| SchemaVersion::new(u64::from(*n));
-        let range = SupportedVersions::new(form(oldest)?, form(newest)?)?;
-        let ages = ages.unwrap_or_default().chunks(3);
-        let older = ages.map(|part| match part {
-            [of, high, low] => Ok((form(of)?, f64::from(high * 36 + low) * UNIT)),
-            _ => Err(cut.clone()),
-        });
-        let older = older.collect::<Result<_, _>>()?;
-        Ok((VersionAdvertisement { range, finalized: form(finalized)?, older }, rest))
+        let malformed = || SchemaVersionError::Malformed { bytes: text.len(), part: "the word" };
+        let digits = head.strip_prefix(PREFIX).ok_or_else(malformed)?;
+        let digits: Vec<u32> =
+            digits.chars().map(digit_value).collect::<Option<_>>().ok_or_else(malformed)?;
+        let ([oldest, newest, finalized], sightings) =
+            digits.split_first_chunk::<3>().ok_or_else(malformed)?;
+        let supported = SupportedVersions::new(version(*oldest)?, version(*newest)?)?;
+        let mut older = Vec::new();
+        for sighting in sightings.chunks(3) {
+            let [number, high, low] = sighting else { return Err(malformed()) };
+            let age_ms = f64::from(high * BASE + low) * AGE_UNIT_MS;
+            older.push(OlderSighting { version: version(*number)?, age_ms });
+        }
+        let finalized = version(*finalized)?;
+        let advertisement = VersionAdvertisement { supported, finalized, older };
+        Ok(AdvertisementHead { advertisement, rest })
     }
 }
+
+fn version(number: u32) -> Result<SchemaVersion, SchemaVersionError> {
+    SchemaVersion::new(u64::from(number))
+}
+
+/// An age in units, rounded up and one unit more: so an age that is passed on and on grows by more than the transit
+/// time that each relay leaves out, and a sighting that circulates expires.
+fn age_units(age_ms: Millis) -> u32 {
+    ((age_ms.max(0.0) / AGE_UNIT_MS).ceil() + 1.0).min(f64::from(MAX_AGE_UNITS)) as u32
+}
--- a/crates/schema-version/src/versioned_channel.rs
+++ b/crates/schema-version/src/versioned_channel.rs
@@ -1,217 +1,275 @@
-//! What stands between a relay's messages and its datagrams: each goes out in the form that its reader reads, and
-//! comes in whatever form it has.
+//! Sits between a relay's messages and its datagrams: each message goes out in the version that its receiver supports,
+//! and comes in whatever version it has.
 //!
-//! [`VersionedChannel`] owns the ladder and what form 1 can't say yet. It is fed texts of form 1, rows of shares, datagrams
-//! and the time; it gives datagrams, texts and rows. It sends nothing itself.
+//! [`VersionedChannel`] owns the negotiator and the rows of tenants' usage that version 1 can't carry. Inputs: version 1
+//! texts, rows, datagrams, and the time in milliseconds. Outputs: datagrams, texts and rows. It sends nothing itself.
 //!
-//! Rows are kept aside by relay, the latest only, for as long as that relay is written to in form 1, and go with
-//! the first datagram of form 2 to it: nothing is lost by going down and up again but what newer rows have replaced.
+//! For each relay the latest rows only are queued for as long as that relay is written to in version 1. They go with the
+//! first version 2 datagram to it, so a downgrade and upgrade loses only rows that newer ones have replaced.
 
 use std::collections::BTreeMap;
 
-use crate::compatibility_table::{QuotaRows, ROWS};
-use crate::version_advertisement::MARK;
-use crate::version_negotiator::{Due, VersionNegotiator};
-use crate::versioned_message::{Aside, MOST_BYTES, VersionedMessage, down, up};
+use sandgw_datagram::MAX_BYTES;
+
+use crate::quota_rows::{QuotaRows, ROWS_PREFIX};
+use crate::version_advertisement::PREFIX;
+use crate::version_negotiator::{AdvertisementDue, VersionNegotiator};
+use crate::versioned_message::{
+    Downgraded, FIRST_VERSION_PREFIXES, SecondVersionParts, VersionedMessage, downgrade, upgrade,
+};
 use crate::{Millis, SchemaVersion, SchemaVersionError};
 
-/// Rows wait this long for a datagram that they can go with.
-const WAIT: Millis = 200.0;
+/// How long rows wait for a datagram that can carry them before they get one of their own.
+const ROWS_DELAY_MS: Millis = 200.0;
+/// Behind an advertisement: asks the receiver for its own.
+const REQUEST_SUFFIX: &str = "|?";
+/// Longest version 1 text in bytes that fits beside an advertisement without sightings and its separator.
+const MAX_TEXT_BYTES: usize = MAX_BYTES - 5;
 
-/// A datagram's relay and text.
-pub type Datagrams = Vec<(u32, String)>;
+/// A datagram to be sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Datagram {
+    /// The receiving relay.
+    pub peer: u32,
+    /// Its content.
+    pub text: String,
+}
 
 /// Totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Datagrams of form 1 sent.
-    pub first: u64,
-    /// Datagrams of form 2 sent.
-    pub second: u64,
-    /// Words sent alone, and their bytes.
-    pub words: u64,
-    /// Bytes of words, alone or at the head of others.
-    pub word_bytes: u64,
-    /// Datagrams of a form to come.
-    pub future: u64,
-    /// Datagrams cut short or altered.
-    pub cut: u64,
+pub struct ChannelCounters {
+    /// Version 1 datagrams sent.
+    pub sent_first: u64,
+    /// Version 2 datagrams sent.
+    pub sent_second: u64,
+    /// Advertisements sent in datagrams of their own.
+    pub advertisements: u64,
+    /// Bytes of advertisements, alone or at the head of version 2 datagrams.
+    pub advertisement_bytes: u64,
+    /// Datagrams received of a newer version.
+    pub too_new: u64,
+    /// Datagrams received that were truncated or altered.
+    pub malformed: u64,
 }
 
-/// What a datagram said.
+/// Content of a received datagram.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Received {
-    /// A text of form 1.
+    /// A version 1 text.
     pub text: Option<String>,
-    /// Rows of the members' shares.
-    pub shares: Option<QuotaRows>,
+    /// Rows of tenants' usage.
+    pub rows: Option<QuotaRows>,
+}
+
+/// Rows that wait for a datagram to their relay.
+#[derive(Clone, Debug)]
+struct QueuedRows {
+    queued_at: Millis,
+    rows: QuotaRows,
 }
 
-/// See the load balancer's text.
+/// The channel of one relay to all others; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct VersionedChannel {
-    /// Which form is written.
-    pub ladder: VersionNegotiator,
-    aside: BTreeMap<u32, (Millis, QuotaRows)>,
-    counts: Counts,
+    /// Decides which version is written.
+    pub negotiator: VersionNegotiator,
+    queued_rows: BTreeMap<u32, QueuedRows>,
+    counters: ChannelCounters,
 }
 
 impl VersionedChannel {
-    /// One that has nothing to send.
-    pub fn new(ladder: VersionNegotiator) -> VersionedChannel {
-        VersionedChannel { ladder, aside: BTreeMap::new(), counts: Counts::default() }
+    /// A channel with nothing queued.
+    pub fn new(negotiator: VersionNegotiator) -> VersionedChannel {
+        let counters = ChannelCounters::default();
+        VersionedChannel { negotiator, queued_rows: BTreeMap::new(), counters }
     }
 
     /// Totals since the start.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    pub fn counters(&self) -> ChannelCounters {
+        self.counters
     }
 
-    /// Keeps rows for a relay until they can go; those kept before give way.
-    pub fn keep(&mut self, now: Millis, peer: u32, shares: QuotaRows) {
-        self.aside.insert(peer, (now, shares));
+    /// Queues rows for a relay until they can be sent, in place of those queued before.
+    pub fn queue_rows(&mut self, now: Millis, peer: u32, rows: QuotaRows) {
+        self.queued_rows.insert(peer, QueuedRows { queued_at: now, rows });
     }
 
-    /// Sends a text of form 1 in the form that the relay reads; one datagram, or up to three where they need be.
+    /// Sends a version 1 text in the version that the relay supports: one datagram, or two where it is to get an
+    /// advertisement first.
     ///
     /// ```
-    /// use sandgw_schema_version::{SchemaVersion, SupportedVersions, version_negotiator::VersionNegotiator, versioned_channel::VersionedChannel};
-    /// let ladder = VersionNegotiator::new(SupportedVersions::up_to(SchemaVersion::SECOND)?, SchemaVersion::FIRST, (0, 3), 7, 0.0)?;
-    /// let (mut post, mut out) = (VersionedChannel::new(ladder), Vec::new());
-    /// post.send(0.0, 1, "1s a", &mut out);
-    /// // Nothing is known of relay 1: it gets the word, which an old process passes over, and form 1.
-    /// assert_eq!(out, [(1, "3121".to_owned()), (1, "1s a".to_owned())]);
+    /// use sandgw_schema_version::version_negotiator::{RelayPosition, VersionNegotiator};
+    /// use sandgw_schema_version::versioned_channel::{Datagram, VersionedChannel};
+    /// use sandgw_schema_version::{SchemaVersion, SupportedVersions};
+    /// let supported = SupportedVersions::up_to(SchemaVersion::SECOND)?;
+    /// let position = RelayPosition { local_index: 0, relay_count: 3 };
+    /// let negotiator = VersionNegotiator::new(supported, SchemaVersion::FIRST, position, 7, 0.0)?;
+    /// let mut channel = VersionedChannel::new(negotiator);
+    /// let mut out = Vec::new();
+    /// channel.send(0.0, 1, "1s a", &mut out);
+    /// // Nothing is known of relay 1: it gets an advertisement, which an old process ignores, and version 1.
+    /// let texts = ["3121", "1s a"].map(String::from);
+    /// assert_eq!(out, texts.map(|text| Datagram { peer: 1, text }));
     /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
     /// ```
-    pub fn send(&mut self, now: Millis, peer: u32, text: &str, out: &mut Datagrams) {
-        if self.ladder.form_for(now, peer) >= SchemaVersion::SECOND {
-            let shares = self.aside.get(&peer).map(|(_, shares)| shares.clone());
-            let whole = self.envelope(now, Some(text.to_owned()), shares);
-            if let Some(whole) = whole.write() {
-                self.aside.remove(&peer);
-                return self.push(now, peer, SchemaVersion::SECOND, whole, out);
-            }
-            let part = self.envelope(now, Some(fitting(text).to_owned()), None);
-            if let Some(part) = part.write() {
-                return self.push(now, peer, SchemaVersion::SECOND, part, out);
-            }
+    pub fn send(&mut self, now: Millis, peer: u32, text: &str, out: &mut Vec<Datagram>) {
+        if self.negotiator.version_for(now, peer) >= SchemaVersion::SECOND
+            && let Some(datagram) = self.encode_second(now, peer, text)
+        {
+            return self.send_second(now, peer, datagram, out);
         }
-        if self.ladder.is_due(now, peer) {
-            self.say(now, peer, false, out);
+        if self.negotiator.is_advertisement_due(now, peer) {
+            self.advertise(now, AdvertisementDue { peer, requests_reply: false }, out);
         }
-        self.push(now, peer, SchemaVersion::FIRST, text.to_owned(), out);
+        self.counters.sent_first += 1;
+        self.negotiator.record_sent(now, peer, SchemaVersion::FIRST, false);
+        out.push(Datagram { peer, text: text.to_owned() });
     }
 
-    /// Takes a datagram of a relay; what is to be sent in answer is added.
+    /// A version 2 datagram with the text and the relay's queued rows, or with as much of the text as fits.
+    fn encode_second(&mut self, now: Millis, peer: u32, text: &str) -> Option<String> {
+        let rows = self.queued_rows.get(&peer).map(|queued| queued.rows.clone());
+        if let Some(whole) = self.message(now, Some(text), rows).encode() {
+            self.queued_rows.remove(&peer);
+            return Some(whole);
+        }
+        self.message(now, Some(fitting(text)), None).encode()
+    }
+
+    /// Handles a datagram of a relay; what is to be sent in reply is added to `out`.
+    ///
+    /// # Errors
+    /// Where it can't be read, which is counted, or where it says that the cluster is finalized at a version that is
+    /// not supported here.
     pub fn receive(
         &mut self,
         now: Millis,
         peer: u32,
         text: &str,
-        out: &mut Datagrams,
+        out: &mut Vec<Datagram>,
     ) -> Result<Received, SchemaVersionError> {
-        if !text.starts_with(MARK) {
-            return self.plain(now, peer, text);
-        }
-        let (text, asks) = match text.strip_suffix("|?") {
-            Some(word) => (word, true),
-            None => (text, false),
+        let received = if text.starts_with(PREFIX) {
+            self.receive_versioned(now, peer, text, out)
+        } else {
+            self.receive_plain(now, peer, text)
         };
-        let read = VersionedMessage::read(text);
-        let word = read.as_ref().map_or_else(|(word, _)| word.as_ref(), |envelope| Some(&envelope.word));
-        // A word counts though what follows it can't be read: its sender is alive and newer.
-        let told = word.map(|word| self.ladder.told(now, peer, word)).transpose();
-        if asks {
-            self.say(now, peer, false, out);
+        received.inspect_err(|error| self.count_error(error))
+    }
+
+    fn receive_versioned(
+        &mut self,
+        now: Millis,
+        peer: u32,
+        text: &str,
+        out: &mut Vec<Datagram>,
+    ) -> Result<Received, SchemaVersionError> {
+        let body = text.strip_suffix(REQUEST_SUFFIX);
+        let decoded = VersionedMessage::decode(body.unwrap_or(text));
+        // An advertisement counts though what follows can't be read: its sender is alive and newer.
+        let advertisement = match &decoded {
+            Ok(message) => Some(&message.advertisement),
+            Err(error) => error.advertisement.as_ref(),
+        };
+        let handled = advertisement
+            .map_or(Ok(()), |advertisement| self.negotiator.handle_advertisement(now, peer, advertisement));
+        if body.is_some() {
+            self.advertise(now, AdvertisementDue { peer, requests_reply: false }, out);
         }
-        let (text, aside) = down(read.map_err(|(_, e)| self.count(e))?);
-        told.map_err(|e| self.count(e))?;
-        Ok(Received { text, shares: aside.shares })
+        let Downgraded { text, parts } = downgrade(decoded.map_err(|error| error.source)?);
+        handled?;
+        Ok(Received { text, rows: parts.rows })
     }
 
-    fn plain(&mut self, now: Millis, peer: u32, text: &str) -> Result<Received, SchemaVersionError> {
-        match text.chars().next() {
-            Some('1' | '2') => {
-                self.ladder.plain(now, peer);
-                Ok(Received { text: Some(text.to_owned()), shares: None })
+    /// Handles a datagram without an advertisement.
+    fn receive_plain(&mut self, now: Millis, peer: u32, text: &str) -> Result<Received, SchemaVersionError> {
+        let received = match text.chars().next() {
+            Some(prefix) if FIRST_VERSION_PREFIXES.contains(&prefix) => {
+                Received { text: Some(text.to_owned()), rows: None }
             }
-            // Of a process that tells shares and no word: it reads form 1, and passes over what it can't.
-            Some(ROWS) => {
-                let shares = QuotaRows::new(text).map_err(|e| self.count(e))?;
-                self.ladder.plain(now, peer);
-                Ok(Received { text: None, shares: Some(shares) })
+            // Of a process that reports usage but advertises nothing: it supports version 1, and ignores the rest.
+            Some(ROWS_PREFIX) => Received { text: None, rows: Some(QuotaRows::new(text)?) },
+            Some(prefix) => {
+                return Err(SchemaVersionError::UnknownPart { prefix, newest: SchemaVersion::NEWEST });
             }
-            Some(letter) => {
-                Err(self.count(SchemaVersionError::Unknown { letter, newest: SchemaVersion::NEWEST }))
-            }
-            None => Err(self.count(SchemaVersionError::Cut { bytes: 0, part: "all of it" })),
+            None => return Err(SchemaVersionError::Malformed { bytes: 0, part: "all of it" }),
+        };
+        self.negotiator.handle_plain_message(now, peer);
+        Ok(received)
+    }
+
+    fn count_error(&mut self, error: &SchemaVersionError) {
+        match error {
+            SchemaVersionError::Malformed { .. }
+            | SchemaVersionError::InvalidNumber { .. }
+            | SchemaVersionError::EmptyRange { .. } => self.counters.malformed += 1,
+            _ => self.counters.too_new += 1,
         }
     }
 
-    fn count(&mut self, e: SchemaVersionError) -> SchemaVersionError {
-        match &e {
-            SchemaVersionError::Cut { .. }
-            | SchemaVersionError::NoForm { .. }
-            | SchemaVersionError::Backwards { .. } => self.counts.cut += 1,
-            _ => self.counts.future += 1,
+    /// Sends what is due without a text: advertisements, and rows that have waited long enough.
+    pub fn poll(&mut self, now: Millis, out: &mut Vec<Datagram>) {
+        for due in self.negotiator.poll(now) {
+            self.advertise(now, due, out);
         }
-        e
-    }
-
-    /// What is due without a text: words, and rows that have waited.
-    pub fn due(&mut self, now: Millis, out: &mut Datagrams) {
-        let mut due = Vec::new();
-        self.ladder.due(now, &mut due);
-        due.into_iter().for_each(|Due { peer, asks }| self.say(now, peer, asks, out));
-        let ripe = |(peer, (at, _)): (&u32, &(Millis, QuotaRows))| (now - at >= WAIT).then_some(*peer);
-        let ripe: Vec<u32> = self.aside.iter().filter_map(ripe).collect();
-        for peer in ripe {
-            if self.ladder.form_for(now, peer) < SchemaVersion::SECOND {
-                continue;
-            }
-            let shares = self.aside.remove(&peer).map(|(_, shares)| shares);
-            if let Some(rows) = self.envelope(now, None, shares).write() {
-                self.push(now, peer, SchemaVersion::SECOND, rows, out);
+        for peer in self.peers_with_due_rows(now) {
+            if self.negotiator.version_for(now, peer) >= SchemaVersion::SECOND {
+                self.send_rows(now, peer, out);
             }
         }
     }
 
-    /// In how long [`VersionedChannel::due`] is to be called again.
-    pub fn timer(&self, now: Millis) -> Millis {
-        let able = |peer: &u32| self.ladder.form_for(now, *peer) >= SchemaVersion::SECOND;
-        let rows = self.aside.iter().filter(|(peer, _)| able(peer)).map(|(_, (at, _))| at + WAIT - now);
-        rows.fold(self.ladder.timer(now), f64::min).max(1.0)
+    fn peers_with_due_rows(&self, now: Millis) -> Vec<u32> {
+        let due = self.queued_rows.iter().filter(|(_, queued)| now - queued.queued_at >= ROWS_DELAY_MS);
+        due.map(|(peer, _)| *peer).collect()
     }
 
-    fn envelope(&self, now: Millis, text: Option<String>, shares: Option<QuotaRows>) -> VersionedMessage {
-        up(text, Aside { word: self.ladder.word(now), shares })
+    fn send_rows(&mut self, now: Millis, peer: u32, out: &mut Vec<Datagram>) {
+        let rows = self.queued_rows.remove(&peer).map(|queued| queued.rows);
+        if let Some(datagram) = self.message(now, None, rows).encode() {
+            self.send_second(now, peer, datagram, out);
+        }
     }
 
-    fn say(&mut self, now: Millis, peer: u32, asks: bool, out: &mut Datagrams) {
-        let word = self.ladder.word(now).text();
-        self.counts.words += 1;
-        self.counts.word_bytes += word.len() as u64;
-        self.ladder.sent(now, peer, SchemaVersion::FIRST, true);
-        out.push((peer, if asks { word + "|?" } else { word }));
+    /// In how many milliseconds [`VersionedChannel::poll`] is to be called again.
+    pub fn next_poll_in_ms(&self, now: Millis) -> Millis {
+        let reads_rows = |peer: &u32| self.negotiator.version_for(now, *peer) >= SchemaVersion::SECOND;
+        let sendable = self.queued_rows.iter().filter(|(peer, _)| reads_rows(peer));
+        let delays = sendable.map(|(_, queued)| queued.queued_at + ROWS_DELAY_MS - now);
+        delays.fold(self.negotiator.next_poll_in_ms(now), f64::min).max(1.0)
     }
 
-    fn push(&mut self, now: Millis, peer: u32, form: SchemaVersion, text: String, out: &mut Datagrams) {
-        let newer = form > SchemaVersion::FIRST;
-        if newer {
-            self.counts.second += 1;
-            self.counts.word_bytes += text.find('|').unwrap_or(text.len()) as u64 + 1;
-        } else {
-            self.counts.first += 1;
+    fn message(&self, now: Millis, text: Option<&str>, rows: Option<QuotaRows>) -> VersionedMessage {
+        let parts = SecondVersionParts { advertisement: self.negotiator.advertisement(now), rows };
+        upgrade(Downgraded { text: text.map(str::to_owned), parts })
+    }
+
+    fn advertise(&mut self, now: Millis, due: AdvertisementDue, out: &mut Vec<Datagram>) {
+        let AdvertisementDue { peer, requests_reply } = due;
+        let mut text = self.negotiator.advertisement(now).encode();
+        self.counters.advertisements += 1;
+        self.counters.advertisement_bytes += text.len() as u64;
+        self.negotiator.record_sent(now, peer, SchemaVersion::FIRST, true);
+        if requests_reply {
+            text += REQUEST_SUFFIX;
         }
-        self.ladder.sent(now, peer, form, newer);
-        out.push((peer, text));
+        out.push(Datagram { peer, text });
+    }
+
+    fn send_second(&mut self, now: Millis, peer: u32, text: String, out: &mut Vec<Datagram>) {
+        let separator = text.find('|').unwrap_or(text.len());
+        self.counters.sent_second += 1;
+        self.counters.advertisement_bytes += separator as u64 + 1;
+        self.negotiator.record_sent(now, peer, SchemaVersion::SECOND, true);
+        out.push(Datagram { peer, text });
     }
 }
 
-/// As much of a text of form 1 as fits beside a word. Only samples are ever longer, and the groups at their end are
-/// their smallest.
+/// As much of a version 1 text as fits beside an advertisement, in whole entries. Only load samples are ever longer, and
+/// their entries are sorted by size, the smallest groups last.
 fn fitting(text: &str) -> &str {
-    const ROOM: usize = MOST_BYTES - 5;
-    let end = if text.len() <= ROOM { Some(text.len()) } else { text.get(..ROOM).and_then(|t| t.rfind(' ')) };
+    if text.len() <= MAX_TEXT_BYTES {
+        return text;
+    }
+    let end = text.get(..MAX_TEXT_BYTES).and_then(|head| head.rfind(' '));
     end.map_or(text, |end| &text[..end])
 }
--- a/crates/schema-version/tests/datagrams.rs
+++ b/crates/schema-version/tests/datagrams.rs
@@ -1,32 +1,48 @@
-//! Datagrams: the steps between the forms, cut and foreign ones, and every error's advice.
+//! Datagrams: conversion between versions, truncated and foreign ones, and every error's help.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sandgw_schema_version::compatibility_table::{MOST_ROWS, QuotaRows};
-use sandgw_schema_version::version_advertisement::VersionAdvertisement;
-use sandgw_schema_version::version_negotiator::{QUIET, VersionNegotiator};
-use sandgw_schema_version::versioned_channel::{Received, VersionedChannel};
-use sandgw_schema_version::versioned_message::{Aside, MOST_BYTES, VersionedMessage, down, up};
+use sandgw_datagram::MAX_BYTES;
+use sandgw_schema_version::quota_rows::{MAX_ROWS_BYTES, QuotaRows};
+use sandgw_schema_version::version_advertisement::{OlderSighting, VersionAdvertisement};
+use sandgw_schema_version::version_negotiator::{QUIET_PERIOD_MS, RelayPosition, VersionNegotiator};
+use sandgw_schema_version::versioned_channel::{Datagram, Received, VersionedChannel};
+use sandgw_schema_version::versioned_message::{
+    Downgraded, SecondVersionParts, VersionedMessage, downgrade, upgrade,
+};
 use sandgw_schema_version::{SchemaVersion, SchemaVersionError, SupportedVersions};
 
-fn word() -> VersionAdvertisement {
-    let older = vec![(SchemaVersion::FIRST, 19_900.0)];
+fn advertisement() -> VersionAdvertisement {
+    let older = vec![OlderSighting { version: SchemaVersion::FIRST, age_ms: 19_900.0 }];
     VersionAdvertisement {
-        range: SupportedVersions::up_to(SchemaVersion::NEWEST).unwrap(),
+        supported: SupportedVersions::up_to(SchemaVersion::NEWEST).unwrap(),
         finalized: SchemaVersion::FIRST,
         older,
     }
 }
 
-fn shares(bytes: usize) -> QuotaRows {
+fn quota_rows(bytes: usize) -> QuotaRows {
     QuotaRows::new(&format!("m{}", "x".repeat(bytes - 1))).unwrap()
 }
 
-fn post() -> VersionedChannel {
+fn channel() -> VersionedChannel {
     let range = SupportedVersions::up_to(SchemaVersion::NEWEST).unwrap();
-    let mut ladder = VersionNegotiator::new(range, SchemaVersion::FIRST, (0, 3), 1, 0.0).unwrap();
-    ladder.told(QUIET, 1, &VersionAdvertisement { older: Vec::new(), ..word() }).unwrap();
-    VersionedChannel::new(ladder)
+    let mut negotiator = VersionNegotiator::new(
+        range,
+        SchemaVersion::FIRST,
+        RelayPosition { local_index: 0, relay_count: 3 },
+        1,
+        0.0,
+    )
+    .unwrap();
+    negotiator
+        .handle_advertisement(
+            QUIET_PERIOD_MS,
+            1,
+            &VersionAdvertisement { older: Vec::new(), ..advertisement() },
+        )
+        .unwrap();
+    VersionedChannel::new(negotiator)
 }
 
 proptest! {
@@ -36,103 +52,108 @@
         ..ProptestConfig::default()
     })]
 
-    /// What the steps take apart they put together again, and no datagram is too long.
+    /// A downgrade and upgrade loses nothing, and no datagram is too long.
     #[test]
-    fn a_step_down_and_up_again_loses_nothing(text in "[12][ -{}~]{0,200}", rows in 2usize..=MOST_ROWS) {
-        let envelope = VersionedMessage { word: word(), text: Some(text), shares: Some(shares(rows)) };
-        let (text, aside) = down(envelope.clone());
-        prop_assert_eq!(&up(text, aside), &envelope);
-        if let Some(datagram) = envelope.write() {
-            prop_assert!(datagram.len() <= MOST_BYTES);
-            let read = VersionedMessage::read(&datagram).unwrap();
-            prop_assert_eq!((read.text, read.shares), (envelope.text, envelope.shares));
+    fn a_step_down_and_up_again_loses_nothing(text in "[12][ -{}~]{0,200}", row_bytes in 2usize..=MAX_ROWS_BYTES) {
+        let message = VersionedMessage { advertisement: advertisement(), text: Some(text), rows: Some(quota_rows(row_bytes)) };
+        prop_assert_eq!(&upgrade(downgrade(message.clone())), &message);
+        if let Some(datagram) = message.encode() {
+            prop_assert!(datagram.len() <= MAX_BYTES);
+            let read = VersionedMessage::decode(&datagram).unwrap();
+            prop_assert_eq!((read.text, read.rows), (message.text, message.rows));
         }
     }
 
     /// Anything may come; it is counted and never stops a process.
     #[test]
     fn whatever_comes_is_read_or_counted(texts in proptest::collection::vec("\\PC{0,40}|3[0-9a-z]{0,9}(\\|[12m?][!-~]{0,20})*", 1..20)) {
-        let (mut post, mut out) = (post(), Vec::new());
-        let wrong = texts.iter().filter(|text| post.receive(QUIET, 1, text, &mut out).is_err()).count();
-        let counts = post.counts();
-        prop_assert_eq!(counts.cut + counts.future, wrong as u64);
+        let (mut channel, mut out) = (channel(), Vec::new());
+        let wrong = texts.iter().filter(|text| channel.receive(QUIET_PERIOD_MS, 1, text, &mut out).is_err()).count();
+        let counts = channel.counters();
+        prop_assert_eq!(counts.malformed + counts.too_new, wrong as u64);
     }
 }
 
-/// Every datagram of today is at most this long as a piece; it goes into an envelope whole.
+/// Every datagram of today is at most this long as a binary message; it goes into a version 2 datagram whole.
 #[test]
 fn the_longest_text_of_form_1_fits() {
     let mut out = Vec::new();
-    let piece = format!("2{}", "A".repeat(MOST_BYTES - 6));
-    post().send(QUIET, 1, &piece, &mut out);
-    assert_eq!(out, [(1, format!("3121|{piece}"))]);
+    let message = format!("2{}", "A".repeat(MAX_BYTES - 6));
+    channel().send(QUIET_PERIOD_MS, 1, &message, &mut out);
+    assert_eq!(out, [Datagram { peer: 1, text: format!("3121|{message}") }]);
     // A sample that fills a datagram goes without its smallest groups.
     out.clear();
     let sample = format!("1s {}", "abcdef12:ff ".repeat(30));
-    post().send(QUIET, 1, &sample[..MOST_BYTES], &mut out);
-    let text = out[0].1.strip_prefix("3121|").unwrap();
+    channel().send(QUIET_PERIOD_MS, 1, &sample[..MAX_BYTES], &mut out);
+    let text = out[0].text.strip_prefix("3121|").unwrap();
     assert!(sample.starts_with(&format!("{text} ")) && text.len() > 230, "{text}");
 }
 
 #[test]
 fn rows_go_beside_a_text_where_they_fit_and_alone_after_it_where_they_do_not() {
-    let (mut post, mut out) = (post(), Vec::new());
-    post.keep(QUIET, 1, shares(30));
-    post.send(QUIET, 1, "2AAAA", &mut out);
-    let received = self::post().receive(QUIET, 1, &out[0].1, &mut Vec::new()).unwrap();
-    assert_eq!(received, Received { text: Some("2AAAA".into()), shares: Some(shares(30)) });
+    let (mut channel, mut out) = (channel(), Vec::new());
+    channel.queue_rows(QUIET_PERIOD_MS, 1, quota_rows(30));
+    channel.send(QUIET_PERIOD_MS, 1, "2AAAA", &mut out);
+    let received = self::channel().receive(QUIET_PERIOD_MS, 1, &out[0].text, &mut Vec::new()).unwrap();
+    assert_eq!(received, Received { text: Some("2AAAA".into()), rows: Some(quota_rows(30)) });
     out.clear();
-    post.keep(QUIET, 1, shares(MOST_ROWS));
-    post.send(QUIET, 1, &format!("2{}", "A".repeat(200)), &mut out);
-    assert!(out.len() == 1 && !out[0].1.contains("|m"), "{out:?}");
-    assert!(post.timer(QUIET) <= 200.0);
+    channel.queue_rows(QUIET_PERIOD_MS, 1, quota_rows(MAX_ROWS_BYTES));
+    channel.send(QUIET_PERIOD_MS, 1, &format!("2{}", "A".repeat(200)), &mut out);
+    assert!(out.len() == 1 && !out[0].text.contains("|m"), "{out:?}");
+    assert!(channel.next_poll_in_ms(QUIET_PERIOD_MS) <= 200.0);
     out.clear();
-    post.due(QUIET + 200.0, &mut out);
-    let rows: Vec<_> = out.iter().filter_map(|(_, text)| VersionedMessage::read(text).ok()?.shares).collect();
-    assert_eq!(rows, [shares(MOST_ROWS)]);
+    channel.poll(QUIET_PERIOD_MS + 200.0, &mut out);
+    let sent: Vec<_> =
+        out.iter().filter_map(|datagram| VersionedMessage::decode(&datagram.text).ok()?.rows).collect();
+    assert_eq!(sent, [quota_rows(MAX_ROWS_BYTES)]);
 }
 
-/// Cut anywhere a datagram is an error or reads as less, and what is left of its word counts only whole.
+/// Truncated anywhere, a datagram is an error or reads as less; its advertisement counts only whole.
 #[test]
 fn a_datagram_cut_short_or_of_a_form_to_come_is_an_error() {
-    let whole = VersionedMessage { word: word(), text: Some("2AAAA".into()), shares: Some(shares(20)) };
-    let text = whole.write().unwrap();
+    let whole = VersionedMessage {
+        advertisement: advertisement(),
+        text: Some("2AAAA".into()),
+        rows: Some(quota_rows(20)),
+    };
+    let text = whole.encode().unwrap();
     for end in 0..text.len() {
-        if let Ok(read) = VersionedMessage::read(&text[..end]) {
+        if let Ok(read) = VersionedMessage::decode(&text[..end]) {
             assert_ne!(read, whole);
         }
     }
-    let mut post = post();
-    let mut read = |text: &str| post.receive(QUIET, 2, text, &mut Vec::new());
-    assert!(matches!(read("3191|xabc"), Err(SchemaVersionError::Unknown { letter: 'x', .. })));
-    assert!(matches!(read("4191"), Err(SchemaVersionError::Unknown { letter: '4', .. })));
-    assert!(matches!(read("310"), Err(SchemaVersionError::Cut { .. })));
-    assert!(matches!(read("3021"), Err(SchemaVersionError::NoForm { number: 0 })));
-    assert!(matches!(read("3211"), Err(SchemaVersionError::Backwards { .. })));
+    let mut channel = channel();
+    let mut read = |text: &str| channel.receive(QUIET_PERIOD_MS, 2, text, &mut Vec::new());
+    assert!(matches!(read("3191|xabc"), Err(SchemaVersionError::UnknownPart { prefix: 'x', .. })));
+    assert!(matches!(read("4191"), Err(SchemaVersionError::UnknownPart { prefix: '4', .. })));
+    assert!(matches!(read("310"), Err(SchemaVersionError::Malformed { .. })));
+    assert!(matches!(read("3021"), Err(SchemaVersionError::InvalidNumber { number: 0 })));
+    assert!(matches!(read("3211"), Err(SchemaVersionError::EmptyRange { .. })));
     assert!(matches!(read("3599"), Err(SchemaVersionError::Finalized { .. })));
-    assert!(matches!(read(""), Err(SchemaVersionError::Cut { .. })));
-    assert!(matches!(read(&"3121|2".repeat(60)), Err(SchemaVersionError::Cut { .. })));
-    assert_eq!((post.counts().cut, post.counts().future), (5, 3));
-    // Of the first the word counted: a process that reads up to form 9 is no older one.
-    assert_eq!(post.ladder.form_for(QUIET, 1), SchemaVersion::SECOND);
+    assert!(matches!(read(""), Err(SchemaVersionError::Malformed { .. })));
+    assert!(matches!(read(&"3121|2".repeat(60)), Err(SchemaVersionError::Malformed { .. })));
+    assert_eq!((channel.counters().malformed, channel.counters().too_new), (5, 3));
+    // Of the first the advertisement counted: a process that reads up to form 9 is no older one.
+    assert_eq!(channel.negotiator.version_for(QUIET_PERIOD_MS, 1), SchemaVersion::SECOND);
 }
 
 #[test]
 fn each_error_says_what_can_be_done() {
-    let form = |n| SchemaVersion::new(n).unwrap();
+    let version = |n| SchemaVersion::new(n).unwrap();
     let all = [
-        SchemaVersionError::NoForm { number: 99 },
-        SchemaVersionError::Backwards { oldest: form(2), newest: form(1) },
-        SchemaVersionError::Future { form: form(9), newest: form(2) },
-        SchemaVersionError::Unknown { letter: 'x', newest: form(2) },
-        SchemaVersionError::Cut { bytes: 3, part: "the word" },
-        SchemaVersionError::Finalized { finalized: form(2), range: SupportedVersions::SILENT },
-        SchemaVersionError::OlderAlive { form: form(1), ago: 400.0 },
-        SchemaVersionError::TooEarly { left: 900.0 },
+        SchemaVersionError::InvalidNumber { number: 99 },
+        SchemaVersionError::EmptyRange { oldest: version(2), newest: version(1) },
+        SchemaVersionError::TooNew { version: version(9), newest: version(2) },
+        SchemaVersionError::UnknownPart { prefix: 'x', newest: version(2) },
+        SchemaVersionError::Malformed { bytes: 3, part: "the word" },
+        SchemaVersionError::Finalized { finalized: version(2), supported: SupportedVersions::UNADVERTISED },
+        SchemaVersionError::OlderAlive { version: version(1), age_ms: 400.0 },
+        SchemaVersionError::TooEarly { remaining_ms: 900.0 },
     ];
     let help: std::collections::BTreeSet<_> = all.iter().map(SchemaVersionError::help).collect();
     assert_eq!(help.len(), all.len(), "each its own");
     assert!(all.iter().all(|e| e.to_string().len() > 20));
-    let aside = Aside { word: word(), shares: None };
-    assert_eq!(down(up(None, aside.clone())), (None, aside));
+    let parts = SecondVersionParts { advertisement: advertisement(), rows: None };
+    let downgraded = Downgraded { text: None, parts };
+    assert_eq!(downgrade(upgrade(downgraded.clone())), downgraded);
 }
--- a/crates/schema-version/tests/tier.rs
+++ b/crates/schema-version/tests/tier.rs
@@ -1,4 +1,4 @@
-//! Tiers of old and new processes over drawn schedules: loss, cuts, restarts, pins and the operator's finalize.
+//! Clusters of old and new processes over random schedules: loss, partitions, restarts, pinned versions and finalize.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,13 +6,15 @@
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use sandgw_schema_version::compatibility_table::QuotaRows;
-use sandgw_schema_version::version_negotiator::{GRACE, KNOWN, QUIET, VersionNegotiator};
-use sandgw_schema_version::versioned_channel::VersionedChannel;
+use sandgw_schema_version::quota_rows::QuotaRows;
+use sandgw_schema_version::version_negotiator::{
+    ADVERTISEMENT_TTL_MS, QUIET_PERIOD_MS, REQUEST_TIMEOUT_MS, RelayPosition, VersionNegotiator,
+};
+use sandgw_schema_version::versioned_channel::{Datagram, VersionedChannel};
 use sandgw_schema_version::{SchemaVersion, SupportedVersions};
 
 /// All are at the newest that all can read so long after the last change.
-const SETTLED: f64 = 2.0 * QUIET + GRACE;
+const SETTLED: f64 = 2.0 * QUIET_PERIOD_MS + REQUEST_TIMEOUT_MS;
 const STEP: f64 = 50.0;
 
 /// A process: one of before forms had numbers, or one of this program.
@@ -30,7 +32,7 @@
     lost: f64,
     /// Processes of different sides don't hear each other.
     side: Vec<u8>,
-    flying: BTreeMap<(u64, u64), (usize, usize, String)>,
+    in_flight: BTreeMap<(u64, u64), (usize, usize, String)>,
     sent: u64,
     /// Who has heard an old process in its present life.
     heard: BTreeSet<(usize, usize)>,
@@ -53,7 +55,7 @@
             now: 0.0,
             lost,
             side: vec![0; n],
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
             heard: BTreeSet::new(),
             floor: SchemaVersion::FIRST,
@@ -78,22 +80,22 @@
             _ => match VersionNegotiator::new(
                 up_to(most),
                 self.floor,
-                (i as u32, n),
+                RelayPosition { local_index: i as u32, relay_count: n },
                 self.rng.random(),
                 self.now,
             ) {
-                Ok(ladder) => Process::New(Box::new(VersionedChannel::new(ladder))),
+                Ok(negotiator) => Process::New(Box::new(VersionedChannel::new(negotiator))),
                 Err(_) => Process::Down,
             },
         };
     }
 
-    fn fly(&mut self, from: usize, to: usize, text: String) {
+    fn transmit(&mut self, from: usize, to: usize, text: String) {
         assert!(text.len() <= 256, "{text}");
         let readable = text.starts_with(['1', '2']);
-        let word = !text.contains('|') || text.ends_with("|?");
+        let is_advertisement = !text.contains('|') || text.ends_with("|?");
         if let Process::Old = self.processes[to]
-            && !word
+            && !is_advertisement
             && self.finalized(from) == Some(SchemaVersion::FIRST)
         {
             if readable {
@@ -103,8 +105,14 @@
                 assert!(!heard, "{from} sends {text} to {to}, which it has heard as an old one");
                 let (first, last) = self.dark.entry((from, to)).or_insert((self.now, self.now));
                 *last = self.now;
-                assert!(*last - *first < KNOWN + 100.0, "{from} sends {to} only what it can't read");
-                assert!(self.now - self.since[to] < KNOWN + 100.0, "{from} takes {to} for its predecessor");
+                assert!(
+                    *last - *first < ADVERTISEMENT_TTL_MS + 100.0,
+                    "{from} sends {to} only what it can't read"
+                );
+                assert!(
+                    self.now - self.since[to] < ADVERTISEMENT_TTL_MS + 100.0,
+                    "{from} takes {to} for its predecessor"
+                );
             }
         }
         if self.rng.random_bool(self.lost) || self.side[from] != self.side[to] {
@@ -112,17 +120,23 @@
         }
         self.sent += 1;
         let at = self.now + self.rng.random_range(5.0..40.0);
-        self.flying.insert((at as u64, self.sent), (from, to, text));
+        self.in_flight.insert((at as u64, self.sent), (from, to, text));
+    }
+
+    fn send_all(&mut self, from: usize, datagrams: Vec<Datagram>) {
+        for datagram in datagrams {
+            self.transmit(from, datagram.peer as usize, datagram.text);
+        }
     }
 
     fn send(&mut self, from: usize, to: usize, text: &str) {
         let mut out = Vec::new();
         match &mut self.processes[from] {
             Process::Down => {}
-            Process::Old => out.push((to as u32, text.to_owned())),
-            Process::New(post) => post.send(self.now, to as u32, text, &mut out),
+            Process::Old => out.push(Datagram { peer: to as u32, text: text.to_owned() }),
+            Process::New(channel) => channel.send(self.now, to as u32, text, &mut out),
         }
-        out.into_iter().for_each(|(to, text)| self.fly(from, to as usize, text));
+        self.send_all(from, out);
     }
 
     fn deliver(&mut self, from: usize, to: usize, text: &str) {
@@ -131,16 +145,16 @@
         let question = match &mut self.processes[to] {
             Process::Down => false,
             Process::Old => text.starts_with("2ask"),
-            Process::New(post) => {
+            Process::New(channel) => {
                 if old && text.starts_with(['1', '2']) {
                     self.heard.insert((to, from));
                 }
-                let received = post.receive(self.now, from as u32, text, &mut out).unwrap_or_default();
-                self.rows.entry(to).or_default().extend(received.shares);
+                let received = channel.receive(self.now, from as u32, text, &mut out).unwrap_or_default();
+                self.rows.entry(to).or_default().extend(received.rows);
                 received.text.is_some_and(|text| text.starts_with("2ask"))
             }
         };
-        out.into_iter().for_each(|(to2, text)| self.fly(to, to2 as usize, text));
+        self.send_all(to, out);
         if question {
             self.send(to, from, "2answer");
         }
@@ -151,17 +165,17 @@
         let (n, until) = (self.processes.len(), self.now + span);
         while self.now < until {
             self.now += STEP;
-            while let Some(((at, _), _)) = self.flying.first_key_value()
+            while let Some(((at, _), _)) = self.in_flight.first_key_value()
                 && *at as f64 <= self.now
             {
-                let Some((_, (from, to, text))) = self.flying.pop_first() else { break };
+                let Some((_, (from, to, text))) = self.in_flight.pop_first() else { break };
                 self.deliver(from, to, &text);
             }
             for i in 0..n {
-                if let Process::New(post) = &mut self.processes[i] {
+                if let Process::New(channel) = &mut self.processes[i] {
                     let mut out = Vec::new();
-                    post.due(self.now, &mut out);
-                    out.into_iter().for_each(|(to, text)| self.fly(i, to as usize, text));
+                    channel.poll(self.now, &mut out);
+                    self.send_all(i, out);
                 }
                 if self.rng.random_bool(STEP / 1500.0) {
                     let keeper = self.rng.random_range(0..n);
@@ -173,7 +187,7 @@
                 }
             }
             // What it knows to be finalized is what binds a process; a cut may keep it from hearing of it.
-            for (i, form) in self.forms() {
+            for (i, form) in self.written_versions() {
                 let least = self.finalized(i).unwrap_or(SchemaVersion::FIRST);
                 assert!(form >= least, "{i}: form {form}, finalized {least}");
             }
@@ -186,33 +200,34 @@
         (0..self.processes.len()).find(there).unwrap_or(i)
     }
 
-    fn new_ones(&self) -> impl Iterator<Item = (usize, &VersionNegotiator)> {
+    fn negotiators(&self) -> impl Iterator<Item = (usize, &VersionNegotiator)> {
         self.processes.iter().enumerate().filter_map(|(i, p)| match p {
-            Process::New(post) => Some((i, &post.ladder)),
+            Process::New(channel) => Some((i, &channel.negotiator)),
             _ => None,
         })
     }
 
     fn finalized(&self, i: usize) -> Option<SchemaVersion> {
-        self.new_ones().find(|(n, _)| *n == i).map(|(_, ladder)| ladder.finalized())
+        self.negotiators().find(|(n, _)| *n == i).map(|(_, negotiator)| negotiator.finalized())
     }
 
     /// What each process of this program writes that can read what is finalized.
-    fn forms(&self) -> Vec<(usize, SchemaVersion)> {
-        let reads = self.new_ones().filter(|(_, ladder)| ladder.range().newest() >= self.floor);
-        reads.map(|(i, ladder)| (i, ladder.form(self.now))).collect()
+    fn written_versions(&self) -> Vec<(usize, SchemaVersion)> {
+        let reads =
+            self.negotiators().filter(|(_, negotiator)| negotiator.supported().newest() >= self.floor);
+        reads.map(|(i, negotiator)| (i, negotiator.version(self.now))).collect()
     }
 
     /// The newest form that all alive read, and not under what is finalized.
     fn common(&self) -> SchemaVersion {
         let old = self.processes.iter().any(|p| matches!(p, Process::Old)).then_some(SchemaVersion::FIRST);
-        let newest = self.new_ones().map(|(_, ladder)| ladder.range().newest());
+        let newest = self.negotiators().map(|(_, negotiator)| negotiator.supported().newest());
         newest.chain(old).min().unwrap_or(SchemaVersion::FIRST).max(self.floor)
     }
 
     /// The processes that don't write this form.
-    fn others(&self, form: SchemaVersion) -> Vec<(usize, SchemaVersion)> {
-        self.forms().into_iter().filter(|(_, f)| *f != form).collect()
+    fn not_writing(&self, version: SchemaVersion) -> Vec<(usize, SchemaVersion)> {
+        self.written_versions().into_iter().filter(|(_, written)| *written != version).collect()
     }
 
     /// Nothing changes any more: all come to the newest that all can read, and stay.
@@ -221,7 +236,7 @@
         for _ in 0..10 {
             self.run(2000.0);
             let common = self.common();
-            assert_eq!(self.others(common), [], "not {common}");
+            assert_eq!(self.not_writing(common), [], "not {common}");
         }
     }
 }
@@ -249,8 +264,8 @@
                 5 => (0..n).for_each(|k| sim.side[k] = (who >> (k % 16)) as u8 & 1),
                 6 => sim.side.fill(0),
                 _ => {
-                    if let Process::New(post) = &mut sim.processes[i]
-                        && let Ok(form) = post.ladder.finalize(sim.now)
+                    if let Process::New(channel) = &mut sim.processes[i]
+                        && let Ok(form) = channel.negotiator.finalize(sim.now)
                     {
                         sim.floor = sim.floor.max(form);
                     }
@@ -282,15 +297,15 @@
     // Stopped half way for minutes.
     for _ in 0..60 {
         sim.run(4000.0);
-        assert_eq!(sim.others(SchemaVersion::FIRST), [], "half of it is old");
+        assert_eq!(sim.not_writing(SchemaVersion::FIRST), [], "half of it is old");
     }
     roll(&mut sim, 2, 24);
     sim.settles();
     assert_eq!(sim.common(), SchemaVersion::SECOND);
     // One old process is enough to go back, and it is told nothing that it can't read meanwhile.
     sim.start(5, 0);
-    sim.run(KNOWN + GRACE);
-    assert!(sim.others(SchemaVersion::FIRST).len() <= 3, "{:?}", sim.forms());
+    sim.run(ADVERTISEMENT_TTL_MS + REQUEST_TIMEOUT_MS);
+    assert!(sim.not_writing(SchemaVersion::FIRST).len() <= 3, "{:?}", sim.written_versions());
     sim.settles();
     roll(&mut sim, 0, 24);
 }
@@ -302,7 +317,7 @@
     (0..12).for_each(|i| sim.start(i, if i < 6 { 2 } else { 0 }));
     (0..12).for_each(|i| sim.side[i] = u8::from(i >= 6));
     sim.run(SETTLED);
-    assert_eq!(sim.others(SchemaVersion::SECOND), []);
+    assert_eq!(sim.not_writing(SchemaVersion::SECOND), []);
     sim.side.fill(0);
     sim.settles();
     (6..12).for_each(|i| sim.start(i, 2));
@@ -315,15 +330,14 @@
 fn what_is_finalized_stays() {
     let mut sim = Sim::new(6, 3, 0.2);
     (0..6).for_each(|i| sim.start(i, 2));
-    let Process::New(post) = &mut sim.processes[2] else { panic!() };
-    assert!(post.ladder.finalize(1000.0).is_err(), "too early");
+    let Process::New(channel) = &mut sim.processes[2] else { panic!() };
+    assert!(channel.negotiator.finalize(1000.0).is_err(), "too early");
     sim.settles();
-    let Process::New(post) = &mut sim.processes[2] else { panic!() };
-    assert_eq!(post.ladder.finalize(sim.now), Ok(SchemaVersion::SECOND));
-    sim.run(QUIET);
-    let told =
-        |p: &Process| matches!(p, Process::New(post) if post.ladder.finalized() == SchemaVersion::SECOND);
-    assert!(sim.processes.iter().all(told), "it is told among relays");
+    let Process::New(channel) = &mut sim.processes[2] else { panic!() };
+    assert_eq!(channel.negotiator.finalize(sim.now), Ok(SchemaVersion::SECOND));
+    sim.run(QUIET_PERIOD_MS);
+    let is_finalized = |p: &Process| matches!(p, Process::New(channel) if channel.negotiator.finalized() == SchemaVersion::SECOND);
+    assert!(sim.processes.iter().all(is_finalized), "it is told among relays");
     sim.floor = SchemaVersion::SECOND;
     sim.start(4, 0);
     sim.start(5, 1);
@@ -336,30 +350,46 @@
 fn rows_are_kept_aside_while_form_1_is_written() {
     let mut sim = Sim::new(3, 5, 0.0);
     (0..3).for_each(|i| sim.start(i, 2));
-    let shares = |n: usize| QuotaRows::new(&format!("m{}", "A".repeat(n + 1))).unwrap();
+    let rows = |n: usize| QuotaRows::new(&format!("m{}", "A".repeat(n + 1))).unwrap();
     for n in 0..5 {
-        let Process::New(post) = &mut sim.processes[1] else { panic!() };
-        post.keep(sim.now, 0, shares(n));
+        let Process::New(channel) = &mut sim.processes[1] else { panic!() };
+        channel.queue_rows(sim.now, 0, rows(n));
         sim.run(1000.0);
     }
     assert_eq!(sim.rows.get(&0), Some(&Vec::new()), "told in form 1");
-    sim.run(QUIET + 3000.0);
-    assert_eq!(sim.rows.get(&0), Some(&vec![shares(4)]), "the latest alone");
+    sim.run(QUIET_PERIOD_MS + 3000.0);
+    assert_eq!(sim.rows.get(&0), Some(&vec![rows(4)]), "the latest alone");
 }
 
 /// A relay that is silent since it was written to in form 2, or whose word is old, may have been replaced by an old
 /// one that has nothing to say: it gets form 1.
 #[test]
 fn who_is_silent_gets_form_1() {
-    let mut ladder = VersionNegotiator::new(up_to(2), SchemaVersion::FIRST, (0, 2), 1, 0.0).unwrap();
-    let word = ladder.word(QUIET);
-    let told = |ladder: &mut VersionNegotiator, now| ladder.told(now, 1, &word).unwrap();
-    told(&mut ladder, QUIET);
-    assert_eq!(ladder.form_for(QUIET + KNOWN - 1.0, 1), SchemaVersion::SECOND);
-    assert_eq!(ladder.form_for(QUIET + KNOWN + 1.0, 1), SchemaVersion::FIRST);
-    ladder.sent(QUIET, 1, SchemaVersion::SECOND, true);
-    assert_eq!(ladder.form_for(QUIET + 100.0, 1), SchemaVersion::SECOND, "it may still answer");
-    assert_eq!(ladder.form_for(QUIET + 1100.0, 1), SchemaVersion::FIRST);
-    told(&mut ladder, QUIET + 1200.0);
-    assert_eq!(ladder.form_for(QUIET + 1300.0, 1), SchemaVersion::SECOND);
+    let mut negotiator = VersionNegotiator::new(
+        up_to(2),
+        SchemaVersion::FIRST,
+        RelayPosition { local_index: 0, relay_count: 2 },
+        1,
+        0.0,
+    )
+    .unwrap();
+    let advertisement = negotiator.advertisement(QUIET_PERIOD_MS);
+    let advertise = |negotiator: &mut VersionNegotiator, now| {
+        negotiator.handle_advertisement(now, 1, &advertisement).unwrap()
+    };
+    advertise(&mut negotiator, QUIET_PERIOD_MS);
+    assert_eq!(
+        negotiator.version_for(QUIET_PERIOD_MS + ADVERTISEMENT_TTL_MS - 1.0, 1),
+        SchemaVersion::SECOND
+    );
+    assert_eq!(negotiator.version_for(QUIET_PERIOD_MS + ADVERTISEMENT_TTL_MS + 1.0, 1), SchemaVersion::FIRST);
+    negotiator.record_sent(QUIET_PERIOD_MS, 1, SchemaVersion::SECOND, true);
+    assert_eq!(
+        negotiator.version_for(QUIET_PERIOD_MS + 100.0, 1),
+        SchemaVersion::SECOND,
+        "it may still answer"
+    );
+    assert_eq!(negotiator.version_for(QUIET_PERIOD_MS + 1100.0, 1), SchemaVersion::FIRST);
+    advertise(&mut negotiator, QUIET_PERIOD_MS + 1200.0);
+    assert_eq!(negotiator.version_for(QUIET_PERIOD_MS + 1300.0, 1), SchemaVersion::SECOND);
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -271,7 +271,7 @@
         (config.settings.clone(), config.classes.clone())
     };
     if let Some(post) = &shared.post {
-        post.borrow_mut().ladder.renumber(settings.local_index, settings.relay_count);
+        post.borrow_mut().negotiator.set_position(schema_version::relay_position(&settings));
     }
     shared.core(|relay, now| relay.retune(now, settings, &classes));
     shared.rules.renew(line_names(&shared.relay.borrow(), &shared.config.borrow()));
@@ -306,7 +306,7 @@
         .transpose()
         .map_err(named("state.folder"))?;
     let finalized = kept.as_ref().map_or(SchemaVersion::FIRST, |kept| kept.finalized);
-    let post = schema_version::post(&config, finalized, &clock)?;
+    let post = schema_version::open_channel(&config, finalized, &clock)?;
     let own = if config.handover.is_some() { HANDOVER } else { 0 };
     let mut relay = Relay::new(config.settings.clone(), config.classes.clone(), config.seed, clock.now());
     let keeper = kept.map(|kept| affinity_store::restore(kept, &mut relay, clock.now())).transpose()?;
@@ -379,10 +379,10 @@
         }
     }
     if !handed_over {
-        schema_version::enquire(&shared).await?;
+        schema_version::discover_finalized(&shared).await?;
     }
     spawn_local(tick(shared.clone()));
-    spawn_local(schema_version::tell(shared.clone()));
+    spawn_local(schema_version::run(shared.clone()));
     spawn_local(discovery::watch(shared.clone()));
     spawn_local(peers::receive(shared.clone()));
     spawn_local(affinity_store::keep(shared.clone()));
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -15,7 +15,7 @@
         let Some(post) = &self.post else { return self.post_to(peer, &text) };
         let mut out = Vec::new();
         post.borrow_mut().send(self.clock.now(), peer, &text, &mut out);
-        out.iter().for_each(|(peer, text)| self.post_to(*peer, text));
+        out.iter().for_each(|datagram| self.post_to(datagram.peer, &datagram.text));
     }
 
     /// Sends a datagram of text; one that cannot go now is lost, as any may be.
@@ -50,7 +50,7 @@
                     continue;
                 }
                 if let Some((peer, text)) = peer.zip(std::str::from_utf8(&buffer[..length]).ok())
-                    && let Some(message) = schema_version::read(&shared, peer as u32, text)
+                    && let Some(message) = schema_version::decode(&shared, peer as u32, text)
                 {
                     shared.core(|relay, now| relay.told(now, peer as u32, message));
                 }
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -1,4 +1,5 @@
-//! Drives the forms of shared state: words as they are due, the tier's form to the folder, the operators' calls.
+//! Drives the versions of shared state: sends advertisements when they are due, moves the store's file to the cluster's
+//! version, and answers the operators' calls. The decisions are in `sandgw-schema-version`.
 
 use std::cell::RefCell;
 use std::io;
@@ -6,46 +7,54 @@
 
 use log::{debug, error, info, warn};
 use sandgw_schema_version::version_advertisement::VersionAdvertisement;
-use sandgw_schema_version::version_negotiator::VersionNegotiator;
-use sandgw_schema_version::versioned_channel::VersionedChannel;
+use sandgw_schema_version::version_negotiator::{RelayPosition, VersionNegotiator};
+use sandgw_schema_version::versioned_channel::{Datagram, VersionedChannel};
 use sandgw_schema_version::{SchemaVersion, SchemaVersionError};
+use tokio::net::UdpSocket;
 use tokio::time::{Instant, timeout_at};
 
 use super::{Clock, Shared, span};
 use crate::config::Config;
 use crate::peers;
-use crate::policy::api::{Millis, PeerMessage};
+use crate::policy::api::{Millis, PeerMessage, Settings};
 use crate::relay::lifecycle::Refusal;
 
-/// How long a process that starts listens for what is finalized, and how often it asks meanwhile.
-const LISTENS: [Millis; 3] = [100.0, 100.0, 200.0];
-/// Relays that it asks: neighbours are often restarted together.
-const ASKED: u32 = 8;
+/// How long a starting process waits for replies after each round of requests for what is finalized.
+const DISCOVERY_ROUNDS_MS: [Millis; 3] = [100.0, 100.0, 200.0];
+/// Most relays that get such a request: several, as neighbours are often restarted together.
+const MAX_DISCOVERY_PEERS: u32 = 8;
 
-/// What stands between messages and datagrams, where the configuration turns forms on. It fails where the folder
-/// is finalized at what this process can't read.
-pub fn post(
+/// The channel between messages and datagrams; `None` where the configuration has no `[forms]`.
+///
+/// # Errors
+/// Where the store is finalized at a version that this process does not support.
+pub fn open_channel(
     config: &Config,
     finalized: SchemaVersion,
     clock: &Clock,
 ) -> io::Result<Option<RefCell<VersionedChannel>>> {
-    let Some(range) = config.forms else { return Ok(None) };
-    let of = (config.settings.local_index, config.settings.relay_count);
-    let ladder = VersionNegotiator::new(range, finalized, of, config.seed, clock.now()).map_err(refused)?;
-    Ok(Some(RefCell::new(VersionedChannel::new(ladder))))
+    let Some(supported) = config.forms else { return Ok(None) };
+    let position = relay_position(&config.settings);
+    let negotiator = VersionNegotiator::new(supported, finalized, position, config.seed, clock.now());
+    Ok(Some(RefCell::new(VersionedChannel::new(negotiator.map_err(refused)?))))
 }
 
-fn refused(e: SchemaVersionError) -> io::Error {
-    io::Error::other(format!("forms: {e}; {}", e.help()))
+/// This relay's place in its cluster.
+pub(super) fn relay_position(settings: &Settings) -> RelayPosition {
+    RelayPosition { local_index: settings.local_index, relay_count: settings.relay_count }
 }
 
-/// Reads a datagram of a relay, and answers it where it asks for a word; nothing of what is no message.
-pub(super) fn read(shared: &Shared, peer: u32, text: &str) -> Option<PeerMessage> {
-    let Some(post) = &shared.post else { return peers::decode(text) };
-    match receive(shared, post, peer, text) {
+fn refused(error: SchemaVersionError) -> io::Error {
+    io::Error::other(format!("forms: {error}; {}", error.help()))
+}
+
+/// Reads a relay's datagram, and replies where it asks for an advertisement; `None` of what is no message.
+pub(super) fn decode(shared: &Shared, peer: u32, text: &str) -> Option<PeerMessage> {
+    let Some(channel) = &shared.post else { return peers::decode(text) };
+    match receive(shared, channel, peer, text) {
         Ok(message) => message,
         Err(e @ SchemaVersionError::Finalized { .. }) => {
-            // It started while nobody told it, or the tier was finalized over it: once is enough for a log.
+            // The cluster was finalized while this process ran, or it reached nobody at its start. It is logged once.
             if !shared.left_behind.replace(true) {
                 error!("forms: relay {peer}: {e}; {}", e.help());
             }
@@ -60,61 +69,84 @@
 
 fn receive(
     shared: &Shared,
-    post: &RefCell<VersionedChannel>,
+    channel: &RefCell<VersionedChannel>,
     peer: u32,
     text: &str,
 ) -> Result<Option<PeerMessage>, SchemaVersionError> {
-    let (now, mut out) = (shared.clock.now(), Vec::new());
-    let before = post.borrow().ladder.form(now);
-    let received = post.borrow_mut().receive(now, peer, text, &mut out);
-    out.iter().for_each(|(peer, text)| shared.post_to(*peer, text));
-    if post.borrow().ladder.form(now) != before {
+    let now = shared.clock.now();
+    let mut out = Vec::new();
+    let version_before = channel.borrow().negotiator.version(now);
+    let received = channel.borrow_mut().receive(now, peer, text, &mut out);
+    send_all(shared, &out);
+    if channel.borrow().negotiator.version(now) != version_before {
         shared.forms.notify_one();
     }
     Ok(received?.text.as_deref().and_then(peers::decode))
 }
 
-/// Asks others what is finalized before anything is served; it fails where this process can't read that.
-pub async fn enquire(shared: &Rc<Shared>) -> io::Result<()> {
-    let (Some(post), Some(socket)) = (&shared.post, shared.peers.get()) else { return Ok(()) };
-    let (local_index, relays) =
-        (shared.config.borrow().settings.local_index, shared.config.borrow().settings.relay_count);
+fn send_all(shared: &Shared, datagrams: &[Datagram]) {
+    datagrams.iter().for_each(|datagram| shared.post_to(datagram.peer, &datagram.text));
+}
+
+/// Asks other relays what is finalized, before anything is served.
+///
+/// # Errors
+/// Where the cluster is finalized at a version that this process does not support.
+pub async fn discover_finalized(shared: &Rc<Shared>) -> io::Result<()> {
+    let (Some(channel), Some(socket)) = (&shared.post, shared.peers.get()) else { return Ok(()) };
+    for wait in DISCOVERY_ROUNDS_MS {
+        request_advertisements(shared, channel);
+        let deadline = Instant::now() + span(wait);
+        receive_until(shared, channel, socket, deadline).await.map_err(refused)?;
+    }
+    Ok(())
+}
+
+fn request_advertisements(shared: &Shared, channel: &RefCell<VersionedChannel>) {
+    let RelayPosition { local_index, relay_count } = relay_position(&shared.config.borrow().settings);
+    let request = channel.borrow().negotiator.advertisement(shared.clock.now()).encode() + "|?";
+    let step = ((relay_count - 1) / MAX_DISCOVERY_PEERS).max(1);
+    for n in 0..MAX_DISCOVERY_PEERS.min(relay_count - 1) {
+        shared.post_to((local_index + 1 + n * step) % relay_count, &request);
+    }
+}
+
+/// Handles relays' datagrams until a deadline; stops at one that says this process is too old.
+async fn receive_until(
+    shared: &Rc<Shared>,
+    channel: &RefCell<VersionedChannel>,
+    socket: &UdpSocket,
+    deadline: Instant,
+) -> Result<(), SchemaVersionError> {
     let mut buffer = [0; peers::BUFFER];
-    for wait in LISTENS {
-        let word = post.borrow().ladder.word(shared.clock.now()).text() + "|?";
-        let step = ((relays - 1) / ASKED).max(1);
-        let asked = (0..ASKED.min(relays - 1)).map(|n| (local_index + 1 + n * step) % relays);
-        asked.for_each(|peer| shared.post_to(peer, &word));
-        let until = Instant::now() + span(wait);
-        while let Ok(received) = timeout_at(until, socket.recv_from(&mut buffer)).await {
-            // An error is of a relay that is not there.
-            let Ok((length, from)) = received else { continue };
-            let peer = shared.config.borrow().peers.iter().position(|a| *a == from);
-            let text = std::str::from_utf8(&buffer[..length]).ok();
-            let Some((peer, text)) = peer.zip(text) else { continue };
-            match receive(shared, post, peer as u32, text) {
-                Ok(Some(message)) => shared.core(|relay, now| relay.told(now, peer as u32, message)),
-                Err(e @ SchemaVersionError::Finalized { .. }) => return Err(refused(e)),
-                _ => {}
-            }
+    while let Ok(received) = timeout_at(deadline, socket.recv_from(&mut buffer)).await {
+        // An error is of an earlier send: its receiver does not listen.
+        let Ok((length, from)) = received else { continue };
+        let peer = shared.config.borrow().peers.iter().position(|address| *address == from);
+        let text = std::str::from_utf8(&buffer[..length]).ok();
+        let Some((peer, text)) = peer.zip(text) else { continue };
+        match receive(shared, channel, peer as u32, text) {
+            Ok(Some(message)) => shared.core(|relay, now| relay.told(now, peer as u32, message)),
+            Err(e @ SchemaVersionError::Finalized { .. }) => return Err(e),
+            _ => {}
         }
     }
     Ok(())
 }
 
-/// Tells words as they are due, and moves the folder with the tier, for as long as the program runs.
-pub async fn tell(shared: Rc<Shared>) {
-    let Some(post) = &shared.post else { return };
-    let mut at = None;
+/// Sends advertisements when they are due and moves the store with the cluster, for as long as the program runs.
+pub async fn run(shared: Rc<Shared>) {
+    let Some(channel) = &shared.post else { return };
+    let mut applied = None;
     loop {
         let now = shared.clock.now();
         let mut out = Vec::new();
         if *shared.gate.borrow() {
-            post.borrow_mut().due(now, &mut out);
+            channel.borrow_mut().poll(now, &mut out);
         }
-        out.iter().for_each(|(peer, text)| shared.post_to(*peer, text));
-        follow(&shared, &mut at, now);
-        let wait = post.borrow().timer(now);
+        send_all(&shared, &out);
+        apply_version(&shared, channel, &mut applied, now);
+        let wait = channel.borrow().next_poll_in_ms(now);
         tokio::select! {
             () = tokio::time::sleep(span(wait)) => {}
             () = shared.forms.notified() => {}
@@ -122,59 +154,99 @@
     }
 }
 
-/// Says what the tier writes now where that is new, and has the folder moved to it.
-fn follow(shared: &Shared, at: &mut Option<(SchemaVersion, SchemaVersion, bool)>, now: Millis) {
-    let Some(post) = &shared.post else { return };
-    let (form, finalized, range, known) = {
-        let ladder = &post.borrow().ladder;
-        // While it only waits for signs of others, the folder stays as it is found.
-        let known = ladder.sign(now).is_some()
-            || ladder.waits(now) <= 0.0
-            || ladder.range().newest() == SchemaVersion::FIRST;
-        (ladder.form(now), ladder.finalized(), ladder.range(), known)
-    };
-    if at.replace((form, finalized, known)) == Some((form, finalized, known)) {
+/// The cluster's version as it was last logged and ordered from the store's writer.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct AppliedVersion {
+    version: SchemaVersion,
+    finalized: SchemaVersion,
+    /// Whether the version is settled; during the quiet period it is provisional.
+    is_settled: bool,
+}
+
+impl AppliedVersion {
+    fn of(negotiator: &VersionNegotiator, now: Millis) -> AppliedVersion {
+        let is_settled = negotiator.oldest_sighting(now).is_some()
+            || negotiator.remaining_quiet_ms(now) <= 0.0
+            || negotiator.supported().newest() == SchemaVersion::FIRST;
+        AppliedVersion { version: negotiator.version(now), finalized: negotiator.finalized(), is_settled }
+    }
+}
+
+/// Logs the cluster's version where it has changed and, once it is settled, has the store's file moved to it.
+fn apply_version(
+    shared: &Shared,
+    channel: &RefCell<VersionedChannel>,
+    applied: &mut Option<AppliedVersion>,
+    now: Millis,
+) {
+    let current = AppliedVersion::of(&channel.borrow().negotiator, now);
+    if applied.replace(current) == Some(current) {
         return;
     }
-    match form == range.newest() {
-        true => info!("forms: the tier writes form {form}; finalized is {finalized}"),
-        false => {
-            info!("forms: the tier writes form {form}, this process reads {range}; finalized is {finalized}")
-        }
+    let AppliedVersion { version, finalized, is_settled } = current;
+    let supported = channel.borrow().negotiator.supported();
+    if version == supported.newest() {
+        info!("forms: the tier writes form {version}; finalized is {finalized}");
+    } else {
+        info!(
+            "forms: the tier writes form {version}, this process reads {supported}; finalized is {finalized}"
+        );
     }
-    if let Some(writer) = shared.keeper.as_ref().filter(|_| known)
-        && !writer.move_to(form.number().into(), finalized.number().into())
+    if let Some(writer) = shared.keeper.as_ref().filter(|_| is_settled)
+        && !writer.move_to(version.number().into(), finalized.number().into())
     {
-        // The queue is full: asked again with the next word.
-        *at = None;
+        // The writer's queue is full: ordered again at the next poll.
+        *applied = None;
     }
 }
 
-/// What the next process is told of the tier's forms.
-pub(super) fn word(shared: &Shared) -> Option<(Millis, String)> {
-    let (now, post) = (shared.clock.now(), shared.post.as_ref()?.borrow());
-    Some((post.ladder.listened(now), post.ladder.word(now).text()))
+/// What the next process of this relay is to know.
+pub(super) struct TakeoverState {
+    /// How long this process has listened for older ones.
+    pub listening_ms: Millis,
+    /// Its encoded advertisement.
+    pub advertisement: String,
+}
+
+/// What to hand to the next process of this relay; `None` where versions are off.
+pub(super) fn takeover_state(shared: &Shared) -> Option<TakeoverState> {
+    let now = shared.clock.now();
+    let channel = shared.post.as_ref()?.borrow();
+    Some(TakeoverState {
+        listening_ms: channel.negotiator.listening_ms(now),
+        advertisement: channel.negotiator.advertisement(now).encode(),
+    })
 }
 
-/// Takes what the process before knew of the tier's forms. It fails where this one can't read what is finalized.
-pub(super) fn resume(shared: &Shared, listened: Millis, word: &str) -> io::Result<()> {
-    let Some(post) = &shared.post else { return Ok(()) };
-    let resumed = VersionAdvertisement::read(word)
-        .and_then(|(word, _)| post.borrow_mut().ladder.resume(shared.clock.now(), listened, &word));
-    resumed.map_err(refused)
+/// Applies what the predecessor process knew.
+///
+/// # Errors
+/// Where its advertisement can't be read, or names a finalized version that this process does not support.
+pub(super) fn resume(shared: &Shared, listening_ms: Millis, advertisement: &str) -> io::Result<()> {
+    let Some(channel) = &shared.post else { return Ok(()) };
+    let head = VersionAdvertisement::decode(advertisement).map_err(refused)?;
+    let now = shared.clock.now();
+    channel.borrow_mut().negotiator.resume(now, listening_ms, &head.advertisement).map_err(refused)
 }
 
-/// What operators are told of forms.
+/// The reply to the operators' call `forms`.
+///
+/// # Errors
+/// [`Refusal::Unknown`] where versions are off.
 pub(super) fn status(shared: &Shared) -> Result<String, Refusal> {
-    let post = shared.post.as_ref().ok_or(Refusal::Unknown)?;
-    Ok(crate::schema_status::status(&post.borrow(), shared.clock.now()))
+    let channel = shared.post.as_ref().ok_or(Refusal::Unknown)?;
+    Ok(crate::schema_status::status(&channel.borrow(), shared.clock.now()))
 }
 
-/// Ends the possibility to go back.
+/// Handles the operators' call `finalize`: ends the possibility to go back.
+///
+/// # Errors
+/// [`Refusal::Unknown`] where versions are off, [`Refusal::SchemaVersion`] while an older process may be alive.
 pub(super) fn finalize(shared: &Shared) -> Result<String, Refusal> {
-    let post = shared.post.as_ref().ok_or(Refusal::Unknown)?;
-    let form = post.borrow_mut().ladder.finalize(shared.clock.now()).map_err(Refusal::SchemaVersion)?;
-    warn!("operators: finalize: nothing is written below form {form} any more");
+    let channel = shared.post.as_ref().ok_or(Refusal::Unknown)?;
+    let finalized = channel.borrow_mut().negotiator.finalize(shared.clock.now());
+    let version = finalized.map_err(Refusal::SchemaVersion)?;
+    warn!("operators: finalize: nothing is written below form {version} any more");
     shared.forms.notify_one();
-    Ok(format!("finalized {form}"))
+    Ok(format!("finalized {version}"))
 }
--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -194,7 +194,7 @@
 
 /// The newest form of messages that this process speaks.
 fn newest(shared: &Shared) -> u32 {
-    shared.post.as_ref().map_or(FORM, |post| post.borrow().ladder.range().newest().number().into())
+    shared.post.as_ref().map_or(FORM, |post| post.borrow().negotiator.supported().newest().number().into())
 }
 
 async fn absorb(
@@ -460,7 +460,8 @@
             }
             ElderStep::Snapshot => {
                 let form = agreed(&message, newest(shared));
-                if let Some((listened, word)) = super::schema_version::word(shared).filter(|_| form > FORM) {
+                if let Some(state) = super::schema_version::takeover_state(shared).filter(|_| form > FORM) {
+                    let (listened, word) = (state.listening_ms, state.advertisement);
                     link.send(&Message::Forms { form, listened, word }, &[]).await?;
                 }
                 snapshot(shared, &mut link).await?;
--- a/src/schema_status.rs
+++ b/src/schema_status.rs
@@ -1,28 +1,33 @@
-//! How a relay names forms of shared state to its operators: texts only, the decisions are in `sandgw-forms`.
+//! Renders the operators' view of schema versions. The decisions are in `sandgw-schema-version`.
 
 use sandgw_schema_version::Millis;
 use sandgw_schema_version::versioned_channel::VersionedChannel;
 
-/// Relays that a line names at the most.
-const NAMED: usize = 8;
+/// Most relays that the line names.
+const MAX_NAMED_RELAYS: usize = 8;
+const MS_PER_S: Millis = 1000.0;
 
-/// What the call `forms` is answered: one line.
-pub fn status(post: &VersionedChannel, now: Millis) -> String {
-    let (ladder, counts) = (&post.ladder, post.counts());
-    let (form, range, finalized) = (ladder.form(now), ladder.range(), ladder.finalized());
-    let mut line = format!("writes form {form}, reads {range}, finalized {finalized}");
-    match ladder.sign(now) {
-        Some((older, ago)) => {
-            line += &format!("; a process that reads up to form {older} was alive {:.0} s ago", ago / 1000.0);
-        }
-        None if form < range.newest() => line += &format!("; goes up in {:.0} s", ladder.waits(now) / 1000.0),
-        None => {}
+/// The reply to the operators' call `forms`: one line.
+pub fn status(channel: &VersionedChannel, now: Millis) -> String {
+    let negotiator = &channel.negotiator;
+    let counters = channel.counters();
+    let (version, supported) = (negotiator.version(now), negotiator.supported());
+    let mut line = format!("writes form {version}, reads {supported}, finalized {}", negotiator.finalized());
+    if let Some(older) = negotiator.oldest_sighting(now) {
+        let age_s = older.age_ms / MS_PER_S;
+        line += &format!("; a process that reads up to form {} was alive {age_s:.0} s ago", older.version);
+    } else if version < supported.newest() {
+        line += &format!("; goes up in {:.0} s", negotiator.remaining_quiet_ms(now) / MS_PER_S);
     }
-    let behind = ladder.behind(now);
-    if !behind.is_empty() {
-        let named: Vec<String> = behind.iter().take(NAMED).map(u32::to_string).collect();
-        let more = if behind.len() > NAMED { " and more" } else { "" };
-        line += &format!("; older are relays {}{more}", named.join(" "));
+    line += &outdated_relays(&negotiator.outdated_peers(now));
+    line + &format!("; unread: {} cut, {} of forms to come", counters.malformed, counters.too_new)
+}
+
+fn outdated_relays(relays: &[u32]) -> String {
+    if relays.is_empty() {
+        return String::new();
     }
-    line + &format!("; unread: {} cut, {} of forms to come", counts.cut, counts.future)
+    let named: Vec<String> = relays.iter().take(MAX_NAMED_RELAYS).map(u32::to_string).collect();
+    let more = if relays.len() > MAX_NAMED_RELAYS { " and more" } else { "" };
+    format!("; older are relays {}{more}", named.join(" "))
 }
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -11,7 +11,7 @@
 use common::*;
 use sandgw::schema_status::status;
 use sandgw_schema_version::version_advertisement::VersionAdvertisement;
-use sandgw_schema_version::version_negotiator::{QUIET, VersionNegotiator};
+use sandgw_schema_version::version_negotiator::{QUIET_PERIOD_MS, RelayPosition, VersionNegotiator};
 use sandgw_schema_version::versioned_channel::VersionedChannel;
 use sandgw_schema_version::{SchemaVersion, SupportedVersions};
 
@@ -239,22 +239,30 @@
 #[test]
 fn a_line_says_what_is_waited_for_and_who_is_older() {
     let range = SupportedVersions::up_to(SchemaVersion::SECOND).unwrap();
-    let mut post =
-        VersionedChannel::new(VersionNegotiator::new(range, SchemaVersion::FIRST, (0, 40), 1, 0.0).unwrap());
+    let mut channel = VersionedChannel::new(
+        VersionNegotiator::new(
+            range,
+            SchemaVersion::FIRST,
+            RelayPosition { local_index: 0, relay_count: 40 },
+            1,
+            0.0,
+        )
+        .unwrap(),
+    );
     let counts = "; unread: 0 cut, 0 of forms to come";
     assert_eq!(
-        status(&post, 4000.0),
+        status(&channel, 4000.0),
         format!("writes form 1, reads 1 to 2, finalized 1; goes up in 16 s{counts}")
     );
-    let now = 2.0 * QUIET;
-    assert_eq!(status(&post, now), format!("writes form 2, reads 1 to 2, finalized 1{counts}"));
-    let word = VersionAdvertisement {
-        range: SupportedVersions::SILENT,
+    let now = 2.0 * QUIET_PERIOD_MS;
+    assert_eq!(status(&channel, now), format!("writes form 2, reads 1 to 2, finalized 1{counts}"));
+    let advertisement = VersionAdvertisement {
+        supported: SupportedVersions::UNADVERTISED,
         finalized: SchemaVersion::FIRST,
         older: Vec::new(),
     };
-    (1..12).for_each(|peer| post.ladder.told(now, peer, &word).unwrap());
-    let line = status(&post, now + 3000.0);
+    (1..12).for_each(|peer| channel.negotiator.handle_advertisement(now, peer, &advertisement).unwrap());
+    let line = status(&channel, now + 3000.0);
     assert!(
         line.contains("up to form 1 was alive 3 s ago; older are relays 1 2 3 4 5 6 7 8 and more"),
         "{line}"
