--- a/crates/quota/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -1,160 +1,183 @@
-//! Who is refused where places are short: connections of members that are over their share, the newest ones, which are
-//! those that come.
+//! Decides which new connections are rejected where capacity is scarce: those of tenants over their quota.
 //!
-//! It is fed signs of shortage and a member's use as the ledger knows it; it gives a verdict on one connection that comes.
-//! Connections that stand are never touched. Where places are not short everybody is within. A member beyond its rate is
-//! admitted at its rate; one beyond its connections once it has fewer. Where more come than are left of its
-//! share, before the relays know of each other's, each is admitted by chance: else a burst that comes to all of them
-//! would be admitted as often as there are relays.
+//! Inputs: scarcity signals, endpoints' replies, and the tenant's usage for each new connection. Output: a verdict on
+//! that connection. Established connections are never touched, and while capacity is not scarce all are admitted.
+//!
+//! A tenant over its rate is admitted at that rate; one over its connection limit, once it has fewer. A burst reaches
+//! all relays before they know of each other's part of it, so each would admit the whole remainder of the quota:
+//! therefore connections of a burst that exceeds the remainder are admitted at random.
 
+use sandgw_units::Millis;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::Millis;
-use crate::rate::Rate;
-use crate::usage_table::View;
-
-/// Places count as short for so long after the last sign of it: signs come and go with every connection.
-const HOLD: Millis = 5000.0;
-/// Above this share of attempts that endpoints turn away they are at their bound.
-const TURNED_AWAY: f64 = 0.5;
-/// What a member may save up of its rate, as a span of it, and in connections at the least.
-const SAVED: Millis = 2000.0;
-const LEAST_SAVED: f64 = 1.0;
-
-/// Signs that places are short, as they show at this relay.
+use crate::rate::sampling_error;
+use crate::usage_view::UsageView;
+
+/// Capacity counts as scarce for this time after the last signal: signals come and go with each connection.
+const SCARCITY_HOLD_MS: Millis = 5000.0;
+/// Above this ratio of rejected attempts endpoints are saturated.
+const SATURATED_REJECT_RATIO: f64 = 0.5;
+/// Each attempt moves the reject ratio by one part in so many toward its own outcome.
+const REJECT_RATIO_SMOOTHING: f64 = 4.0;
+/// Burst that a tenant's rate limiter allows, as a span of its rate.
+const RATE_BURST_MS: Millis = 2000.0;
+/// Least burst that a tenant's rate limiter allows, in connections.
+const MIN_RATE_BURST: f64 = 1.0;
+const MS_PER_S: Millis = 1000.0;
+
+/// Signals at this relay that capacity is scarce.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ScarcitySignals {
-    /// The pace window is cut: connections wait for their turn.
+    /// The concurrency window is reduced, or connections are queued for it.
     pub window: bool,
-    /// Endpoints are at their bound.
+    /// Endpoints are at their limit.
     pub endpoints: bool,
-    /// Descriptors are nearly used up.
+    /// File descriptors are nearly used up.
     pub descriptors: bool,
 }
 
-/// What becomes of a connection.
+/// The decision on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes the ordinary way.
-    Within,
-    /// It is refused: places are short and its member is over its share.
-    Over,
+    /// Its tenant is within its quota, or capacity is not scarce.
+    Admit,
+    /// Capacity is scarce and its tenant is over its quota.
+    Reject,
 }
 
-/// What is saved up of a member's rate, and whether it was beyond it when last seen.
+/// A tenant's rate limiter (token bucket) and the count of its current burst.
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
-    saved: f64,
-    at: Millis,
-    beyond: bool,
-    /// Connections that came within the time that others take to know of them, and since when.
-    came: u32,
-    since: Millis,
+struct TenantLimiter {
+    tokens: f64,
+    refilled_at: Millis,
+    /// Whether the tenant was over its rate at its last connection.
+    is_over_rate: bool,
+    /// Connections since `burst_since`, within the time that the other relays take to know of them.
+    burst: u32,
+    burst_since: Millis,
 }
 
-/// The policy; see the load balancer's text.
+/// The admission policy; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct QuotaPolicy {
-    short_at: Millis,
-    turned_away: f64,
-    buckets: Vec<Bucket>,
-    refusals: u64,
-    drawn: u64,
+    scarce_at: Millis,
+    /// Moving average of attempts that endpoints reject.
+    reject_ratio: f64,
+    limiters: Vec<TenantLimiter>,
+    rejections: u64,
+    random_state: u64,
 }
 
 impl QuotaPolicy {
-    /// For so many members, with no sign of shortage. The seed is the relay's own.
-    pub fn new(members: usize, now: Millis, seed: u64) -> Self {
-        let bucket = Bucket { saved: LEAST_SAVED, at: now, beyond: false, came: 0, since: now };
+    /// A policy for so many tenants. The seed should differ from relay to relay.
+    pub fn new(tenant_count: usize, now: Millis, seed: u64) -> Self {
+        let limiter = TenantLimiter {
+            tokens: MIN_RATE_BURST,
+            refilled_at: now,
+            is_over_rate: false,
+            burst: 0,
+            burst_since: now,
+        };
         QuotaPolicy {
-            short_at: f64::NEG_INFINITY,
-            turned_away: 0.0,
-            buckets: vec![bucket; members],
-            refusals: 0,
-            drawn: seed,
+            scarce_at: f64::NEG_INFINITY,
+            reject_ratio: 0.0,
+            limiters: vec![limiter; tenant_count],
+            rejections: 0,
+            random_state: seed,
         }
     }
 
-    /// Takes signs of shortage.
-    pub fn look(&mut self, now: Millis, signs: ScarcitySignals) {
-        if signs != ScarcitySignals::default() {
-            self.short_at = now;
+    /// Applies scarcity signals.
+    pub fn observe_signals(&mut self, now: Millis, signals: ScarcitySignals) {
+        if signals != ScarcitySignals::default() {
+            self.record_scarcity(now);
         }
     }
 
-    /// A connection was refused for want of a place.
-    pub fn refused(&mut self, now: Millis) {
-        self.short_at = now;
+    /// Capacity is scarce now: for example, a connection was rejected for lack of it.
+    pub fn record_scarcity(&mut self, now: Millis) {
+        self.scarce_at = now;
     }
 
-    /// An endpoint has taken a connection.
-    pub fn placed(&mut self) {
-        self.turned_away -= self.turned_away / 4.0;
+    /// An endpoint has accepted a connection.
+    pub fn record_endpoint_accept(&mut self) {
+        self.reject_ratio -= self.reject_ratio / REJECT_RATIO_SMOOTHING;
     }
 
-    /// An endpoint has turned a connection away: where most do, they are at their bound.
-    pub fn turned_away(&mut self, now: Millis) {
-        self.turned_away += (1.0 - self.turned_away) / 4.0;
-        if self.turned_away > TURNED_AWAY {
-            self.short_at = now;
+    /// An endpoint has rejected a connection: where most do, capacity is scarce.
+    pub fn record_endpoint_reject(&mut self, now: Millis) {
+        self.reject_ratio += (1.0 - self.reject_ratio) / REJECT_RATIO_SMOOTHING;
+        if self.reject_ratio > SATURATED_REJECT_RATIO {
+            self.record_scarcity(now);
         }
     }
 
-    /// Whether places are short.
-    pub fn is_short(&self, now: Millis) -> bool {
-        now - self.short_at < HOLD
+    /// Whether capacity is scarce.
+    pub fn is_scarce(&self, now: Millis) -> bool {
+        now - self.scarce_at < SCARCITY_HOLD_MS
     }
 
-    /// Connections refused so far.
-    pub fn refusals(&self) -> u64 {
-        self.refusals
+    /// Connections rejected so far.
+    pub fn rejections(&self) -> u64 {
+        self.rejections
     }
 
-    /// What becomes of a connection of the member at this position, which uses so much.
-    pub fn ask(&mut self, now: Millis, at: usize, view: &View) -> Verdict {
-        // Kept up in calm times too: who was within has saved something when places get short.
-        let within_rate = self.within_rate(now, at, view);
-        let within = within_rate && self.within_left(now, at, view);
-        if within || !self.is_short(now) {
-            self.spend(at);
-            return Verdict::Within;
+    /// Decides about a connection of the tenant at this index, given its usage.
+    pub fn decide(&mut self, now: Millis, index: usize, view: &UsageView) -> Verdict {
+        // Updated without scarcity too: a tenant within its rate then has its burst when scarcity begins.
+        let is_within_rate = self.is_within_rate(now, index, view);
+        let is_within_quota = is_within_rate && self.is_within_connections(now, index, view);
+        if is_within_quota || !self.is_scarce(now) {
+            self.take_token(index);
+            return Verdict::Admit;
         }
-        self.refusals += 1;
-        Verdict::Over
+        self.rejections += 1;
+        Verdict::Reject
     }
 
-    /// Whether the member's rate bears one more here. It is beyond from above its share and what chance may add to
-    /// it, until it is within its share again; then it has its part of the share by where its connections come.
-    fn within_rate(&mut self, now: Millis, at: usize, view: &View) -> bool {
-        let (Some(bucket), Some(share)) = (self.buckets.get_mut(at), view.per_s_limit) else { return true };
-        let edge = if bucket.beyond { share } else { share + Rate::chance(share) };
-        bucket.beyond = view.per_s > edge;
-        let part = share * (view.own_per_s / view.per_s.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0);
-        let most = (part * SAVED / 1000.0).max(LEAST_SAVED);
-        bucket.saved = (bucket.saved + part * (now - bucket.at).max(0.0) / 1000.0).min(most);
-        bucket.at = now;
-        !bucket.beyond || bucket.saved >= 1.0
+    /// Whether the tenant's rate allows one more connection at this relay. The tenant is over its rate from the limit
+    /// plus the sampling error until it is below the limit; meanwhile this relay allows a part of the limit in
+    /// proportion to the arrivals that reach it.
+    fn is_within_rate(&mut self, now: Millis, index: usize, view: &UsageView) -> bool {
+        let Some(limiter) = self.limiters.get_mut(index) else { return true };
+        let Some(limit) = view.per_s_limit else { return true };
+        let threshold = if limiter.is_over_rate { limit } else { limit + sampling_error(limit) };
+        limiter.is_over_rate = view.per_s > threshold;
+        let local_limit = limit * (view.local_per_s / view.per_s.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0);
+        let max_tokens = (local_limit * RATE_BURST_MS / MS_PER_S).max(MIN_RATE_BURST);
+        let refill = local_limit * (now - limiter.refilled_at).max(0.0) / MS_PER_S;
+        limiter.tokens = (limiter.tokens + refill).min(max_tokens);
+        limiter.refilled_at = now;
+        !limiter.is_over_rate || limiter.tokens >= 1.0
     }
 
-    /// Whether one more is to be had of what is left of the member's share, in a burst of which the other relays don't
-    /// know yet: where more come than are left, each is admitted by chance.
-    fn within_left(&mut self, now: Millis, at: usize, view: &View) -> bool {
-        let Some(bucket) = self.buckets.get_mut(at).filter(|_| view.limit.is_finite()) else { return true };
-        if now - bucket.since >= view.lag {
-            (bucket.since, bucket.came) = (now, 0);
+    /// Whether the remainder of the tenant's connection limit allows one more, by chance where a burst exceeds it.
+    fn is_within_connections(&mut self, now: Millis, index: usize, view: &UsageView) -> bool {
+        let Some(limiter) = self.limiters.get_mut(index) else { return true };
+        if !view.limit.is_finite() {
+            return true;
         }
-        // What comes steadily is expected anyhow. More than two at once are of a burst, of which the others have as much
-        // and nobody has told yet.
-        let burst = f64::from(bucket.came.saturating_sub(1)) * view.relays;
-        bucket.came = bucket.came.saturating_add(1);
-        self.drawn = xxh3_64_with_seed(&now.to_bits().to_le_bytes(), self.drawn);
-        let drawn = (self.drawn >> 11) as f64 / (1u64 << 53) as f64;
-        drawn * burst < view.limit - view.expected
+        if now - limiter.burst_since >= view.propagation_ms {
+            limiter.burst_since = now;
+            limiter.burst = 0;
+        }
+        // Steady arrivals are in the view's expectation. More than two at once are a burst: the other relays are taken
+        // to have as many each, of which none has reported yet.
+        let burst = f64::from(limiter.burst.saturating_sub(1)) * view.relay_count;
+        limiter.burst = limiter.burst.saturating_add(1);
+        self.random_fraction(now) * burst < view.limit - view.expected
+    }
+
+    /// A pseudo-random number from 0 to 1, without 1.
+    fn random_fraction(&mut self, now: Millis) -> f64 {
+        const MANTISSA_BITS: u32 = 53;
+        self.random_state = xxh3_64_with_seed(&now.to_bits().to_le_bytes(), self.random_state);
+        (self.random_state >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
     }
 
-    fn spend(&mut self, at: usize) {
-        if let Some(bucket) = self.buckets.get_mut(at) {
-            bucket.saved = (bucket.saved - 1.0).max(0.0);
+    fn take_token(&mut self, index: usize) {
+        if let Some(limiter) = self.limiters.get_mut(index) {
+            limiter.tokens = (limiter.tokens - 1.0).max(0.0);
         }
     }
 }
--- a/crates/quota/src/rate.rs
+++ b/crates/quota/src/rate.rs
@@ -1,40 +1,45 @@
-//! Arrivals a second over a decayed window: each counts for less the longer it is ago.
+//! Arrivals a second over an exponentially decaying window.
 
-use crate::Millis;
+use sandgw_units::Millis;
 
-/// After this long an arrival counts for a third of what it did.
-pub const WINDOW: Millis = 10_000.0;
+/// Time constant of the decay: after it an arrival weighs 1/e of what it did.
+pub const DECAY_TIME_MS: Millis = 10_000.0;
+const MS_PER_S: Millis = 1000.0;
+/// Standard deviations of the sampling error that are allowed for: 19 of 20 cases.
+const SAMPLING_ERROR_SIGMAS: f64 = 2.0;
 
-/// A rate.
+/// A rate of arrivals.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rate {
-    sum: f64,
-    at: Millis,
+pub struct ArrivalRate {
+    /// Arrivals, each weighted by its age at `updated_at`.
+    weight: f64,
+    updated_at: Millis,
 }
 
-impl Rate {
-    /// Something has arrived.
-    pub fn add(&mut self, now: Millis) {
-        (self.sum, self.at) = (self.left(now) + 1.0, now);
+impl ArrivalRate {
+    /// Records an arrival.
+    pub fn record(&mut self, now: Millis) {
+        self.weight = self.decayed_weight(now) + 1.0;
+        self.updated_at = now;
     }
 
     /// Arrivals a second.
     ///
     /// ```
-    /// let mut rate = sandgw_quota::rate::Rate::default();
-    /// (0..600).for_each(|i| rate.add(f64::from(i) * 100.0));
+    /// let mut rate = sandgw_quota::rate::ArrivalRate::default();
+    /// (0..600).for_each(|i| rate.record(f64::from(i) * 100.0));
     /// assert!((rate.per_s(60_000.0) - 10.0).abs() < 0.2);
     /// ```
     pub fn per_s(&self, now: Millis) -> f64 {
-        self.left(now) / WINDOW * 1000.0
+        self.decayed_weight(now) / DECAY_TIME_MS * MS_PER_S
     }
 
-    fn left(&self, now: Millis) -> f64 {
-        self.sum * (-(now - self.at).max(0.0) / WINDOW).exp()
+    fn decayed_weight(&self, now: Millis) -> f64 {
+        self.weight * (-(now - self.updated_at).max(0.0) / DECAY_TIME_MS).exp()
     }
+}
 
-    /// How far a true rate may be missed by chance, in 19 of 20 cases.
-    pub fn chance(per_s: f64) -> f64 {
-        2.0 * (per_s.max(0.0) / (2.0 * WINDOW / 1000.0)).sqrt()
-    }
+/// How far a measured rate may be off its true value by chance.
+pub fn sampling_error(per_s: f64) -> f64 {
+    SAMPLING_ERROR_SIGMAS * (per_s.max(0.0) / (2.0 * DECAY_TIME_MS / MS_PER_S)).sqrt()
 }
--- a/crates/quota/src/tenants.rs
+++ b/crates/quota/src/tenants.rs
@@ -1,7 +1,7 @@
-//! Members and their shares, as the settings name them.
+//! Tenants and their quotas, as the settings name them.
 //!
-//! Owns their order and their tags: two bytes by which relays name them to each other. Relays with the same names
-//! give the same tags, in whatever order their files have them.
+//! [`Tenants`] owns their order and their tags: two bytes by which relays name them to each other. Relays with the same
+//! names compute the same tags, whatever the order in their settings.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,113 +9,127 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Most members: with more, a datagram a second would take too long to name them all.
-pub const MOST: usize = 200;
+/// Most tenants: with more, a datagram a second would take too long to report on all of them.
+pub const MAX_TENANTS: usize = 200;
 
-/// A member's short name between relays.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Tag(pub [u8; 2]);
+/// A tenant's short name between relays.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct TenantTag(pub [u8; 2]);
 
-/// A member and its share of the whole tier.
+/// A tenant and its quota of the whole cluster.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Open connections over all relays that are within its share; no limit without it.
+    /// Open connections over all relays that are within its quota; `None` for no limit.
     pub connections: Option<f64>,
-    /// Arrivals a second over all relays that are within its share; no limit without it.
+    /// Arrivals a second over all relays that are within its quota; `None` for no limit.
     pub per_s: Option<f64>,
 }
 
-/// What is wrong with the members of the settings.
+/// What is wrong with the tenants of the settings.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TenantsError {
     /// Two have the same name.
     #[error("member {0:?} is named twice")]
-    Twice(String),
-    /// There are more than [`MOST`].
-    #[error("{0} members are named, and shares are counted for {MOST} at the most")]
+    DuplicateName(String),
+    /// There are more than [`MAX_TENANTS`].
+    #[error("{0} members are named, and shares are counted for {MAX_TENANTS} at the most")]
     TooMany(usize),
-    /// One has no name.
+    /// The one at this index has no name.
     #[error("member {0} has no name")]
-    Nameless(usize),
+    MissingName(usize),
 }
 
 impl TenantsError {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            TenantsError::Twice(_) => "give each member one entry under realms, with all of its share",
+            TenantsError::DuplicateName(_) => {
+                "give each member one entry under realms, with all of its share"
+            }
             TenantsError::TooMany(_) => "leave [shares] out, or name small members' shares as one member's",
-            TenantsError::Nameless(_) => "give the entry a name, as clients state it in their first line",
+            TenantsError::MissingName(_) => "give the entry a name, as clients state it in their first line",
         }
     }
 }
 
-/// The members of a tier.
+#[derive(Clone, Debug, PartialEq)]
+struct TaggedTenant {
+    tenant: Tenant,
+    tag: TenantTag,
+}
+
+/// The tenants of a cluster, in the order of the settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenants {
-    /// By position, each with its tag.
-    all: Vec<(Tenant, Tag)>,
-    names: BTreeMap<String, usize>,
+    tenants: Vec<TaggedTenant>,
+    index_by_name: BTreeMap<String, usize>,
 }
 
 impl Tenants {
-    /// Gives the members their tags.
+    /// Checks the tenants and gives them their tags.
     ///
     /// # Errors
-    /// Where a name is missing or stands twice, or there are too many.
-    pub fn new(members: Vec<Tenant>) -> Result<Self, TenantsError> {
-        if members.len() > MOST {
-            return Err(TenantsError::TooMany(members.len()));
+    /// Where a name is missing or duplicate, or there are too many.
+    pub fn new(tenants: Vec<Tenant>) -> Result<Self, TenantsError> {
+        if tenants.len() > MAX_TENANTS {
+            return Err(TenantsError::TooMany(tenants.len()));
         }
-        let mut names = BTreeMap::new();
-        for (i, member) in members.iter().enumerate() {
-            if member.name.is_empty() {
-                return Err(TenantsError::Nameless(i));
+        let mut index_by_name = BTreeMap::new();
+        for (index, tenant) in tenants.iter().enumerate() {
+            if tenant.name.is_empty() {
+                return Err(TenantsError::MissingName(index));
             }
-            if names.insert(member.name.clone(), i).is_some() {
-                return Err(TenantsError::Twice(member.name.clone()));
+            if index_by_name.insert(tenant.name.clone(), index).is_some() {
+                return Err(TenantsError::DuplicateName(tenant.name.clone()));
             }
         }
-        // In order of their names, so that two with the same hash find the same ways out of it at every relay.
-        let mut taken = BTreeSet::new();
-        let mut tags = vec![Tag([0; 2]); members.len()];
-        for (name, at) in &names {
-            let free = (0..).map(|salt| tag(name, salt)).find(|tag| !taken.contains(tag));
-            tags[*at] = free.unwrap_or(Tag([0; 2]));
-            taken.insert(tags[*at]);
-        }
-        Ok(Tenants { all: members.into_iter().zip(tags).collect(), names })
+        let tags = unique_tags(&index_by_name);
+        let tagged = tenants.into_iter().zip(tags);
+        let tenants = tagged.map(|(tenant, tag)| TaggedTenant { tenant, tag }).collect();
+        Ok(Tenants { tenants, index_by_name })
     }
 
-    /// How many there are.
+    /// The number of tenants.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.tenants.len()
     }
 
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.tenants.is_empty()
     }
 
-    /// The position of a member.
-    pub fn position(&self, name: &str) -> Option<usize> {
-        self.names.get(name).copied()
+    /// The index of a tenant.
+    pub fn index_of(&self, name: &str) -> Option<usize> {
+        self.index_by_name.get(name).copied()
     }
 
-    /// A member by its position.
-    pub fn get(&self, at: usize) -> Option<&Tenant> {
-        self.all.get(at).map(|(member, _)| member)
+    /// A tenant by its index.
+    pub fn get(&self, index: usize) -> Option<&Tenant> {
+        self.tenants.get(index).map(|tagged| &tagged.tenant)
     }
 
-    /// Tags by position.
-    pub fn tags(&self) -> impl Iterator<Item = Tag> {
-        self.all.iter().map(|(_, tag)| *tag)
+    /// Tags by index.
+    pub fn tags(&self) -> impl Iterator<Item = TenantTag> {
+        self.tenants.iter().map(|tagged| tagged.tag)
+    }
+}
+
+/// Tags by index. Names are taken in alphabetical order, so that all relays resolve a collision alike.
+fn unique_tags(index_by_name: &BTreeMap<String, usize>) -> Vec<TenantTag> {
+    let mut taken = BTreeSet::new();
+    let mut tags = vec![TenantTag::default(); index_by_name.len()];
+    for (name, index) in index_by_name {
+        let free = (0..).map(|salt| hash_tag(name, salt)).find(|tag| !taken.contains(tag));
+        tags[*index] = free.unwrap_or_default();
+        taken.insert(tags[*index]);
     }
+    tags
 }
 
-fn tag(name: &str, salt: u64) -> Tag {
-    let [a, b, ..] = xxh3_64_with_seed(name.as_bytes(), salt).to_le_bytes();
-    Tag([a, b])
+fn hash_tag(name: &str, salt: u64) -> TenantTag {
+    let [low, high, ..] = xxh3_64_with_seed(name.as_bytes(), salt).to_le_bytes();
+    TenantTag([low, high])
 }
--- a/crates/quota/src/usage_gossip.rs
+++ b/crates/quota/src/usage_gossip.rs
@@ -1,84 +1,102 @@
-//! What relays tell each other of members' use: one datagram each, of at most 256 bytes of plain text.
+//! What relays report to each other of tenants' usage: one datagram each, of at most 256 bytes of plain text.
 //!
-//! It is postcard in base64 behind a letter of its own, which relays that do not count shares pass over as they do
-//! any kind that they do not know. What is malformed or too long reads as nothing.
+//! A report is postcard in base64 behind a prefix of its own, which relays that do not count usage ignore as they do any
+//! kind that they do not know. What is malformed or too long is no report.
 
 use serde::{Deserialize, Serialize};
 
-use crate::tenants::Tag;
+use crate::tenants::TenantTag;
 
-/// First letter of the text.
+/// First character of an encoded report.
 pub const KIND: char = 'm';
-pub use sandgw_datagram::MAX_BYTES as MOST_BYTES;
-/// Most rows in one: each takes 8 bytes at the most, and what stands before them 16.
-pub const ROWS: usize = 20;
-/// The largest figure of a row: what three bytes hold.
-const MOST: u32 = (1 << 21) - 1;
+/// Most rows of a report: each takes 8 bytes at most, and what precedes them 16.
+pub const MAX_ROWS: usize = 20;
+/// The greatest value in a row: what a varint of three bytes holds.
+const MAX_ROW_VALUE: u32 = (1 << 21) - 1;
+/// Arrivals are encoded in tenths a second.
+const ARRIVAL_UNITS: f64 = 10.0;
 
-/// One member's use, of one relay or of many.
+/// A tenant's usage.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Usage {
+    /// Open connections.
+    pub connections: f64,
+    /// Arrivals a second.
+    pub per_s: f64,
+}
+
+/// A tenant's usage as it is encoded: of one relay or of many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
-    /// The member.
-    pub member: Tag,
+pub struct UsageRow {
+    /// The tenant.
+    pub tenant: TenantTag,
     /// Its open connections.
-    pub open: u32,
+    pub connections: u32,
     /// Its arrivals, in tenths a second.
-    pub tenths: u32,
+    pub arrivals_tenths_per_s: u32,
 }
 
-impl Row {
-    /// A row, cut to what it can hold.
-    pub fn new(member: Tag, open: f64, per_s: f64) -> Row {
-        let cut = |n: f64| (n.round().max(0.0) as u32).min(MOST);
-        Row { member, open: cut(open), tenths: cut(per_s * 10.0) }
+impl UsageRow {
+    /// A row, with values rounded and limited to what it can hold.
+    pub fn new(tenant: TenantTag, usage: Usage) -> UsageRow {
+        let limited = |value: f64| (value.round().max(0.0) as u32).min(MAX_ROW_VALUE);
+        UsageRow {
+            tenant,
+            connections: limited(usage.connections),
+            arrivals_tenths_per_s: limited(usage.per_s * ARRIVAL_UNITS),
+        }
     }
 
-    /// Arrivals a second.
-    pub fn per_s(&self) -> f64 {
-        f64::from(self.tenths) / 10.0
+    /// The usage.
+    pub fn usage(&self) -> Usage {
+        Usage {
+            connections: f64::from(self.connections),
+            per_s: f64::from(self.arrivals_tenths_per_s) / ARRIVAL_UNITS,
+        }
     }
 }
 
-/// A datagram. `life` grows with every start of its teller, `number` with every datagram of that life.
+/// A report. `incarnation` grows with each start of its sender, `sequence` with each report of that incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UsageReport {
-    /// What the teller has itself.
-    Own {
-        /// The teller's life.
-        life: u64,
-        /// The datagram's number.
-        number: u32,
-        /// Members: those that are not named have what was told last of them.
-        rows: Vec<Row>,
+    /// The sender's own usage.
+    Local {
+        /// The sender's incarnation.
+        incarnation: u64,
+        /// The report's number.
+        sequence: u32,
+        /// Usage by tenant; tenants without a row keep what was last reported.
+        rows: Vec<UsageRow>,
     },
-    /// What all others have but the one that is told, as far as the teller has heard.
-    Others {
-        /// The teller's life.
-        life: u64,
-        /// The datagram's number.
-        number: u32,
-        /// Relays that it rests on, the teller among them.
-        heard: u16,
-        /// Sums by member.
-        rows: Vec<Row>,
+    /// The usage of all relays but the receiver, as far as the sender knows.
+    Aggregate {
+        /// The sender's incarnation.
+        incarnation: u64,
+        /// The report's number.
+        sequence: u32,
+        /// Number of relays whose usage is included, the sender among them.
+        reporters: u16,
+        /// Sums by tenant.
+        rows: Vec<UsageRow>,
     },
 }
 
 impl UsageReport {
-    /// As text; nothing where it would be too long, which none with at most [`ROWS`] rows is.
+    /// The report as text; `None` where it would be too long, which none with at most [`MAX_ROWS`] rows is.
     ///
     /// ```
-    /// use sandgw_quota::{tenants::Tag, usage_gossip::{Row, UsageReport}};
-    /// let rows = vec![Row::new(Tag([1, 2]), 3.0, 0.5)];
-    /// let told = UsageReport::Own { life: 17, number: 1, rows };
-    /// assert_eq!(UsageReport::read(&told.text().unwrap()), Some(told));
+    /// use sandgw_quota::tenants::TenantTag;
+    /// use sandgw_quota::usage_gossip::{Usage, UsageReport, UsageRow};
+    /// let rows = vec![UsageRow::new(TenantTag([1, 2]), Usage { connections: 3.0, per_s: 0.5 })];
+    /// let report = UsageReport::Local { incarnation: 17, sequence: 1, rows };
+    /// assert_eq!(UsageReport::decode(&report.encode().unwrap()), Some(report));
     /// ```
-    pub fn text(&self) -> Option<String> {
+    pub fn encode(&self) -> Option<String> {
         sandgw_datagram::binary::encode(KIND, self)
     }
 
-    /// Reads a text; nothing of what is none.
-    pub fn read(text: &str) -> Option<UsageReport> {
+    /// Reads a report; `None` of what is none.
+    pub fn decode(text: &str) -> Option<UsageReport> {
         sandgw_datagram::binary::decode(KIND, text)
     }
 }
--- /dev/null
+++ b/crates/quota/src/usage_view.rs
@@ -0,0 +1,123 @@
+//! Estimates a tenant's usage of the whole cluster, with bounds, from local counts and what other relays report.
+//!
+//! Pure arithmetic: it owns no state and reads no clock.
+
+use sandgw_units::Millis;
+
+use crate::cluster_position::ClusterPosition;
+use crate::report_schedule::{COLLECTOR_INTERVAL_MS, FULL_MESH_INTERVAL_MS};
+use crate::tenants::Tenant;
+use crate::usage_gossip::Usage;
+
+const MS_PER_S: Millis = 1000.0;
+/// A part of the cluster over this fraction has the whole quota: two parts of a partition can't both be that large.
+const MAJORITY: f64 = 0.5;
+/// Least connection limit of a relay, however little it knows of the others.
+const MIN_LIMIT: f64 = 1.0;
+/// Standard deviations allowed for in changes since the others reported.
+const CHANGE_SIGMAS: f64 = 2.0;
+/// Standard deviations allowed for in the usage of relays that have not reported.
+const UNREPORTED_SIGMAS: f64 = 3.0;
+/// In collector mode a connection is known to all relays after so many report intervals in the mean.
+const COLLECTOR_PROPAGATION_INTERVALS: f64 = 1.5;
+
+/// What a tenant uses, as far as this relay knows.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct UsageView {
+    /// Open connections of this relay, pending ones included.
+    pub local: f64,
+    /// Open connections of the cluster: local ones, and others as reported.
+    pub connections: f64,
+    /// The same with the expected growth since the others reported; it is compared to the limit.
+    pub expected: f64,
+    /// Lower bound of the true number of connections.
+    pub min: f64,
+    /// Upper bound of the true number of connections.
+    pub max: f64,
+    /// Connection limit for the part of the cluster that reports; infinite where there is none.
+    pub limit: f64,
+    /// Arrivals a second at this relay.
+    pub local_per_s: f64,
+    /// Arrivals a second at the cluster.
+    pub per_s: f64,
+    /// Limit of arrivals a second for the part of the cluster that reports.
+    pub per_s_limit: Option<f64>,
+    /// Number of other relays that are included.
+    pub reporters: f64,
+    /// Number of relays of the cluster.
+    pub relay_count: f64,
+    /// Time until all other relays know of a new connection here.
+    pub propagation_ms: Millis,
+}
+
+/// What the other relays use together.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) struct RemoteUsage {
+    pub usage: Usage,
+    /// How old it is in the mean.
+    pub age_ms: Millis,
+    /// Number of relays that it includes.
+    pub reporters: f64,
+}
+
+impl UsageView {
+    /// The estimate for one tenant; without a tenant there are no limits.
+    pub(crate) fn estimate(
+        local: Usage,
+        remote: RemoteUsage,
+        tenant: Option<&Tenant>,
+        position: ClusterPosition,
+    ) -> UsageView {
+        let RemoteUsage { usage: others, age_ms, reporters } = remote;
+        let relay_count = f64::from(position.relay_count.max(1));
+        let per_s_limit = tenant.and_then(|tenant| tenant.per_s);
+        let limit = tenant.and_then(|tenant| tenant.connections).unwrap_or(f64::INFINITY);
+        let fraction = quota_fraction(reporters, relay_count);
+        let connections = local.connections + others.connections;
+        let growth = others.per_s.min(per_s_limit.unwrap_or(f64::INFINITY)) * age_ms / MS_PER_S;
+        let change = max_change(others.per_s, age_ms);
+        UsageView {
+            local: local.connections,
+            connections,
+            expected: connections + growth,
+            min: local.connections + (others.connections - change).max(0.0),
+            max: connections + change + max_unreported(connections, reporters, relay_count, limit),
+            limit: (limit * fraction).max(MIN_LIMIT),
+            local_per_s: local.per_s,
+            per_s: local.per_s + others.per_s,
+            per_s_limit: per_s_limit.map(|limit| limit * fraction),
+            reporters,
+            relay_count,
+            propagation_ms: propagation_ms(position),
+        }
+    }
+}
+
+/// The fraction of a quota that this relay and those it has reports of may use together.
+fn quota_fraction(reporters: f64, relay_count: f64) -> f64 {
+    let fraction = (reporters + 1.0) / relay_count;
+    if fraction > MAJORITY { 1.0 } else { fraction }
+}
+
+/// How much the others' connections may have changed since. Sums were reported one interval earlier still.
+fn max_change(per_s: f64, age_ms: Millis) -> f64 {
+    let change = per_s * (age_ms + COLLECTOR_INTERVAL_MS) / MS_PER_S;
+    change + CHANGE_SIGMAS * change.sqrt()
+}
+
+/// Connections that relays without a report may have: each the mean of the others or its part of the limit.
+fn max_unreported(connections: f64, reporters: f64, relay_count: f64, limit: f64) -> f64 {
+    let mean = connections / (reporters + 1.0);
+    let limit_per_relay = if limit.is_finite() { limit / relay_count } else { 0.0 };
+    let unreported = (relay_count - 1.0 - reporters).max(0.0) * mean.max(limit_per_relay);
+    let variance = unreported * (1.0 + unreported / (connections + 1.0));
+    unreported + UNREPORTED_SIGMAS * variance.sqrt()
+}
+
+fn propagation_ms(position: ClusterPosition) -> Millis {
+    if position.is_full_mesh() {
+        FULL_MESH_INTERVAL_MS
+    } else {
+        COLLECTOR_PROPAGATION_INTERVALS * COLLECTOR_INTERVAL_MS
+    }
+}
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -1,97 +1,103 @@
-//! A tier in memory: relays with their ledgers, datagrams that are late, lost, doubled and cut off, and clients that
-//! come, leave and return at another relay when theirs is killed. Virtual time; all is drawn from a seed.
+//! A cluster in memory: relays with their usage tables, datagrams that are delayed, lost, duplicated and partitioned, and
+//! clients that arrive, leave and return at another relay when theirs is killed. Virtual time, seeded random numbers.
 
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
-use sandgw_quota::QuotaManager;
+use sandgw_datagram::MAX_BYTES;
 use sandgw_quota::policy::{ScarcitySignals, Verdict};
 use sandgw_quota::tenants::{Tenant, Tenants};
-use sandgw_quota::usage_gossip::{MOST_BYTES, UsageReport};
-use sandgw_quota::usage_table::{Place, View};
+use sandgw_quota::usage_gossip::UsageReport;
+use sandgw_quota::usage_table::OutgoingReport;
+use sandgw_quota::usage_view::UsageView;
+use sandgw_quota::{ClusterPosition, QuotaManager};
 
 /// Least step of the clock.
 pub const STEP: f64 = 20.0;
 
 /// Names that the tests use.
-pub fn member(i: usize) -> String {
+pub fn tenant_name(i: usize) -> String {
     format!("member-{i}")
 }
 
 pub struct Relay {
-    pub shares: Option<QuotaManager>,
+    pub quotas: Option<QuotaManager>,
     next: f64,
     /// Side of the cut that it is on.
     pub side: u32,
-    /// Connections that stand here, by member.
-    pub standing: Vec<u32>,
+    /// Established connections, by tenant.
+    pub established: Vec<u32>,
 }
 
-pub struct Tier {
+pub struct Cluster {
     pub now: f64,
     pub relays: Vec<Relay>,
     pub loss: f64,
-    pub doubled: f64,
-    pub late: f64,
+    pub duplication: f64,
+    pub max_delay_ms: f64,
     pub sent: u64,
     pub rng: StdRng,
-    members: Vec<Tenant>,
-    on_way: BTreeMap<(u64, u64), (u32, u32, String)>,
+    tenants: Vec<Tenant>,
+    in_flight: BTreeMap<(u64, u64), (u32, u32, String)>,
     number: u64,
-    /// Clients on their way to another relay: when they arrive, and of which member.
+    /// Clients on their way to another relay: when they arrive, and of which tenant.
     returning: Vec<(f64, usize)>,
 }
 
-impl Tier {
-    pub fn new(relays: u32, members: Vec<Tenant>, seed: u64) -> Tier {
-        let kinds = members.len();
-        let mut tier = Tier {
+impl Cluster {
+    pub fn new(relays: u32, tenants: Vec<Tenant>, seed: u64) -> Cluster {
+        let tenant_count = tenants.len();
+        let mut cluster = Cluster {
             now: 1000.0,
             relays: Vec::new(),
             loss: 0.0,
-            doubled: 0.0,
-            late: 5.0,
+            duplication: 0.0,
+            max_delay_ms: 5.0,
             sent: 0,
             rng: StdRng::seed_from_u64(seed),
-            members,
-            on_way: BTreeMap::new(),
+            tenants,
+            in_flight: BTreeMap::new(),
             number: 0,
             returning: Vec::new(),
         };
         for local_index in 0..relays {
-            let (shares, standing) = (Some(tier.shares(local_index, relays)), vec![0; kinds]);
-            tier.relays.push(Relay { shares, next: 0.0, side: 0, standing });
+            let (quotas, established) = (Some(cluster.quotas(local_index, relays)), vec![0; tenant_count]);
+            cluster.relays.push(Relay { quotas, next: 0.0, side: 0, established });
         }
-        tier
+        cluster
     }
 
-    fn shares(&self, local_index: u32, relays: u32) -> QuotaManager {
-        let members = Tenants::new(self.members.clone()).unwrap();
-        QuotaManager::new(members, Place { local_index, relays, peers: true }, self.now)
+    fn quotas(&self, local_index: u32, relays: u32) -> QuotaManager {
+        let tenants = Tenants::new(self.tenants.clone()).unwrap();
+        QuotaManager::new(
+            tenants,
+            ClusterPosition { local_index, relay_count: relays, peer_messages: true },
+            self.now,
+        )
     }
 
-    fn send(&mut self, from: u32, sends: Vec<(u32, UsageReport)>) {
-        for (to, told) in sends {
+    fn send(&mut self, from: u32, reports: Vec<OutgoingReport>) {
+        for OutgoingReport { peer: to, report } in reports {
             self.sent += 1;
-            let text = told.text().expect("a datagram fits");
-            assert!(text.len() <= MOST_BYTES);
-            let copies = 1 + usize::from(self.rng.random::<f64>() < self.doubled);
+            let text = report.encode().expect("a datagram fits");
+            assert!(text.len() <= MAX_BYTES);
+            let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplication);
             let cut = self.relays[from as usize].side != self.relays[to as usize].side;
             for _ in 0..copies {
-                let late = 1.0 + self.rng.random::<f64>() * self.late;
+                let delay_ms = 1.0 + self.rng.random::<f64>() * self.max_delay_ms;
                 self.number += 1;
                 if !cut && self.rng.random::<f64>() >= self.loss {
-                    let at = ((self.now + late) * 1000.0) as u64;
-                    self.on_way.insert((at, self.number), (from, to, text.clone()));
+                    let at = ((self.now + delay_ms) * 1000.0) as u64;
+                    self.in_flight.insert((at, self.number), (from, to, text.clone()));
                 }
             }
         }
     }
 
     /// Lets time pass, in small steps.
-    pub fn run(&mut self, span: f64, mut each: impl FnMut(&mut Tier)) {
+    pub fn run(&mut self, span: f64, mut each: impl FnMut(&mut Cluster)) {
         let end = self.now + span;
         while self.now < end {
             self.now += STEP;
@@ -102,115 +108,121 @@
 
     fn step(&mut self) {
         let now = (self.now * 1000.0) as u64;
-        while let Some(first) = self.on_way.first_entry().filter(|e| e.key().0 <= now) {
+        while let Some(first) = self.in_flight.first_entry().filter(|e| e.key().0 <= now) {
             let (from, to, text) = first.remove();
             let mut out = Vec::new();
-            let told = UsageReport::read(&text).expect("it reads");
-            if let Some(shares) = &mut self.relays[to as usize].shares {
-                shares.told(self.now, from, told, &mut out);
+            let report = UsageReport::decode(&text).expect("it reads");
+            if let Some(quotas) = &mut self.relays[to as usize].quotas {
+                quotas.handle_report(self.now, from, report, &mut out);
             }
             self.send(to, out);
         }
         for local_index in 0..self.relays.len() {
             let relay = &mut self.relays[local_index];
-            if let Some(shares) = relay.shares.as_mut().filter(|_| relay.next <= self.now) {
+            if let Some(quotas) = relay.quotas.as_mut().filter(|_| relay.next <= self.now) {
                 let mut out = Vec::new();
-                relay.next = self.now + shares.due(self.now, &mut out);
+                relay.next = self.now + quotas.poll(self.now, &mut out);
                 self.send(local_index as u32, out);
             }
         }
-        let (back, away) = self.returning.drain(..).partition(|(at, _)| *at <= self.now);
-        self.returning = away;
-        let back: Vec<(f64, usize)> = back;
-        back.into_iter().for_each(|(_, kind)| self.arrives(kind, true, ScarcitySignals::default()));
+        let (returned, returning) = self.returning.drain(..).partition(|(at, _)| *at <= self.now);
+        self.returning = returning;
+        let returned: Vec<(f64, usize)> = returned;
+        returned.into_iter().for_each(|(_, tenant)| self.open(tenant, true, ScarcitySignals::default()));
     }
 
     /// A client arrives at some relay that is up.
-    pub fn arrives(&mut self, kind: usize, returned: bool, signs: ScarcitySignals) {
-        let up: Vec<usize> = (0..self.relays.len()).filter(|i| self.relays[*i].shares.is_some()).collect();
+    pub fn open(&mut self, tenant: usize, is_returning: bool, signals: ScarcitySignals) {
+        let up: Vec<usize> = (0..self.relays.len()).filter(|i| self.relays[*i].quotas.is_some()).collect();
         let at = up[self.rng.random_range(0..up.len())];
-        self.arrives_at(at, kind, returned, signs);
+        self.open_at(at, tenant, is_returning, signals);
     }
 
     /// Whether it was taken.
-    pub fn arrives_at(&mut self, at: usize, kind: usize, returned: bool, signs: ScarcitySignals) -> bool {
+    pub fn open_at(
+        &mut self,
+        at: usize,
+        tenant: usize,
+        is_returning: bool,
+        signals: ScarcitySignals,
+    ) -> bool {
         let (now, relay) = (self.now, &mut self.relays[at]);
-        let Some(shares) = &mut relay.shares else { return false };
-        if shares.came(now, &member(kind), returned, signs) == Verdict::Over {
+        let Some(quotas) = &mut relay.quotas else { return false };
+        if quotas.admit(now, &tenant_name(tenant), is_returning, signals) == Verdict::Reject {
             return false;
         }
-        shares.stands(&member(kind));
-        relay.standing[kind] += 1;
+        quotas.established(&tenant_name(tenant));
+        relay.established[tenant] += 1;
         true
     }
 
-    /// One of a member's connections ends somewhere.
-    pub fn leaves(&mut self, kind: usize) {
+    /// One of a tenant's connections ends somewhere.
+    pub fn close(&mut self, tenant: usize) {
         let start = self.rng.random_range(0..self.relays.len());
         let n = self.relays.len();
-        let at = (0..n).map(|i| (start + i) % n).find(|i| self.relays[*i].standing[kind] > 0);
+        let at = (0..n).map(|i| (start + i) % n).find(|i| self.relays[*i].established[tenant] > 0);
         if let Some(relay) = at.map(|at| &mut self.relays[at]) {
-            relay.standing[kind] -= 1;
-            relay.shares.iter_mut().for_each(|s| s.ended(&member(kind), true));
+            relay.established[tenant] -= 1;
+            relay.quotas.iter_mut().for_each(|s| s.closed(&tenant_name(tenant), true));
         }
     }
 
     /// Kills a relay; its clients return elsewhere within half a second.
     pub fn kill(&mut self, at: usize) {
-        self.relays[at].shares = None;
-        for (kind, n) in std::mem::take(&mut self.relays[at].standing).into_iter().enumerate() {
-            self.relays[at].standing.push(0);
-            let back = (0..n).map(|_| (self.now + 100.0 + self.rng.random::<f64>() * 400.0, kind));
+        self.relays[at].quotas = None;
+        for (tenant, n) in std::mem::take(&mut self.relays[at].established).into_iter().enumerate() {
+            self.relays[at].established.push(0);
+            let back = (0..n).map(|_| (self.now + 100.0 + self.rng.random::<f64>() * 400.0, tenant));
             self.returning.extend(back.collect::<Vec<_>>());
         }
     }
 
     /// It starts anew, from nothing.
     pub fn start(&mut self, at: usize) {
-        self.relays[at].shares = Some(self.shares(at as u32, self.relays.len() as u32));
+        self.relays[at].quotas = Some(self.quotas(at as u32, self.relays.len() as u32));
         self.relays[at].next = self.now;
     }
 
-    /// Connections of a member that stand, with those on their way to another relay.
-    pub fn truth(&self, kind: usize) -> f64 {
-        let standing: u32 = self.relays.iter().map(|r| r.standing[kind]).sum();
-        f64::from(standing) + self.returning.iter().filter(|(_, k)| *k == kind).count() as f64
+    /// Connections of a tenant that stand, with those on their way to another relay.
+    pub fn truth(&self, tenant: usize) -> f64 {
+        let established: u32 = self.relays.iter().map(|r| r.established[tenant]).sum();
+        f64::from(established) + self.returning.iter().filter(|(_, k)| *k == tenant).count() as f64
     }
 
-    pub fn views(&self, kind: usize) -> impl Iterator<Item = (usize, View)> {
-        let view = move |s: &QuotaManager| s.view(self.now, &member(kind));
-        self.relays.iter().enumerate().filter_map(move |(i, r)| Some((i, r.shares.as_ref().and_then(view)?)))
+    pub fn views(&self, tenant: usize) -> impl Iterator<Item = (usize, UsageView)> {
+        let view = move |s: &QuotaManager| s.view(self.now, &tenant_name(tenant));
+        self.relays.iter().enumerate().filter_map(move |(i, r)| Some((i, r.quotas.as_ref().and_then(view)?)))
     }
 }
 
-/// How long each relay's count has been off by more than a share, at the longest; how far counts were off at the most
+/// How long each relay's count has been off by more than a tolerance, at the longest; how far counts were off at the most
 /// and in the mean; how many lay within their bounds.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct ErrorStats {
     since: BTreeMap<usize, f64>,
-    pub longest: f64,
-    pub most: f64,
+    pub longest_ms: f64,
+    pub max: f64,
     sum: f64,
     n: f64,
     within: f64,
 }
 
-impl Watch {
-    pub fn look(&mut self, tier: &Tier, kind: usize, share: f64) {
-        let truth = tier.truth(kind);
-        for (i, view) in tier.views(kind) {
-            let off = (view.open - truth).abs() / truth.max(1.0);
-            self.most = self.most.max(off);
+impl ErrorStats {
+    pub fn observe(&mut self, cluster: &Cluster, tenant: usize, tolerance: f64) {
+        let truth = cluster.truth(tenant);
+        for (i, view) in cluster.views(tenant) {
+            let off = (view.connections - truth).abs() / truth.max(1.0);
+            self.max = self.max.max(off);
             (self.sum, self.n) = (self.sum + off, self.n + 1.0);
-            self.within += f64::from(u8::from(view.least <= truth + 0.5 && truth <= view.most + 0.5));
-            if off > share {
-                let since = *self.since.entry(i).or_insert(tier.now);
-                self.longest = self.longest.max(tier.now - since);
+            self.within += f64::from(u8::from(view.min <= truth + 0.5 && truth <= view.max + 0.5));
+            if off > tolerance {
+                let since = *self.since.entry(i).or_insert(cluster.now);
+                self.longest_ms = self.longest_ms.max(cluster.now - since);
             } else {
                 self.since.remove(&i);
             }
         }
-        self.since.retain(|i, _| tier.relays[*i].shares.is_some());
+        self.since.retain(|i, _| cluster.relays[*i].quotas.is_some());
     }
 
     pub fn mean(&self) -> f64 {
--- a/crates/quota/tests/policy.rs
+++ b/crates/quota/tests/policy.rs
@@ -1,13 +1,13 @@
-//! Who is refused: a flood of one member on a tier whose endpoints are full.
+//! Who is refused: a flood of one tenant on a cluster whose endpoints are full.
 
 mod common;
 
-use common::{Tier, member};
+use common::{Cluster, tenant_name};
 use rand::RngExt;
 use sandgw_quota::policy::ScarcitySignals;
 use sandgw_quota::tenants::Tenant;
 
-/// Places of all endpoints together, and what the members are entitled to: all of them.
+/// Places of all endpoints together, and what the tenants are entitled to: all of them.
 const PLACES: f64 = 400.0;
 const SHARES: [f64; 4] = [178.0, 120.0, 68.0, 34.0];
 /// How long a connection stands, in the mean.
@@ -16,7 +16,7 @@
 /// What they use of their shares.
 const USUAL: f64 = 0.8;
 
-/// What members had of the places, in the mean, and the part of their arrivals within their shares that was served.
+/// What tenants had of the places, in the mean, and the part of their arrivals within their shares that was served.
 struct Served {
     held: [f64; 4],
     part: [f64; 4],
@@ -25,39 +25,39 @@
 /// Members arrive for four fifths of their shares, the first for so many times as much. A connection that is not refused by
 /// share gets a place while there is one. With the limit, or without it.
 fn flood(relays: u32, times: f64, limit: bool, seed: u64) -> Served {
-    let share = |(i, c): (usize, &f64)| Tenant { name: member(i), connections: Some(*c), per_s: None };
-    let mut tier = Tier::new(relays, SHARES.iter().enumerate().map(share).collect(), seed);
-    (tier.loss, tier.doubled) = (0.2, 0.1);
+    let share = |(i, c): (usize, &f64)| Tenant { name: tenant_name(i), connections: Some(*c), per_s: None };
+    let mut cluster = Cluster::new(relays, SHARES.iter().enumerate().map(share).collect(), seed);
+    (cluster.loss, cluster.duplication) = (0.2, 0.1);
     let (mut came, mut taken, mut held, mut n) = ([0.0; 4], [0.0; 4], [0.0; 4], 0.0);
     for second in 0..120 {
-        tier.run(1000.0, |tier| {
-            for kind in 0..4 {
-                let standing = tier.truth(kind);
-                if tier.rng.random::<f64>() < standing * common::STEP / STANDS {
-                    tier.leaves(kind);
+        cluster.run(1000.0, |cluster| {
+            for tenant in 0..4 {
+                let standing = cluster.truth(tenant);
+                if cluster.rng.random::<f64>() < standing * common::STEP / STANDS {
+                    cluster.close(tenant);
                 }
             }
-            let first = tier.rng.random_range(0..4);
-            for kind in (0..4).map(|i| (first + i) % 4) {
-                let more = if kind == 0 { times } else { USUAL };
-                if tier.rng.random::<f64>() >= SHARES[kind] * more / STANDS * common::STEP {
+            let first = cluster.rng.random_range(0..4);
+            for tenant in (0..4).map(|i| (first + i) % 4) {
+                let more = if tenant == 0 { times } else { USUAL };
+                if cluster.rng.random::<f64>() >= SHARES[tenant] * more / STANDS * common::STEP {
                     continue;
                 }
-                let all: f64 = (0..4).map(|k| tier.truth(k)).sum();
+                let all: f64 = (0..4).map(|k| cluster.truth(k)).sum();
                 // What the relay sees: endpoints at their bound turn connections away from a little before they are full.
                 let full = ScarcitySignals { endpoints: all >= 0.97 * PLACES, ..ScarcitySignals::default() };
-                let signs = if limit { full } else { ScarcitySignals::default() };
-                let at = tier.rng.random_range(0..relays as usize);
-                let served = all < PLACES && tier.arrives_at(at, kind, false, signs);
-                // By chance a member has more than its share at times: what is within counts.
-                if second >= 60 && (kind == 0 || tier.truth(kind) < 0.95 * SHARES[kind]) {
-                    came[kind] += 1.0;
-                    taken[kind] += f64::from(u8::from(served));
+                let signals = if limit { full } else { ScarcitySignals::default() };
+                let at = cluster.rng.random_range(0..relays as usize);
+                let served = all < PLACES && cluster.open_at(at, tenant, false, signals);
+                // By chance a tenant has more than its share at times: what is within counts.
+                if second >= 60 && (tenant == 0 || cluster.truth(tenant) < 0.95 * SHARES[tenant]) {
+                    came[tenant] += 1.0;
+                    taken[tenant] += f64::from(u8::from(served));
                 }
             }
             if second >= 60 {
                 n += 1.0;
-                (0..4).for_each(|kind| held[kind] += tier.truth(kind));
+                (0..4).for_each(|tenant| held[tenant] += cluster.truth(tenant));
             }
         });
     }
@@ -82,9 +82,9 @@
             without.part[1..].iter().all(|p| *p < 0.5),
             "{relays}: the flood hurts where nothing is done"
         );
-        for kind in 1..4 {
-            let lost = calm.part[kind] - with.part[kind];
-            assert!(lost <= 0.05, "{relays}: member {kind} lost {lost}");
+        for tenant in 1..4 {
+            let lost = calm.part[tenant] - with.part[tenant];
+            assert!(lost <= 0.05, "{relays}: member {tenant} lost {lost}");
         }
         // Its own share is its, however much comes beyond.
         assert!(with.held[0] >= 0.9 * SHARES[0], "{relays}: {:?}", with.held);
@@ -94,42 +94,42 @@
 #[test]
 fn nobody_is_refused_where_places_are_free() {
     for relays in [4, 32] {
-        let share = Tenant { name: member(0), connections: Some(10.0), per_s: Some(1.0) };
-        let mut tier = Tier::new(relays, vec![share], 2);
+        let share = Tenant { name: tenant_name(0), connections: Some(10.0), per_s: Some(1.0) };
+        let mut cluster = Cluster::new(relays, vec![share], 2);
         for _ in 0..200 {
-            tier.run(100.0, |_| {});
-            let at = tier.rng.random_range(0..relays as usize);
-            assert!(tier.arrives_at(at, 0, false, ScarcitySignals::default()), "{relays}");
+            cluster.run(100.0, |_| {});
+            let at = cluster.rng.random_range(0..relays as usize);
+            assert!(cluster.open_at(at, 0, false, ScarcitySignals::default()), "{relays}");
         }
         // Twenty times its connections and ten times its rate: so it is refused as soon as they are short.
         let full = ScarcitySignals { window: true, ..ScarcitySignals::default() };
-        assert!(!tier.arrives_at(0, 0, false, full), "{relays}");
+        assert!(!cluster.open_at(0, 0, false, full), "{relays}");
         // And no more once they have not been for five seconds.
-        tier.run(4900.0, |_| {});
-        assert!(!tier.arrives_at(0, 0, false, ScarcitySignals::default()), "{relays}: it does not flap");
-        tier.run(200.0, |_| {});
-        assert!(tier.arrives_at(0, 0, false, ScarcitySignals::default()), "{relays}");
+        cluster.run(4900.0, |_| {});
+        assert!(!cluster.open_at(0, 0, false, ScarcitySignals::default()), "{relays}: it does not flap");
+        cluster.run(200.0, |_| {});
+        assert!(cluster.open_at(0, 0, false, ScarcitySignals::default()), "{relays}");
     }
 }
 
-/// Beyond its rate a member is served at its rate, with all relays together, and within it is not touched.
+/// Beyond its rate a tenant is served at its rate, with all relays together, and within it is not touched.
 #[test]
 fn a_member_beyond_its_rate_has_its_rate() {
     for relays in [4, 32, 100] {
         let shares = [3.0, 3.0].iter().enumerate();
-        let shares = shares.map(|(i, r)| Tenant { name: member(i), connections: None, per_s: Some(*r) });
-        let mut tier = Tier::new(relays, shares.collect(), 3);
+        let shares = shares.map(|(i, r)| Tenant { name: tenant_name(i), connections: None, per_s: Some(*r) });
+        let mut cluster = Cluster::new(relays, shares.collect(), 3);
         let full = ScarcitySignals { descriptors: true, ..ScarcitySignals::default() };
         let (mut taken, mut came) = ([0.0; 2], [0.0; 2]);
         for second in 0..90 {
-            tier.run(1000.0, |tier| {
-                for (kind, per_s) in [(0, 30.0), (1, 2.5)] {
-                    if tier.rng.random::<f64>() < per_s * common::STEP / 1000.0 {
-                        let at = tier.rng.random_range(0..relays as usize);
-                        let served = tier.arrives_at(at, kind, false, full);
+            cluster.run(1000.0, |cluster| {
+                for (tenant, per_s) in [(0, 30.0), (1, 2.5)] {
+                    if cluster.rng.random::<f64>() < per_s * common::STEP / 1000.0 {
+                        let at = cluster.rng.random_range(0..relays as usize);
+                        let served = cluster.open_at(at, tenant, false, full);
                         if second >= 30 {
-                            came[kind] += 1.0;
-                            taken[kind] += f64::from(u8::from(served));
+                            came[tenant] += 1.0;
+                            taken[tenant] += f64::from(u8::from(served));
                         }
                     }
                 }
@@ -145,13 +145,16 @@
 
 #[test]
 fn errors_have_their_advice() {
-    use sandgw_quota::tenants::{MOST, Tenants, TenantsError};
+    use sandgw_quota::tenants::{MAX_TENANTS, Tenants, TenantsError};
     let named = |n: usize, name: fn(usize) -> String| {
         Tenants::new((0..n).map(|i| Tenant { name: name(i), ..Tenant::default() }).collect()).unwrap_err()
     };
-    let all = [named(MOST + 1, member), named(2, |_| "one".into()), named(1, |_| String::new())];
-    let wanted =
-        [TenantsError::TooMany(MOST + 1), TenantsError::Twice("one".into()), TenantsError::Nameless(0)];
+    let all = [named(MAX_TENANTS + 1, tenant_name), named(2, |_| "one".into()), named(1, |_| String::new())];
+    let wanted = [
+        TenantsError::TooMany(MAX_TENANTS + 1),
+        TenantsError::DuplicateName("one".into()),
+        TenantsError::MissingName(0),
+    ];
     assert_eq!(all, wanted);
     assert!(all.iter().all(|e| !e.help().is_empty() && e.to_string() != e.help()));
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -309,10 +309,11 @@
         self.commands.extend(after.map(|after| Command::SetTimer { after, token: SHARES }));
     }
 
-    fn tell(&mut self, out: sandgw_quota::usage_table::Sends) {
+    fn tell(&mut self, out: Vec<sandgw_quota::usage_table::OutgoingReport>) {
         let message = |told| PeerMessage { quota: Some(told), ..PeerMessage::default() };
-        self.commands
-            .extend(out.into_iter().map(|(peer, t)| Command::SendToPeer { peer, message: message(t) }));
+        self.commands.extend(
+            out.into_iter().map(|r| Command::SendToPeer { peer: r.peer, message: message(r.report) }),
+        );
     }
 
     /// Whether a connection is refused since its member is over its share and places are short. One that goes on where it
--- a/src/relay/quotas.rs
+++ b/src/relay/quotas.rs
@@ -1,79 +1,98 @@
-//! Members' shares, as the core asks about them: what the settings say, which signs of shortage the load balancer gives, and
-//! the connections that are counted. The counting and the decision are in the crate `sandgw-shares`.
+//! Tenants' quotas at this relay: applies the settings, and counts its connections by tenant.
+//!
+//! The counting and the decision are in `sandgw-quota`.
 
-use sandgw_quota::QuotaManager;
 use sandgw_quota::policy::{ScarcitySignals, Verdict};
-use sandgw_quota::usage_table::{Place, Sends};
+use sandgw_quota::usage_table::OutgoingReport;
+use sandgw_quota::{ClusterPosition, QuotaManager};
 
 use crate::policy::api::*;
 
-/// What is counted of connections, where shares are kept to.
+/// A tenant's weight over its quota from which on quotas have no effect.
+const FULL_WEIGHT: f64 = 1.0;
+
+/// The usage of tenants; empty where quotas are not enforced.
 #[derive(Default)]
 pub(crate) struct Counted(Option<QuotaManager>);
 
 impl Counted {
-    /// For these settings; nothing is counted where a connection beyond a share is worth as much as one within.
+    /// For these settings. Nothing is counted without a limit, or where a connection over quota weighs as much as one
+    /// within it.
     pub fn new(settings: &Settings, now: Millis) -> Self {
-        let shares = &settings.quotas;
-        let counts = shares.enforce && shares.over_quota_weight < 1.0 && shares.has_limits();
-        let place = Place {
+        let quotas = &settings.quotas;
+        let is_enforced = quotas.enforce && quotas.over_quota_weight < FULL_WEIGHT && quotas.has_limits();
+        if !is_enforced {
+            return Counted(None);
+        }
+        let position = ClusterPosition {
             local_index: settings.local_index,
-            relays: settings.relay_count,
-            peers: settings.peer_messages,
+            relay_count: settings.relay_count,
+            peer_messages: settings.peer_messages,
         };
-        Counted(counts.then(|| QuotaManager::new(shares.members.clone(), place, now)))
+        Counted(Some(QuotaManager::new(quotas.members.clone(), position, now)))
     }
 
-    /// Whether a connection that comes is refused. One that is not counts until [`Counted::ended`].
+    /// Whether a new connection is rejected. One that is not counts until [`Counted::ended`].
     pub fn refuses(
         &mut self,
         now: Millis,
-        member: &str,
-        returned: bool,
-        signs: impl FnOnce() -> ScarcitySignals,
+        tenant: &str,
+        is_returning: bool,
+        signals: impl FnOnce() -> ScarcitySignals,
     ) -> bool {
-        self.0.as_mut().is_some_and(|s| s.came(now, member, returned, signs()) == Verdict::Over)
+        let Some(manager) = &mut self.0 else { return false };
+        manager.admit(now, tenant, is_returning, signals()) == Verdict::Reject
     }
 
-    /// A connection is taken that stands already.
-    pub fn kept(&mut self, member: &str) {
-        self.0.iter_mut().for_each(|s| s.kept(member));
+    /// Counts a connection without a decision: it is established already.
+    pub fn kept(&mut self, tenant: &str) {
+        if let Some(manager) = &mut self.0 {
+            manager.adopt(tenant);
+        }
     }
 
-    /// A connection has come to stand.
-    pub fn stands(&mut self, member: &str) {
-        self.0.iter_mut().for_each(|s| s.stands(member));
+    /// A counted connection is established.
+    pub fn stands(&mut self, tenant: &str) {
+        if let Some(manager) = &mut self.0 {
+            manager.established(tenant);
+        }
     }
 
-    /// A connection has ended.
-    pub fn ended(&mut self, member: &str, stood: bool) {
-        self.0.iter_mut().for_each(|s| s.ended(member, stood));
+    /// A counted connection has ended.
+    pub fn ended(&mut self, tenant: &str, was_established: bool) {
+        if let Some(manager) = &mut self.0 {
+            manager.closed(tenant, was_established);
+        }
     }
 
-    /// An endpoint has turned a connection away.
+    /// An endpoint has rejected a connection.
     pub fn turned_away(&mut self, now: Millis) {
-        self.0.iter_mut().for_each(|s| s.turned_away(now));
+        if let Some(manager) = &mut self.0 {
+            manager.endpoint_rejected(now);
+        }
     }
 
-    /// The load balancer has refused a connection without any attempt.
+    /// The load balancer has rejected a connection without an attempt.
     pub fn refused(&mut self, now: Millis) {
-        self.0.iter_mut().for_each(|s| s.refused(now));
+        if let Some(manager) = &mut self.0 {
+            manager.rejected_without_attempt(now);
+        }
     }
 
-    /// Takes another relay's datagram.
-    pub fn told(&mut self, now: Millis, peer: u32, told: UsageReport, out: &mut Sends) {
-        if let Some(shares) = &mut self.0 {
-            shares.told(now, peer, told, out);
+    /// Handles another relay's report; what is to be sent in reply is added to `out`.
+    pub fn told(&mut self, now: Millis, peer: u32, report: UsageReport, out: &mut Vec<OutgoingReport>) {
+        if let Some(manager) = &mut self.0 {
+            manager.handle_report(now, peer, report, out);
         }
     }
 
-    /// Tells where that is due; gives in how long to call again, if at all.
-    pub fn due(&mut self, now: Millis, out: &mut Sends) -> Option<Millis> {
-        self.0.as_mut().map(|s| s.due(now, out))
+    /// Adds the reports that are due to `out`; returns in how long to call again, if at all.
+    pub fn due(&mut self, now: Millis, out: &mut Vec<OutgoingReport>) -> Option<Millis> {
+        self.0.as_mut().map(|manager| manager.poll(now, out))
     }
 
-    /// Connections refused so far.
+    /// Connections rejected so far because their tenant was over its quota.
     pub fn refusals(&self) -> u64 {
-        self.0.as_ref().map_or(0, QuotaManager::refusals)
+        self.0.as_ref().map_or(0, QuotaManager::rejections)
     }
 }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -402,7 +402,7 @@
         return Some(PeerMessage { cluster, ..PeerMessage::default() });
     }
     if text.starts_with(KIND) {
-        let quota = Some(UsageReport::read(text)?);
+        let quota = Some(UsageReport::decode(text)?);
         return Some(PeerMessage { quota, ..PeerMessage::default() });
     }
     let mut words = text.split(' ').filter(|_| text.len() <= MESSAGE_BYTES);
@@ -427,7 +427,7 @@
         return piece.text().unwrap_or_default();
     }
     if let Some(told) = &message.quota {
-        return told.text().unwrap_or_default();
+        return told.encode().unwrap_or_default();
     }
     let count = |n: f64| (n * 10.0).round() as u32;
     let kind = if message.merged { ANSWER } else { SAMPLE };
