--- a/crates/affinity-store/src/file_format.rs
+++ b/crates/affinity-store/src/file_format.rs
@@ -1,132 +1,167 @@
-//! The forms of the file, and the steps between them.
+//! Versions of the file, and the migration between them.
 //!
-//! | form | what the file holds |
+//! | version | content |
 //! | --- | --- |
-//! | 1 | clients, groups, endpoints; what form 1 can't say lies in a table that its programs never open |
-//! | 2 | the same, rows of the members' shares, and the finalized form |
+//! | 1 | clients, groups and endpoints; what version 1 lacks is in a table that its programs never open |
+//! | 2 | the same, rows of tenants' usage, and the finalized version |
 //!
-//! A step is one transaction, and so is finalizing: a process killed in it leaves the form before or the one after.
-//! The rows of shares only change the name of their table, so that a step costs the same however many entries
-//! there are, and going back loses none of them. A file of a form to come is refused and stays as it is.
+//! A migration is one transaction, and so is finalizing: a process that is killed leaves one version or the other. The
+//! table of usage rows is only renamed, so a migration takes the same time whatever the number of rows, and going back
+//! loses none. A file of a newer version is refused and stays as it is.
 
 use std::ops::RangeInclusive;
 
-use redb::{ReadableDatabase, ReadableTable, TableDefinition};
+use redb::{ReadableDatabase, ReadableTable, TableDefinition, TableHandle, WriteTransaction};
 
-use crate::{FORMAT_KEY, META, Store, StoreError, decode, encode, guarded, other};
+use crate::error::{DiskError, StoreError};
+use crate::record_codec::{decode, encode};
+use crate::store::{META, Store, VERSION_KEY, catch_panics};
 
-/// The forms that are read and written.
-pub const FORMS: RangeInclusive<u64> = 1..=2;
-/// The first form, in which a new file is begun.
-pub const FIRST: u64 = *FORMS.start();
-/// The one with rows of shares.
+/// The versions that are read and written.
+pub const VERSIONS: RangeInclusive<u64> = 1..=2;
+/// The version of a new file.
+pub const FIRST: u64 = *VERSIONS.start();
+/// The first version with usage rows.
 const SECOND: u64 = 2;
+/// Key of the finalized version in [`META`].
 const FINALIZED_KEY: &str = "finalized";
 
-/// Rows of shares: in use, and kept aside while the file is of form 1.
-const SHARES: TableDefinition<u32, &[u8]> = TableDefinition::new("shares");
-const ASIDE: TableDefinition<u32, &[u8]> = TableDefinition::new("aside-2");
+/// Usage rows of a version 2 file.
+const USAGE: TableDefinition<u32, &[u8]> = TableDefinition::new("shares");
+/// Usage rows of a version 1 file, whose programs don't know the table.
+const HIDDEN_USAGE: TableDefinition<u32, &[u8]> = TableDefinition::new("aside-2");
 
-/// A row of the members' shares, as whoever sums them wants it kept: it is not looked into here.
+/// A row of tenants' usage; its content is opaque here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ShareRow {
-    /// What it is kept under.
+pub struct UsageRow {
+    /// Its key in the table.
     pub key: u32,
-    /// Its bytes.
+    /// Its content.
     pub bytes: Vec<u8>,
 }
 
 impl Store {
-    /// The form that the file is of.
-    pub fn form(&self) -> Result<u64, StoreError> {
-        self.meta(FORMAT_KEY).map(|form| form.unwrap_or(FIRST))
+    /// The version of the file.
+    ///
+    /// # Errors
+    /// Where the disk fails or the file is damaged.
+    pub fn version(&self) -> Result<u64, StoreError> {
+        Ok(self.meta(VERSION_KEY)?.unwrap_or(FIRST))
     }
 
-    /// The form below which the file is not moved any more.
-    pub fn finalized(&self) -> Result<u64, StoreError> {
-        self.meta(FINALIZED_KEY).map(|form| form.unwrap_or(FIRST))
+    /// The version below which the file is not migrated any more.
+    ///
+    /// # Errors
+    /// Where the disk fails or the file is damaged.
+    pub fn finalized_version(&self) -> Result<u64, StoreError> {
+        Ok(self.meta(FINALIZED_KEY)?.unwrap_or(FIRST))
     }
 
     fn meta(&self, key: &str) -> Result<Option<u64>, StoreError> {
-        let read = self.db.begin_read().map_err(other)?;
-        let meta = read.open_table(META).map_err(other)?;
-        Ok(meta.get(key).map_err(other)?.map(|v| v.value()))
+        let read = self.database.begin_read().map_err(StoreError::from_redb)?;
+        let meta = read.open_table(META).map_err(StoreError::from_redb)?;
+        Ok(meta.get(key).map_err(StoreError::from_redb)?.map(|value| value.value()))
     }
 
-    /// Moves the file to a form, step by step within one transaction; whether there was anything to do. It is refused
-    /// where the form is not known here, or below what is finalized.
-    pub fn move_to(&self, form: u64) -> Result<bool, StoreError> {
-        if !FORMS.contains(&form) {
-            return Err(StoreError::Future { form, newest: *FORMS.end() });
+    /// Migrates the file to a version, in one transaction; returns whether that was needed.
+    ///
+    /// # Errors
+    /// [`StoreError::TooNew`] where the version is not supported, [`StoreError::Finalized`] where it is below the
+    /// finalized one; and where the disk fails or the file is damaged.
+    pub fn migrate(&self, version: u64) -> Result<bool, StoreError> {
+        check_supported(version)?;
+        let current = self.version()?;
+        let finalized = self.finalized_version()?;
+        if version < finalized {
+            return Err(StoreError::Finalized { finalized, newest_allowed: version });
         }
-        let (from, finalized) = (self.form()?, self.finalized()?);
-        if form < finalized {
-            return Err(StoreError::Finalized { finalized, most: form });
-        }
-        if form == from {
+        if version == current {
             return Ok(false);
         }
-        guarded(|| self.step(form, finalized)).map(|()| true)
+        self.set_version(version, finalized)?;
+        Ok(true)
     }
 
-    /// Ends the possibility to go back below a form: the file is of it afterwards, or a later one.
-    pub fn finalize(&self, form: u64) -> Result<(), StoreError> {
-        if !FORMS.contains(&form) {
-            return Err(StoreError::Future { form, newest: *FORMS.end() });
+    /// Ends the possibility to go back below a version; the file is migrated to it where it is older.
+    ///
+    /// # Errors
+    /// [`StoreError::TooNew`] where the version is not supported; and where the disk fails or the file is damaged.
+    pub fn finalize(&self, version: u64) -> Result<(), StoreError> {
+        check_supported(version)?;
+        let current = self.version()?;
+        if version <= self.finalized_version()? {
+            return Ok(());
         }
-        let (from, finalized) = (self.form()?, self.finalized()?);
-        if form <= finalized { Ok(()) } else { guarded(|| self.step(form.max(from), form)) }
+        self.set_version(version.max(current), version)
     }
 
-    fn step(&self, form: u64, finalized: u64) -> Result<(), StoreError> {
-        let write = self.db.begin_write().map_err(other)?;
-        let (there, wanted) = if form >= SECOND { (ASIDE, SHARES) } else { (SHARES, ASIDE) };
-        let names = write.list_tables().map_err(other)?;
-        let kept = names.map(|t| redb::TableHandle::name(&t).to_owned()).collect::<Vec<_>>();
-        if kept.iter().any(|name| name == redb::TableHandle::name(&there)) {
-            write.rename_table(there, wanted).map_err(other)?;
-        }
-        {
-            let mut meta = write.open_table(META).map_err(other)?;
-            meta.insert(FORMAT_KEY, form).map_err(other)?;
+    fn set_version(&self, version: u64, finalized: u64) -> Result<(), StoreError> {
+        let change = |write: &WriteTransaction| {
+            rename_usage_table(write, version)?;
+            let mut meta = write.open_table(META).map_err(StoreError::from_redb)?;
+            meta.insert(VERSION_KEY, version).map_err(StoreError::from_redb)?;
             if finalized > FIRST {
-                meta.insert(FINALIZED_KEY, finalized).map_err(other)?;
+                meta.insert(FINALIZED_KEY, finalized).map_err(StoreError::from_redb)?;
             }
-        }
-        write.commit().map_err(other)
+            Ok(())
+        };
+        catch_panics(|| self.transaction(change))
     }
 
-    fn rows_of(&self) -> Result<TableDefinition<'static, u32, &'static [u8]>, StoreError> {
-        Ok(if self.form()? >= SECOND { SHARES } else { ASIDE })
+    fn usage_table(&self) -> Result<TableDefinition<'static, u32, &'static [u8]>, StoreError> {
+        Ok(if self.version()? >= SECOND { USAGE } else { HIDDEN_USAGE })
     }
 
-    /// Writes the rows of shares in place of those before, whole or not at all. In form 1 they are kept aside.
-    pub fn write_shares(&self, rows: &[ShareRow]) -> Result<(), StoreError> {
-        let table = self.rows_of()?;
-        let write = self.db.begin_write().map_err(other)?;
-        {
-            let mut table = write.open_table(table).map_err(other)?;
-            table.retain(|_, _| false).map_err(other)?;
+    /// Replaces all usage rows, whole or not at all.
+    ///
+    /// # Errors
+    /// Where the disk fails or the file is damaged.
+    pub fn write_usage(&self, rows: &[UsageRow]) -> Result<(), StoreError> {
+        let definition = self.usage_table()?;
+        self.transaction(|write| {
+            let mut table = write.open_table(definition).map_err(StoreError::from_redb)?;
+            table.retain(|_, _| false).map_err(StoreError::from_redb)?;
             for row in rows {
-                table.insert(row.key, encode(&row.bytes)?.as_slice()).map_err(other)?;
+                let bytes = encode(&row.bytes).map_err(DiskError::from).map_err(StoreError::Disk)?;
+                table.insert(row.key, bytes.as_slice()).map_err(StoreError::from_redb)?;
             }
-        }
-        write.commit().map_err(other)
+            Ok(())
+        })
     }
 
-    /// The rows of shares; damaged ones are passed over.
-    pub fn shares(&self) -> Result<Vec<ShareRow>, StoreError> {
-        let table = self.rows_of()?;
-        let read = self.db.begin_read().map_err(other)?;
-        let table = match read.open_table(table) {
+    /// All usage rows; damaged ones are skipped.
+    ///
+    /// # Errors
+    /// Where the disk fails or the file is damaged.
+    pub fn usage(&self) -> Result<Vec<UsageRow>, StoreError> {
+        let definition = self.usage_table()?;
+        let read = self.database.begin_read().map_err(StoreError::from_redb)?;
+        let table = match read.open_table(definition) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(Vec::new()),
-            table => table.map_err(other)?,
+            table => table.map_err(StoreError::from_redb)?,
         };
         let mut rows = Vec::new();
-        for row in table.iter().map_err(other)? {
-            let (key, bytes) = row.map_err(other)?;
-            rows.extend(decode(bytes.value()).map(|bytes| ShareRow { key: key.value(), bytes }));
+        for row in table.iter().map_err(StoreError::from_redb)? {
+            let (key, value) = row.map_err(StoreError::from_redb)?;
+            rows.extend(decode(value.value()).map(|bytes| UsageRow { key: key.value(), bytes }));
         }
         Ok(rows)
     }
 }
+
+fn check_supported(version: u64) -> Result<(), StoreError> {
+    if VERSIONS.contains(&version) {
+        return Ok(());
+    }
+    Err(StoreError::TooNew { version, newest: *VERSIONS.end() })
+}
+
+/// Gives the usage table, if there is one, its name of a version.
+fn rename_usage_table(write: &WriteTransaction, version: u64) -> Result<(), StoreError> {
+    let (old, new) = if version >= SECOND { (HIDDEN_USAGE, USAGE) } else { (USAGE, HIDDEN_USAGE) };
+    let mut tables = write.list_tables().map_err(StoreError::from_redb)?;
+    if tables.any(|table| table.name() == old.name()) {
+        write.rename_table(old, new).map_err(StoreError::from_redb)?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/affinity-store/src/writer/pending.rs
@@ -0,0 +1,54 @@
+//! What has changed and is not written yet: each entry as it is by now.
+
+use std::collections::{BTreeMap, HashMap};
+
+use sandgw_affinity::codec::Kind;
+use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
+use sandgw_affinity::{Changes, Record};
+
+/// Most entries that wait for a failing disk, a few MB; more are dropped until they change again.
+const MAX_PENDING_ENTRIES: usize = 16_384;
+
+#[derive(Default)]
+pub(super) struct Pending {
+    /// By table and key; `None` where the entry is to be removed.
+    entries: BTreeMap<(Kind, u64), Option<Record>>,
+    names: HashMap<EndpointTag, EndpointName>,
+}
+
+impl Pending {
+    /// Adds a batch; returns the number of entries dropped for lack of room.
+    pub fn add(&mut self, changes: Changes) -> u64 {
+        let removed = changes.gone.into_iter().map(|key| (key, None));
+        let set = changes.set.into_iter().map(|record| (record.key(), Some(record)));
+        let mut dropped = 0;
+        for (key, entry) in removed.chain(set) {
+            if self.entries.len() < MAX_PENDING_ENTRIES || self.entries.contains_key(&key) {
+                self.entries.insert(key, entry);
+            } else {
+                dropped += 1;
+            }
+        }
+        self.names.extend(changes.names.into_iter().map(|name| (name.tag, name)));
+        dropped
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty() && self.names.is_empty()
+    }
+
+    /// The number of entries, without endpoint names.
+    pub fn entry_count(&self) -> u64 {
+        self.entries.len() as u64
+    }
+
+    /// All of it as one batch.
+    pub fn changes(&self) -> Changes {
+        let removed = self.entries.iter().filter(|(_, record)| record.is_none());
+        Changes {
+            set: self.entries.values().flatten().cloned().collect(),
+            gone: removed.map(|(key, _)| *key).collect(),
+            names: self.names.values().cloned().collect(),
+        }
+    }
+}
--- a/crates/affinity-store/tests/disk/mod.rs
+++ b/crates/affinity-store/tests/disk/mod.rs
@@ -66,12 +66,12 @@
     }
 
     /// As a writer opens it again.
-    pub fn again(&self) -> Result<Opened, StoreError> {
+    pub fn reopen(&self) -> Result<Opened, StoreError> {
         self.open().map(|store| Opened { store, set_aside: None })
     }
 
     pub fn open(&self) -> Result<Store, StoreError> {
-        Store::with(|builder| builder.create_with_backend(self.clone()))
+        Store::open_with(|builder| builder.create_with_backend(self.clone()))
     }
 }
 
--- a/crates/affinity-store/tests/faults.rs
+++ b/crates/affinity-store/tests/faults.rs
@@ -12,7 +12,7 @@
 use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
 use sandgw_affinity::{Changes, Record};
 use sandgw_affinity_store::writer::Writer;
-use sandgw_affinity_store::{FILE, Store, StoreError, commands};
+use sandgw_affinity_store::{FILE, SetAside, Store, StoreError, commands};
 
 fn client(key: u64, at: f64) -> Record {
     Record::Session { key, holder: EndpointTag::of("s-1", 0.0), at }
@@ -128,7 +128,7 @@
     for (bytes, n) in files.iter().zip(1..) {
         std::fs::write(&path, bytes).unwrap();
         let opened = Store::open(folder.path()).unwrap();
-        let (aside, reason) = opened.set_aside.expect("set aside");
+        let SetAside { path: aside, reason } = opened.set_aside.expect("set aside");
         assert_eq!(aside, folder.path().join(format!("affinity.damaged-{n}")), "{reason}");
         assert_eq!(std::fs::read(&aside).unwrap(), *bytes);
         assert!(contents(&opened.store).is_empty());
@@ -192,7 +192,7 @@
     assert_eq!((loaded.records, loaded.damaged), (2, 3));
     assert_eq!(store.prune(50.0).unwrap(), 4);
     assert_eq!(contents(&store).into_values().collect::<Vec<_>>(), [client(4, 100.0)]);
-    assert_eq!(store.names().unwrap().len(), 1, "names that nothing uses go as well");
+    assert_eq!(store.endpoint_names().unwrap().len(), 1, "names that nothing uses go as well");
 }
 
 #[test]
@@ -217,10 +217,10 @@
 #[test]
 fn a_full_disk_is_waited_out() {
     let disk = Disk::new();
-    let again = disk.clone();
-    let writer = Writer::start(Some(disk.open().unwrap()), Box::new(move || again.again())).unwrap();
+    let reopened = disk.clone();
+    let writer = Writer::start(Some(disk.open().unwrap()), Box::new(move || reopened.reopen())).unwrap();
     writer.write(set([client(1, 1.0), client(2, 1.0)])).unwrap();
-    until("the first batch is written", || writer.written().entries == 2);
+    until("the first batch is written", || writer.stats().entries == 2);
     disk.full.store(true, SeqCst);
     let hand = |mut changes: Changes| {
         while let Err(back) = writer.write(changes) {
@@ -229,18 +229,18 @@
         }
     };
     hand(set([client(1, 2.0), client(3, 2.0)]));
-    until("the disk fails", || writer.written().failing);
+    until("the disk fails", || writer.stats().is_failing);
     hand(Changes { gone: vec![(Kind::Sessions, 2)], ..set([client(1, 3.0)]) });
     // Far more than is kept.
     for i in 0..80u64 {
         hand(set((0..1000).map(|k| client(1 << 20 | i << 10 | k, 1.0))));
     }
-    until("the queue is empty again", || writer.written().left_out > 0);
-    assert!(writer.written().failed >= 1 && writer.written().entries == 2 && !writer.take_lost());
+    until("the queue is empty again", || writer.stats().dropped_entries > 0);
+    assert!(writer.stats().failures >= 1 && writer.stats().entries == 2 && !writer.take_resync_request());
     disk.full.store(false, SeqCst);
-    until("the disk is written again", || !writer.written().failing);
+    until("the disk is written again", || !writer.stats().is_failing);
     // What was left out is asked for, once.
-    assert!(writer.take_lost() && !writer.take_lost());
+    assert!(writer.take_resync_request() && !writer.take_resync_request());
     drop(writer);
     let found = contents(&disk.after(None).open().unwrap());
     assert_eq!(found.get(&(Kind::Sessions, 1)), Some(&client(1, 3.0)));
@@ -254,15 +254,15 @@
 #[test]
 fn a_disk_with_room_again_is_written_however_often_batches_come() {
     let disk = Disk::new();
-    let again = disk.clone();
-    let writer = Writer::start(Some(disk.open().unwrap()), Box::new(move || again.again())).unwrap();
+    let reopened = disk.clone();
+    let writer = Writer::start(Some(disk.open().unwrap()), Box::new(move || reopened.reopen())).unwrap();
     disk.full.store(true, SeqCst);
     let hand = |at: f64| writer.write(set([client(1, at)])).is_ok();
-    until("the disk fails", || hand(1.0) && writer.written().failing);
+    until("the disk fails", || hand(1.0) && writer.stats().is_failing);
     disk.full.store(false, SeqCst);
     until("it is written", || {
         hand(2.0);
-        !writer.written().failing
+        !writer.stats().is_failing
     });
 }
 
@@ -272,12 +272,12 @@
     let disk = Disk::new();
     disk.full.store(true, SeqCst);
     assert!(matches!(disk.open(), Err(StoreError::Disk(_))));
-    let again = disk.clone();
-    let writer = Writer::start(None, Box::new(move || again.again())).unwrap();
+    let reopened = disk.clone();
+    let writer = Writer::start(None, Box::new(move || reopened.reopen())).unwrap();
     writer.write(set([client(1, 1.0)])).unwrap();
-    assert!(writer.written().failing);
+    assert!(writer.stats().is_failing);
     disk.full.store(false, SeqCst);
-    until("it is written", || writer.written().entries == 1);
+    until("it is written", || writer.stats().entries == 1);
     writer.prune(10.0);
     drop(writer);
     assert!(contents(&disk.after(None).open().unwrap()).is_empty(), "older than asked for");
@@ -298,13 +298,16 @@
     assert_eq!(commands::import(other.path(), &text[..]).unwrap(), lines);
     let store = Store::open(other.path()).unwrap().store;
     assert_eq!(contents(&store), wanted);
-    assert_eq!(store.names().unwrap(), names);
+    assert_eq!(store.endpoint_names().unwrap(), names);
     drop(store);
     let summary = commands::show(other.path(), 3).unwrap();
     assert_eq!((summary.clients + summary.groups) as usize, wanted.len());
     assert_eq!((summary.largest.len(), summary.holders[0].endpoint.as_str()), (3, "s-1"));
-    let (before, after) = commands::compact(other.path()).unwrap();
-    assert!(after <= before && commands::verify(other.path()).unwrap().records as usize == wanted.len());
+    let sizes = commands::compact(other.path()).unwrap();
+    assert!(
+        sizes.after_bytes <= sizes.before_bytes
+            && commands::verify(other.path()).unwrap().records as usize == wanted.len()
+    );
     let bad = [
         ("{", "line 2"),
         (r#"{"client":{"key":"x","holder":"00000001","at_ms":1.0}}"#, "key"),
--- a/crates/affinity-store/tests/forms.rs
+++ b/crates/affinity-store/tests/forms.rs
@@ -10,7 +10,7 @@
 use sandgw_affinity::codec::Kind;
 use sandgw_affinity::endpoint_registry::EndpointTag;
 use sandgw_affinity::{Changes, Record};
-use sandgw_affinity_store::file_format::ShareRow;
+use sandgw_affinity_store::file_format::UsageRow;
 use sandgw_affinity_store::writer::Writer;
 use sandgw_affinity_store::{FILE, Store, StoreError};
 
@@ -24,8 +24,8 @@
     all
 }
 
-fn rows(n: u32) -> Vec<ShareRow> {
-    (0..n).map(|key| ShareRow { key, bytes: vec![key as u8; 9] }).collect()
+fn rows(n: u32) -> Vec<UsageRow> {
+    (0..n).map(|key| UsageRow { key, bytes: vec![key as u8; 9] }).collect()
 }
 
 fn folder(bytes: &[u8]) -> tempfile::TempDir {
@@ -44,22 +44,22 @@
 fn a_file_of_before_is_read_moved_and_moved_back() {
     let folder = folder(FORM_1);
     let store = open(folder.path());
-    assert_eq!((store.form().unwrap(), store.names().unwrap().len()), (1, 2));
+    assert_eq!((store.version().unwrap(), store.endpoint_names().unwrap().len()), (1, 2));
     let before = contents(&store);
     assert_eq!(before.len(), 4);
     let holder = EndpointTag::of("10.0.0.1:8003", 0.0);
     let client = Record::Session { key: 0xab_cdef_0123, holder, at: 3000.5 };
     assert!(before.iter().any(|(_, r)| *r == client));
     for n in [0, 3, 2] {
-        assert!(store.move_to(2).unwrap() && !store.move_to(2).unwrap());
-        store.write_shares(&rows(n)).unwrap();
-        assert!(store.move_to(1).unwrap());
+        assert!(store.migrate(2).unwrap() && !store.migrate(2).unwrap());
+        store.write_usage(&rows(n)).unwrap();
+        assert!(store.migrate(1).unwrap());
         // Kept aside, where programs of before do not look, and back with the next step up.
-        assert_eq!((store.form().unwrap(), store.shares().unwrap()), (1, rows(n)));
-        assert!(store.move_to(2).unwrap());
-        assert_eq!((store.form().unwrap(), store.shares().unwrap()), (2, rows(n)));
+        assert_eq!((store.version().unwrap(), store.usage().unwrap()), (1, rows(n)));
+        assert!(store.migrate(2).unwrap());
+        assert_eq!((store.version().unwrap(), store.usage().unwrap()), (2, rows(n)));
         assert_eq!(contents(&store), before);
-        assert!(store.move_to(1).unwrap());
+        assert!(store.migrate(1).unwrap());
     }
 }
 
@@ -67,15 +67,15 @@
 #[test]
 fn a_step_killed_anywhere_leaves_one_form_or_the_other() {
     type Step = fn(&Store) -> Result<(), StoreError>;
-    let up: Step = |store| store.move_to(2).map(drop);
-    let back: Step = |store| store.move_to(1).map(drop);
+    let up: Step = |store| store.migrate(2).map(drop);
+    let back: Step = |store| store.migrate(1).map(drop);
     let finalize: Step = |store| store.finalize(2);
     for (from, step, to, finalized) in [(1, up, 2, 1), (2, back, 1, 1), (1, finalize, 2, 2)] {
         let (begun, mut seen) = (Disk::new(), [0, 0]);
         let store = begun.open().unwrap();
         store.write(&Changes { set: vec![client(1), client(2)], ..Changes::default() }).unwrap();
-        store.move_to(from).unwrap();
-        store.write_shares(&rows(5)).unwrap();
+        store.migrate(from).unwrap();
+        store.write_usage(&rows(5)).unwrap();
         let before = contents(&store);
         drop(store);
         for fails_at in 0.. {
@@ -86,10 +86,10 @@
             drop(store);
             for cut in [None, Some(0), Some(u64::MAX), Some(0x5a5a_a5a5_9696_6969 ^ fails_at)] {
                 let store = disk.after(cut).open().unwrap();
-                let found = (store.form().unwrap(), store.finalized().unwrap());
+                let found = (store.version().unwrap(), store.finalized_version().unwrap());
                 assert!(found == (from, 1) || found == (to, finalized), "at {fails_at}: {found:?}");
                 assert!(!done || found == (to, finalized), "at {fails_at}: it was said to be done");
-                assert_eq!((store.shares().unwrap(), contents(&store)), (rows(5), before.clone()));
+                assert_eq!((store.usage().unwrap(), contents(&store)), (rows(5), before.clone()));
                 seen[usize::from(found == (to, finalized))] += 1;
             }
             if done {
@@ -109,11 +109,11 @@
     let folder = folder(FORM_1);
     let store = open(folder.path());
     store.finalize(2).unwrap();
-    let refused = store.move_to(1);
-    assert!(matches!(refused, Err(StoreError::Finalized { finalized: 2, most: 1 })), "{refused:?}");
-    assert!(matches!(store.move_to(3), Err(StoreError::Future { form: 3, .. })));
+    let refused = store.migrate(1);
+    assert!(matches!(refused, Err(StoreError::Finalized { finalized: 2, newest_allowed: 1 })), "{refused:?}");
+    assert!(matches!(store.migrate(3), Err(StoreError::TooNew { version: 3, .. })));
     drop(store);
-    assert_eq!(open(folder.path()).finalized().unwrap(), 2);
+    assert_eq!(open(folder.path()).finalized_version().unwrap(), 2);
     let path = folder.path().join(FILE);
     let db = redb::Database::create(&path).unwrap();
     let write = db.begin_write().unwrap();
@@ -131,14 +131,14 @@
 #[test]
 fn the_writer_moves_the_file_when_the_disk_lets_it() {
     let disk = Disk::new();
-    let again = disk.clone();
-    let writer = Writer::start(Some(disk.open().unwrap()), Box::new(move || again.again())).unwrap();
+    let reopened = disk.clone();
+    let writer = Writer::start(Some(disk.open().unwrap()), Box::new(move || reopened.reopen())).unwrap();
     disk.full.store(true, SeqCst);
-    assert!(writer.move_to(2, 2));
-    disk::until("the disk fails", || writer.written().failing);
+    assert!(writer.migrate(2, 2));
+    disk::until("the disk fails", || writer.stats().is_failing);
     disk.full.store(false, SeqCst);
-    disk::until("it is written", || !writer.written().failing);
+    disk::until("it is written", || !writer.stats().is_failing);
     drop(writer);
     let store = disk.after(None).open().unwrap();
-    assert_eq!((store.form().unwrap(), store.finalized().unwrap()), (2, 2));
+    assert_eq!((store.version().unwrap(), store.finalized_version().unwrap()), (2, 2));
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -222,13 +222,15 @@
         }
         StateCommand::SchemaVersion { folder, to } => {
             let told = |e: StoreError| fault(&folder, format!("{e}; {}", e.help()));
-            let store = Store::existing(&folder).map_err(told)?;
-            to.map(|form| store.move_to(form)).transpose().map_err(told)?;
-            let (form, finalized) = (store.form().map_err(told)?, store.finalized().map_err(told)?);
+            let store = Store::open_existing(&folder).map_err(told)?;
+            to.map(|form| store.migrate(form)).transpose().map_err(told)?;
+            let (form, finalized) =
+                (store.version().map_err(told)?, store.finalized_version().map_err(told)?);
             println!("form {form}, finalized {finalized}");
         }
         StateCommand::Compact { folder, json } => {
-            let (before, after) = commands::compact(&folder).map_err(|e| of(&folder, &e))?;
+            let sizes = commands::compact(&folder).map_err(|e| of(&folder, &e))?;
+            let (before, after) = (sizes.before_bytes, sizes.after_bytes);
             let text = format!("{before} bytes before, {after} after");
             say(json, text, serde_json::json!({"bytes_before": before, "bytes_after": after}));
         }
--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -1,122 +1,148 @@
-//! Drives the store of clients and groups: opened and read before anything is served, written behind after that.
+//! Drives the durable store of clients and groups: opens and reads it before anything is served, then writes behind.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
 use log::{error, info, warn};
-use sandgw_affinity::Restored;
+use sandgw_affinity::{Changes, Restored};
 use sandgw_affinity_store::writer::Writer;
-use sandgw_affinity_store::{Opened, Store, StoreError};
+use sandgw_affinity_store::{Loaded, Opened, Store, StoreError};
 use sandgw_schema_version::SchemaVersion;
+use tokio::time::{MissedTickBehavior, interval};
 
 use super::{Shared, span};
 use crate::policy::api::Millis;
 use crate::relay::Relay;
 
-/// Entries taken from the core at a time: it is not held up for longer than that takes.
-const BATCH: usize = 4096;
-/// How often old entries are dropped from the store.
-const PRUNE_EVERY: Millis = 600_000.0;
+/// Most entries taken from the core at a time, so that it is not blocked for longer than that takes.
+const BATCH_ENTRIES: usize = 4096;
+/// Interval between removals of old entries from the store.
+const PRUNE_INTERVAL_MS: Millis = 600_000.0;
 
-/// A store that was opened.
-pub struct Kept {
+/// A folder and its store, as it was opened.
+pub struct OpenedFolder {
     folder: PathBuf,
+    /// `None` where the disk failed.
     store: Option<Store>,
-    /// The form below which it may not go.
+    /// The version below which the store may not go.
     pub finalized: SchemaVersion,
 }
 
-/// Opens the store. A folder that can't be used is refused: it is the operator's to mend. A file that can't be read
-/// is set aside and a disk that fails is waited for; the relay starts without what they hold. One of a form to come,
-/// or finalized at a form over `most`, is refused and left as it is.
-pub fn open(folder: &Path, most: SchemaVersion) -> io::Result<Kept> {
-    let kept = |store, finalized| Kept { folder: folder.to_owned(), store, finalized };
-    let opened = Store::open(folder).map(Opened::noted).and_then(|store| {
-        let finalized = readable(&store, most)?;
-        Ok((store, finalized))
-    });
-    match opened {
-        Ok((store, finalized)) => Ok(kept(Some(store), finalized)),
+/// Opens the store. A damaged file is set aside, and a disk that fails is retried later: the relay starts without
+/// what they hold.
+///
+/// # Errors
+/// Where the operator has to act: the folder can't be used or is in use, or the file is of a newer version, or
+/// finalized at a version over `newest_allowed`. The file is left as it is.
+pub fn open(folder: &Path, newest_allowed: SchemaVersion) -> io::Result<OpenedFolder> {
+    let opened = |store, finalized| OpenedFolder { folder: folder.to_owned(), store, finalized };
+    match open_store(folder, newest_allowed) {
+        Ok((store, finalized)) => Ok(opened(Some(store), finalized)),
         Err(
             e @ (StoreError::InUse
             | StoreError::Folder(_)
-            | StoreError::Future { .. }
+            | StoreError::TooNew { .. }
             | StoreError::Finalized { .. }),
         ) => Err(io::Error::other(format!("{}: {e}; {}", folder.display(), e.help()))),
         Err(e) => {
             error!("state.folder: {}: {e}; starting without it", folder.display());
-            Ok(kept(None, SchemaVersion::FIRST))
+            Ok(opened(None, SchemaVersion::FIRST))
         }
     }
 }
 
-/// What is finalized, if this process reads it; where it writes form 1 only, the file is moved to that.
-fn readable(store: &Store, most: SchemaVersion) -> Result<SchemaVersion, StoreError> {
-    let (finalized, newest) = (store.finalized()?, most.number().into());
-    let readable = SchemaVersion::new(finalized).ok().filter(|f| *f <= most);
-    let finalized = readable.ok_or(StoreError::Finalized { finalized, most: newest })?;
-    if most == SchemaVersion::FIRST && store.move_to(newest)? {
-        info!("state.folder: the file is of form {most} again");
+/// Opens the store and reads the version at which it is finalized.
+fn open_store(folder: &Path, newest_allowed: SchemaVersion) -> Result<(Store, SchemaVersion), StoreError> {
+    let store = Store::open(folder).map(Opened::log_set_aside)?;
+    let finalized = check_finalized(&store, newest_allowed)?;
+    if newest_allowed == SchemaVersion::FIRST && store.migrate(newest_allowed.number().into())? {
+        info!("state.folder: the file is of form {newest_allowed} again");
     }
-    Ok(finalized)
+    Ok((store, finalized))
 }
 
-/// Hands what is in the store to the core and starts the thread that writes.
-pub fn restore(kept: Kept, relay: &mut Relay, now: Millis) -> io::Result<Writer> {
-    let mut done = Restored::default();
-    // One at a time: a folder may hold more than there is memory for.
-    match kept.store.as_ref().map(|s| s.load(|record| done += relay.restore(now, std::iter::once(record)))) {
-        Some(Ok(loaded)) if loaded.damaged > 0 => {
+fn check_finalized(store: &Store, newest_allowed: SchemaVersion) -> Result<SchemaVersion, StoreError> {
+    let finalized = store.finalized_version()?;
+    let supported = SchemaVersion::new(finalized).ok().filter(|version| *version <= newest_allowed);
+    supported.ok_or(StoreError::Finalized { finalized, newest_allowed: newest_allowed.number().into() })
+}
+
+/// Hands the store's content to the core and starts the writing thread.
+///
+/// # Errors
+/// Where the thread can't be started.
+pub fn restore(opened: OpenedFolder, relay: &mut Relay, now: Millis) -> io::Result<Writer> {
+    let mut restored = Restored::default();
+    // One record at a time: a folder may hold more than fits into memory.
+    let load = |store: &Store| store.load(|record| restored += relay.restore(now, std::iter::once(record)));
+    if let Some(loaded) = opened.store.as_ref().map(load) {
+        log_loaded(loaded);
+    }
+    log_restored(&restored);
+    relay.keep();
+    let folder = opened.folder;
+    Writer::start(opened.store, Box::new(move || Store::open(&folder)))
+}
+
+fn log_loaded(loaded: Result<Loaded, StoreError>) {
+    match loaded {
+        Ok(loaded) if loaded.damaged > 0 => {
             warn!("state.folder: {} damaged entries are passed over", loaded.damaged);
         }
-        Some(Err(e)) => error!("state.folder: {e}; starting with what could be read"),
-        _ => {}
+        Ok(_) => {}
+        Err(e) => error!("state.folder: {e}; starting with what could be read"),
     }
+}
+
+fn log_restored(restored: &Restored) {
     info!(
-        "state.folder: {} entries taken, {} too old, {} without room; they count once their streamers are listed",
-        done.taken, done.old, done.over
+        "state.folder: {} entries taken, {} too old, {} without room; they count once their endpoints are listed",
+        restored.taken, restored.old, restored.over
     );
-    if done.ahead > 0 {
-        let ahead = done.ahead;
+    if restored.ahead > 0 {
+        let ahead = restored.ahead;
         warn!(
             "state.folder: {ahead} entries were set later than now, and count as set now: was the clock stepped back?"
         );
     }
-    relay.keep();
-    let folder = kept.folder;
-    Writer::start(kept.store, Box::new(move || Store::open(&folder)))
 }
 
 /// Writes behind for as long as the program runs.
-pub async fn keep(shared: Rc<Shared>) {
+pub async fn write_behind(shared: Rc<Shared>) {
     let Some(writer) = &shared.keeper else { return };
-    let Some(flush) = shared.config.borrow().state.as_ref().map(|s| s.flush) else { return };
+    let Some(flush) = shared.config.borrow().state.as_ref().map(|state| state.flush) else { return };
     let max_age = shared.config.borrow().settings.affinity_limits.max_age;
-    let mut interval = tokio::time::interval(span(flush));
-    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let (mut waiting, mut pruned) = (None, f64::NEG_INFINITY);
+    let mut interval = interval(span(flush));
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut unsent = None;
+    let mut pruned_at = f64::NEG_INFINITY;
     loop {
         interval.tick().await;
         let now = shared.clock.now();
-        if now - pruned > PRUNE_EVERY {
-            pruned = now;
+        if now - pruned_at > PRUNE_INTERVAL_MS {
+            pruned_at = now;
             writer.prune(now - max_age);
         }
-        if writer.take_lost() {
+        if writer.take_resync_request() {
             shared.relay.borrow_mut().keep();
         }
-        // What the writer has no room for waits here; what comes after it waits in the tables.
-        loop {
-            let batch = waiting.take().unwrap_or_else(|| shared.relay.borrow_mut().changes(now, BATCH));
-            let more = batch.set.len() >= BATCH;
-            if !batch.is_empty() {
-                waiting = writer.write(batch).err();
-            }
-            if waiting.is_some() || !more {
-                break;
-            }
-            tokio::task::yield_now().await;
+        write_changes(&shared, writer, &mut unsent, now).await;
+    }
+}
+
+/// Hands all changes to the writer. A batch that its queue has no room for is kept in `unsent` for the next time, and
+/// later changes stay in the tables meanwhile.
+async fn write_changes(shared: &Shared, writer: &Writer, unsent: &mut Option<Changes>, now: Millis) {
+    loop {
+        let batch = unsent.take().unwrap_or_else(|| shared.relay.borrow_mut().changes(now, BATCH_ENTRIES));
+        let has_more = batch.set.len() >= BATCH_ENTRIES;
+        if !batch.is_empty() {
+            *unsent = writer.write(batch).err();
+        }
+        if unsent.is_some() || !has_more {
+            break;
         }
+        tokio::task::yield_now().await;
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -385,7 +385,7 @@
     spawn_local(schema_version::run(shared.clone()));
     spawn_local(discovery::watch(shared.clone()));
     spawn_local(peers::receive(shared.clone()));
-    spawn_local(affinity_store::keep(shared.clone()));
+    spawn_local(affinity_store::write_behind(shared.clone()));
     spawn_local(maintenance::keep(shared.clone()));
     if let Some(socket) = sockets.agent {
         spawn_local(snmp::answer(shared.clone(), socket));
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -193,7 +193,7 @@
         );
     }
     if let Some(writer) = shared.keeper.as_ref().filter(|_| is_settled)
-        && !writer.move_to(version.number().into(), finalized.number().into())
+        && !writer.migrate(version.number().into(), finalized.number().into())
     {
         // The writer's queue is full: ordered again at the next poll.
         *applied = None;
--- a/src/net/snmp.rs
+++ b/src/net/snmp.rs
@@ -20,7 +20,7 @@
         let Some(received) = received else { continue };
         match received {
             Ok((length, from)) => {
-                let written = shared.keeper.as_ref().map(|k| k.written()).unwrap_or_default();
+                let written = shared.keeper.as_ref().map(|k| k.stats()).unwrap_or_default();
                 let view = snmp::view(&shared.relay.borrow(), written);
                 let config = shared.config.borrow();
                 let Some(agent) = &config.snmp else { return };
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -7,7 +7,7 @@
 use rasn_snmp::v2::{Pdu, Pdus, Response, VarBind, VarBindValue};
 use rasn_snmp::v2c::Message;
 
-use sandgw_affinity_store::writer::Written;
+use sandgw_affinity_store::writer::WriterStats;
 
 use crate::policy::api::EndpointState;
 use crate::relay::Relay;
@@ -22,7 +22,7 @@
 pub type View = BTreeMap<Vec<u32>, ObjectSyntax>;
 
 /// What the relay shows now.
-pub fn view(relay: &Relay, written: Written) -> View {
+pub fn view(relay: &Relay, written: WriterStats) -> View {
     let mut view = View::new();
     let mut put = |tail: &[u32], value: ObjectSyntax| {
         view.insert([&BASE[..], tail].concat(), value);
@@ -46,7 +46,7 @@
     for (i, n) in (1..).zip([a.sessions, a.groups, a.bytes]) {
         put(&[5, i, 0], gauge(n));
     }
-    let totals = [a.evicted, a.refused, a.aged, a.stale, a.repeated, written.entries, written.failed];
+    let totals = [a.evicted, a.refused, a.aged, a.stale, a.repeated, written.entries, written.failures];
     for (i, n) in (4..).zip(totals) {
         put(&[5, i, 0], counter(n));
     }
