--- a/src/main.rs
+++ b/src/main.rs
@@ -84,6 +84,7 @@
         json: bool,
     },
     /// Say of which form the file is, or move it to another one, before an older version starts on it.
+    #[command(name = "form")]
     SchemaVersion {
         /// The folder.
         folder: PathBuf,
