--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -1,4 +1,4 @@
-//! A tier of real processes of several forms. The old one is a socket that speaks today's bytes and no others.
+//! A cluster of real processes of several schema versions. The old one is a socket that speaks version 1 only.
 
 mod common;
 
@@ -16,8 +16,8 @@
 use sandgw_schema_version::{SchemaVersion, SupportedVersions};
 
 const RELAYS: usize = 5;
-/// News of two clients' places, as the program of before forms had numbers wrote it.
-const NEWS: &[u8] = b"2AAIBAgMEAgEA/wMBAgD/AwIJCQkJAQMA/wMD";
+/// Gossip of two clients' places, as the program of before forms had numbers wrote it.
+const GOSSIP: &[u8] = b"2AAIBAgMEAgEA/wMBAgD/AwIJCQkJAQMA/wMD";
 
 fn settings(local_index: usize) -> String {
     format!(
@@ -36,15 +36,15 @@
     )
 }
 
-struct Tier {
+struct Cluster {
     discovery: Discovery,
     _endpoints: Vec<Endpoint>,
     hosts: Vec<String>,
     folders: Vec<tempfile::TempDir>,
 }
 
-impl Tier {
-    fn new() -> Tier {
+impl Cluster {
+    fn new() -> Cluster {
         let discovery = Discovery::start();
         let endpoints: Vec<_> = ["UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Endpoint::lines).into();
         for (i, endpoint) in endpoints.iter().enumerate() {
@@ -52,7 +52,7 @@
         }
         let hosts = (0..RELAYS).map(|_| host()).collect();
         let folders = (0..RELAYS).map(|_| tempfile::tempdir().unwrap()).collect();
-        Tier { discovery, _endpoints: endpoints, hosts, folders }
+        Cluster { discovery, _endpoints: endpoints, hosts, folders }
     }
 
     fn text(&self, local_index: usize, forms: &str) -> String {
@@ -65,11 +65,11 @@
     }
 
     fn folder(&self, local_index: usize) -> String {
-        state_form(&self.folders[local_index].path().join("kept"), &[])
+        state_version(&self.folders[local_index].path().join("kept"), &[])
     }
 }
 
-fn state_form(folder: &Path, more: &[&str]) -> String {
+fn state_version(folder: &Path, more: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_sandgw"));
     let out = command.args(["state", "form"]).arg(folder).args(more).output().unwrap();
     String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr)
@@ -80,7 +80,7 @@
 }
 
 /// Waits until all say this; the quiet time is 20 s.
-fn all_say(relays: &[&Relay], what: &str) -> Duration {
+fn wait_for_all(relays: &[&Relay], what: &str) -> Duration {
     let start = Instant::now();
     while !relays.iter().all(|r| forms(r).contains(what)) {
         let said: Vec<_> = relays.iter().map(|r| forms(r)).collect();
@@ -97,7 +97,7 @@
 }
 
 /// What the old one has heard, of which it can read those of form 1; words alone are passed over.
-fn heard(old: &UdpSocket) -> (Vec<String>, Vec<String>) {
+fn received(old: &UdpSocket) -> (Vec<String>, Vec<String>) {
     let (mut read, mut unread) = (Vec::new(), Vec::new());
     let mut buffer = [0; 300];
     while let Ok(n) = old.recv(&mut buffer) {
@@ -117,28 +117,28 @@
 /// outlast all of it.
 #[test]
 fn a_tier_goes_up_together_and_down_with_an_old_one_until_it_is_finalized() {
-    let tier = Tier::new();
-    let address = format!("{}:7946", tier.hosts[4]);
+    let cluster = Cluster::new();
+    let address = format!("{}:7946", cluster.hosts[4]);
     let old = UdpSocket::bind(&address).unwrap();
     old.set_read_timeout(Some(Duration::from_millis(10))).unwrap();
     let speak = |old: &UdpSocket| {
-        for host in &tier.hosts[..4] {
-            old.send_to(NEWS, format!("{host}:7946")).unwrap();
+        for host in &cluster.hosts[..4] {
+            old.send_to(GOSSIP, format!("{host}:7946")).unwrap();
         }
     };
-    let relays: Vec<_> = (0..4).map(|local_index| tier.start(local_index, "[forms]")).collect();
+    let relays: Vec<_> = (0..4).map(|local_index| cluster.start(local_index, "[forms]")).collect();
     let all: Vec<&Relay> = relays.iter().collect();
-    all_say(&all, "writes form 1, reads 1 to 2, finalized 1");
+    wait_for_all(&all, "writes form 1, reads 1 to 2, finalized 1");
     speak(&old);
     let placed: Vec<_> = (0..20).map(|key| opened(&relays[0], key, ",again=1")).collect();
     thread::sleep(Duration::from_secs(4));
-    all_say(&all, "older are relays 4");
-    let (read, unread) = heard(&old);
+    wait_for_all(&all, "older are relays 4");
+    let (read, unread) = received(&old);
     assert!(read.iter().any(|text| text.starts_with('2')) && unread.is_empty(), "{read:?} {unread:?}");
     drop(old);
-    let new = tier.start(4, "[forms]");
+    let new = cluster.start(4, "[forms]");
     let all: Vec<&Relay> = relays.iter().chain([&new]).collect();
-    all_say(&all, "writes form 2, reads 1 to 2, finalized 1");
+    wait_for_all(&all, "writes form 2, reads 1 to 2, finalized 1");
     let found = |relay: &Relay| (0..20).map(|key| opened(relay, key, ",mid=1").0).collect::<Vec<_>>();
     let at: Vec<_> = placed.iter().map(|(up, _)| up.clone()).collect();
     // Told in form 1, and kept; told in form 2, and known.
@@ -149,30 +149,30 @@
     assert_eq!(again, more.iter().map(|(up, _)| up.clone()).collect::<Vec<_>>());
     // Its place is taken by an old one again, killed as it stands: told nothing that it can't read once it spoke.
     drop(new);
-    until("the folder is of form 2", || tier.folder(4).starts_with("form 2"));
+    until("the folder is of form 2", || cluster.folder(4).starts_with("form 2"));
     let old = UdpSocket::bind(&address).unwrap();
     old.set_read_timeout(Some(Duration::from_millis(10))).unwrap();
-    heard(&old);
+    received(&old);
     speak(&old);
     thread::sleep(Duration::from_millis(300));
-    heard(&old);
+    received(&old);
     let _held: Vec<_> = (40..60).map(|key| opened(&relays[2], key, ",again=1")).collect();
     let all: Vec<&Relay> = relays.iter().collect();
     for _ in 0..40 {
         speak(&old);
         thread::sleep(Duration::from_millis(200));
     }
-    all_say(&all, "writes form 1");
-    let (read, unread) = heard(&old);
+    wait_for_all(&all, "writes form 1");
+    let (read, unread) = received(&old);
     assert!(!read.is_empty() && unread.is_empty(), "{read:?} {unread:?}");
     assert!(relays[0].call(b"finalize\n").starts_with("error a process that reads no more than form 1"));
     drop(old);
-    all_say(&all, "writes form 2");
+    wait_for_all(&all, "writes form 2");
     assert_eq!(relays[0].call(b"finalize\n"), "done finalized 2");
-    all_say(&all, "finalized 2");
+    wait_for_all(&all, "finalized 2");
     // Who is pinned to form 1 does not start, by the others' word and by its own folder.
     let refuses = |local_index: usize, folder: bool| {
-        let said = refused(&tier, local_index, folder);
+        let said = refused(&cluster, local_index, folder);
         assert!(said.contains("finalized at form 2") && said.contains("forms.most"), "{said}");
     };
     refuses(4, false);
@@ -180,28 +180,28 @@
     until("it is kept", || relays[3].log().contains("finalized is 2"));
     thread::sleep(Duration::from_millis(500));
     drop(relays.pop());
-    assert_eq!(tier.folder(3), "form 2, finalized 2\n");
+    assert_eq!(cluster.folder(3), "form 2, finalized 2\n");
     refuses(3, true);
-    assert!(state_form(&tier.folders[3].path().join("kept"), &["--to", "1"]).contains("no way back"));
+    assert!(state_version(&cluster.folders[3].path().join("kept"), &["--to", "1"]).contains("no way back"));
     // An old one that comes back is no reason to go below it.
     let old = UdpSocket::bind(&address).unwrap();
     (0..25).for_each(|_| {
         speak(&old);
         thread::sleep(Duration::from_millis(200));
     });
-    all_say(&relays.iter().collect::<Vec<_>>(), "writes form 2, reads 1 to 2, finalized 2");
+    wait_for_all(&relays.iter().collect::<Vec<_>>(), "writes form 2, reads 1 to 2, finalized 2");
 }
 
 /// What a process says that is pinned to form 1 and has to give up; with its folder or without.
-fn refused(tier: &Tier, local_index: usize, folder: bool) -> String {
+fn refused(cluster: &Cluster, local_index: usize, folder: bool) -> String {
     let files = tempfile::tempdir().unwrap();
-    let (host, forms) = (&tier.hosts[local_index], "[forms]\nmost = 1\n");
+    let (host, forms) = (&cluster.hosts[local_index], "[forms]\nmost = 1\n");
     let more =
-        if folder { tier.text(local_index, forms) } else { format!("{forms}{}", settings(local_index)) };
-    let peers: Vec<_> = tier.hosts.iter().map(|host| format!("{host}:7946")).collect();
+        if folder { cluster.text(local_index, forms) } else { format!("{forms}{}", settings(local_index)) };
+    let peers: Vec<_> = cluster.hosts.iter().map(|host| format!("{host}:7946")).collect();
     let text = format!(
         "[relay]\nlisten = \"{host}:8443\"\ndiscovery = \"{}\"\npeer_listen = \"{host}:7946\"\npeers = {peers:?}\n{more}",
-        tier.discovery.address
+        cluster.discovery.address
     );
     let file = files.path().join("app.toml");
     std::fs::write(&file, text).unwrap();
@@ -215,17 +215,17 @@
 /// Without the table all is as it was: no word, no call, and a folder of form 2 is taken back to form 1.
 #[test]
 fn without_the_table_nothing_is_told_or_asked() {
-    let tier = Tier::new();
-    let old = UdpSocket::bind(format!("{}:7946", tier.hosts[1])).unwrap();
+    let cluster = Cluster::new();
+    let old = UdpSocket::bind(format!("{}:7946", cluster.hosts[1])).unwrap();
     old.set_read_timeout(Some(Duration::from_millis(10))).unwrap();
-    let path = tier.folders[0].path().join("kept");
-    drop(tier.start(0, ""));
-    assert_eq!(state_form(&path, &["--to", "2"]), "form 2, finalized 1\n");
-    let relay = tier.start(0, "");
+    let path = cluster.folders[0].path().join("kept");
+    drop(cluster.start(0, ""));
+    assert_eq!(state_version(&path, &["--to", "2"]), "form 2, finalized 1\n");
+    let relay = cluster.start(0, "");
     assert!(relay.log().contains("the file is of form 1 again"), "{}", relay.log());
     assert_eq!(forms(&relay), "error an unknown call; known are status, standby, active");
     assert_eq!(relay.call(b"finalize\n"), "error an unknown call; known are status, standby, active");
-    old.send_to(b"3121|?", format!("{}:7946", tier.hosts[0])).unwrap();
+    old.send_to(b"3121|?", format!("{}:7946", cluster.hosts[0])).unwrap();
     let _held: Vec<_> = (0..5).map(|key| opened(&relay, key, ",again=1")).collect();
     thread::sleep(Duration::from_millis(2500));
     let mut buffer = [0; 300];
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -1,5 +1,5 @@
-//! Members' shares with real processes: a tier of four, endpoints that are full, one member that floods them, and a
-//! relay that is killed between.
+//! Tenants' quotas with real processes: a cluster of four relays, endpoints that are full, one tenant that floods them,
+//! and a relay that is killed meanwhile.
 
 mod common;
 
@@ -12,16 +12,17 @@
 use common::*;
 
 const RELAYS: usize = 4;
-/// Places of each of two endpoints: a tenth more than the members' shares.
-const PLACES: u32 = 33;
-const SHARES: [usize; 2] = [40, 20];
-/// What the small member wants, and how many of the big one's clients come besides in each round.
+/// Capacity of each of two endpoints: a tenth more than the tenants' quotas.
+const CAPACITY: u32 = 33;
+/// The tenants' quotas in connections.
+const QUOTAS: [usize; 2] = [40, 20];
+/// Connections that the small tenant wants, and arrivals of the big one in each round.
 const SMALL: usize = 16;
 const FLOOD: usize = 32;
 const ROUNDS: usize = 16;
 
-/// An endpoint that holds so many, and turns away who comes then.
-fn full_at(places: u32) -> Endpoint {
+/// An endpoint that accepts so many connections and rejects others.
+fn full_at(capacity: u32) -> Endpoint {
     let held = Arc::new(AtomicU32::new(0));
     Endpoint::start(move |stream, _| {
         let mut line = String::new();
@@ -30,7 +31,7 @@
             return;
         }
         let mut writer = stream;
-        if held.fetch_add(1, Ordering::SeqCst) < places && writer.write_all(b"UP 1\r\n").is_ok() {
+        if held.fetch_add(1, Ordering::SeqCst) < capacity && writer.write_all(b"UP 1\r\n").is_ok() {
             while reader.read_line(&mut line).is_ok_and(|n| n > 0) {}
         } else {
             let _ = writer.write_all(b"BUSY\r\n");
@@ -39,9 +40,9 @@
     })
 }
 
-/// An operator's file: settings with shares, which are kept to or not.
+/// An operator's file: settings with quotas, enforced or not.
 fn file(local_index: usize, enforce: bool) -> String {
-    let [big, small] = SHARES;
+    let [big, small] = QUOTAS;
     format!(
         r#"
 [shares]
@@ -68,87 +69,87 @@
     )
 }
 
-/// A client that asked, and at which relay.
-fn ask(relays: &[Option<Relay>], member: usize) -> (usize, Client) {
+/// A client that has requested a connection, and its relay.
+fn connect(relays: &[Option<Relay>], tenant: usize) -> (usize, Client) {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
     let up: Vec<usize> = (0..relays.len()).filter(|i| relays[*i].is_some()).collect();
     let at = up[id as usize % up.len()];
     let mut client = relays[at].as_ref().unwrap().client();
-    let name = ["big", "small"][member];
+    let name = ["big", "small"][tenant];
     client.send(&format!("OPEN {id:x} k{id:x} c=subtitle-stream,t={name},d=800\r\n"));
     (at, client)
 }
 
-/// Rounds in which some of each member's clients leave and others come; what was served of those who came in the
-/// second half of them, by member, and what stands at the end.
+/// Rounds in which some of each tenant's connections end and others arrive. Returns the served fraction of the arrivals
+/// in the second half of the rounds, and the open connections at the end, by tenant.
 fn rounds(enforce: bool) -> ([f64; 2], [usize; 2]) {
-    let endpoints = [full_at(PLACES), full_at(PLACES)];
+    let endpoints = [full_at(CAPACITY), full_at(CAPACITY)];
     let discovery = Discovery::start();
     for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
-    let tier: Vec<String> = (0..RELAYS).map(|_| host()).collect();
+    let hosts: Vec<String> = (0..RELAYS).map(|_| host()).collect();
     let start = |local_index: usize| {
-        Relay::start_more(&discovery, 1024, &tier, local_index, &file(local_index, enforce))
+        Relay::start_more(&discovery, 1024, &hosts, local_index, &file(local_index, enforce))
     };
     let mut relays: Vec<Option<Relay>> = (0..RELAYS).map(|local_index| Some(start(local_index))).collect();
-    let mut held: [Vec<(usize, Client)>; 2] = Default::default();
-    let (mut came, mut served) = ([0; 2], [0; 2]);
+    let mut open: [Vec<(usize, Client)>; 2] = Default::default();
+    let (mut arrived, mut served) = ([0; 2], [0; 2]);
     for round in 0..ROUNDS {
-        // Killed, with all that it holds; later it starts again, from nothing.
+        // Killed with all its connections; it restarts later, without any state.
         if round == 6 {
             relays[1] = None;
-            held.iter_mut().for_each(|h| h.retain(|(at, _)| *at != 1));
+            open.iter_mut().for_each(|h| h.retain(|(at, _)| *at != 1));
         }
         if round == 9 {
             relays[1] = Some(start(1));
         }
-        held.iter_mut().for_each(|h| drop(h.drain(..h.len() / 5)));
+        open.iter_mut().for_each(|h| drop(h.drain(..h.len() / 5)));
         thread::sleep(Duration::from_millis(400));
-        let small = SMALL.saturating_sub(held[1].len());
-        let ask = |member| (member, ask(&relays, member));
+        let small = SMALL.saturating_sub(open[1].len());
+        let connect_as = |tenant| (tenant, connect(&relays, tenant));
         let turns = (0..FLOOD.max(small)).flat_map(|i| [(i < FLOOD).then_some(0), (i < small).then_some(1)]);
-        let asked: Vec<_> = turns.flatten().map(ask).collect();
-        for (member, (at, mut client)) in asked {
+        let requests: Vec<_> = turns.flatten().map(connect_as).collect();
+        for (tenant, (at, mut client)) in requests {
             let answer = client.line();
             let up = answer.starts_with("UP");
             assert!(up || answer.starts_with("BUSY"), "{answer}");
             if round >= ROUNDS / 2 {
-                came[member] += 1;
-                served[member] += usize::from(up);
+                arrived[tenant] += 1;
+                served[tenant] += usize::from(up);
             }
-            held[member].extend(up.then_some((at, client)));
+            open[tenant].extend(up.then_some((at, client)));
         }
     }
     let log: Vec<String> = relays.iter().flatten().map(Relay::log).collect();
-    let says = log.iter().any(|log| log.contains("shares: places are short"));
-    assert_eq!(says, enforce, "refusals by share are logged, and there are none where it is off");
-    ([0, 1].map(|m| served[m] as f64 / came[m] as f64), [held[0].len(), held[1].len()])
+    let logs_scarcity = log.iter().any(|log| log.contains("shares: places are short"));
+    assert_eq!(logs_scarcity, enforce, "refusals by share are logged, and there are none where it is off");
+    ([0, 1].map(|m| served[m] as f64 / arrived[m] as f64), [open[0].len(), open[1].len()])
 }
 
 #[test]
 fn a_flood_leaves_the_other_member_its_share_through_a_kill() {
-    let (off, stood_off) = rounds(false);
-    let (on, stood) = rounds(true);
+    let (off, open_off) = rounds(false);
+    let (on, open) = rounds(true);
     println!("served of those who came, big and small: {off:.2?} without shares, {on:.2?} with them");
-    println!("standing at the end: {stood_off:?} and {stood:?} of shares {SHARES:?}");
+    println!("standing at the end: {open_off:?} and {open:?} of shares {QUOTAS:?}");
     assert!(off[1] < 0.8, "the flood hurts where nothing is done: {off:?}");
     assert!(on[1] >= 0.9, "{on:?}");
-    assert!(stood[0] >= SHARES[0] * 3 / 4, "its own share is not refused: {stood:?}");
+    assert!(open[0] >= QUOTAS[0] * 3 / 4, "its own share is not refused: {open:?}");
 }
 
-/// While there is room nobody is refused, however far over its share.
+/// While capacity is not scarce nobody is rejected, however far over quota.
 #[test]
 fn where_there_is_room_nobody_is_refused() {
     let (endpoint, discovery) = (full_at(1000), Discovery::start());
     discovery.set("s-0", &endpoint.address, "Ready", 0);
-    let tier: Vec<String> = (0..RELAYS).map(|_| host()).collect();
+    let hosts: Vec<String> = (0..RELAYS).map(|_| host()).collect();
     let relays: Vec<_> = (0..RELAYS)
         .map(|local_index| {
-            Some(Relay::start_more(&discovery, 1024, &tier, local_index, &file(local_index, true)))
+            Some(Relay::start_more(&discovery, 1024, &hosts, local_index, &file(local_index, true)))
         })
         .collect();
-    let mut clients: Vec<_> = (0..SHARES[1] * 4).map(|_| ask(&relays, 1)).collect();
+    let mut clients: Vec<_> = (0..QUOTAS[1] * 4).map(|_| connect(&relays, 1)).collect();
     assert!(clients.iter_mut().all(|(_, client)| client.line() == "UP 1"));
 }
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -1,4 +1,4 @@
-//! The folder that keeps clients and groups, through the real program.
+//! The durable store of clients and groups, through the real program.
 
 mod common;
 
@@ -24,16 +24,16 @@
     Relay::start_more(discovery, 1024, &[host.to_owned()], 0, &more)
 }
 
-/// Opens the connection of a client; what it is answered, and the connection.
-fn ask(relay: &Relay, key: usize, more: &str) -> (String, Client) {
+/// Opens a client's connection; returns the reply and the connection.
+fn connect(relay: &Relay, key: usize, more: &str) -> (String, Client) {
     let mut client = relay.client();
     client.send(&format!("OPEN {key}{} {key} c=subtitle-stream,t=acme,d=2000,g=1{more}\r\n", more.len()));
     (client.line(), client)
 }
 
-/// Places clients where nothing in their key tells, and gives the store time to take them.
+/// Places clients of which nothing is known, and gives the store time to write them. Returns their replies.
 fn place(relay: &Relay) -> Vec<String> {
-    let held: Vec<_> = (0..40).map(|key| ask(relay, key, ",again=1")).collect();
+    let held: Vec<_> = (0..40).map(|key| connect(relay, key, ",again=1")).collect();
     thread::sleep(Duration::from_secs(1));
     let at: Vec<_> = held.into_iter().map(|(up, _)| up).collect();
     assert!(at.iter().any(|up| *up != at[0]), "all are at one streamer: {at:?}");
@@ -54,7 +54,7 @@
     let at = place(&relay);
     drop(relay);
     let relay = start(&discovery, &host, folder.path());
-    let again: Vec<_> = (0..40).map(|key| ask(&relay, key, ",mid=1").0).collect();
+    let again: Vec<_> = (0..40).map(|key| connect(&relay, key, ",mid=1").0).collect();
     assert_eq!(again, at, "{}", relay.log());
     assert!(relay.log().contains("state.folder: 41 entries taken"), "{}", relay.log());
 }
@@ -71,7 +71,7 @@
     discovery.set("s-1", &endpoints[1].address, "Ready", unix_ms() - 60_000);
     let before = endpoints[0].seen().len();
     let relay = start(&discovery, &host, folder.path());
-    let held: Vec<_> = (0..40).map(|key| ask(&relay, key, ",mid=1")).collect();
+    let held: Vec<_> = (0..40).map(|key| connect(&relay, key, ",mid=1")).collect();
     for ((again, _), at) in held.iter().zip(&at) {
         assert_ne!(again, "UP 0");
         // The others keep theirs; s-1 is another process by now and is no better than any.
@@ -87,7 +87,7 @@
     let _endpoints = fleet(&discovery);
     let host_of_first = host();
     let relay = start(&discovery, &host_of_first, folder.path());
-    let refused = |state: &Path, reason: &str| {
+    let assert_refused = |state: &Path, reason: &str| {
         let file = folder.path().join("second.toml");
         let text =
             include_str!("../src/application.toml").replace("127.0.0.1:1935", &format!("{}:1935", host()));
@@ -97,16 +97,16 @@
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && said.contains("state.folder") && said.contains(reason), "{said}");
     };
-    refused(folder.path(), "another process has the store open");
+    assert_refused(folder.path(), "another process has the store open");
     let file = folder.path().join("file");
     std::fs::write(&file, "").unwrap();
-    refused(&file, "the folder can't be used");
-    refused(&folder.path().join("no/parent"), "the folder can't be used");
+    assert_refused(&file, "the folder can't be used");
+    assert_refused(&folder.path().join("no/parent"), "the folder can't be used");
     drop(relay);
     let kept = folder.path().join("affinity.redb");
     std::fs::write(&kept, "something else").unwrap();
     let relay = start(&discovery, &host_of_first, folder.path());
-    assert_eq!(ask(&relay, 1, "").0.split(' ').next(), Some("UP"));
+    assert_eq!(connect(&relay, 1, "").0.split(' ').next(), Some("UP"));
     assert!(relay.log().contains("affinity.damaged-1, and an empty one is begun"), "{}", relay.log());
     assert_eq!(std::fs::read_to_string(folder.path().join("affinity.damaged-1")).unwrap(), "something else");
 }
@@ -121,11 +121,11 @@
     let relay = Relay::start_limited(&discovery, "ulimit -f 8", 1024, &[host()], 0, &more);
     assert!(relay.log().contains("state.folder: "), "{}", relay.log());
     for key in 0..200 {
-        assert_eq!(ask(&relay, key, "").0.split(' ').next(), Some("UP"));
+        assert_eq!(connect(&relay, key, "").0.split(' ').next(), Some("UP"));
         // It warns of each, until its log is full as well.
         relay.reload(None);
     }
-    assert_eq!(ask(&relay, 200, "").0.split(' ').next(), Some("UP"));
+    assert_eq!(connect(&relay, 200, "").0.split(' ').next(), Some("UP"));
 }
 
 #[test]
