--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -1,5 +1,7 @@
 //! A cluster of real processes of several schema versions. The old one is a socket that speaks version 1 only.
 
+#![allow(clippy::too_many_lines, reason = "one test follows a cluster through all of an upgrade")]
+
 mod common;
 
 use std::net::UdpSocket;
