--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -208,7 +208,7 @@
     shared
         .post
         .as_ref()
-        .map_or(FIRST_PROTOCOL_VERSION, |post| post.borrow().ladder.range().newest().number().into())
+        .map_or(FIRST_PROTOCOL_VERSION, |post| post.borrow().negotiator.supported().newest().number().into())
 }
 
 async fn absorb(
@@ -478,14 +478,15 @@
             }
             PredecessorAction::SendSnapshot => {
                 let form = negotiate_version(&message, newest(shared));
-                if let Some((listened, word)) =
-                    super::schema_version::word(shared).filter(|_| form > FIRST_PROTOCOL_VERSION)
+                if let Some(state) =
+                    super::schema_version::takeover_state(shared).filter(|_| form > FIRST_PROTOCOL_VERSION)
                 {
-                    link.send(
-                        &Message::VersionAgreement { version: form, listened, advertisement: word },
-                        &[],
-                    )
-                    .await?;
+                    let agreement = Message::VersionAgreement {
+                        version: form,
+                        listened: state.listening_ms,
+                        advertisement: state.advertisement,
+                    };
+                    link.send(&agreement, &[]).await?;
                 }
                 snapshot(shared, &mut link).await?;
             }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -26,7 +26,7 @@
 pub fn encode(message: &PeerMessage) -> String {
     match message {
         PeerMessage::Cluster(message) => message.encode().unwrap_or_default(),
-        PeerMessage::Quota(report) => report.text().unwrap_or_default(),
+        PeerMessage::Quota(report) => report.encode().unwrap_or_default(),
         PeerMessage::GroupSizes(sizes) => encode_group_sizes(sizes),
     }
 }
@@ -37,7 +37,7 @@
         return ClusterMessage::decode(text).map(PeerMessage::Cluster);
     }
     if text.starts_with(QUOTA_KIND) {
-        return UsageReport::read(text).map(PeerMessage::Quota);
+        return UsageReport::decode(text).map(PeerMessage::Quota);
     }
     decode_group_sizes(text).map(PeerMessage::GroupSizes)
 }
