--- a/src/policy/tests/group_assignment.rs
+++ b/src/policy/tests/group_assignment.rs
@@ -1,5 +1,7 @@
 //! Tests: how groups are sized and spread over endpoints.
 
+#![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::super::api::*;
--- a/src/policy/tests/world.rs
+++ b/src/policy/tests/world.rs
@@ -1,6 +1,8 @@
 //! Tests: a small world around one load balancer: it plays events, keeps books of its own, and checks the
 //! four rules at every action.
 
+#![allow(clippy::too_many_lines, reason = "the books check every action in one place")]
+
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -44,12 +44,12 @@
 
 /// Names of the settings' classes, by position.
 pub(crate) fn class_names(settings: &Value) -> Vec<String> {
-    list(settings, "lanes").iter().map(|class| name(class)).collect()
+    list(settings, "lanes").iter().map(name).collect()
 }
 
 /// Names of the settings' tenants, by position.
 pub(crate) fn tenant_names(settings: &Value) -> Vec<String> {
-    list(settings, "realms").iter().map(|tenant| name(tenant)).collect()
+    list(settings, "realms").iter().map(name).collect()
 }
 
 /// Reads the settings.
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,5 +1,7 @@
 //! The configuration tool through the real program.
 
+#![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
+
 use sandgw::config::Config;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -5,6 +5,8 @@
 //! replies' digest and the counts of events and actions are snapshots. A change that is meant to leave decisions
 //! as they are must leave the snapshots as they are.
 
+#![allow(clippy::too_many_lines, reason = "one world, played in order")]
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,6 +1,8 @@
 //! Discovery's clock, with real processes: whatever a call ran into before, the relay has asked again and was answered
 //! 6 s after the service had a change and could be reached.
 
+#![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
+
 mod common;
 
 use std::io::{Read, Write};
