--- a/crates/test-cluster/examples/mixed_versions.rs
+++ b/crates/test-cluster/examples/mixed_versions.rs
@@ -13,11 +13,14 @@
 use std::process::{Command, ExitCode};
 
 use clap::Parser;
-use sandgw_test_cluster::fault_schedule::{Bounds, Script};
-use sandgw_test_cluster::load_clients::Plan as Load;
-use sandgw_test_cluster::log::What;
-use sandgw_test_cluster::process::Relay;
-use sandgw_test_cluster::{Millis, Size, TestCluster, TestClusterError, free_address, span};
+use sandgw_test_cluster::fault_schedule::{FaultSchedule, ScheduleBounds};
+use sandgw_test_cluster::invariants::MidFlowCounts;
+use sandgw_test_cluster::load_clients::{LoadPlan, Weighted};
+use sandgw_test_cluster::log::EventKind;
+use sandgw_test_cluster::process::RelayProcess;
+use sandgw_test_cluster::{
+    ClusterConfig, Log, Millis, TestCluster, TestClusterError, duration, free_address,
+};
 use tempfile::TempDir;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -95,38 +98,38 @@
 
 /// One cluster of both versions under a drawn fault script: no rule is broken, and clients are served.
 async fn mixed_cluster(old: &Path, new: &Path, seed: u64) -> PartResult {
-    let mut size = Size::new(new, RELAYS, ENDPOINTS);
-    size.rules.grace_ms = GRACE_MS;
-    size.classes = vec!["stream", "query"];
-    size.seed = seed;
-    let mut cluster = TestCluster::new(size).await?;
-    for relay in cluster.relays.iter_mut().filter(|relay| runs_old(relay.number)) {
-        relay.plan.binary = old.to_owned();
+    let mut config = ClusterConfig::new(new, RELAYS, ENDPOINTS);
+    config.rules.grace_ms = GRACE_MS;
+    config.classes = vec!["stream", "query"];
+    config.seed = seed;
+    let mut cluster = TestCluster::new(config).await?;
+    for relay in cluster.relays.iter_mut().filter(|relay| runs_old(relay.index)) {
+        relay.config.binary = old.to_owned();
     }
-    cluster.mesh.keep();
-    cluster.ready().await?;
-    let clients = cluster.clients(load(seed));
-    let bounds = Bounds { relays: RELAYS, endpoints: ENDPOINTS, length_ms: SCRIPT_MS, faults: 10 };
-    cluster.run(&Script::draw(seed, &bounds)).await?;
-    let results = clients.end(MAX_WAIT_MS).await;
+    cluster.mesh.start_recording();
+    cluster.start_and_wait().await?;
+    let clients = cluster.start_clients(load_plan(seed));
+    let bounds = ScheduleBounds { relays: RELAYS, endpoints: ENDPOINTS, duration_ms: SCRIPT_MS, faults: 10 };
+    cluster.run(&FaultSchedule::draw(seed, &bounds)).await?;
+    let results = clients.finish(MAX_WAIT_MS).await;
     let verdict = cluster.verdict();
-    ensure(verdict.breaches.is_empty(), || verdict.to_string())?;
-    let floor = verdict.shares.hold(MIN_SERVED_FRACTION);
-    ensure(floor.is_ok(), || format!("{floor:?}\n{verdict}"))?;
+    ensure(verdict.violations.is_empty(), || verdict.to_string())?;
+    let levels = verdict.service_levels.check_minimum(MIN_SERVED_FRACTION);
+    ensure(levels.is_ok(), || format!("{levels:?}\n{verdict}"))?;
     for relay in &mut cluster.relays {
-        let (number, runs) = (relay.number, relay.runs());
-        ensure(runs, || format!("relay {number} has ended by itself: {}", relay.logged()))?;
+        let (number, runs) = (relay.index, relay.is_running());
+        ensure(runs, || format!("relay {number} has ended by itself: {}", relay.log_text()))?;
     }
-    let datagrams = cluster.mesh.kept();
+    let datagrams = cluster.mesh.recorded();
     let crossing = |from_old: bool| {
         datagrams.iter().filter(|d| runs_old(d.from) == from_old && runs_old(d.to) != from_old).count()
     };
     let (from_old, from_new) = (crossing(true), crossing(false));
     ensure(from_old > 0 && from_new > 0, || "no datagrams between the versions".into())?;
-    let (arrivals, found) = verdict.mid_flow;
-    let (all, served) = (results.all.all(), results.all.served);
+    let MidFlowCounts { attempted, found_at_once } = verdict.mid_flow;
+    let (all, served) = (results.all.total(), results.all.served);
     Ok(format!(
-        "no rule broken, {served} of {all} clients served, {found} of {arrivals} mid-flow arrivals found at once, \
+        "no rule broken, {served} of {all} clients served, {found_at_once} of {attempted} mid-flow arrivals found at once, \
          {from_old} datagrams old to new, {from_new} new to old"
     ))
 }
@@ -137,18 +140,19 @@
 }
 
 /// Clients of two classes and three tenants.
-fn load(seed: u64) -> Load {
-    let classes = [("stream", 2.0), ("query", 1.0)].map(|(name, weight)| (name.into(), weight));
-    let tenants = [("acme", 3.0), ("luna", 2.0), ("nova", 1.0)].map(|(name, weight)| (name.into(), weight));
-    Load {
+fn load_plan(seed: u64) -> LoadPlan {
+    let classes = [("stream", 2.0), ("query", 1.0)].map(|(name, weight)| Weighted::new(name, weight));
+    let tenants =
+        [("acme", 3.0), ("luna", 2.0), ("nova", 1.0)].map(|(name, weight)| Weighted::new(name, weight));
+    LoadPlan {
         count: LOAD_CLIENTS,
         over_ms: SCRIPT_MS,
         stay_ms: 2000.0,
         seed,
-        tries: 8,
+        max_tries: 8,
         classes: classes.into(),
         tenants: tenants.into(),
-        ..Load::default()
+        ..LoadPlan::default()
     }
 }
 
@@ -158,22 +162,22 @@
     let folder = tempfile::tempdir()?;
     let settings = format!("[relay]\nhandover = {:?}\n", folder.path());
     let mut cluster = single_relay(from, &settings, &folder).await?;
-    cluster.ready().await?;
+    cluster.start_and_wait().await?;
     let log = cluster.log.clone();
     wait_until(&log, "it offers a hand-over", || folder.path().join(HANDOVER_SOCKET).exists()).await?;
-    let listen = cluster.relays[0].plan.listen;
+    let listen = cluster.relays[0].config.listen;
     let mut established = Client::open(listen, PLACED_CLIENTS, "").await?;
     established.echo("before").await?;
     let mut placed = place_clients(listen).await?;
 
-    let mut plan = cluster.relays[0].plan.clone();
-    plan.binary = to.to_owned();
-    plan.ops = free_address()?;
-    let next_operators = plan.ops;
-    let mut next = Relay::new(0, plan, &log)?;
+    let mut next_config = cluster.relays[0].config.clone();
+    next_config.binary = to.to_owned();
+    next_config.operators = free_address()?;
+    let next_operators = next_config.operators;
+    let mut next = RelayProcess::new(0, next_config, &log)?;
     next.start()?;
     wait_for_status(&log, next_operators, "done active").await?;
-    let status = status(cluster.relays[0].plan.ops).await;
+    let status = status(cluster.relays[0].config.operators).await;
     ensure(status.starts_with("error handed over"), || format!("the first process says {status:?}"))?;
     established.echo("handed over").await?;
     cluster.relays[0].terminate()?;
@@ -190,7 +194,7 @@
     let endpoints: Vec<_> = placed.iter().map(Client::endpoint).collect();
     drop(placed);
     find_clients(&cluster, listen, &endpoints).await?;
-    ensure(next.runs(), || format!("the next process has ended: {}", next.logged()))?;
+    ensure(next.is_running(), || format!("the next process has ended: {}", next.log_text()))?;
     Ok(format!(
         "{} established connections went on, a new one was served, {PLACED_CLIENTS} clients found at once",
         PLACED_CLIENTS + 1
@@ -204,10 +208,10 @@
     let state = folder.path().join("state");
     let settings = format!("[state]\nfolder = {state:?}\nflush_ms = 100\n");
     let mut cluster = single_relay(writer, &settings, &folder).await?;
-    cluster.ready().await?;
-    let listen = cluster.relays[0].plan.listen;
+    cluster.start_and_wait().await?;
+    let listen = cluster.relays[0].config.listen;
     let placed = place_clients(listen).await?;
-    sleep(span(1000.0)).await;
+    sleep(duration(1000.0)).await;
     cluster.relays[0].kill();
     let endpoints: Vec<_> = placed.iter().map(Client::endpoint).collect();
     drop(placed);
@@ -219,13 +223,13 @@
     let imported_by_reader = imported(reader, &written, &folder.path().join("into-reader"))?;
     ensure(imported_by_writer == imported_by_reader, || "the versions differ on an import".into())?;
 
-    cluster.relays[0].plan.binary = reader.to_owned();
+    cluster.relays[0].config.binary = reader.to_owned();
     cluster.relays[0].start()?;
-    cluster.relays[0].ready(MAX_WAIT_MS).await?;
+    cluster.relays[0].wait_ready(MAX_WAIT_MS).await?;
     find_clients(&cluster, listen, &endpoints).await?;
     // All clients and their one group, by the log of the last start.
     let expected = format!("{} entries taken", PLACED_CLIENTS + 1);
-    let logged = cluster.relays[0].logged();
+    let logged = cluster.relays[0].log_text();
     let last = logged.lines().rfind(|line| line.contains("entries taken"));
     ensure(last.is_some_and(|line| line.contains(&expected)), || format!("not {expected}: {logged}"))?;
     Ok(format!(
@@ -236,12 +240,12 @@
 
 /// A cluster of one relay of this binary, with this application's file, which is written to the folder.
 async fn single_relay(binary: &Path, settings: &str, folder: &TempDir) -> Result<TestCluster, PartError> {
-    let mut size = Size::new(binary, 1, ENDPOINTS);
-    size.rules.grace_ms = GRACE_MS;
-    let mut cluster = TestCluster::new(size).await?;
+    let mut config = ClusterConfig::new(binary, 1, ENDPOINTS);
+    config.rules.grace_ms = GRACE_MS;
+    let mut cluster = TestCluster::new(config).await?;
     let file = folder.path().join("application.toml");
     fs::write(&file, settings)?;
-    cluster.relays[0].plan.arguments = vec!["run".into(), file.display().to_string()];
+    cluster.relays[0].config.arguments = vec!["run".into(), file.display().to_string()];
     Ok(cluster)
 }
 
@@ -302,7 +306,8 @@
     listen: SocketAddr,
     endpoints: &[String],
 ) -> Result<(), PartError> {
-    let attempts = || cluster.log.count(|what| matches!(what, What::Attempt { mid: true, .. }));
+    let attempts =
+        || cluster.log.count(|what| matches!(what, EventKind::AttemptReceived { mid_flow: true, .. }));
     let before = attempts();
     for (key, endpoint) in endpoints.iter().enumerate() {
         let found = Client::open(listen, key, ",mid=1").await?.endpoint();
@@ -348,7 +353,7 @@
     async fn call(&mut self, line: &str) -> Result<String, PartError> {
         self.stream.write_all(line.as_bytes()).await?;
         let mut answer = String::new();
-        let read = timeout(span(MAX_WAIT_MS), self.stream.read_line(&mut answer)).await;
+        let read = timeout(duration(MAX_WAIT_MS), self.stream.read_line(&mut answer)).await;
         ensure(read.is_ok(), || format!("no answer to {line:?}"))?;
         Ok(answer.trim_end().to_owned())
     }
@@ -363,15 +368,11 @@
         BufReader::new(&mut stream).take(4096).read_line(&mut answer).await?;
         io::Result::Ok(answer.trim_end().to_owned())
     };
-    timeout(span(1000.0), ask).await.ok().and_then(Result::ok).unwrap_or_default()
+    timeout(duration(1000.0), ask).await.ok().and_then(Result::ok).unwrap_or_default()
 }
 
 /// Waits until a relay's status begins with this text.
-async fn wait_for_status(
-    log: &sandgw_test_cluster::Log,
-    operators: SocketAddr,
-    expected: &str,
-) -> Result<(), PartError> {
+async fn wait_for_status(log: &Log, operators: SocketAddr, expected: &str) -> Result<(), PartError> {
     let end = log.now() + MAX_WAIT_MS;
     loop {
         let status = status(operators).await;
@@ -379,30 +380,26 @@
             return Ok(());
         }
         ensure(log.now() < end, || format!("the status is {status:?} instead of {expected:?}"))?;
-        sleep(span(20.0)).await;
+        sleep(duration(20.0)).await;
     }
 }
 
 /// Waits until a condition holds.
-async fn wait_until(
-    log: &sandgw_test_cluster::Log,
-    what: &str,
-    holds: impl Fn() -> bool,
-) -> Result<(), PartError> {
+async fn wait_until(log: &Log, what: &str, holds: impl Fn() -> bool) -> Result<(), PartError> {
     let end = log.now() + MAX_WAIT_MS;
     while !holds() {
         ensure(log.now() < end, || format!("not in time: {what}"))?;
-        sleep(span(20.0)).await;
+        sleep(duration(20.0)).await;
     }
     Ok(())
 }
 
 /// Waits until a relay's process has ended by itself.
-async fn wait_for_end(log: &sandgw_test_cluster::Log, relay: &mut Relay) -> Result<(), PartError> {
+async fn wait_for_end(log: &Log, relay: &mut RelayProcess) -> Result<(), PartError> {
     let end = log.now() + MAX_WAIT_MS;
-    while relay.runs() {
+    while relay.is_running() {
         ensure(log.now() < end, || "the first process does not end".into())?;
-        sleep(span(20.0)).await;
+        sleep(duration(20.0)).await;
     }
     Ok(())
 }
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -1,251 +1,350 @@
-//! A whole rig: relays, links, discovery, endpoints and the front, wired together.
+//! A whole cluster: relays, the links between them, discovery, endpoints and clients, wired together.
+//!
+//! It owns the parts; its inputs are a [`ClusterConfig`] and faults; what happens is in the parts' log.
 
 use std::collections::HashMap;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
 
+use serde_json::Value;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::fault_proxy::{Fate, Mesh};
-use crate::fault_schedule::{Fault, Script};
-use crate::invariants::{Verdict, judge};
-use crate::load_clients::{ClientProtocol, Clients, Plan as Crowd};
-use crate::log::What;
-use crate::process::{Plan, Relay};
-use crate::settings::{Rules, settings};
-use crate::stub_discovery::{Discovery, Entry, Service};
-use crate::stub_endpoints::{Fleet, Model};
-use crate::{Log, Millis, TestClusterError, free_address, raise_descriptors, span, unix_ms};
-
-/// How many of what.
+use crate::fault_proxy::{DatagramMesh, DelayRange, LinkFaults};
+use crate::fault_schedule::{Fault, FaultSchedule};
+use crate::invariants::{Verdict, check_invariants};
+use crate::load_clients::{HealthChecker, LoadClients, LoadPlan};
+use crate::log::EventKind;
+use crate::process::{RelayConfig, RelayProcess};
+use crate::settings::{RuleSettings, relay_settings};
+use crate::stub_discovery::{EndpointEntry, EndpointPhase, ServiceModel, StubDiscovery};
+use crate::stub_endpoints::{EndpointModel, StubEndpoints};
+use crate::{Log, Millis, TestClusterError, duration, free_address, raise_descriptor_limit, unix_ms};
+
+/// Descriptors besides those for relays; each client takes two or three while it is connected.
+const BASE_DESCRIPTORS: u64 = 1000;
+/// Descriptors that the stand-ins take for each relay.
+const DESCRIPTORS_PER_RELAY: u64 = 8;
+/// How long a relay may take to answer `PING` after its start.
+const READY_TIMEOUT_MS: Millis = 30_000.0;
+/// How long the health checker may take to find all relays once they are ready.
+const HEALTH_TIMEOUT_MS: Millis = 5000.0;
+/// How often it is checked whether the thread of the stand-ins runs.
+const STALL_CHECK_INTERVAL_MS: Millis = 20.0;
+/// How late such a check has to be to count as a stall.
+const MIN_STALL_MS: Millis = 50.0;
+/// The zones of the endpoints, in turn.
+const ZONES: [&str; 4] = ["a", "b", "c", "d"];
+
+/// What a cluster consists of.
 #[derive(Clone, Debug)]
-pub struct Size {
-    /// The program.
+pub struct ClusterConfig {
+    /// The program of the relays.
     pub binary: PathBuf,
-    /// Relays.
+    /// The number of relays.
     pub relays: usize,
     /// Endpoints that have been up for long.
-    pub warm: usize,
-    /// Endpoints that start with the rig.
-    pub cold: usize,
-    /// Set-ups a second that a warm endpoint bears.
-    pub rate: f64,
-    /// Connections that an endpoint holds at the most.
-    pub places: usize,
-    /// Set-ups a second that the store bears, if it is a limit.
-    pub store_rate: Option<f64>,
-    /// How discovery fares.
-    pub service: Service,
+    pub warm_endpoints: usize,
+    /// Endpoints that start with the cluster.
+    pub cold_endpoints: usize,
+    /// Set-ups a second that a warm endpoint takes.
+    pub setups_per_s: f64,
+    /// Connections that an endpoint holds at most.
+    pub max_connections: usize,
+    /// Set-ups a second that the endpoints' store takes, if it is a limit.
+    pub store_setups_per_s: Option<f64>,
+    /// How discovery behaves.
+    pub discovery: ServiceModel,
     /// Figures of the rules.
-    pub rules: Rules,
+    pub rules: RuleSettings,
     /// Classes in the settings.
     pub classes: Vec<&'static str>,
     /// Tenants in the settings.
     pub tenants: Vec<&'static str>,
-    /// What all that is drawn depends on.
+    /// The seed of everything that is drawn.
     pub seed: u64,
-    /// The list that relays know at their start is as it was before the cold endpoints began.
-    pub known: bool,
+    /// Whether relays know a list at their start: the one from before the cold endpoints started.
+    pub list_known_at_start: bool,
 }
 
-impl Size {
-    /// So many relays of this program before so many warm endpoints.
-    pub fn new(binary: impl Into<PathBuf>, relays: usize, warm: usize) -> Size {
-        Size {
+impl ClusterConfig {
+    /// A cluster of `relays` of this program and `warm_endpoints`, with defaults for the rest.
+    pub fn new(binary: impl Into<PathBuf>, relays: usize, warm_endpoints: usize) -> ClusterConfig {
+        ClusterConfig {
             binary: binary.into(),
             relays,
-            warm,
-            cold: 0,
-            rate: 40.0,
-            places: 500,
-            store_rate: None,
-            service: Service::default(),
-            rules: Rules::default(),
+            warm_endpoints,
+            cold_endpoints: 0,
+            setups_per_s: 40.0,
+            max_connections: 500,
+            store_setups_per_s: None,
+            discovery: ServiceModel::default(),
+            rules: RuleSettings::default(),
             classes: vec!["stream"],
             tenants: vec!["acme", "luna", "nova"],
             seed: 1,
-            known: true,
+            list_known_at_start: true,
+        }
+    }
+
+    /// The model of the endpoint of this number.
+    fn endpoint_model(&self, number: usize) -> EndpointModel {
+        EndpointModel {
+            id: format!("s{number:03}").into(),
+            zone: ZONES[number % ZONES.len()].into(),
+            size: 1.0,
+            setups_per_s: self.setups_per_s,
+            max_connections: self.max_connections,
         }
     }
 }
 
-/// A rig. All of it ends when it is dropped.
+/// A cluster. All of it ends when it is dropped.
 pub struct TestCluster {
-    /// How many of what.
-    pub size: Size,
-    /// What all have seen.
+    /// What it consists of.
+    pub config: ClusterConfig,
+    /// What all stand-ins have seen.
     pub log: Log,
     /// The relays, by number.
-    pub relays: Vec<Relay>,
-    /// The links between them.
-    pub mesh: Mesh,
+    pub relays: Vec<RelayProcess>,
+    /// The links between the relays.
+    pub mesh: DatagramMesh,
     /// Discovery.
-    pub discovery: Discovery,
+    pub discovery: StubDiscovery,
     /// The endpoints.
-    pub fleet: Fleet,
-    /// The front.
-    pub front: Arc<ClientProtocol>,
-    /// What looks after the rig's own thread.
-    _watch: JoinSet<()>,
+    pub endpoints: StubEndpoints,
+    /// The check of which relays clients can use.
+    pub health: Arc<HealthChecker>,
+    /// The task that records stalls of the stand-ins' thread.
+    _stall_recorder: JoinSet<()>,
 }
 
-/// Descriptors beside those for relays; each client takes two or three while it stands.
-const OWN: u64 = 1000;
-/// How often it is looked whether the rig's own thread goes on, and how late that is noted.
-const TICK: Millis = 20.0;
-const STALL: Millis = 50.0;
-
 impl TestCluster {
-    /// Sets everything up but starts no relay. To be called within a runtime.
-    pub async fn new(size: Size) -> Result<TestCluster, TestClusterError> {
-        raise_descriptors(OWN + 8 * size.relays as u64)?;
+    /// Sets everything up but starts no relay. It is to be called within a runtime.
+    ///
+    /// # Errors
+    ///
+    /// An error if the limit of descriptors is too low, or a socket or a folder can't be made.
+    pub async fn new(config: ClusterConfig) -> Result<TestCluster, TestClusterError> {
+        raise_descriptor_limit(BASE_DESCRIPTORS + DESCRIPTORS_PER_RELAY * config.relays as u64)?;
         let log = Log::default();
-        let discovery = Discovery::start(size.relays, size.service.clone(), &log).await?;
-        let fleet = Fleet::new(&size.rules, size.store_rate, &log);
-        let mut known = serde_json::Value::Null;
-        for n in 0..size.warm + size.cold {
-            if n == size.warm && size.known {
-                known = discovery.whole(None);
-            }
-            let model = model(&size, n);
-            let cold = n >= size.warm;
-            let address = fleet.add(model.clone(), cold).await?;
-            discovery.list(entry(&model, address, cold));
-        }
-        if size.cold == 0 && size.known {
-            known = discovery.whole(None);
-        }
-        let peers = (0..size.relays).map(|_| free_address()).collect::<Result<Vec<_>, _>>()?;
-        let mesh = Mesh::new(peers.clone(), size.seed, &log).await?;
+        let discovery = StubDiscovery::start(config.relays, config.discovery.clone(), &log).await?;
+        let endpoints = StubEndpoints::new(&config.rules, config.store_setups_per_s, &log);
+        let known_list = start_endpoints(&config, &endpoints, &discovery).await?;
+        let peers = (0..config.relays).map(|_| free_address()).collect::<Result<Vec<_>, _>>()?;
+        let mesh = DatagramMesh::new(peers.clone(), config.seed, &log).await?;
         let mut relays = Vec::new();
-        for (local_index, own) in peers.into_iter().enumerate() {
-            let settings = settings(&size.rules, size.relays, local_index, &size.classes, &size.tenants);
-            let mut plan = Plan::new(&size.binary, discovery.address(local_index), settings)?;
-            (plan.peer_listen, plan.peers, plan.known) = (own, mesh.addresses().to_vec(), known.clone());
-            relays.push(Relay::new(local_index, plan, &log)?);
+        for (index, peer_listen) in peers.into_iter().enumerate() {
+            let relay_config = RelayConfig {
+                peer_listen,
+                peers: mesh.addresses().to_vec(),
+                known_list: known_list.clone(),
+                ..relay_config(&config, index, &discovery)?
+            };
+            relays.push(RelayProcess::new(index, relay_config, &log)?);
         }
-        let listens: Vec<_> = relays.iter().map(|r| r.plan.listen).collect();
-        let front = Arc::new(ClientProtocol::new(&listens, &log));
-        let mut watch = JoinSet::new();
-        watch.spawn(stalls(log.clone()));
-        Ok(TestCluster { size, log, relays, mesh, discovery, fleet, front, _watch: watch })
+        let listens: Vec<_> = relays.iter().map(|relay| relay.config.listen).collect();
+        let health = Arc::new(HealthChecker::new(&listens, &log));
+        let mut stall_recorder = JoinSet::new();
+        stall_recorder.spawn(record_stalls(log.clone()));
+        Ok(TestCluster {
+            config,
+            log,
+            relays,
+            mesh,
+            discovery,
+            endpoints,
+            health,
+            _stall_recorder: stall_recorder,
+        })
     }
 
-    /// Starts all relays, evenly over so many milliseconds.
+    /// Starts all relays, evenly spread over `over_ms`.
+    ///
+    /// # Errors
+    ///
+    /// An error if one can't be started.
     pub async fn start(&mut self, over_ms: Millis) -> Result<(), TestClusterError> {
-        let (begin, each) = (self.log.now(), over_ms / self.relays.len() as f64);
-        for (n, relay) in self.relays.iter_mut().enumerate() {
-            tokio::time::sleep(span(begin + each * n as f64 - self.log.now())).await;
+        let begin_ms = self.log.now();
+        let interval_ms = over_ms / self.relays.len() as f64;
+        for (index, relay) in self.relays.iter_mut().enumerate() {
+            let due_ms = begin_ms + interval_ms * index as f64;
+            sleep(duration(due_ms - self.log.now())).await;
             relay.start()?;
         }
         Ok(())
     }
 
-    /// Starts all relays and waits until the front has admitted them.
-    pub async fn ready(&mut self) -> Result<(), TestClusterError> {
+    /// Starts all relays and waits until clients can use them.
+    ///
+    /// # Errors
+    ///
+    /// An error if one can't be started or is not ready in time.
+    pub async fn start_and_wait(&mut self) -> Result<(), TestClusterError> {
         self.start(0.0).await?;
         for relay in &self.relays {
-            relay.ready(30_000.0).await?;
+            relay.wait_ready(READY_TIMEOUT_MS).await?;
         }
-        self.front.until(self.relays.len(), 5000.0).await;
+        self.health.wait_for(self.relays.len(), HEALTH_TIMEOUT_MS).await;
         Ok(())
     }
 
-    /// Lets clients arrive.
-    pub fn clients(&self, plan: Crowd) -> Clients {
-        Clients::arrive(plan, &self.front, &self.size.rules, &self.log)
+    /// Lets clients arrive from now on.
+    pub fn start_clients(&self, plan: LoadPlan) -> LoadClients {
+        LoadClients::start(plan, &self.health, &self.config.rules, &self.log)
     }
 
     /// Carries one fault out.
+    ///
+    /// # Errors
+    ///
+    /// An error if a relay can't be started or signalled, or an endpoint can't listen.
     pub async fn apply(&mut self, fault: &Fault) -> Result<(), TestClusterError> {
         match fault {
-            Fault::Kill(some) => some.iter().for_each(|n| self.relays[*n].kill()),
-            Fault::Terminate(some) => some.iter().try_for_each(|n| self.relays[*n].terminate())?,
-            Fault::Restart(some) => {
-                some.iter().try_for_each(|n| self.relays[*n].start())?;
+            Fault::KillRelays(indices) => indices.iter().for_each(|index| self.relays[*index].kill()),
+            Fault::TerminateRelays(indices) => {
+                indices.iter().try_for_each(|index| self.relays[*index].terminate())?;
             }
-            Fault::Stop(n) => self.relays[*n].stop()?,
-            Fault::GoOn(n) => self.relays[*n].go_on()?,
-            Fault::Reload(n) => self.relays[*n].reload()?,
-            Fault::Cut(side) => self.mesh.cut(|n| side.contains(&n)),
-            Fault::Heal => self.mesh.heal(),
-            Fault::Noise { loss, doubled, delay_ms } => {
-                let (loss, doubled) = (*loss, *doubled);
-                self.mesh.set_all(Fate { delay: (0.0, *delay_ms), loss, doubled, cut: false });
+            Fault::StartRelays(indices) => {
+                indices.iter().try_for_each(|index| self.relays[*index].start())?;
             }
-            Fault::DiscoveryDown => self.discovery.set(|s| s.down = true),
-            Fault::DiscoveryBack => self.discovery.set(|s| s.down = false),
-            Fault::Silence => self.discovery.silence(),
-            Fault::Drain(n, within) => {
-                let id = self.endpoint(*n);
-                self.discovery.phase(&id, "Terminating");
-                self.fleet.drain(&id, *within);
+            Fault::PauseRelay(index) => self.relays[*index].pause()?,
+            Fault::ResumeRelay(index) => self.relays[*index].resume()?,
+            Fault::ReloadRelay(index) => self.relays[*index].reload()?,
+            Fault::Partition(side) => self.mesh.partition(|index| side.contains(&index)),
+            Fault::HealPartition => self.mesh.heal(),
+            Fault::DatagramNoise { loss_fraction, duplicate_fraction, max_delay_ms } => {
+                self.mesh.set_all(LinkFaults {
+                    delay: DelayRange { min_ms: 0.0, max_ms: *max_delay_ms },
+                    loss_fraction: *loss_fraction,
+                    duplicate_fraction: *duplicate_fraction,
+                    blocked: false,
+                });
             }
-            Fault::EndpointDies(n) => {
-                let id = self.endpoint(*n);
-                self.fleet.kill(&id);
-                self.discovery.phase(&id, "Gone");
+            Fault::DiscoveryDown => self.discovery.update(|service| service.down = true),
+            Fault::DiscoveryUp => self.discovery.update(|service| service.down = false),
+            Fault::SilenceWatches => self.discovery.silence_watches(),
+            Fault::DrainEndpoint { endpoint, within_ms } => {
+                let id = self.endpoint_id(*endpoint);
+                self.discovery.set_phase(&id, EndpointPhase::Terminating);
+                self.endpoints.drain(&id, *within_ms);
             }
-            Fault::EndpointStarts(n) => self.endpoint_starts(*n).await?,
-            Fault::EndpointJoins => {
-                let model = model(&self.size, self.fleet.ids().len());
-                let address = self.fleet.add(model.clone(), true).await?;
-                self.discovery.list(entry(&model, address, true));
+            Fault::KillEndpoint(endpoint) => {
+                let id = self.endpoint_id(*endpoint);
+                self.endpoints.kill(&id);
+                self.discovery.set_phase(&id, EndpointPhase::Gone);
             }
+            Fault::StartEndpoint(endpoint) => self.start_endpoint(*endpoint).await?,
+            Fault::AddEndpoint => self.add_endpoint().await?,
         }
         Ok(())
     }
 
-    async fn endpoint_starts(&self, n: usize) -> Result<(), TestClusterError> {
-        let id = self.endpoint(n);
-        self.fleet.start(&id, true).await?;
-        if let Some((model, address)) = self.fleet.model(&id) {
-            self.discovery.list(entry(&model, address, true));
+    /// Starts an endpoint again, cold.
+    async fn start_endpoint(&self, endpoint: usize) -> Result<(), TestClusterError> {
+        let id = self.endpoint_id(endpoint);
+        self.endpoints.restart(&id, true).await?;
+        if let Some((model, address)) = self.endpoints.model(&id) {
+            self.discovery.publish(endpoint_entry(&model, address, true));
         }
         Ok(())
     }
 
-    fn endpoint(&self, n: usize) -> Arc<str> {
-        self.fleet.ids().get(n).cloned().unwrap_or_else(|| "".into())
+    /// Adds an endpoint that was never there, cold, whose id is behind all others in their order.
+    async fn add_endpoint(&self) -> Result<(), TestClusterError> {
+        let number = self.endpoints.ids().len();
+        let model = self.config.endpoint_model(number);
+        let address = self.endpoints.add(model.clone(), true).await?;
+        self.discovery.publish(endpoint_entry(&model, address, true));
+        Ok(())
+    }
+
+    /// The id of the endpoint at this place in the order of all ids; empty if there is none.
+    fn endpoint_id(&self, endpoint: usize) -> Arc<str> {
+        self.endpoints.ids().get(endpoint).cloned().unwrap_or_else(|| "".into())
     }
 
-    /// Carries a script out, to its end.
-    pub async fn run(&mut self, script: &Script) -> Result<(), TestClusterError> {
-        let begin = self.log.now();
-        for (at, fault) in &script.steps {
-            tokio::time::sleep(span(begin + at - self.log.now())).await;
-            self.apply(fault).await?;
+    /// Carries a schedule of faults out, to its end.
+    ///
+    /// # Errors
+    ///
+    /// See [`TestCluster::apply`].
+    pub async fn run(&mut self, schedule: &FaultSchedule) -> Result<(), TestClusterError> {
+        let begin_ms = self.log.now();
+        for step in &schedule.steps {
+            sleep(duration(begin_ms + step.at_ms - self.log.now())).await;
+            self.apply(&step.fault).await?;
         }
         Ok(())
     }
 
     /// What the log shows so far.
     pub fn verdict(&self) -> Verdict {
-        judge(&self.log.events(), &self.size.rules, &HashMap::new())
+        check_invariants(&self.log.events(), &self.config.rules, &HashMap::new())
     }
 }
 
-/// Notes when the thread of all stand-ins has stood still.
-async fn stalls(log: Log) {
-    loop {
-        let before = log.now();
-        sleep(span(TICK)).await;
-        let ms = log.now() - before - TICK;
-        if ms > STALL {
-            log.note(What::Stalled { ms });
-        }
+/// Starts and lists all endpoints; returns the list that relays know at their start, or null.
+async fn start_endpoints(
+    config: &ClusterConfig,
+    endpoints: &StubEndpoints,
+    discovery: &StubDiscovery,
+) -> Result<Value, TestClusterError> {
+    for number in 0..config.warm_endpoints {
+        start_listed_endpoint(config, number, endpoints, discovery).await?;
     }
+    let known_list = if config.list_known_at_start { discovery.snapshot() } else { Value::Null };
+    for number in config.warm_endpoints..config.warm_endpoints + config.cold_endpoints {
+        start_listed_endpoint(config, number, endpoints, discovery).await?;
+    }
+    Ok(known_list)
+}
+
+/// Starts and lists the endpoint of this number, cold unless it is one of the warm endpoints.
+async fn start_listed_endpoint(
+    config: &ClusterConfig,
+    number: usize,
+    endpoints: &StubEndpoints,
+    discovery: &StubDiscovery,
+) -> Result<(), TestClusterError> {
+    let model = config.endpoint_model(number);
+    let cold = number >= config.warm_endpoints;
+    let address = endpoints.add(model.clone(), cold).await?;
+    discovery.publish(endpoint_entry(&model, address, cold));
+    Ok(())
 }
 
-/// The endpoint of this number.
-fn model(size: &Size, n: usize) -> Model {
-    let zone = ["a", "b", "c", "d"][n % 4].into();
-    Model { id: format!("s{n:03}").into(), zone, size: 1.0, rate: size.rate, places: size.places }
+/// The configuration of one relay, without its peers.
+fn relay_config(
+    config: &ClusterConfig,
+    index: usize,
+    discovery: &StubDiscovery,
+) -> Result<RelayConfig, TestClusterError> {
+    let settings = relay_settings(&config.rules, config.relays, index, &config.classes, &config.tenants);
+    RelayConfig::new(&config.binary, discovery.address(index), settings)
 }
 
-fn entry(model: &Model, address: std::net::SocketAddr, fresh: bool) -> Entry {
-    let up_since = if fresh { unix_ms() } else { 0 };
-    let (id, zone) = (model.id.clone(), model.zone.clone());
-    Entry { id, address, zone, phase: "Ready", size: model.size, up_since }
+/// Records every stall of the thread that all stand-ins share.
+async fn record_stalls(log: Log) {
+    loop {
+        let before_ms = log.now();
+        sleep(duration(STALL_CHECK_INTERVAL_MS)).await;
+        let stall_ms = log.now() - before_ms - STALL_CHECK_INTERVAL_MS;
+        if stall_ms > MIN_STALL_MS {
+            log.record(EventKind::ClusterStalled { stall_ms });
+        }
+    }
+}
+
+/// Discovery's entry for an endpoint that is ready, and that has just started or was up for long.
+fn endpoint_entry(model: &EndpointModel, address: SocketAddr, just_started: bool) -> EndpointEntry {
+    EndpointEntry {
+        id: model.id.clone(),
+        address,
+        zone: model.zone.clone(),
+        phase: EndpointPhase::Ready,
+        size: model.size,
+        started_unix_ms: if just_started { unix_ms() } else { 0 },
+    }
 }
--- a/crates/test-cluster/src/fault_schedule.rs
+++ b/crates/test-cluster/src/fault_schedule.rs
@@ -1,7 +1,7 @@
-//! Scripts of faults, drawn from a seed: the same seed gives the same script.
+//! Schedules of faults, drawn from a seed: the same seed gives the same schedule.
 //!
-//! A script is data; [`crate::TestCluster::run`] carries it out. It is fed the size of the rig and gives faults with their
-//! moments, each with its end within the script's time, so that the rig is whole again when it is over.
+//! A schedule is data, with times in milliseconds from its start; [`crate::TestCluster::run`] carries it out. Every
+//! fault that is drawn ends within the schedule, so that the cluster is whole again when it is over.
 
 use std::fmt;
 
@@ -10,146 +10,194 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::Millis;
+use crate::log::RelayIndex;
 
-/// A fault, or the end of one.
+/// A fault, or the end of one. Endpoints are named by their place in the order of all ids.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// SIGKILL to these relays, together.
-    Kill(Vec<usize>),
+    KillRelays(Vec<RelayIndex>),
     /// SIGTERM to these relays.
-    Terminate(Vec<usize>),
+    TerminateRelays(Vec<RelayIndex>),
     /// These relays start again, with the same names and addresses.
-    Restart(Vec<usize>),
+    StartRelays(Vec<RelayIndex>),
     /// SIGSTOP.
-    Stop(usize),
+    PauseRelay(RelayIndex),
     /// SIGCONT.
-    GoOn(usize),
+    ResumeRelay(RelayIndex),
     /// SIGHUP with the same configuration.
-    Reload(usize),
-    /// These relays and the others hear nothing of each other.
-    Cut(Vec<usize>),
-    /// All cuts end.
-    Heal,
-    /// Shares of datagrams that are lost and that come twice, and the longest delay.
-    Noise {
-        /// Share that is lost.
-        loss: f64,
-        /// Share that comes twice.
-        doubled: f64,
-        /// Longest time on the way.
-        delay_ms: Millis,
+    ReloadRelay(RelayIndex),
+    /// No datagram passes between these relays and the others.
+    Partition(Vec<RelayIndex>),
+    /// All partitions end.
+    HealPartition,
+    /// Datagrams are lost, duplicated and delayed.
+    DatagramNoise {
+        /// The fraction that is lost.
+        loss_fraction: f64,
+        /// The fraction that arrives twice.
+        duplicate_fraction: f64,
+        /// The longest time on the way.
+        max_delay_ms: Millis,
     },
     /// Discovery goes down.
     DiscoveryDown,
-    /// It comes back.
-    DiscoveryBack,
-    /// Open watches fall silent.
-    Silence,
-    /// This endpoint, by its place among all, drains within so many milliseconds.
-    Drain(usize, Millis),
-    /// This endpoint dies.
-    EndpointDies(usize),
-    /// It starts again, cold.
-    EndpointStarts(usize),
+    /// Discovery is up again.
+    DiscoveryUp,
+    /// Watches that are open now are never answered.
+    SilenceWatches,
+    /// An endpoint takes nothing new and asks its clients to reconnect.
+    DrainEndpoint {
+        /// The endpoint.
+        endpoint: usize,
+        /// Within how long all its clients are asked.
+        within_ms: Millis,
+    },
+    /// An endpoint dies.
+    KillEndpoint(usize),
+    /// An endpoint starts again, cold.
+    StartEndpoint(usize),
     /// An endpoint that was never there starts, cold, behind all others in their order.
-    EndpointJoins,
+    AddEndpoint,
 }
 
 /// What is to be drawn.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Relays in the rig.
+pub struct ScheduleBounds {
+    /// Relays in the cluster.
     pub relays: usize,
-    /// Endpoints in the rig.
+    /// Endpoints in the cluster.
     pub endpoints: usize,
-    /// How long the script is.
-    pub length_ms: Millis,
+    /// How long the schedule is.
+    pub duration_ms: Millis,
     /// How many faults, their ends not counted.
     pub faults: usize,
 }
 
-/// Faults and their moments, in order.
+/// A fault and its time.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FaultStep {
+    /// Milliseconds from the start of the schedule.
+    pub at_ms: Millis,
+    /// The fault.
+    pub fault: Fault,
+}
+
+/// Faults in the order of their times.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Script {
-    /// Milliseconds from the start of the script, and what happens then.
-    pub steps: Vec<(Millis, Fault)>,
+pub struct FaultSchedule {
+    /// The faults.
+    pub steps: Vec<FaultStep>,
 }
 
-impl Script {
-    /// Draws a script. Every kind of fault comes once before any comes again.
+impl FaultSchedule {
+    /// Draws a schedule. Every kind of fault occurs once before any occurs again.
     ///
     /// ```
-    /// use sandgw_test_cluster::fault_schedule::{Bounds, Script};
-    /// let bounds = Bounds { relays: 8, endpoints: 4, length_ms: 20_000.0, faults: 10 };
-    /// assert_eq!(Script::draw(7, &bounds), Script::draw(7, &bounds));
-    /// assert_ne!(Script::draw(7, &bounds), Script::draw(8, &bounds));
+    /// use sandgw_test_cluster::fault_schedule::{FaultSchedule, ScheduleBounds};
+    /// let bounds = ScheduleBounds { relays: 8, endpoints: 4, duration_ms: 20_000.0, faults: 10 };
+    /// assert_eq!(FaultSchedule::draw(7, &bounds), FaultSchedule::draw(7, &bounds));
+    /// assert_ne!(FaultSchedule::draw(7, &bounds), FaultSchedule::draw(8, &bounds));
     /// ```
-    pub fn draw(seed: u64, bounds: &Bounds) -> Script {
-        let mut dice = StdRng::seed_from_u64(seed);
-        let (mut steps, mut deck) = (Vec::new(), Vec::new());
-        for n in 0..bounds.faults {
-            // Each has a part of the time for itself, so that no two of one relay meet.
-            let part = bounds.length_ms / bounds.faults as f64;
-            let begin = part * (n as f64 + dice.random_range(0.0..0.2));
-            let end = part * (n as f64 + dice.random_range(0.5..0.9));
-            // Every kind comes once before any comes again.
-            if deck.is_empty() {
-                deck = (0..KINDS).collect();
-                deck.shuffle(&mut dice);
+    pub fn draw(seed: u64, bounds: &ScheduleBounds) -> FaultSchedule {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let mut steps = Vec::new();
+        let mut remaining_kinds = Vec::new();
+        // Each fault has a part of the time for itself, so that no two faults of one relay overlap.
+        let part_ms = bounds.duration_ms / bounds.faults as f64;
+        for number in 0..bounds.faults {
+            let begin_ms = part_ms * (number as f64 + rng.random_range(0.0..0.2));
+            let end_ms = part_ms * (number as f64 + rng.random_range(0.5..0.9));
+            if remaining_kinds.is_empty() {
+                remaining_kinds = (0..FAULT_KINDS).collect();
+                remaining_kinds.shuffle(&mut rng);
             }
-            let (fault, after) = drawn(deck.pop().unwrap_or(0), &mut dice, bounds);
-            // What drains is seen to be left alone only after a while.
-            let end = if matches!(fault, Fault::Drain(..)) {
-                (end + 2.0 * part).min(bounds.length_ms)
+            let kind = remaining_kinds.pop().unwrap_or(0);
+            let DrawnFault { fault, end } = DrawnFault::draw(kind, &mut rng, bounds);
+            // That relays stop sending to a draining endpoint shows only after a while.
+            let end_ms = if matches!(fault, Fault::DrainEndpoint { .. }) {
+                (end_ms + 2.0 * part_ms).min(bounds.duration_ms)
             } else {
-                end
+                end_ms
             };
-            steps.push((begin, fault));
-            steps.extend(after.map(|fault| (end, fault)));
+            steps.push(FaultStep { at_ms: begin_ms, fault });
+            steps.extend(end.map(|fault| FaultStep { at_ms: end_ms, fault }));
         }
-        steps.sort_by(|a, b| a.0.total_cmp(&b.0));
-        Script { steps }
+        steps.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
+        FaultSchedule { steps }
     }
 }
 
-/// Kinds of faults.
-const KINDS: u32 = 10;
+/// Kinds of faults that are drawn.
+const FAULT_KINDS: u32 = 10;
+/// The largest fraction of datagrams that a drawn fault loses or duplicates.
+const MAX_DRAWN_FRACTION: f64 = 0.4;
+/// The longest delay of datagrams that is drawn.
+const MAX_DRAWN_DELAY_MS: Millis = 300.0;
 
-fn drawn(kind: u32, dice: &mut StdRng, bounds: &Bounds) -> (Fault, Option<Fault>) {
-    let relay = dice.random_range(0..bounds.relays.max(1));
-    // Those that drain are others than those that die.
-    let [drains, dies] = [0, 1].map(|odd| {
-        let of = (bounds.endpoints + 1 - odd) / 2;
-        2 * dice.random_range(0..of.max(1)) + odd
-    });
-    let some = |dice: &mut StdRng| -> Vec<usize> {
-        let some: Vec<_> = (0..bounds.relays).filter(|_| dice.random_bool(0.5)).collect();
-        if some.is_empty() || some.len() == bounds.relays { vec![relay] } else { some }
-    };
-    match kind {
-        0 => {
-            let some = some(dice);
-            (Fault::Kill(some.clone()), Some(Fault::Restart(some)))
-        }
-        1 => (Fault::Terminate(vec![relay]), Some(Fault::Restart(vec![relay]))),
-        2 => (Fault::Stop(relay), Some(Fault::GoOn(relay))),
-        3 => (Fault::Reload(relay), None),
-        4 => (Fault::Cut(some(dice)), Some(Fault::Heal)),
-        5 => {
-            let [loss, doubled] = [(); 2].map(|()| dice.random_range(0.0..0.4));
-            let delay_ms = dice.random_range(0.0..300.0);
-            let end = Fault::Noise { loss: 0.0, doubled: 0.0, delay_ms: 0.0 };
-            (Fault::Noise { loss, doubled, delay_ms }, Some(end))
+/// A fault and what ends it, unless it ends by itself.
+struct DrawnFault {
+    fault: Fault,
+    end: Option<Fault>,
+}
+
+impl DrawnFault {
+    /// Draws the details of a fault of this kind. The number and order of draws depend on the kind alone.
+    fn draw(kind: u32, rng: &mut StdRng, bounds: &ScheduleBounds) -> DrawnFault {
+        let relay = rng.random_range(0..bounds.relays.max(1));
+        // An endpoint of an even number may drain, one of an odd number may die: never both.
+        let [draining, dying] = [0, 1].map(|parity| {
+            let candidates = (bounds.endpoints + 1 - parity) / 2;
+            2 * rng.random_range(0..candidates.max(1)) + parity
+        });
+        match kind {
+            0 => {
+                let relays = draw_relays(rng, bounds, relay);
+                DrawnFault::ended_by(Fault::KillRelays(relays.clone()), Fault::StartRelays(relays))
+            }
+            1 => DrawnFault::ended_by(Fault::TerminateRelays(vec![relay]), Fault::StartRelays(vec![relay])),
+            2 => DrawnFault::ended_by(Fault::PauseRelay(relay), Fault::ResumeRelay(relay)),
+            3 => DrawnFault { fault: Fault::ReloadRelay(relay), end: None },
+            4 => {
+                DrawnFault::ended_by(Fault::Partition(draw_relays(rng, bounds, relay)), Fault::HealPartition)
+            }
+            5 => draw_datagram_noise(rng),
+            6 => DrawnFault::ended_by(Fault::DiscoveryDown, Fault::DiscoveryUp),
+            7 => DrawnFault { fault: Fault::SilenceWatches, end: None },
+            8 => {
+                let within_ms = rng.random_range(200.0..2000.0);
+                DrawnFault::ended_by(
+                    Fault::DrainEndpoint { endpoint: draining, within_ms },
+                    Fault::StartEndpoint(draining),
+                )
+            }
+            _ => DrawnFault::ended_by(Fault::KillEndpoint(dying), Fault::StartEndpoint(dying)),
         }
-        6 => (Fault::DiscoveryDown, Some(Fault::DiscoveryBack)),
-        7 => (Fault::Silence, None),
-        8 => (Fault::Drain(drains, dice.random_range(200.0..2000.0)), Some(Fault::EndpointStarts(drains))),
-        _ => (Fault::EndpointDies(dies), Some(Fault::EndpointStarts(dies))),
     }
+
+    fn ended_by(fault: Fault, end: Fault) -> DrawnFault {
+        DrawnFault { fault, end: Some(end) }
+    }
+}
+
+/// Draws some but not all relays; `fallback` alone where none or all were drawn.
+fn draw_relays(rng: &mut StdRng, bounds: &ScheduleBounds, fallback: RelayIndex) -> Vec<RelayIndex> {
+    let relays: Vec<_> = (0..bounds.relays).filter(|_| rng.random_bool(0.5)).collect();
+    if relays.is_empty() || relays.len() == bounds.relays { vec![fallback] } else { relays }
+}
+
+fn draw_datagram_noise(rng: &mut StdRng) -> DrawnFault {
+    let loss_fraction = rng.random_range(0.0..MAX_DRAWN_FRACTION);
+    let duplicate_fraction = rng.random_range(0.0..MAX_DRAWN_FRACTION);
+    let max_delay_ms = rng.random_range(0.0..MAX_DRAWN_DELAY_MS);
+    DrawnFault::ended_by(
+        Fault::DatagramNoise { loss_fraction, duplicate_fraction, max_delay_ms },
+        Fault::DatagramNoise { loss_fraction: 0.0, duplicate_fraction: 0.0, max_delay_ms: 0.0 },
+    )
 }
 
-impl fmt::Display for Script {
+impl fmt::Display for FaultSchedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.steps.iter().try_for_each(|(at, fault)| writeln!(f, "{at:>8.0} ms  {fault:?}"))
+        self.steps.iter().try_for_each(|FaultStep { at_ms, fault }| writeln!(f, "{at_ms:>8.0} ms  {fault:?}"))
     }
 }
--- a/crates/test-cluster/src/log.rs
+++ b/crates/test-cluster/src/log.rs
@@ -1,211 +1,217 @@
-//! What the stand-ins have seen, in one log with one clock.
+//! The log of what the stand-ins have seen, in one order and with one clock.
 //!
-//! It owns the events and the clock; it is fed by every stand-in and read by [`crate::invariants`] and by whoever counts.
-//! It draws no conclusions.
+//! It owns the events and the clock, in milliseconds since the cluster began. Every stand-in records events in it;
+//! [`crate::invariants`], [`crate::service_levels`] and tests read them. It draws no conclusions.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use crate::{Millis, locked};
+use crate::stub_discovery::EndpointPhase;
+use crate::{Millis, duration, lock};
 
-/// Most events that are kept; a run that sees more has lost its way, and the log says so by [`Log::full`].
-const MOST: usize = 4_000_000;
+/// The largest number of events that are stored; see [`Log::is_truncated`].
+const MAX_EVENTS: usize = 4_000_000;
+/// How often [`Log::wait_until`] checks its condition.
+const RECHECK_INTERVAL_MS: Millis = 20.0;
 
-/// A relay's number in the tier.
-pub type Relay = usize;
+/// A relay's number in the cluster, from 0.
+pub type RelayIndex = usize;
 
-/// What a client was answered.
+/// The id of a client's request and of the connection that it becomes, fresh for each try.
+pub type RequestId = u64;
+
+/// A relay's reply to a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// It stands: with this receipt.
-    Up(String),
-    /// It is to come again after so many milliseconds, if any are named.
-    Busy(Option<u64>),
+pub enum Reply {
+    /// The connection is established, with the endpoint's receipt.
+    Established(String),
+    /// The request is rejected; the client may retry after so many milliseconds, if any are named.
+    Rejected(Option<u64>),
     /// Any other line.
     Failed(String),
-    /// The connection ended without an answer.
-    Cut,
+    /// The connection ended without a reply.
+    Closed,
 }
 
 /// How an attempt ended at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// It stands.
-    Up,
-    /// Turned away: it has never run.
-    Busy,
-    /// An error; it may have run.
+pub enum AttemptOutcome {
+    /// The connection is established.
+    Established,
+    /// The endpoint rejected it: it was not executed.
+    Rejected,
+    /// The endpoint answered an error; it may have been executed.
     Error,
-    /// The endpoint broke the connection; it may have run.
+    /// The endpoint broke the connection; it may have been executed.
     Reset,
-    /// The relay gave it up; it may have run.
-    GivenUp,
+    /// The relay cancelled it; it may have been executed.
+    Cancelled,
 }
 
 /// What a call of discovery asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum DiscoveryRequest {
     /// The whole list.
     List,
-    /// What is newer than a revision, for so many milliseconds at the most.
+    /// What is newer than a revision.
     Watch {
         /// The revision.
         after: u64,
-        /// How long it may wait.
+        /// How long the answer may wait for a change, in milliseconds.
         wait_ms: u64,
     },
 }
 
 /// What has happened.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// A relay's process was started; it knows the list as of this revision.
-    Started {
-        /// Which.
-        relay: Relay,
-        /// The revision of its `known`.
-        known: u64,
+pub enum EventKind {
+    /// A relay's process was started.
+    RelayStarted {
+        /// The relay.
+        relay: RelayIndex,
+        /// The revision of the endpoint list in its configuration.
+        known_revision: u64,
     },
     /// A relay answered `PING` for the first time since its start.
-    Ready(Relay),
-    /// A relay's process was killed, or has ended after SIGTERM: what it still owed is its clients' loss.
-    Died(Relay),
-    /// A relay was told to end.
-    Terminated(Relay),
-    /// A relay's process stands still from now on.
-    Stopped(Relay),
-    /// It goes on.
-    Continued(Relay),
-    /// A client's first line is written to a relay that accepted it.
-    Asked {
-        /// The connection's id, fresh for each try.
-        id: u64,
-        /// At which relay.
-        relay: Relay,
-        /// How long the client waits.
+    RelayReady(RelayIndex),
+    /// A relay's process was killed or has ended; its unanswered requests are excused.
+    RelayDied(RelayIndex),
+    /// A relay was sent SIGTERM.
+    RelayTerminated(RelayIndex),
+    /// A relay's process was sent SIGSTOP.
+    RelayPaused(RelayIndex),
+    /// A relay's process was sent SIGCONT.
+    RelayResumed(RelayIndex),
+    /// A client's first line was written to a relay that accepted its connection.
+    RequestSent {
+        /// The request.
+        id: RequestId,
+        /// The relay.
+        relay: RelayIndex,
+        /// How long the client waits for a reply.
         wait_ms: Millis,
-        /// Its class.
+        /// The request's class.
         class: Arc<str>,
-        /// Its tenant.
+        /// The client's tenant.
         tenant: Arc<str>,
-        /// It arrives mid-flow.
-        mid: bool,
+        /// Whether the client was established before, at another relay.
+        mid_flow: bool,
     },
-    /// A relay's answer to it.
-    Answered {
-        /// The connection's id.
-        id: u64,
-        /// The answer.
-        answer: Answer,
+    /// The client received the relay's reply.
+    ReplyReceived {
+        /// The request.
+        id: RequestId,
+        /// The reply.
+        reply: Reply,
     },
-    /// The client left before it was answered.
-    Left {
-        /// The connection's id.
-        id: u64,
+    /// The client gave up before it received a reply.
+    RequestAbandoned {
+        /// The request.
+        id: RequestId,
     },
-    /// A standing connection was told to move.
-    Moved {
-        /// The connection's id.
-        id: u64,
+    /// An established connection was asked to reconnect (`MOVE`).
+    ReconnectRequested {
+        /// The connection.
+        id: RequestId,
     },
-    /// A standing connection broke without `MOVE`.
-    Broke {
-        /// The connection's id.
-        id: u64,
+    /// An established connection broke without `MOVE`.
+    ConnectionBroken {
+        /// The connection.
+        id: RequestId,
     },
-    /// A client arrives, before its first try.
-    Arrived {
-        /// Its number in this process, whichever rig it is of.
+    /// A client arrived, before its first try.
+    ClientArrived {
+        /// The client's number, unique in this process.
         client: u64,
-        /// Its class.
+        /// The class of its requests.
         class: Arc<str>,
         /// Its tenant.
         tenant: Arc<str>,
     },
-    /// A client is done: it was served in time or was not, over all its tries.
-    Done {
-        /// Its number.
+    /// A client was served for the first time, or gave up after all its tries.
+    ClientFinished {
+        /// The client's number.
         client: u64,
-        /// Its class.
+        /// The class of its requests.
         class: Arc<str>,
         /// Its tenant.
         tenant: Arc<str>,
         /// Whether it was served.
         served: bool,
     },
-    /// A first line has arrived at an endpoint.
-    Attempt {
-        /// The connection's id.
-        id: u64,
+    /// A request's first line has arrived at an endpoint.
+    AttemptReceived {
+        /// The request.
+        id: RequestId,
         /// The endpoint.
         endpoint: Arc<str>,
-        /// When the line's first byte came.
-        first_byte: Millis,
-        /// It is of a connection that connections already.
-        mid: bool,
+        /// When the line's first byte arrived.
+        first_byte_ms: Millis,
+        /// Whether the request is of a connection that was established before.
+        mid_flow: bool,
     },
-    /// That attempt has ended, or stands.
+    /// That attempt has ended, or its connection is established.
     AttemptEnded {
-        /// The connection's id.
-        id: u64,
+        /// The request.
+        id: RequestId,
         /// The endpoint.
         endpoint: Arc<str>,
         /// How.
-        end: End,
-        /// The receipt of one that stands.
+        outcome: AttemptOutcome,
+        /// The receipt, where the connection is established.
         receipt: Option<String>,
     },
-    /// An endpoint that may take so many set-ups a second when warm has started cold.
+    /// An endpoint has started cold.
     ColdStart {
         /// The endpoint.
         endpoint: Arc<str>,
-        /// Set-ups a second that it bears when warm.
-        rate: f64,
+        /// Set-ups a second that it can take when warm.
+        setups_per_s: f64,
     },
-    /// An endpoint fell over.
-    Fell(Arc<str>),
-    /// The list has changed.
-    Listed {
+    /// A cold endpoint was overloaded and has died of it.
+    EndpointOverloaded(Arc<str>),
+    /// Discovery's list has changed.
+    EndpointListed {
         /// The list's revision from now on.
         revision: u64,
         /// The endpoint.
         endpoint: Arc<str>,
         /// Its zone.
         zone: Arc<str>,
-        /// `Ready`, `Terminating` or `Gone`.
-        phase: &'static str,
-        /// It has just started, by its entry.
-        fresh: bool,
+        /// Its phase.
+        phase: EndpointPhase,
+        /// Whether its entry names the time of a start.
+        recently_started: bool,
     },
-    /// The rig's own thread has stood still until now: what came meanwhile is noted only after it.
-    Stalled {
+    /// The thread of the stand-ins did not run for a while; what arrived meanwhile is recorded only after it.
+    ClusterStalled {
         /// For how long.
-        ms: Millis,
+        stall_ms: Millis,
     },
-    /// A relay calls discovery.
-    Called {
-        /// Which relay.
-        relay: Relay,
+    /// A relay called discovery.
+    DiscoveryCalled {
+        /// The relay.
+        relay: RelayIndex,
         /// The number of the call.
         call: u64,
         /// What it asks for.
-        what: Call,
-        /// It has to be served in turn, at the service's cost; a watch that goes on has not.
-        begins: bool,
+        request: DiscoveryRequest,
+        /// Whether it is served in turn, at the service's cost; a watch that continues another is not.
+        queued: bool,
     },
-    /// The call was answered with the list as of this revision.
-    Told {
-        /// Which relay.
-        relay: Relay,
+    /// The call was answered.
+    DiscoveryAnswered {
+        /// The relay.
+        relay: RelayIndex,
         /// The number of the call.
         call: u64,
-        /// The revision.
+        /// The revision of the list in the answer.
         revision: u64,
     },
-    /// The call failed, or its caller left before the answer.
-    NotTold {
-        /// Which relay.
-        relay: Relay,
+    /// The call failed, or its caller gave it up.
+    DiscoveryFailed {
+        /// The relay.
+        relay: RelayIndex,
         /// The number of the call.
         call: u64,
     },
@@ -214,13 +220,13 @@
 /// Something that happened, and when.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// Milliseconds since the rig began.
-    pub at: Millis,
-    /// What.
-    pub what: What,
+    /// Milliseconds since the cluster began.
+    pub at_ms: Millis,
+    /// What happened.
+    pub kind: EventKind,
 }
 
-/// The log that all stand-ins of a rig share.
+/// The log that all stand-ins of a cluster share.
 #[derive(Clone)]
 pub struct Log {
     start: Instant,
@@ -234,47 +240,47 @@
 }
 
 impl Log {
-    /// Milliseconds since the rig began.
+    /// Milliseconds since the cluster began.
     pub fn now(&self) -> Millis {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Notes what happens now.
-    pub fn note(&self, what: What) {
-        let mut events = locked(&self.events);
-        // Under the lock, so that the log is in the order of time.
-        let at = self.now();
-        if events.len() < MOST {
-            events.push(Event { at, what });
+    /// Records what happens now.
+    pub fn record(&self, kind: EventKind) {
+        let mut events = lock(&self.events);
+        // The clock is read under the lock, so that events are in the order of their times.
+        let at_ms = self.now();
+        if events.len() < MAX_EVENTS {
+            events.push(Event { at_ms, kind });
         }
     }
 
-    /// Whether events were left out.
-    pub fn full(&self) -> bool {
-        locked(&self.events).len() >= MOST
+    /// Whether the log has reached its limit, so that later events are missing.
+    pub fn is_truncated(&self) -> bool {
+        lock(&self.events).len() >= MAX_EVENTS
     }
 
     /// All events so far.
     pub fn events(&self) -> Vec<Event> {
-        locked(&self.events).clone()
+        lock(&self.events).clone()
     }
 
-    /// How many events so far are of a kind.
-    pub fn count(&self, of: impl Fn(&What) -> bool) -> usize {
-        locked(&self.events).iter().filter(|e| of(&e.what)).count()
+    /// How many events so far match.
+    pub fn count(&self, matches: impl Fn(&EventKind) -> bool) -> usize {
+        lock(&self.events).iter().filter(|event| matches(&event.kind)).count()
     }
 
-    /// Waits until something holds of the log, for so long at the most; whether it does.
-    pub async fn until(&self, most: Millis, holds: impl Fn(&[Event]) -> bool) -> bool {
-        let end = self.now() + most;
+    /// Waits until a condition holds for the events, for at most `timeout_ms`; returns whether it does.
+    pub async fn wait_until(&self, timeout_ms: Millis, condition: impl Fn(&[Event]) -> bool) -> bool {
+        let end_ms = self.now() + timeout_ms;
         loop {
-            if holds(&locked(&self.events)) {
+            if condition(&lock(&self.events)) {
                 return true;
             }
-            if self.now() > end {
+            if self.now() > end_ms {
                 return false;
             }
-            tokio::time::sleep(crate::span(20.0)).await;
+            tokio::time::sleep(duration(RECHECK_INTERVAL_MS)).await;
         }
     }
 }
--- a/crates/test-cluster/tests/judge.rs
+++ b/crates/test-cluster/tests/invariants.rs
@@ -3,9 +3,10 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use sandgw_test_cluster::invariants::{Idempotency, Rule, Verdict, Where, judge};
-use sandgw_test_cluster::log::{Answer, Call, End, Event, What};
-use sandgw_test_cluster::settings::Rules;
+use sandgw_test_cluster::invariants::{Idempotency, RepeatScope, Rule, Verdict, check_invariants};
+use sandgw_test_cluster::log::{AttemptOutcome, DiscoveryRequest, Event, EventKind, Reply};
+use sandgw_test_cluster::settings::RuleSettings;
+use sandgw_test_cluster::stub_discovery::EndpointPhase;
 
 /// What the relay of a log does without care.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -43,37 +44,55 @@
 }
 
 impl Play {
-    fn note(&mut self, what: What) {
-        self.log.push(Event { at: self.now, what });
+    fn record(&mut self, kind: EventKind) {
+        self.log.push(Event { at_ms: self.now, kind });
     }
 
     fn asks(&mut self, class: &str) -> u64 {
         self.next += 1;
         let (id, class) = (self.next, class.into());
-        self.note(What::Asked { id, relay: 3, wait_ms: 2000.0, class, tenant: "acme".into(), mid: false });
+        self.record(EventKind::RequestSent {
+            id,
+            relay: 3,
+            wait_ms: 2000.0,
+            class,
+            tenant: "acme".into(),
+            mid_flow: false,
+        });
         id
     }
 
     fn attempt(&mut self, id: u64, endpoint: &str) {
         self.now += 1.0;
-        self.note(What::Attempt { id, endpoint: endpoint.into(), first_byte: self.now, mid: false });
+        self.record(EventKind::AttemptReceived {
+            id,
+            endpoint: endpoint.into(),
+            first_byte_ms: self.now,
+            mid_flow: false,
+        });
     }
 
-    fn ended(&mut self, id: u64, endpoint: &str, end: End) {
+    fn ended(&mut self, id: u64, endpoint: &str, outcome: AttemptOutcome) {
         self.now += 10.0;
-        let receipt = (end == End::Up).then(|| format!("{endpoint}/{id}"));
-        self.note(What::AttemptEnded { id, endpoint: endpoint.into(), end, receipt });
+        let receipt = (outcome == AttemptOutcome::Established).then(|| format!("{endpoint}/{id}"));
+        self.record(EventKind::AttemptEnded { id, endpoint: endpoint.into(), outcome, receipt });
     }
 
     fn up(&mut self, id: u64, endpoint: &str) {
         self.attempt(id, endpoint);
-        self.ended(id, endpoint, End::Up);
-        self.note(What::Answered { id, answer: Answer::Up(format!("{endpoint}/{id}")) });
+        self.ended(id, endpoint, AttemptOutcome::Established);
+        self.record(EventKind::ReplyReceived { id, reply: Reply::Established(format!("{endpoint}/{id}")) });
     }
 
-    fn listed(&mut self, revision: u64, endpoint: &str, phase: &'static str, fresh: bool) {
+    fn listed(&mut self, revision: u64, endpoint: &str, phase: EndpointPhase, recently_started: bool) {
         let zone = Arc::from(&endpoint[..1]);
-        self.note(What::Listed { revision, endpoint: endpoint.into(), zone, phase, fresh });
+        self.record(EventKind::EndpointListed {
+            revision,
+            endpoint: endpoint.into(),
+            zone,
+            phase,
+            recently_started,
+        });
     }
 
     fn is(&self, careless: Careless) -> bool {
@@ -84,29 +103,29 @@
     fn answers(&mut self) {
         let id = self.asks("stream");
         self.attempt(id, "a1");
-        self.ended(id, "a1", End::Up);
+        self.ended(id, "a1", AttemptOutcome::Established);
         self.now += if self.is(Late) { 2500.0 } else { 0.0 };
         let receipt = if self.is(Forges) { "mine".to_owned() } else { format!("a1/{id}") };
-        let answer = if self.is(Cuts) { Answer::Cut } else { Answer::Up(receipt) };
-        self.note(What::Answered { id, answer });
+        let reply = if self.is(Cuts) { Reply::Closed } else { Reply::Established(receipt) };
+        self.record(EventKind::ReplyReceived { id, reply });
     }
 
     fn repeats(&mut self) {
         let once = self.asks("once");
         self.attempt(once, "a1");
-        self.ended(once, "a1", End::Busy);
+        self.ended(once, "a1", AttemptOutcome::Rejected);
         // Turned away, it never ran: it may go anywhere.
         self.attempt(once, "b1");
-        self.ended(once, "b1", End::Reset);
+        self.ended(once, "b1", AttemptOutcome::Reset);
         if self.is(Repeats) {
             self.attempt(once, "a1");
-            self.ended(once, "a1", End::Error);
+            self.ended(once, "a1", AttemptOutcome::Error);
         }
-        let answer = if self.is(Disclaims) { Answer::Busy(None) } else { Answer::Failed("ERR".into()) };
-        self.note(What::Answered { id: once, answer });
+        let reply = if self.is(Disclaims) { Reply::Rejected(None) } else { Reply::Failed("ERR".into()) };
+        self.record(EventKind::ReplyReceived { id: once, reply });
         let keyed = self.asks("keyed");
         self.attempt(keyed, "a1");
-        self.ended(keyed, "a1", End::GivenUp);
+        self.ended(keyed, "a1", AttemptOutcome::Cancelled);
         self.up(keyed, if self.is(Strays) { "b1" } else { "a2" });
         let copied = self.asks("stream");
         self.attempt(copied, "a1");
@@ -115,19 +134,24 @@
             self.attempt(copied, "a2");
             self.now += 200.0;
         }
-        self.ended(copied, "a1", End::GivenUp);
+        self.ended(copied, "a1", AttemptOutcome::Cancelled);
         self.up(copied, "a2");
     }
 
     fn watch(&mut self, call: u64, after: u64) {
-        self.note(What::Called { relay: 3, call, what: Call::Watch { after, wait_ms: 4000 }, begins: true });
+        self.record(EventKind::DiscoveryCalled {
+            relay: 3,
+            call,
+            request: DiscoveryRequest::Watch { after, wait_ms: 4000 },
+            queued: true,
+        });
     }
 
     fn drains(&mut self) {
         self.watch(1, 3);
-        self.listed(4, "a1", "Terminating", false);
+        self.listed(4, "a1", EndpointPhase::Terminating, false);
         self.now += 100.0;
-        self.note(What::Told { relay: 3, call: 1, revision: 4 });
+        self.record(EventKind::DiscoveryAnswered { relay: 3, call: 1, revision: 4 });
         self.watch(2, 4);
         // What was on its way may still arrive.
         self.now += 900.0;
@@ -138,28 +162,33 @@
             let id = self.asks("stream");
             self.up(id, "a1");
         }
-        self.listed(5, "a2", "Terminating", false);
+        self.listed(5, "a2", EndpointPhase::Terminating, false);
         self.now += 7500.0;
         if self.is(Sleeps) {
             let id = self.asks("stream");
             self.up(id, "a2");
         }
-        self.note(What::NotTold { relay: 3, call: 2 });
+        self.record(EventKind::DiscoveryFailed { relay: 3, call: 2 });
         self.watch(3, 5);
     }
 
     fn fails_back(&mut self) {
-        self.note(What::ColdStart { endpoint: "b2".into(), rate: 100.0 });
-        self.listed(6, "b2", "Ready", true);
-        self.note(What::Told { relay: 3, call: 3, revision: 6 });
+        self.record(EventKind::ColdStart { endpoint: "b2".into(), setups_per_s: 100.0 });
+        self.listed(6, "b2", EndpointPhase::Ready, true);
+        self.record(EventKind::DiscoveryAnswered { relay: 3, call: 3, revision: 6 });
         // 100 a second, of which 34% in the middle of it tripled are 102; for chance two roots of that and two: 124.
         for _ in 0..if self.is(Floods) { 130 } else { 90 } {
             let id = self.asks("stream");
-            self.note(What::Attempt { id, endpoint: "b2".into(), first_byte: self.now, mid: false });
+            self.record(EventKind::AttemptReceived {
+                id,
+                endpoint: "b2".into(),
+                first_byte_ms: self.now,
+                mid_flow: false,
+            });
             self.now += 5.0;
-            self.ended(id, "b2", End::Busy);
+            self.ended(id, "b2", AttemptOutcome::Rejected);
             self.now -= 10.0;
-            self.note(What::Answered { id, answer: Answer::Busy(Some(100)) });
+            self.record(EventKind::ReplyReceived { id, reply: Reply::Rejected(Some(100)) });
         }
     }
 }
@@ -172,29 +201,35 @@
 fn play_with(careless: Careless, stall: Option<f64>) -> Verdict {
     let mut play = Play { careless, now: 10.0, next: 0, log: Vec::new() };
     let endpoints = ["a1", "a2", "b1"];
-    endpoints.iter().zip(1..).for_each(|(id, revision)| play.listed(revision, id, "Ready", false));
-    play.note(What::Started { relay: 3, known: 3 });
+    endpoints
+        .iter()
+        .zip(1..)
+        .for_each(|(id, revision)| play.listed(revision, id, EndpointPhase::Ready, false));
+    play.record(EventKind::RelayStarted { relay: 3, known_revision: 3 });
     play.answers();
     play.repeats();
     play.drains();
     let before = play.now;
     play.fails_back();
-    play.log.extend(stall.map(|ms| Event { at: (before + play.now) / 2.0, what: What::Stalled { ms } }));
-    play.log.sort_by(|a, b| a.at.total_cmp(&b.at));
+    play.log.extend(stall.map(|ms| Event {
+        at_ms: (before + play.now) / 2.0,
+        kind: EventKind::ClusterStalled { stall_ms: ms },
+    }));
+    play.log.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
     play.now += 5000.0;
-    play.note(What::Ready(0));
+    play.record(EventKind::RelayReady(0));
     let classes = HashMap::from([
         (Arc::from("once"), Idempotency::Unsafe),
-        (Arc::from("keyed"), Idempotency::Keyed(Where::Zone, 5000.0)),
+        (Arc::from("keyed"), Idempotency::Keyed { scope: RepeatScope::Zone, window_ms: 5000.0 }),
     ]);
-    judge(&play.log, &Rules::default(), &classes)
+    check_invariants(&play.log, &RuleSettings::default(), &classes)
 }
 
 #[test]
 fn a_careful_relay_keeps_all_rules() {
     let verdict = play(Nothing);
-    assert!(verdict.breaches.is_empty(), "{verdict}");
-    assert!((0.5..1.0).contains(&verdict.coldest), "{verdict}");
+    assert!(verdict.violations.is_empty(), "{verdict}");
+    assert!((0.5..1.0).contains(&verdict.max_cold_load_fraction), "{verdict}");
 }
 
 #[test]
@@ -209,14 +244,18 @@
         (Disclaims, Rule::NoRepeat),
         (Ignores, Rule::Drain),
         (Sleeps, Rule::Drain),
-        (Floods, Rule::FailBack),
+        (Floods, Rule::SlowStart),
     ];
     for (careless, rule) in all {
         let verdict = play(careless);
-        assert_eq!(verdict.breaches.len(), 1, "{careless:?}: {verdict}");
-        let breach = &verdict.breaches[0];
-        assert_eq!((breach.rule, breach.relays.iter().eq([&3])), (rule, true), "{careless:?}: {verdict}");
-        assert!(breach.lines.len() > 1 && !verdict.kept(rule), "{careless:?}: {verdict}");
+        assert_eq!(verdict.violations.len(), 1, "{careless:?}: {verdict}");
+        let violation = &verdict.violations[0];
+        assert_eq!(
+            (violation.rule, violation.relays.iter().eq([&3])),
+            (rule, true),
+            "{careless:?}: {verdict}"
+        );
+        assert!(violation.events.len() > 1 && !verdict.satisfies(rule), "{careless:?}: {verdict}");
     }
 }
 
@@ -226,11 +265,11 @@
     for careless in [Nothing, Floods] {
         let verdict = play_with(careless, Some(500.0));
         assert_eq!(
-            (verdict.stalled_ms, verdict.kept(Rule::FailBack)),
+            (verdict.max_stall_ms, verdict.satisfies(Rule::SlowStart)),
             (500.0, careless == Nothing),
             "{verdict}"
         );
-        assert!(verdict.to_string().contains("stood still for 500 ms"), "{verdict}");
+        assert!(verdict.to_string().contains("stalled for 500 ms"), "{verdict}");
     }
 }
 
@@ -238,27 +277,27 @@
 fn what_a_relay_could_not_know_is_not_its_breach() {
     let untold = |change: &dyn Fn(&mut Vec<Event>)| {
         let mut play = Play { careless: Nothing, now: 10.0, next: 0, log: Vec::new() };
-        play.listed(1, "a1", "Ready", false);
-        play.note(What::Started { relay: 3, known: 1 });
-        play.listed(2, "a1", "Terminating", false);
+        play.listed(1, "a1", EndpointPhase::Ready, false);
+        play.record(EventKind::RelayStarted { relay: 3, known_revision: 1 });
+        play.listed(2, "a1", EndpointPhase::Terminating, false);
         play.now += 5000.0;
         let id = play.asks("stream");
         play.attempt(id, "a1");
-        play.ended(id, "a1", End::Busy);
+        play.ended(id, "a1", AttemptOutcome::Rejected);
         play.now += 100.0;
         change(&mut play.log);
         play.now += 10_000.0;
-        play.note(What::Ready(0));
-        judge(&play.log, &Rules::default(), &HashMap::new())
+        play.record(EventKind::RelayReady(0));
+        check_invariants(&play.log, &RuleSettings::default(), &HashMap::new())
     };
     // It has not asked, and has still time to; and its client was lost with it, at the death that the log shows.
     let dies = |log: &mut Vec<Event>| {
-        let at = log.last().map_or(0.0, |e| e.at);
-        log.push(Event { at, what: What::Died(3) });
-        log.push(Event { at, what: What::Answered { id: 1, answer: Answer::Cut } });
+        let at_ms = log.last().map_or(0.0, |e| e.at_ms);
+        log.push(Event { at_ms, kind: EventKind::RelayDied(3) });
+        log.push(Event { at_ms, kind: EventKind::ReplyReceived { id: 1, reply: Reply::Closed } });
     };
     let verdict = untold(&dies);
-    assert!(verdict.breaches.is_empty(), "{verdict}");
+    assert!(verdict.violations.is_empty(), "{verdict}");
     let verdict = untold(&|_| {});
-    assert!(!verdict.kept(Rule::Answered) && verdict.kept(Rule::Drain), "{verdict}");
+    assert!(!verdict.satisfies(Rule::Answered) && verdict.satisfies(Rule::Drain), "{verdict}");
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,67 +1,83 @@
 //! The cold budget with 20 and 30 processes of the program: endpoints start again cold and new ones join under load,
 //! while relays are killed, end as planned and start again. What counts is what all processes together send.
 
-use sandgw_test_cluster::fault_schedule::{Fault, Script};
+use sandgw_test_cluster::fault_schedule::{Fault, FaultSchedule, FaultStep};
 use sandgw_test_cluster::invariants::Rule;
-use sandgw_test_cluster::load_clients::Plan;
-use sandgw_test_cluster::log::What;
-use sandgw_test_cluster::{Size, TestCluster};
+use sandgw_test_cluster::load_clients::LoadPlan;
+use sandgw_test_cluster::log::EventKind;
+use sandgw_test_cluster::{ClusterConfig, TestCluster};
 use tokio::sync::Mutex;
 
 /// Endpoints at the start, all of them warm.
-const WARM: usize = 6;
-/// Set-ups a second that a warm endpoint bears, by which its cold budget goes, and the clients that come a second: a
-/// little more than those bear, so that one that is cold is well over its budget if it gets its share of them.
-const CAPACITY: f64 = 6.0;
-const CLIENTS: f64 = 40.0;
-const LENGTH: f64 = 15_000.0;
+const WARM_ENDPOINTS: usize = 6;
+/// Set-ups a second that a warm endpoint takes, by which its budget while cold is computed.
+const SETUPS_PER_S: f64 = 6.0;
+/// Clients that arrive a second: a little more than the warm endpoints take, so that a cold endpoint is well over its
+/// budget if it gets an equal part of them.
+const CLIENTS_PER_S: f64 = 40.0;
+const SCHEDULE_MS: f64 = 15_000.0;
 
-fn script(relays: usize) -> Script {
+fn schedule(relays: usize) -> FaultSchedule {
     let killed: Vec<_> = (0..relays).filter(|n| n % 3 == 0).collect();
     let steps = vec![
-        (3000.0, Fault::EndpointDies(0)),
-        (3000.0, Fault::EndpointDies(1)),
+        step(3000.0, Fault::KillEndpoint(0)),
+        step(3000.0, Fault::KillEndpoint(1)),
         // Two start again, and one joins.
-        (4000.0, Fault::EndpointStarts(0)),
-        (4000.0, Fault::EndpointStarts(1)),
-        (4000.0, Fault::EndpointJoins),
-        (5500.0, Fault::Kill(killed.clone())),
-        (5800.0, Fault::Restart(killed)),
+        step(4000.0, Fault::StartEndpoint(0)),
+        step(4000.0, Fault::StartEndpoint(1)),
+        step(4000.0, Fault::AddEndpoint),
+        step(5500.0, Fault::KillRelays(killed.clone())),
+        step(5800.0, Fault::StartRelays(killed)),
         // The next one joins while others are half warm.
-        (8800.0, Fault::EndpointJoins),
-        (8800.0, Fault::Terminate(vec![1, 2])),
-        (9800.0, Fault::Restart(vec![1, 2])),
+        step(8800.0, Fault::AddEndpoint),
+        step(8800.0, Fault::TerminateRelays(vec![1, 2])),
+        step(9800.0, Fault::StartRelays(vec![1, 2])),
     ];
-    Script { steps }
+    FaultSchedule { steps }
 }
 
-/// One tier at a time: together they would keep the machine from letting each go on.
+fn step(at_ms: f64, fault: Fault) -> FaultStep {
+    FaultStep { at_ms, fault }
+}
+
+/// One cluster at a time: together they would overload the machine.
 static ALONE: Mutex<()> = Mutex::const_new(());
 
 async fn all_spare_cold_endpoints(relays: usize) {
     let _alone = ALONE.lock().await;
-    let mut size = Size::new(env!("CARGO_BIN_EXE_sandgw"), relays, WARM);
-    size.rate = CAPACITY;
-    let mut rig = TestCluster::new(size).await.unwrap();
-    rig.ready().await.unwrap();
-    let count = (CLIENTS * LENGTH / 1000.0) as usize;
-    let plan = Plan { count, over_ms: LENGTH, stay_ms: 4000.0, groups: 400, ..Plan::default() };
-    let clients = rig.clients(plan);
-    rig.run(&script(relays)).await.unwrap();
-    let results = clients.end(20_000.0).await;
-    let verdict = rig.verdict();
+    let mut config = ClusterConfig::new(env!("CARGO_BIN_EXE_sandgw"), relays, WARM_ENDPOINTS);
+    config.setups_per_s = SETUPS_PER_S;
+    let mut cluster = TestCluster::new(config).await.unwrap();
+    cluster.start_and_wait().await.unwrap();
+    let count = (CLIENTS_PER_S * SCHEDULE_MS / 1000.0) as usize;
+    let plan = LoadPlan { count, over_ms: SCHEDULE_MS, stay_ms: 4000.0, groups: 400, ..LoadPlan::default() };
+    let clients = cluster.start_clients(plan);
+    cluster.run(&schedule(relays)).await.unwrap();
+    let results = clients.finish(20_000.0).await;
+    let verdict = cluster.verdict();
     println!("{verdict}");
-    // The rule is about relays that were told of the start; the most, and the fall of a stand-in, about all that came.
-    let fell = rig.log.count(|w| matches!(w, What::Fell(_)));
-    let spared = verdict.kept(Rule::FailBack) && verdict.coldest <= 1.0 && fell == 0;
-    assert!(spared, "{fell} fell, {:.2} of the budget at most: {verdict}", verdict.coldest);
-    // They were cold under load: else there was nothing to spare.
-    let came = |id: &str| rig.log.count(|w| matches!(w, What::Attempt { endpoint, .. } if &**endpoint == id));
-    assert!(["s006", "s007"].iter().all(|id| came(id) >= 4), "nobody found those that joined: {verdict}");
-    assert!(results.all.served * 10 >= results.all.all() * 8, "{results:?}");
-    assert!(verdict.shares.hold(0.5).is_ok(), "{verdict}");
-    for relay in &mut rig.relays {
-        assert!(relay.runs(), "relay {} has ended: {}", relay.number, relay.logged());
+    // The rule is about relays that were informed of the start; the load fraction and the overload of a stand-in are
+    // about all requests that arrived.
+    let overloaded = cluster.log.count(|w| matches!(w, EventKind::EndpointOverloaded(_)));
+    let satisfied =
+        verdict.satisfies(Rule::SlowStart) && verdict.max_cold_load_fraction <= 1.0 && overloaded == 0;
+    assert!(
+        satisfied,
+        "{overloaded} overloaded, {:.2} of the budget at most: {verdict}",
+        verdict.max_cold_load_fraction
+    );
+    // They were cold under load: else the check shows nothing.
+    let attempts = |id: &str| {
+        cluster.log.count(|w| matches!(w, EventKind::AttemptReceived { endpoint, .. } if &**endpoint == id))
+    };
+    assert!(
+        ["s006", "s007"].iter().all(|id| attempts(id) >= 4),
+        "too few attempts at those that joined: {verdict}"
+    );
+    assert!(results.all.served * 10 >= results.all.total() * 8, "{results:?}");
+    assert!(verdict.service_levels.check_minimum(0.5).is_ok(), "{verdict}");
+    for relay in &mut cluster.relays {
+        assert!(relay.is_running(), "relay {} has ended: {}", relay.index, relay.log_text());
     }
 }
 
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -11,8 +11,8 @@
 use sandgw_affinity::codec::EndpointHash;
 use sandgw_cluster::drain_gossip::Answer;
 use sandgw_test_cluster::fault_schedule::Fault;
-use sandgw_test_cluster::log::{Event, What};
-use sandgw_test_cluster::{Size, TestCluster};
+use sandgw_test_cluster::log::{Event, EventKind};
+use sandgw_test_cluster::{ClusterConfig, TestCluster};
 
 const START: Millis = 1000.0;
 
@@ -293,8 +293,9 @@
 const GRACE: f64 = 1500.0;
 
 fn attempts(events: &[Event], at: &str, since: f64) -> usize {
-    let attempt = |e: &&Event| matches!(&e.what, What::Attempt { endpoint, .. } if **endpoint == *at);
-    events.iter().filter(|e| e.at > since).filter(attempt).count()
+    let attempt =
+        |e: &&Event| matches!(&e.kind, EventKind::AttemptReceived { endpoint, .. } if **endpoint == *at);
+    events.iter().filter(|e| e.at_ms > since).filter(attempt).count()
 }
 
 /// Discovery was down, and is back with a change and at a rate that has most relays wait for half a minute: by then
@@ -302,44 +303,44 @@
 #[tokio::test]
 async fn relays_that_discovery_cannot_answer_in_time_know_by_word_what_has_left() {
     const RELAYS: usize = 20;
-    let mut size = Size::new(env!("CARGO_BIN_EXE_sandgw"), RELAYS, 4);
+    let mut size = ClusterConfig::new(env!("CARGO_BIN_EXE_sandgw"), RELAYS, 4);
     size.rules.grace_ms = GRACE;
     let mut rig = TestCluster::new(size).await.unwrap();
-    rig.ready().await.unwrap();
+    rig.start_and_wait().await.unwrap();
     let told = |events: &[Event], to: u64| {
         let told = |relay: usize| {
-            let has = |e: &Event| matches!(e.what, What::Told { relay: r, revision, .. } if r == relay && revision >= to);
+            let has = |e: &Event| matches!(e.kind, EventKind::DiscoveryAnswered { relay: r, revision, .. } if r == relay && revision >= to);
             events.iter().any(has)
         };
         (0..RELAYS).filter(|relay| told(*relay)).count()
     };
     let all = |events: &[Event]| told(events, 0) == RELAYS;
-    assert!(rig.log.until(20_000.0, all).await, "not all have a list");
+    assert!(rig.log.wait_until(20_000.0, all).await, "not all have a list");
     tokio::time::sleep(Duration::from_millis(500)).await;
-    rig.discovery.set(|s| s.down = true);
+    rig.discovery.update(|s| s.down = true);
     tokio::time::sleep(Duration::from_millis(4000)).await;
-    rig.apply(&Fault::Drain(0, 30_000.0)).await.unwrap();
-    rig.discovery.set(|s| (s.down, s.cost) = (false, 1500.0));
+    rig.apply(&Fault::DrainEndpoint { endpoint: 0, within_ms: 30_000.0 }).await.unwrap();
+    rig.discovery.update(|s| (s.down, s.call_cost_ms) = (false, 1500.0));
     let back = rig.log.now();
     let first = |events: &[Event]| told(events, 5) > 0;
-    assert!(rig.log.until(20_000.0, first).await, "nobody was answered");
+    assert!(rig.log.wait_until(20_000.0, first).await, "nobody was answered");
     let first = rig.log.now();
     // Counted from the first answer: before that nobody can know.
     tokio::time::sleep(Duration::from_millis((6000.0 + GRACE) as u64)).await;
     let (since, answered) = (rig.log.now(), told(&rig.log.events(), 5));
     eprintln!("first answer {:.0} ms after the return, {answered} answered by then", first - back);
     assert!(answered * 2 < RELAYS, "{answered} of {RELAYS} were answered: that proves nothing");
-    let plan = sandgw_test_cluster::load_clients::Plan {
+    let plan = sandgw_test_cluster::load_clients::LoadPlan {
         count: 200,
         over_ms: 2000.0,
         stay_ms: 300.0,
         ..Default::default()
     };
-    let results = rig.clients(plan).end(20_000.0).await;
-    assert!(results.all.served * 10 >= results.all.all() * 9, "{results:?}");
+    let results = rig.start_clients(plan).finish(20_000.0).await;
+    assert!(results.all.served * 10 >= results.all.total() * 9, "{results:?}");
     let events = rig.log.events();
     assert_eq!(attempts(&events, "s000", since), 0, "a streamer that leaves was sent to");
     assert!(attempts(&events, "s001", since) > 0);
     let verdict = rig.verdict();
-    assert!(verdict.breaches.is_empty(), "{verdict}");
+    assert!(verdict.violations.is_empty(), "{verdict}");
 }
--- a/tests/narrow.rs
+++ b/tests/narrow.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use sandgw_test_cluster::stub_discovery::Service;
-use sandgw_test_cluster::{Size, TestCluster, free_address};
+use sandgw_test_cluster::stub_discovery::ServiceModel;
+use sandgw_test_cluster::{ClusterConfig, TestCluster, free_address};
 
 /// What a busy machine may be late by.
 const SLACK: Duration = Duration::from_secs(3);
@@ -39,7 +39,7 @@
     let mut took = Vec::new();
     for relay in &rig.relays {
         // The first is waited for longest: what one of them took is at most what is counted here.
-        if relay.ready((start + READY - rig.log.now()).max(100.0)).await.is_ok() {
+        if relay.wait_ready((start + READY - rig.log.now()).max(100.0)).await.is_ok() {
             took.push(rig.log.now() - start);
         }
     }
@@ -47,12 +47,12 @@
 }
 
 /// Discovery is as told while all of them start, with a list as last held or without any.
-async fn ready_whatever_discovery_does(service: Service, known: bool) {
-    let mut size = Size::new(env!("CARGO_BIN_EXE_sandgw"), RESTARTED, 4);
-    (size.service, size.known) = (service, known);
+async fn ready_whatever_discovery_does(service: ServiceModel, known: bool) {
+    let mut size = ClusterConfig::new(env!("CARGO_BIN_EXE_sandgw"), RESTARTED, 4);
+    (size.discovery, size.list_known_at_start) = (service, known);
     let mut rig = TestCluster::new(size).await.unwrap();
     let took = restarted(&mut rig).await;
-    let (ready, service) = (took.iter().filter(|took| **took <= READY).count(), &rig.size.service);
+    let (ready, service) = (took.iter().filter(|took| **took <= READY).count(), &rig.config.discovery);
     assert!(
         ready * 10 >= RESTARTED * 9,
         "{ready} of {RESTARTED} ready, known {known}, {service:?}: {took:?}"
@@ -68,9 +68,9 @@
 fn relays_restarted_together_are_ready_in_time_with_discovery_up_or_slow() {
     on_one_thread(async {
         // Calls queue, and who waits longer than the service bears is failed.
-        let slow = Service { cost: 100.0, patience: 500.0, ..Service::default() };
+        let slow = ServiceModel { call_cost_ms: 100.0, queue_timeout_ms: 500.0, ..ServiceModel::default() };
         for known in [true, false] {
-            ready_whatever_discovery_does(Service::default(), known).await;
+            ready_whatever_discovery_does(ServiceModel::default(), known).await;
             ready_whatever_discovery_does(slow.clone(), known).await;
         }
     });
@@ -79,16 +79,17 @@
 #[test]
 fn relays_restarted_together_are_ready_in_time_with_discovery_down_or_mute() {
     on_one_thread(async {
-        let down = Service { down: true, ..Service::default() };
-        let mute = Service { mute: true, ..Service::default() };
+        let down = ServiceModel { down: true, ..ServiceModel::default() };
+        let mute = ServiceModel { unresponsive: true, ..ServiceModel::default() };
         for known in [true, false] {
             ready_whatever_discovery_does(down.clone(), known).await;
             ready_whatever_discovery_does(mute.clone(), known).await;
         }
         // Nobody listens there.
-        let mut rig = TestCluster::new(Size::new(env!("CARGO_BIN_EXE_sandgw"), RESTARTED, 4)).await.unwrap();
+        let mut rig =
+            TestCluster::new(ClusterConfig::new(env!("CARGO_BIN_EXE_sandgw"), RESTARTED, 4)).await.unwrap();
         for relay in &mut rig.relays {
-            relay.plan.discovery = free_address().unwrap();
+            relay.config.discovery = free_address().unwrap();
         }
         let took = restarted(&mut rig).await;
         assert!(took.len() * 10 >= RESTARTED * 9, "{} of {RESTARTED} ready: {took:?}", took.len());
