--- a/crates/test-cluster/examples/mixed_versions.rs
+++ b/crates/test-cluster/examples/mixed_versions.rs
@@ -96,7 +96,7 @@
     if failures == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// One cluster of both versions under a drawn fault script: no rule is broken, and clients are served.
+/// One cluster of both versions under a drawn fault script: no rule is violated, and clients are served.
 async fn mixed_cluster(old: &Path, new: &Path, seed: u64) -> PartResult {
     let mut config = ClusterConfig::new(new, RELAYS, ENDPOINTS);
     config.rules.grace_ms = GRACE_MS;
@@ -129,7 +129,7 @@
     let MidFlowCounts { attempted, found_at_once } = verdict.mid_flow;
     let (all, served) = (results.all.total(), results.all.served);
     Ok(format!(
-        "no rule broken, {served} of {all} clients served, {found_at_once} of {attempted} mid-flow arrivals found at once, \
+        "no rule violated, {served} of {all} clients served, {found_at_once} of {attempted} mid-flow arrivals found at once, \
          {from_old} datagrams old to new, {from_new} new to old"
     ))
 }
