--- a/crates/test-cluster/src/invariants/drain.rs
+++ b/crates/test-cluster/src/invariants/drain.rs
@@ -4,8 +4,7 @@
 use super::run_log::RunLog;
 use super::{Rule, Violation};
 use crate::Millis;
-use crate::log::{Event, EventKind, RequestId};
-use crate::stub_discovery::EndpointPhase;
+use crate::log::{EndpointPhase, Event, EventKind, RequestId};
 
 /// How long before the relay was informed a violation's events begin.
 const SHOWN_BEFORE_MS: Millis = 20_000.0;
--- a/crates/test-cluster/src/invariants/mod.rs
+++ b/crates/test-cluster/src/invariants/mod.rs
@@ -16,9 +16,8 @@
 use std::sync::Arc;
 
 use crate::Millis;
-use crate::load_clients::ClassAndTenant;
 use crate::log::{AttemptOutcome, Event, EventKind, RelayIndex};
-use crate::service_levels::{ServedCount, ServiceLevels};
+use crate::service_levels::{ClassAndTenant, ServedCount, ServiceLevels};
 use crate::settings::RuleSettings;
 use list_knowledge::ListKnowledge;
 use run_log::RunLog;
--- a/crates/test-cluster/src/load_clients/client.rs
+++ b/crates/test-cluster/src/load_clients/client.rs
@@ -9,9 +9,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use super::results::{ClassAndTenant, ClientOutcome};
+use super::results::ClientOutcome;
 use super::{Shared, Weighted};
 use crate::log::{EventKind, RelayIndex, Reply, RequestId};
+use crate::service_levels::ClassAndTenant;
 use crate::{Millis, duration, lock};
 
 /// The class of clients whose plan names none.
--- a/crates/test-cluster/src/load_clients/mod.rs
+++ b/crates/test-cluster/src/load_clients/mod.rs
@@ -21,7 +21,7 @@
 use client::Client;
 
 pub use health::HealthChecker;
-pub use results::{ClassAndTenant, ClientOutcome, LoadResults, OutcomeCounts};
+pub use results::{ClientOutcome, LoadResults, OutcomeCounts};
 
 /// A name that is drawn with a weight.
 #[derive(Clone, Debug)]
--- a/crates/test-cluster/src/load_clients/results.rs
+++ b/crates/test-cluster/src/load_clients/results.rs
@@ -1,9 +1,9 @@
 //! How clients fared, in counts.
 
 use std::collections::BTreeMap;
-use std::sync::Arc;
 
 use crate::Millis;
+use crate::service_levels::ClassAndTenant;
 
 /// How a client's first requests ended, all tries together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,15 +52,6 @@
     }
 }
 
-/// A class and a tenant, by which clients are counted.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ClassAndTenant {
-    /// The class.
-    pub class: Arc<str>,
-    /// The tenant.
-    pub tenant: Arc<str>,
-}
-
 /// What has been counted so far.
 #[derive(Clone, Debug, Default)]
 pub struct LoadResults {
--- a/crates/test-cluster/src/log.rs
+++ b/crates/test-cluster/src/log.rs
@@ -3,10 +3,10 @@
 //! It owns the events and the clock, in milliseconds since the cluster began. Every stand-in records events in it;
 //! [`crate::invariants`], [`crate::service_levels`] and tests read them. It draws no conclusions.
 
+use std::fmt;
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use crate::stub_discovery::EndpointPhase;
 use crate::{Millis, duration, lock};
 
 /// The largest number of events that are stored; see [`Log::is_truncated`].
@@ -62,6 +62,34 @@
     },
 }
 
+/// An endpoint's phase, as discovery lists it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointPhase {
+    /// It takes requests.
+    Ready,
+    /// It drains.
+    Terminating,
+    /// It is removed, which only a watch reports.
+    Gone,
+}
+
+impl EndpointPhase {
+    /// The phase's name in discovery's format.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            EndpointPhase::Ready => "Ready",
+            EndpointPhase::Terminating => "Terminating",
+            EndpointPhase::Gone => "Gone",
+        }
+    }
+}
+
+impl fmt::Display for EndpointPhase {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
 /// What has happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EventKind {
--- a/crates/test-cluster/src/service_levels.rs
+++ b/crates/test-cluster/src/service_levels.rs
@@ -33,6 +33,15 @@
     }
 }
 
+/// A class and a tenant, by which clients are counted.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ClassAndTenant {
+    /// The class.
+    pub class: Arc<str>,
+    /// The tenant.
+    pub tenant: Arc<str>,
+}
+
 /// A segment of a run's clients.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Segment {
--- a/crates/test-cluster/src/stub_discovery/list.rs
+++ b/crates/test-cluster/src/stub_discovery/list.rs
@@ -1,41 +1,13 @@
 //! The endpoint list: entries with the revision that changed each, and the list in discovery's format.
 
 use std::collections::BTreeMap;
-use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde_json::{Value, json};
 
 use crate::Millis;
-
-/// An endpoint's phase, as discovery lists it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndpointPhase {
-    /// It takes requests.
-    Ready,
-    /// It drains.
-    Terminating,
-    /// It is removed, which only a watch reports.
-    Gone,
-}
-
-impl EndpointPhase {
-    /// The phase's name in discovery's format.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            EndpointPhase::Ready => "Ready",
-            EndpointPhase::Terminating => "Terminating",
-            EndpointPhase::Gone => "Gone",
-        }
-    }
-}
-
-impl fmt::Display for EndpointPhase {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.as_str())
-    }
-}
+use crate::log::EndpointPhase;
 
 /// An endpoint as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/test-cluster/src/stub_discovery/mod.rs
+++ b/crates/test-cluster/src/stub_discovery/mod.rs
@@ -22,8 +22,9 @@
 use crate::network::{Listening, listen};
 use crate::{Log, Millis, TestClusterError, duration, lock};
 
+pub use crate::log::EndpointPhase;
 pub use body::{BodyStyle, ChunkPacing, Truncation};
-pub use list::{EndpointEntry, EndpointPhase};
+pub use list::EndpointEntry;
 use queue::Service;
 
 /// How the service behaves.
--- a/crates/test-cluster/tests/errors.rs
+++ b/crates/test-cluster/tests/errors.rs
@@ -1,4 +1,4 @@
-//! What the rig says where it cannot go on.
+//! The errors of the test cluster itself.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/test-cluster/tests/invariants.rs
+++ b/crates/test-cluster/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The judge on logs of a relay that keeps the rules, and of one that breaks each of them.
+//! The invariants on logs of a relay that satisfies the rules, and of one that violates each of them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -197,7 +197,7 @@
     play_with(careless, None)
 }
 
-/// The same, and the rig's own thread had stood still for so long in the middle of what came to the cold endpoint.
+/// The same, with a stall of the stand-ins' thread in the middle of what arrived at the cold endpoint.
 fn play_with(careless: Careless, stall: Option<f64>) -> Verdict {
     let mut play = Play { careless, now: 10.0, next: 0, log: Vec::new() };
     let endpoints = ["a1", "a2", "b1"];
@@ -259,7 +259,7 @@
     }
 }
 
-/// What came while the rig could not look is noted in one moment: the verdict says so, and excuses nothing for it.
+/// What arrived during a stall is recorded in one moment: the verdict names the stall, and excuses nothing for it.
 #[test]
 fn a_stall_of_the_rig_is_told_and_excuses_nothing() {
     for careless in [Nothing, Floods] {
--- a/crates/test-cluster/tests/service_levels.rs
+++ b/crates/test-cluster/tests/service_levels.rs
@@ -1,4 +1,4 @@
-//! Floors: on logs that are written here, and on a run of clients before a stand-in that starves some of them.
+//! Service levels: on logs that are written here, and on a run of clients before a stand-in that starves some of them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,7 +10,7 @@
 
 /// What a busy machine may be late by, in milliseconds.
 const GRACE_MS: f64 = 1500.0;
-/// The floor of runs in which nine in ten are served in all.
+/// The fraction of clients to be served in each segment of a run in which nine in ten are served in all.
 const HALF: f64 = 0.5;
 
 fn config(relays: usize, endpoints: usize) -> ClusterConfig {
@@ -38,8 +38,8 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// The rules are kept, each third of the run, each class and each tenant was served this share of what it asked, and no
-/// relay has ended by itself.
+/// No rule is violated, this fraction of the clients was served in each third of the run, of each class and of each
+/// tenant, and no relay has ended by itself.
 fn assert_invariants(cluster: &mut TestCluster, min_served_fraction: f64) {
     let verdict = cluster.verdict();
     println!("{verdict}");
