--- a/crates/test-cluster/src/invariants/answered.rs
+++ b/crates/test-cluster/src/invariants/answered.rs
@@ -1,7 +1,7 @@
 //! Rule 1: every request is answered once and in time, with what an endpoint made for it.
 
 use super::run_log::{RequestLog, RunLog, SentRequest};
-use super::{Rule, Violation};
+use super::verdict::{Rule, Violation};
 use crate::Millis;
 use crate::log::{Event, EventKind, Reply};
 
--- a/crates/test-cluster/src/invariants/drain.rs
+++ b/crates/test-cluster/src/invariants/drain.rs
@@ -2,7 +2,7 @@
 
 use super::list_knowledge::ListKnowledge;
 use super::run_log::RunLog;
-use super::{Rule, Violation};
+use super::verdict::{Rule, Violation};
 use crate::Millis;
 use crate::log::{EndpointPhase, Event, EventKind, RequestId};
 
--- a/crates/test-cluster/src/invariants/no_repeat.rs
+++ b/crates/test-cluster/src/invariants/no_repeat.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use super::run_log::{RequestLog, RunLog};
-use super::{Idempotency, RepeatScope, Rule, Violation};
+use super::verdict::{Idempotency, RepeatScope, Rule, Violation};
 use crate::Millis;
 use crate::log::{AttemptOutcome, Event, EventKind, Reply};
 
--- a/crates/test-cluster/src/invariants/slow_start.rs
+++ b/crates/test-cluster/src/invariants/slow_start.rs
@@ -5,7 +5,7 @@
 
 use super::list_knowledge::ListKnowledge;
 use super::run_log::RunLog;
-use super::{Rule, Violation};
+use super::verdict::{Rule, Violation};
 use crate::Millis;
 use crate::log::{Event, EventKind, RelayIndex};
 use crate::settings::RuleSettings;
--- a/crates/test-cluster/src/load_clients/client.rs
+++ b/crates/test-cluster/src/load_clients/client.rs
@@ -1,7 +1,7 @@
 //! One client: its tries, its stay, and its return.
 
-use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,11 +9,12 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use super::results::ClientOutcome;
-use super::{Shared, Weighted};
+use super::health::HealthChecker;
+use super::plan::{LoadPlan, Weighted};
+use super::results::{ClientOutcome, LoadResults};
 use crate::log::{EventKind, RelayIndex, Reply, RequestId};
 use crate::service_levels::ClassAndTenant;
-use crate::{Millis, duration, lock};
+use crate::{Log, Millis, duration, lock};
 
 /// The class of clients whose plan names none.
 const DEFAULT_CLASS: &str = "stream";
@@ -30,6 +31,15 @@
 /// The longest pause before a client returns.
 const MAX_RETURN_PAUSE_MS: Millis = 200.0;
 
+/// What all clients of a plan share.
+pub(super) struct Shared {
+    pub(super) health: Arc<HealthChecker>,
+    pub(super) log: Log,
+    pub(super) plan: LoadPlan,
+    pub(super) packet_passthrough: bool,
+    pub(super) results: Arc<Mutex<LoadResults>>,
+}
+
 /// Why a client arrives.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Arrival {
--- a/crates/test-cluster/src/stub_discovery/mod.rs
+++ b/crates/test-cluster/src/stub_discovery/mod.rs
@@ -8,6 +8,7 @@
 
 mod body;
 mod list;
+mod model;
 mod queue;
 mod server;
 
@@ -25,41 +26,9 @@
 pub use crate::log::EndpointPhase;
 pub use body::{BodyStyle, ChunkPacing, Truncation};
 pub use list::EndpointEntry;
+pub use model::ServiceModel;
 use queue::Service;
 
-/// How the service behaves.
-#[derive(Clone, Debug)]
-pub struct ServiceModel {
-    /// What a call that begins takes, in milliseconds.
-    pub call_cost_ms: Millis,
-    /// What it takes more for each call that waits before it.
-    pub cost_per_queued_call_ms: Millis,
-    /// A call that would wait longer fails after that long.
-    pub queue_timeout_ms: Millis,
-    /// How old the list is that it answers.
-    pub staleness_ms: Millis,
-    /// Whether it is down: connections are reset.
-    pub down: bool,
-    /// Whether it takes calls and never answers any.
-    pub unresponsive: bool,
-    /// How answers are written.
-    pub body_style: BodyStyle,
-}
-
-impl Default for ServiceModel {
-    fn default() -> Self {
-        ServiceModel {
-            call_cost_ms: 0.0,
-            cost_per_queued_call_ms: 0.0,
-            queue_timeout_ms: 2000.0,
-            staleness_ms: 0.0,
-            down: false,
-            unresponsive: false,
-            body_style: BodyStyle::default(),
-        }
-    }
-}
-
 /// The service. It ends when it is dropped.
 pub struct StubDiscovery {
     service: Arc<Service>,
--- a/crates/test-cluster/src/stub_discovery/queue.rs
+++ b/crates/test-cluster/src/stub_discovery/queue.rs
@@ -8,9 +8,9 @@
 use serde_json::Value;
 use tokio::sync::watch;
 
-use super::ServiceModel;
 use super::body::BodyStyle;
 use super::list::EndpointList;
+use super::model::ServiceModel;
 use crate::log::{DiscoveryRequest, EventKind, RelayIndex};
 use crate::{Log, Millis, lock};
 
--- a/crates/test-cluster/src/stub_endpoints/connection.rs
+++ b/crates/test-cluster/src/stub_endpoints/connection.rs
@@ -7,8 +7,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::state::{Command, ConnectionState};
-use super::{Behaviour, Shared};
+use super::model::Behaviour;
+use super::state::{Command, ConnectionState, Shared};
 use crate::log::{AttemptOutcome, EventKind, RequestId};
 use crate::network::reset;
 use crate::{Millis, duration, lock};
--- a/crates/test-cluster/src/stub_endpoints/mod.rs
+++ b/crates/test-cluster/src/stub_endpoints/mod.rs
@@ -6,6 +6,7 @@
 //! down until it is started again.
 
 mod connection;
+mod model;
 mod state;
 
 use std::collections::BTreeMap;
@@ -21,7 +22,8 @@
 use crate::settings::RuleSettings;
 use crate::{Log, Millis, TestClusterError, duration, lock};
 use connection::EndpointConnection;
-use state::{Command, EndpointState, Store};
+pub use model::{Behaviour, EndpointModel};
+use state::{Command, EndpointState, Shared, Store};
 
 /// How often a listener is tried at the address of an endpoint that starts again: what listened there before is
 /// released a moment after its end.
@@ -31,44 +33,6 @@
 /// The pause after a failure to accept, which is mostly for want of descriptors.
 const ACCEPT_RETRY_MS: Millis = 10.0;
 
-/// An endpoint's place and capacity.
-#[derive(Clone, Debug)]
-pub struct EndpointModel {
-    /// Its name.
-    pub id: Arc<str>,
-    /// Its zone.
-    pub zone: Arc<str>,
-    /// Its size, as discovery lists it.
-    pub size: f64,
-    /// Set-ups a second that it takes when warm.
-    pub setups_per_s: f64,
-    /// Connections that it holds at most.
-    pub max_connections: usize,
-}
-
-/// How an endpoint treats what arrives.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Behaviour {
-    /// As it should.
-    Healthy,
-    /// A set-up takes so many milliseconds more.
-    SlowSetups(Millis),
-    /// Set-ups are taken and never answered; established connections go on.
-    HangingSetups,
-    /// Nothing is answered and no line returned, as by a machine that has vanished.
-    Silent,
-    /// Every set-up is answered `ERR`.
-    FailingSetups,
-}
-
-/// What all endpoints share.
-struct Shared {
-    log: Log,
-    rules: RuleSettings,
-    endpoints: Mutex<BTreeMap<Arc<str>, EndpointState>>,
-    store: Mutex<Store>,
-}
-
 /// All endpoints and their store. They end when it is dropped.
 pub struct StubEndpoints {
     shared: Arc<Shared>,
--- a/crates/test-cluster/src/stub_endpoints/state.rs
+++ b/crates/test-cluster/src/stub_endpoints/state.rs
@@ -1,14 +1,15 @@
 //! The state of one endpoint and of the store: what they hold, and what becomes of a request. No input or output.
 
-use std::collections::{HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
 
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-use super::{Behaviour, EndpointModel};
-use crate::Millis;
+use super::model::{Behaviour, EndpointModel};
 use crate::settings::RuleSettings;
+use crate::{Log, Millis};
 
 /// What an endpoint's connections have to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -149,3 +150,11 @@
         self.free_at_ms - now_ms
     }
 }
+
+/// What all endpoints share.
+pub(super) struct Shared {
+    pub(super) log: Log,
+    pub(super) rules: RuleSettings,
+    pub(super) endpoints: Mutex<BTreeMap<Arc<str>, EndpointState>>,
+    pub(super) store: Mutex<Store>,
+}
