--- a/crates/test-cluster/examples/mixed_versions.rs
+++ b/crates/test-cluster/examples/mixed_versions.rs
@@ -44,6 +44,8 @@
 const MAX_WAIT_MS: Millis = 20_000.0;
 /// The socket at which a relay offers a hand-over, in the folder that its settings name.
 const HANDOVER_SOCKET: &str = "sandgw-handover";
+/// The settings with which processes negotiate the schema version of their messages.
+const NEGOTIATION_SETTINGS: &str = "[forms]\n";
 /// The file of the state folder.
 const STATE_FILE: &str = "affinity.redb";
 
@@ -89,8 +91,10 @@
         }
     };
     report(&format!("mixed cluster, seed {seed}"), mixed_cluster(old, new, seed).await);
-    report("hand-over old to new", handover(old, new).await);
-    report("hand-over new to old", handover(new, old).await);
+    report("hand-over old to new", handover(old, new, "").await);
+    report("hand-over new to old", handover(new, old, "").await);
+    report("negotiated hand-over old to new", handover(old, new, NEGOTIATION_SETTINGS).await);
+    report("negotiated hand-over new to old", handover(new, old, NEGOTIATION_SETTINGS).await);
     report("state folder of old, read by new", state_folder(old, new).await);
     report("state folder of new, read by old", state_folder(new, old).await);
     if failures == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
@@ -158,9 +162,9 @@
 
 /// One relay handed over from a process of one version to a process of the other: the established connections go on,
 /// new ones are served, and the next process knows where clients were placed.
-async fn handover(from: &Path, to: &Path) -> PartResult {
+async fn handover(from: &Path, to: &Path, more_settings: &str) -> PartResult {
     let folder = tempfile::tempdir()?;
-    let settings = format!("[relay]\nhandover = {:?}\n", folder.path());
+    let settings = format!("[relay]\nhandover = {:?}\n{more_settings}", folder.path());
     let mut cluster = single_relay(from, &settings, &folder).await?;
     cluster.start_and_wait().await?;
     let log = cluster.log.clone();
