--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -1,6 +1,6 @@
-//! How far groups scatter over the endpoints when relays restart: with the table lost, from the folder, from the
-//! other relays. Four cores of relays in virtual time, 14 endpoints, group sizes by Zipf, packets passing through:
-//! a dead relay's connections go on through the others. `cargo bench --bench spread`
+//! How far groups scatter over the endpoints when relays restart: with the table lost, from the folder,
+//! from the other relays. Four cores of relays in virtual time, 14 endpoints, group sizes by Zipf, packets
+//! passing through: a dead relay's connections go on through the others. `cargo bench --bench spread`
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -72,7 +72,8 @@
     held: BTreeMap<u64, Held>,
     asked: HashMap<(usize, RequestId), (u64, u64, bool)>,
     connections: u64,
-    /// Connections placed since the first restart, and those that brought their group to an endpoint without it.
+    /// Connections placed since the first restart, and those that brought their group to an endpoint
+    /// without it.
     placed: u64,
     copies: u64,
     refused: u64,
@@ -311,7 +312,8 @@
     }
 }
 
-/// Spread before, 5 s and 30 s after the last start; new copies for 100 connections placed until then; connections refused.
+/// Spread before, 5 s and 30 s after the last start; new copies for 100 connections placed until then;
+/// connections refused.
 fn day(seed: u64, from: From, rolling: bool) -> [f64; 5] {
     let mut day = Day::new(seed, from);
     let end_of_warm_up = START + WARM_UP;
--- a/crates/affinity-store/src/commands/export_line.rs
+++ b/crates/affinity-store/src/commands/export_line.rs
@@ -7,7 +7,8 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// One line of an export. Keys and tags are hexadecimal digits: not every reader of JSON takes integers of 64 bits.
+/// One line of an export. Keys and tags are hexadecimal digits: not every reader of JSON takes integers of
+/// 64 bits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ExportLine {
--- a/crates/affinity-store/src/commands/mod.rs
+++ b/crates/affinity-store/src/commands/mod.rs
@@ -1,5 +1,5 @@
-//! What the operators' command `state` does with a store: show, verify, export, import and compact. A store that a
-//! running relay has open is refused.
+//! What the operators' command `state` does with a store: show, verify, export, import and compact. A store
+//! that a running relay has open is refused.
 
 mod export_line;
 mod summary;
@@ -66,8 +66,8 @@
     Store(#[source] StoreError),
 }
 
-/// Writes lines as [`export`] gives them over the content of a store: all of them or, where one is invalid, none.
-/// Returns the number of lines.
+/// Writes lines as [`export`] gives them over the content of a store: all of them or, where one is invalid,
+/// none. Returns the number of lines.
 ///
 /// # Errors
 /// Where a line is invalid, or the store can't be opened or written.
--- a/crates/affinity-store/src/error.rs
+++ b/crates/affinity-store/src/error.rs
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Classifies any error of the database: what is not of the disk is of a file whose tables are not a store's.
+    /// Classifies any error of the database: what is not of the disk is of a file whose tables are not a
+    /// store's.
     pub(crate) fn from_redb(error: impl Into<redb::Error>) -> StoreError {
         match error.into() {
             redb::Error::Io(e) => e.into(),
--- a/crates/affinity-store/src/file_format.rs
+++ b/crates/affinity-store/src/file_format.rs
@@ -5,9 +5,9 @@
 //! | 1 | clients, groups and endpoints; what version 1 lacks is in a table that its programs never open |
 //! | 2 | the same, rows of tenants' usage, and the finalized version |
 //!
-//! A migration is one transaction, and so is finalizing: a process that is killed leaves one version or the other. The
-//! table of usage rows is only renamed, so a migration takes the same time whatever the number of rows, and going back
-//! loses none. A file of a newer version is refused and stays as it is.
+//! A migration is one transaction, and so is finalizing: a process that is killed leaves one version or the
+//! other. The table of usage rows is only renamed, so a migration takes the same time whatever the number
+//! of rows, and going back loses none. A file of a newer version is refused and stays as it is.
 
 use std::ops::RangeInclusive;
 
@@ -66,8 +66,8 @@
     /// Migrates the file to a version, in one transaction; returns whether that was needed.
     ///
     /// # Errors
-    /// [`StoreError::TooNew`] where the version is not supported, [`StoreError::Finalized`] where it is below the
-    /// finalized one; and where the disk fails or the file is damaged.
+    /// [`StoreError::TooNew`] where the version is not supported, [`StoreError::Finalized`] where it is
+    /// below the finalized one; and where the disk fails or the file is damaged.
     pub fn migrate(&self, version: u64) -> Result<bool, StoreError> {
         check_supported(version)?;
         let current = self.version()?;
@@ -85,7 +85,8 @@
     /// Ends the possibility to go back below a version; the file is migrated to it where it is older.
     ///
     /// # Errors
-    /// [`StoreError::TooNew`] where the version is not supported; and where the disk fails or the file is damaged.
+    /// [`StoreError::TooNew`] where the version is not supported; and where the disk fails or the file is
+    /// damaged.
     pub fn finalize(&self, version: u64) -> Result<(), StoreError> {
         check_supported(version)?;
         let current = self.version()?;
--- a/crates/affinity-store/src/store.rs
+++ b/crates/affinity-store/src/store.rs
@@ -33,8 +33,8 @@
     kind: TableKind,
 }
 
-/// The tables of records in the order in which they are read: groups first, as there are few and the assignment of
-/// groups depends on them.
+/// The tables of records in the order in which they are read: groups first, as there are few and the
+/// assignment of groups depends on them.
 const RECORD_TABLES: [RecordTable; 2] = [
     RecordTable { definition: GROUPS, kind: TableKind::Groups },
     RecordTable { definition: CLIENTS, kind: TableKind::Sessions },
@@ -84,10 +84,12 @@
 }
 
 impl Store {
-    /// Opens the store in a folder. The folder is made if its parent is there; a file that can't be used is set aside.
+    /// Opens the store in a folder. The folder is made if its parent is there; a file that can't be used is
+    /// set aside.
     ///
     /// # Errors
-    /// Where another process has it open, the folder can't be used, the disk fails, or the file is of a newer version.
+    /// Where another process has it open, the folder can't be used, the disk fails, or the file is of a
+    /// newer version.
     pub fn open(folder: &Path) -> Result<Opened, StoreError> {
         match std::fs::create_dir(folder) {
             Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(e.into()),
@@ -238,8 +240,8 @@
         })
     }
 
-    /// Removes records last set before `oldest`, damaged ones, and endpoint names that no record uses. Returns the
-    /// number of records removed.
+    /// Removes records last set before `oldest`, damaged ones, and endpoint names that no record uses.
+    /// Returns the number of records removed.
     ///
     /// # Errors
     /// Where the disk fails or the file is damaged.
--- a/crates/affinity-store/src/writer/mod.rs
+++ b/crates/affinity-store/src/writer/mod.rs
@@ -1,10 +1,10 @@
-//! Write-behind: a thread of its own takes batches and writes them, so that a slow or full disk never delays a
-//! connection.
+//! Write-behind: a thread of its own takes batches and writes them, so that a slow or full disk never
+//! delays a connection.
 //!
-//! [`Writer`] is the handle of the thread. Inputs: batches and orders, over a short queue; where it is full, the caller
-//! keeps its changes and tries again. Output: figures. The thread owns the store and what a failed disk has not taken
-//! yet: after a failure it opens the store anew, with exponential backoff, and writes what has come up meanwhile, each
-//! entry once and as it is by then.
+//! [`Writer`] is the handle of the thread. Inputs: batches and orders, over a short queue; where it is
+//! full, the caller keeps its changes and tries again. Output: figures. The thread owns the store and what
+//! a failed disk has not taken yet: after a failure it opens the store anew, with exponential backoff, and
+//! writes what has come up meanwhile, each entry once and as it is by then.
 
 mod pending;
 mod worker;
@@ -62,7 +62,8 @@
     finalized: u64,
 }
 
-/// The handle of the writing thread. The thread ends once this is dropped and all is written that the disk takes.
+/// The handle of the writing thread. The thread ends once this is dropped and all is written that the disk
+/// takes.
 pub struct Writer {
     orders: Option<SyncSender<Order>>,
     shared: Arc<SharedState>,
@@ -100,7 +101,8 @@
         let _ = self.send(Order::Prune { oldest });
     }
 
-    /// Has the file migrated to a version, and finalized at another or the same; returns whether the queue had room.
+    /// Has the file migrated to a version, and finalized at another or the same; returns whether the queue
+    /// had room.
     pub fn migrate(&self, version: u64, finalized: u64) -> bool {
         self.send(Order::Migrate(TargetVersion { version, finalized })).is_ok()
     }
@@ -112,8 +114,9 @@
         }
     }
 
-    /// Whether the store lacks entries that were handed over: some were dropped, or the file was begun anew. Returns
-    /// `true` once, when the disk works again; the owner of the entries is to hand over all of them then.
+    /// Whether the store lacks entries that were handed over: some were dropped, or the file was begun
+    /// anew. Returns `true` once, when the disk works again; the owner of the entries is to hand over all
+    /// of them then.
     pub fn take_resync_request(&self) -> bool {
         !self.shared.is_failing.load(Relaxed) && self.shared.needs_resync.swap(false, Relaxed)
     }
--- a/crates/affinity-store/src/writer/worker.rs
+++ b/crates/affinity-store/src/writer/worker.rs
@@ -123,8 +123,8 @@
         Ok(())
     }
 
-    /// Migrates the file to the target version. A failure of the disk is retried as for any write; a version that is
-    /// refused is not tried again.
+    /// Migrates the file to the target version. A failure of the disk is retried as for any write; a
+    /// version that is refused is not tried again.
     fn migrate(&mut self) {
         let (Some(store), Some(target)) = (&self.store, self.target_version) else { return };
         match migrate_and_finalize(store, target) {
--- a/crates/affinity-store/tests/disk/mod.rs
+++ b/crates/affinity-store/tests/disk/mod.rs
@@ -47,8 +47,8 @@
         if left == Ok(0) { Err(io::Error::other("the disk is gone")) } else { Ok(()) }
     }
 
-    /// The disk as the next process finds it. Of a power cut, a draw decides which of the writes that were not
-    /// synced have reached the platter.
+    /// The disk as the next process finds it. Of a power cut, a draw decides which of the writes that were
+    /// not synced have reached the platter.
     pub fn after(&self, power_cut: Option<u64>) -> Disk {
         let platter = self.platter.lock().unwrap();
         let mut seen = platter.seen.clone();
--- a/crates/affinity-store/tests/faults.rs
+++ b/crates/affinity-store/tests/faults.rs
@@ -1,5 +1,5 @@
-//! The store under failures: the process killed or the power cut at any write, damaged and foreign files, a disk
-//! that is full, a folder that can't be used.
+//! The store under failures: the process killed or the power cut at any write, damaged and foreign files, a
+//! disk that is full, a folder that can't be used.
 
 mod disk;
 
@@ -60,8 +60,9 @@
     states
 }
 
-/// The process is killed at every single operation in turn, or the power is cut there: the store opens again, with
-/// the state before the batch or the one after, never between, and never older than what was said to be written.
+/// The process is killed at every single operation in turn, or the power is cut there: the store opens
+/// again, with the state before the batch or the one after, never between, and never older than what was
+/// said to be written.
 #[test]
 fn a_store_killed_at_any_write_has_the_state_before_or_after() {
     let (states, mut seen) = (states(), [0; 4]);
@@ -169,7 +170,8 @@
     }
 }
 
-/// One record's bytes are wrong though the file's own sums are right: it alone is passed over, and dropped in time.
+/// One record's bytes are wrong though the file's own sums are right: it alone is passed over, and dropped
+/// in time.
 #[test]
 fn a_damaged_record_is_passed_over_and_pruned() {
     let folder = folder();
@@ -212,8 +214,8 @@
     assert!(matches!(commands::verify(&folder.path().join("none")), Err(StoreError::Folder(_))));
 }
 
-/// The disk is full for a while: batches are kept, the last word of each entry counts, and it is written once there
-/// is room. Whoever hands batches over never waits.
+/// The disk is full for a while: batches are kept, the last word of each entry counts, and it is written
+/// once there is room. Whoever hands batches over never waits.
 #[test]
 fn a_full_disk_is_waited_out() {
     let disk = Disk::new();
@@ -249,8 +251,8 @@
     assert!(found.len() > 16_000 && found.len() <= 16_385, "{}", found.len());
 }
 
-/// Batches that came more often than a disk was tried again put the next try off for ever: no return as long as
-/// there was traffic.
+/// Batches that came more often than a disk was tried again put the next try off for ever: no return as
+/// long as there was traffic.
 #[test]
 fn a_disk_with_room_again_is_written_however_often_batches_come() {
     let disk = Disk::new();
--- a/crates/affinity/src/affinity/changes.rs
+++ b/crates/affinity/src/affinity/changes.rs
@@ -11,8 +11,8 @@
 const REMOVED_KEYS_DIVISOR: usize = 16;
 
 impl Affinity {
-    /// From now on removed keys are tracked for [`Affinity::take_changes`], and all entries and names count as changed:
-    /// a store begins, or has lost some.
+    /// From now on removed keys are tracked for [`Affinity::take_changes`], and all entries and names count
+    /// as changed: a store begins, or has lost some.
     pub fn track_changes(&mut self) {
         self.tracks_changes = true;
         self.sessions.mark_all_changed();
@@ -20,7 +20,8 @@
         self.registry.forget_given_names();
     }
 
-    /// What has changed since the last call, at most `max_entries` entries; the rest comes with the next call.
+    /// What has changed since the last call, at most `max_entries` entries; the rest comes with the next
+    /// call.
     pub fn take_changes(&mut self, now: Millis, max_entries: usize) -> Changes {
         let tick = self.clock.advance(now);
         let mut updated = Vec::new();
@@ -61,8 +62,8 @@
         summary
     }
 
-    /// Tracks keys that the store is to drop. Changes are taken far more often than they fill the room for these keys;
-    /// what exceeds it stays in the store until it is too old.
+    /// Tracks keys that the store is to drop. Changes are taken far more often than they fill the room for
+    /// these keys; what exceeds it stays in the store until it is too old.
     pub(super) fn track_removed(&mut self, table: TableKind, keys: impl IntoIterator<Item = u64>) {
         if !self.tracks_changes {
             return;
--- a/crates/affinity/src/affinity/groups.rs
+++ b/crates/affinity/src/affinity/groups.rs
@@ -42,8 +42,9 @@
         ready
     }
 
-    /// Estimates of the largest groups' load on the whole cluster, the largest first. Every relay sees a part of a
-    /// group's connections; what others have reported stands for theirs until this relay has observed as long itself.
+    /// Estimates of the largest groups' load on the whole cluster, the largest first. Every relay sees a
+    /// part of a group's connections; what others have reported stands for theirs until this relay has
+    /// observed as long itself.
     pub fn group_sizes(&self, now: Millis, max_groups: usize) -> Vec<GroupSize> {
         let tick = self.clock.tick_no_earlier(now);
         let scale = self.scale_to_cluster(now);
--- a/crates/affinity/src/affinity/mod.rs
+++ b/crates/affinity/src/affinity/mod.rs
@@ -1,7 +1,8 @@
-//! The two tables and what they share: the clock, the registry of endpoints and the estimate of the cluster's load.
+//! The two tables and what they share: the clock, the registry of endpoints and the estimate of the
+//! cluster's load.
 //!
-//! [`sessions`] and [`groups`] are the tables' own operations, [`sync`] is what relays exchange of them, [`changes`]
-//! is what a store gets and gives back.
+//! [`sessions`] and [`groups`] are the tables' own operations, [`sync`] is what relays exchange of them,
+//! [`changes`] is what a store gets and gives back.
 
 mod changes;
 mod groups;
@@ -52,8 +53,8 @@
 impl Affinity {
     /// Empty tables.
     pub fn new(limits: Limits, now: Millis) -> Self {
-        // A quarter is for what is being sent to other relays and for removed keys. The rest is shared evenly: there
-        // are many clients to a group, but a group's entry is four times as large.
+        // A quarter is for what is being sent to other relays and for removed keys. The rest is shared
+        // evenly: there are many clients to a group, but a group's entry is four times as large.
         let table_bytes = limits.bytes / 4 * 3;
         Affinity {
             limits,
@@ -101,8 +102,9 @@
         self.registry.apply_list(self.clock.now(), is_full, entries);
     }
 
-    /// An estimate of the load that is established on the whole cluster, and how much to trust it: it rests on what a
-    /// store or other relays reported, and loses weight as connections end. Without a report the confidence is 0.
+    /// An estimate of the load that is established on the whole cluster, and how much to trust it: it rests
+    /// on what a store or other relays reported, and loses weight as connections end. Without a report the
+    /// confidence is 0.
     pub fn estimated_load(&self, now: Millis) -> LoadEstimate {
         let confidence = self.learned_at.map_or(0.0, |at| self.decay(now - at));
         LoadEstimate { load: self.counted_load(now) * self.scale_to_cluster(now), confidence }
@@ -149,9 +151,9 @@
         self.counted_load.add(self.clock.now(), load, self.limits.mean_lifetime);
     }
 
-    /// How many times the loads known here the cluster carries: known are those of this relay, which after its restart
-    /// are few because the others carry them, and those of the included relays. Reported loads decay; what arrives
-    /// after them is known at this relay alone.
+    /// How many times the loads known here the cluster carries: known are those of this relay, which after
+    /// its restart are few because the others carry them, and those of the included relays. Reported loads
+    /// decay; what arrives after them is known at this relay alone.
     fn scale_to_cluster(&self, now: Millis) -> f64 {
         let relay_count = f64::from(self.limits.position.relay_count);
         relay_count / (1.0 + self.included_relays.value_at(now, self.limits.mean_lifetime))
--- a/crates/affinity/src/affinity/sessions.rs
+++ b/crates/affinity/src/affinity/sessions.rs
@@ -28,7 +28,8 @@
         id
     }
 
-    /// Another relay reports a client's holder, with its age in steps of the maximum age. A newer entry here stays.
+    /// Another relay reports a client's holder, with its age in steps of the maximum age. A newer entry
+    /// here stays.
     pub(crate) fn merge_session(&mut self, now: Millis, client: u64, tag: EndpointTag, age: u8) {
         let tick = self.clock.advance(now);
         let age_ticks = f64::from(age) * self.limits.max_age / f64::from(AGE_STEPS) / TICK_MS;
--- a/crates/affinity/src/affinity/sync.rs
+++ b/crates/affinity/src/affinity/sync.rs
@@ -13,8 +13,8 @@
 use crate::group::{GroupEntry, Holder};
 
 impl Affinity {
-    /// Locations of clients as others are sent them, cut into messages that fit a datagram each; of clients that are
-    /// not known, or whose holder's incarnation has ended, nothing.
+    /// Locations of clients as others are sent them, cut into messages that fit a datagram each; of clients
+    /// that are not known, or whose holder's incarnation has ended, nothing.
     pub fn location_updates(&self, clients: &[u64]) -> Vec<ClusterMessage> {
         let row = |key: &u64| {
             let holder = self.sessions.peek(*key)?.value;
@@ -52,7 +52,8 @@
         })
     }
 
-    /// A digest of each bucket of clients by which two tables are compared, whatever the order of their entries.
+    /// A digest of each bucket of clients by which two tables are compared, whatever the order of their
+    /// entries.
     pub(crate) fn session_digests(&self, now: Millis) -> Vec<[u8; 4]> {
         let mut digests = vec![[0; 4]; BUCKETS];
         for row in self.session_rows(now) {
--- a/crates/affinity/src/clock.rs
+++ b/crates/affinity/src/clock.rs
@@ -5,8 +5,8 @@
 /// The length of a tick.
 pub(crate) const TICK_MS: Millis = 100.0;
 
-/// Converts times to ticks. Ticks count from the maximum age of an entry before the clock was made, so that a restored
-/// entry has a tick of its own.
+/// Converts times to ticks. Ticks count from the maximum age of an entry before the clock was made, so that
+/// a restored entry has a tick of its own.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TickClock {
     /// Time of tick 0.
--- a/crates/affinity/src/codec/mod.rs
+++ b/crates/affinity/src/codec/mod.rs
@@ -1,8 +1,8 @@
 //! What relays send each other, in messages of at most 256 bytes of plain text.
 //!
-//! A message is postcard in base64: the platform's datagrams are text, and binary in text costs a third more where
-//! hexadecimal digits cost twice. A message that is too long, malformed or of another version is ignored. The order of
-//! variants and fields is the wire format: it must not change.
+//! A message is postcard in base64: the platform's datagrams are text, and binary in text costs a third
+//! more where hexadecimal digits cost twice. A message that is too long, malformed or of another version is
+//! ignored. The order of variants and fields is the wire format: it must not change.
 
 mod packing;
 
@@ -124,8 +124,8 @@
     Groups,
 }
 
-/// A message to another relay. `round` is a number that the requester drew, so that answers to a request of its
-/// earlier incarnation are recognised.
+/// A message to another relay. `round` is a number that the requester drew, so that answers to a request of
+/// its earlier incarnation are recognised.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClusterMessage {
     /// New locations of clients, unrequested or in answer to a query.
@@ -201,15 +201,16 @@
     },
     /// A set-up of the sender's was late at this endpoint. Relays of earlier versions ignore it.
     OverloadNotice([u8; 2]),
-    /// Endpoints that drain or are removed, as of a revision of discovery's list. Relays of earlier versions ignore it.
+    /// Endpoints that drain or are removed, as of a revision of discovery's list. Relays of earlier
+    /// versions ignore it.
     Draining {
         /// The list's revision.
         revision: u64,
         /// At most [`DRAINING_PER_MESSAGE`] of them.
         endpoints: Vec<EndpointHash>,
     },
-    /// Queries endpoints that have left since the sender's revision of the list, 0 where it has none. Relays of
-    /// earlier versions ignore it.
+    /// Queries endpoints that have left since the sender's revision of the list, 0 where it has none.
+    /// Relays of earlier versions ignore it.
     DrainQuery(u64),
 }
 
--- a/crates/affinity/src/endpoint_registry.rs
+++ b/crates/affinity/src/endpoint_registry.rs
@@ -1,9 +1,10 @@
 //! Which incarnations of endpoints there are, and which of them may be given out.
 //!
 //! An incarnation is an endpoint's id and the time of its start. Entries of the tables name one by a small
-//! handle ([`StickyEndpoint`]) that is void once the incarnation has ended: so one lookup tells whether an entry
-//! still counts, and an endpoint's end costs the same however many entries name it. Inputs are lists and tags;
-//! outputs are handles and names. It never gives out an endpoint that the list does not name as ready.
+//! handle ([`StickyEndpoint`]) that is void once the incarnation has ended: so one lookup tells whether an
+//! entry still counts, and an endpoint's end costs the same however many entries name it. Inputs are lists
+//! and tags; outputs are handles and names. It never gives out an endpoint that the list does not name as
+//! ready.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -140,8 +141,8 @@
         self.by_id.get(id).map(|slot| self.handle(*slot))
     }
 
-    /// The handle of an incarnation that was reported or restored; nothing if too many wait for a list to name them. It
-    /// counts once a list does.
+    /// The handle of an incarnation that was reported or restored; nothing if too many wait for a list to
+    /// name them. It counts once a list does.
     pub fn find_or_add(&mut self, now: Millis, tag: EndpointTag) -> Option<StickyEndpoint> {
         let slot = self.find_or_allocate(now, tag)?;
         Some(self.handle(slot))
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -1,10 +1,10 @@
 //! What a relay remembers of where clients' connections are placed and which endpoints hold which groups.
 //!
-//! [`Affinity`] owns both tables within a fixed number of bytes. Its inputs are placements, the list of endpoints, other
-//! relays' messages ([`replication`]) and stored entries ([`Record`]), each with the time in milliseconds; its outputs
-//! are holders that are ready now, the groups' estimated sizes, and the changes to be stored. It never does I/O, never
-//! decides where a connection goes, and never names an endpoint that the list does not name as ready: entries point at
-//! incarnations, see [`endpoint_registry`].
+//! [`Affinity`] owns both tables within a fixed number of bytes. Its inputs are placements, the list of
+//! endpoints, other relays' messages ([`replication`]) and stored entries ([`Record`]), each with the time
+//! in milliseconds; its outputs are holders that are ready now, the groups' estimated sizes, and the
+//! changes to be stored. It never does I/O, never decides where a connection goes, and never names an
+//! endpoint that the list does not name as ready: entries point at incarnations, see [`endpoint_registry`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/affinity/src/limits.rs
+++ b/crates/affinity/src/limits.rs
@@ -19,8 +19,8 @@
     pub bytes: usize,
     /// Entries not set for this long, in milliseconds, are dropped.
     pub max_age: Millis,
-    /// Mean lifetime of a connection, in milliseconds: loads decay with it, so that their sum is about what is
-    /// established.
+    /// Mean lifetime of a connection, in milliseconds: loads decay with it, so that their sum is about what
+    /// is established.
     pub mean_lifetime: Millis,
     /// This relay's place in the cluster.
     pub position: ClusterPosition,
--- a/crates/affinity/src/position.rs
+++ b/crates/affinity/src/position.rs
@@ -1,7 +1,8 @@
 //! A relay's position in its cluster, from which follows with whom it exchanges what.
 
-/// Up to this many relays, each is sent all that is placed: a connection then costs no more datagrams than a query
-/// would. In larger clusters no relay knows all clients, and one that starts asks a few relays for their groups only.
+/// Up to this many relays, each is sent all that is placed: a connection then costs no more datagrams than
+/// a query would. In larger clusters no relay knows all clients, and one that starts asks a few relays for
+/// their groups only.
 pub const FULL_MESH_RELAYS: u32 = 8;
 
 /// This relay's place among the relays of the cluster.
--- a/crates/affinity/src/replication/mod.rs
+++ b/crates/affinity/src/replication/mod.rs
@@ -1,13 +1,15 @@
 //! How a relay that starts gets its tables back from the other relays.
 //!
-//! [`Replication`] owns the requests and the answers in flight. Inputs are messages and the time in milliseconds;
-//! outputs are messages to send and when it wants to be called again. It never sends unrequested, and never more than
-//! the stated rate allows. Updates of clients' locations are sent by another crate, `sandgw-cluster`.
+//! [`Replication`] owns the requests and the answers in flight. Inputs are messages and the time in
+//! milliseconds; outputs are messages to send and when it wants to be called again. It never sends
+//! unrequested, and never more than the stated rate allows. Updates of clients' locations are sent by
+//! another crate, `sandgw-cluster`.
 //!
-//! A relay that starts requests every relay's groups, whose loads add up, and clients from one relay after another, of
-//! which all know the same but for what was lost: digests see to it that only the difference is sent (`requester`).
-//! The answer is planned first, then sent in numbered chunks (`responder`); lost ones are requested again. Duplicates
-//! and answers to earlier requests are ignored, so loads are never added twice.
+//! A relay that starts requests every relay's groups, whose loads add up, and clients from one relay after
+//! another, of which all know the same but for what was lost: digests see to it that only the difference is
+//! sent (`requester`). The answer is planned first, then sent in numbered chunks (`responder`); lost ones
+//! are requested again. Duplicates and answers to earlier requests are ignored, so loads are never added
+//! twice.
 
 mod requester;
 mod responder;
--- a/crates/affinity/src/replication/requester.rs
+++ b/crates/affinity/src/replication/requester.rs
@@ -10,10 +10,11 @@
 
 /// Relays whose groups are requested in a small cluster.
 const MAX_GROUP_PEERS: usize = 8;
-/// The same in a large one: a mean over the cluster is known from few. With more requests than each relay answers at
-/// a time, most would be sent again and again.
+/// The same in a large one: a mean over the cluster is known from few. With more requests than each relay
+/// answers at a time, most would be sent again and again.
 const MAX_GROUP_PEERS_IN_LARGE_CLUSTER: usize = 2;
-/// Relays whose clients are requested, one after another, in a small cluster. In a large one no relay knows all.
+/// Relays whose clients are requested, one after another, in a small cluster. In a large one no relay knows
+/// all.
 const MAX_SESSION_PEERS: usize = 3;
 /// Without progress for this long, what is missing is requested again.
 pub(super) const RETRY_AFTER_MS: Millis = 300.0;
@@ -229,8 +230,8 @@
         table: TableKind,
         sender: &mut Sender<'_>,
     ) {
-        // The round depends on the time too: where a configuration gives every start the same seed, an answer to the
-        // earlier incarnation's request would be taken for one to this.
+        // The round depends on the time too: where a configuration gives every start the same seed, an
+        // answer to the earlier incarnation's request would be taken for one to this.
         let round = self.random.next_u64_at(now) as u32;
         let id = RequestId { peer, round, table };
         self.requests.push(PendingRequest::new(id, now));
--- a/crates/affinity/src/table/ghost.rs
+++ b/crates/affinity/src/table/ghost.rs
@@ -1,7 +1,7 @@
 //! The ghost queue of S3-FIFO, approximated by a direct-mapped array of fingerprints.
 
-/// Keys that were evicted from the small queue lately. Each fingerprint has its own slot: a newer one replaces an older
-/// one.
+/// Keys that were evicted from the small queue lately. Each fingerprint has its own slot: a newer one
+/// replaces an older one.
 pub(super) struct GhostKeys {
     fingerprints: Vec<u32>,
 }
--- a/crates/affinity/src/table/mod.rs
+++ b/crates/affinity/src/table/mod.rs
@@ -1,14 +1,14 @@
 //! A table of fixed size, keyed by hash, that a flood of new keys can't empty.
 //!
-//! It owns its entries, an index and the ghost keys; all are of a size settled when it is made, so its bytes are
-//! bounded whatever comes. Inputs are lookups and inserts, with the time in ticks of the caller's; outputs are values,
-//! and the entry that was evicted. It never allocates after it is made beyond the room reserved then, and
-//! no operation's cost grows with the entries it holds.
+//! It owns its entries, an index and the ghost keys; all are of a size settled when it is made, so its
+//! bytes are bounded whatever comes. Inputs are lookups and inserts, with the time in ticks of the
+//! caller's; outputs are values, and the entry that was evicted. It never allocates after it is made beyond
+//! the room reserved then, and no operation's cost grows with the entries it holds.
 //!
-//! Admission is S3-FIFO (Yang et al., SOSP 2023): a new key enters a small queue of a tenth of the capacity and
-//! moves on to the main queue only if it was looked up meanwhile, or if it returns soon after its eviction, while it is
-//! a ghost. A flood of keys that are seen once passes through the small queue and leaves the main queue alone.
-//! `docs/affinity.md` compares it with other policies.
+//! Admission is S3-FIFO (Yang et al., SOSP 2023): a new key enters a small queue of a tenth of the capacity
+//! and moves on to the main queue only if it was looked up meanwhile, or if it returns soon after its
+//! eviction, while it is a ghost. A flood of keys that are seen once passes through the small queue and
+//! leaves the main queue alone. `docs/affinity.md` compares it with other policies.
 
 mod ghost;
 mod rows;
@@ -69,7 +69,8 @@
     small: QueueEnds,
     main: QueueEnds,
     free: Vec<u32>,
-    /// Entries set since they were last given as changed, oldest first, each at most once; some may be dropped already.
+    /// Entries set since they were last given as changed, oldest first, each at most once; some may be
+    /// dropped already.
     changed: VecDeque<u32>,
     sweep_position: usize,
     losses: Losses,
@@ -179,8 +180,8 @@
         Some(self.remove_entry(at).value)
     }
 
-    /// Checks the next `max_checked` entries and removes those that were set before `oldest` or are dead, as the caller
-    /// sees it. Called now and then it passes all entries, at a bounded cost.
+    /// Checks the next `max_checked` entries and removes those that were set before `oldest` or are dead,
+    /// as the caller sees it. Called now and then it passes all entries, at a bounded cost.
     pub fn sweep(
         &mut self,
         max_checked: usize,
@@ -362,8 +363,8 @@
         removed
     }
 
-    /// Makes room for one entry. Each step evicts one, or takes a use from one in the main queue, of which every
-    /// lookup added one: over time no more steps than lookups and inserts.
+    /// Makes room for one entry. Each step evicts one, or takes a use from one in the main queue, of which
+    /// every lookup added one: over time no more steps than lookups and inserts.
     fn evict(&mut self) -> Evicted<V> {
         loop {
             let from_small = self.small.len > self.capacity / SMALL_QUEUE_DIVISOR || self.main.len == 0;
--- a/crates/affinity/tests/common/mod.rs
+++ b/crates/affinity/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of this crate share: endpoints, and a cluster of relays' tables on a lossy network in virtual time.
+//! What the tests of this crate share: endpoints, and a cluster of relays' tables on a lossy network in
+//! virtual time.
 
 #![allow(dead_code)]
 
--- a/crates/affinity/tests/endpoint_registry.rs
+++ b/crates/affinity/tests/endpoint_registry.rs
@@ -1,5 +1,5 @@
-//! Incarnations: a lookup never gives an endpoint that is gone, draining or another process by now, wherever the
-//! entry came from.
+//! Incarnations: a lookup never gives an endpoint that is gone, draining or another process by now,
+//! wherever the entry came from.
 
 mod common;
 
@@ -131,8 +131,8 @@
     }
 }
 
-/// A rolling deploy replaces 95% of the endpoints within 24 s. From the notice on, entries of those that leave
-/// give nothing, whether placed here, restored, or reported by a relay later; what stays is found.
+/// A rolling deploy replaces 95% of the endpoints within 24 s. From the notice on, entries of those that
+/// leave give nothing, whether placed here, restored, or reported by a relay later; what stays is found.
 #[test]
 fn entries_of_replaced_streamers_stop_at_the_notice() {
     let mut affinity = Affinity::new(limits(), START);
--- a/crates/affinity/tests/replication.rs
+++ b/crates/affinity/tests/replication.rs
@@ -163,8 +163,8 @@
     assert!((0.85..1.15).contains(&(load / all)), "{load} of {all}: loads came in twice");
 }
 
-/// A configuration may give every start the same seed. The second start once drew the first one's numbers and was
-/// answered what that had been answered.
+/// A configuration may give every start the same seed. The second start once drew the first one's numbers
+/// and was answered what that had been answered.
 #[test]
 fn a_start_with_the_same_seed_is_a_new_one() {
     let mut world = world(Net::default(), 0, limits());
--- a/crates/affinity/tests/table.rs
+++ b/crates/affinity/tests/table.rs
@@ -12,8 +12,8 @@
 use sandgw_affinity::table::Table;
 use sandgw_affinity::{Affinity, Limits};
 
-/// Counts what is allocated on the thread that asks, so that a bound in bytes is shown and not believed. What is
-/// freed on another thread than it came from may leave less than nothing.
+/// Counts what is allocated on the thread that asks, so that a bound in bytes is shown and not believed.
+/// What is freed on another thread than it came from may leave less than nothing.
 struct Counting;
 
 thread_local!(static HELD: (AtomicIsize, AtomicIsize) = const { (AtomicIsize::new(0), AtomicIsize::new(0)) });
--- a/crates/affinity/tests/wire_format.rs
+++ b/crates/affinity/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! What relays send each other, byte for byte as the first version wrote it: a change here is a new version, which
-//! processes of the first one would ignore.
+//! What relays send each other, byte for byte as the first version wrote it: a change here is a new
+//! version, which processes of the first one would ignore.
 
 use sandgw_affinity::codec::{
     BUCKETS, Client, ClusterMessage, DRAINING_PER_MESSAGE, EndpointHash, GroupRow, HolderRow, LocatedClients,
@@ -58,7 +58,8 @@
     }
 }
 
-/// A relay of a version before a message was added reads none, and goes on; it has to fit a datagram all the same.
+/// A relay of a version before a message was added reads none, and goes on; it has to fit a datagram all
+/// the same.
 #[test]
 fn a_piece_of_a_later_version_reads_as_none_and_one_of_this_is_written_as_it_was() {
     let endpoint = |n: u8| EndpointHash([n, 1, 2, 3, 4, 5]);
--- a/crates/cluster/src/concurrency_limit.rs
+++ b/crates/cluster/src/concurrency_limit.rs
@@ -1,13 +1,15 @@
 //! How many set-ups a relay may have in flight while something that all endpoints depend on is slow.
 //!
-//! A shared store takes calls in turn. Once more are in flight than it answers within the latency objective, all wait,
-//! time out and are retried: it works at full speed and serves hardly anybody. Every relay therefore keeps a window of
-//! set-ups in flight, as TCP does, by what it observes itself: set-ups that are late at several endpoints. In a cluster
-//! of hundreds one set-up a relay is too much already, so a window may be below one: it is then a pause between
-//! set-ups, and the sum over all relays still converges to what the store can bear.
+//! A shared store takes calls in turn. Once more are in flight than it answers within the latency
+//! objective, all wait, time out and are retried: it works at full speed and serves hardly anybody. Every
+//! relay therefore keeps a window of set-ups in flight, as TCP does, by what it observes itself: set-ups
+//! that are late at several endpoints. In a cluster of hundreds one set-up a relay is too much already, so
+//! a window may be below one: it is then a pause between set-ups, and the sum over all relays still
+//! converges to what the store can bear.
 //!
-//! Inputs are the time, the set-ups in flight and how each set-up ended, all times in milliseconds; outputs are the
-//! time until the next slot and whether the fault is common. It never sends, queues or rejects anything itself.
+//! Inputs are the time, the set-ups in flight and how each set-up ended, all times in milliseconds; outputs
+//! are the time until the next slot and whether the fault is common. It never sends, queues or rejects
+//! anything itself.
 
 use sandgw_units::random::{hash_of_time, unit_fraction};
 
@@ -49,7 +51,8 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
-    /// Moving average of the fraction of set-ups that are late or fail.
+    /// Moving average from 0 to 1: rises with each late set-up at another endpoint than the last late one,
+    /// falls with each in time.
     late_fraction: f64,
     /// Endpoint of the latest late set-up: a common fault shows at several.
     latest_late_endpoint: Option<u64>,
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Whether set-ups are late at several endpoints, so that the fault is not theirs.
+    /// Whether late set-ups at changing endpoints outweigh those in time, or a peer has warned within
+    /// [`PEER_WARNING_TTL_MS`].
     pub fn fault_is_common(&self, now: Millis) -> bool {
         self.late_fraction > COMMON_FAULT_LATE_FRACTION || self.peer_warning_counts(now)
     }
@@ -96,8 +100,8 @@
         self.latest_met_queue
     }
 
-    /// A peer warns that set-ups are late at several endpoints. `in_flight` are in flight here; a cut of the window
-    /// takes `settle_time` to show. A relay that has observed nothing itself cuts its window to
+    /// A peer warns that set-ups are late at several endpoints. `in_flight` are in flight here; a cut of
+    /// the window takes `settle_time` to show. A relay that has observed nothing itself cuts its window to
     /// a quarter at the least: of a longer queue it soon observes something.
     pub fn record_peer_warning(&mut self, now: Millis, in_flight: u32, settle_time: Millis) {
         self.peer_warned_at = now;
@@ -136,9 +140,9 @@
         self.window_updated_at = now;
     }
 
-    /// A set-up was late, timed out or failed. Observed at one endpoint it is that endpoint's fault; observed at
-    /// several without one in time between, it is common to all. `in_flight` are in flight besides; a cut of the window
-    /// takes `settle_time` to show.
+    /// A set-up was late, timed out or failed. Observed at one endpoint it is that endpoint's fault;
+    /// observed at several without one in time between, it is common to all. `in_flight` are in flight
+    /// besides; a cut of the window takes `settle_time` to show.
     pub fn record_late(&mut self, now: Millis, endpoint: u64, in_flight: u32, settle_time: Millis) {
         self.latest_met_queue = true;
         if self.latest_late_endpoint != Some(endpoint) {
--- a/crates/cluster/src/drain_gossip/mod.rs
+++ b/crates/cluster/src/drain_gossip/mod.rs
@@ -1,20 +1,23 @@
-//! How a relay of a large cluster learns which endpoints drain or are removed while discovery can't answer it in time.
+//! How a relay of a large cluster learns which endpoints drain or are removed while discovery can't answer
+//! it in time.
 //!
-//! Owns the endpoints that left lately, as far as this relay knows them, and the relays that queried it. Inputs are
-//! this relay's lists and other relays' messages, with the time in milliseconds; outputs are messages to send, and
-//! which endpoints are to be treated as draining or no longer. It sends nothing and knows no address.
+//! Owns the endpoints that left lately, as far as this relay knows them, and the relays that queried it.
+//! Inputs are this relay's lists and other relays' messages, with the time in milliseconds; outputs are
+//! messages to send, and which endpoints are to be treated as draining or no longer. It sends nothing and
+//! knows no address.
 //!
-//! Discovery takes polls in turn: after an outage, hundreds can't all be answered within the 6 s after which a change
-//! has to be known. To stop sending to an endpoint because of another relay's report is always allowed, to start never is;
-//! so only departures are gossiped. A relay whose list came by a new poll sends a few others what has left since its list
-//! before, and a relay that learns something from such a report passes it on once: reports multiply as long as most
-//! relays do not know. A relay whose poll is still pending knows that too: it queries one other from time to
-//! time, which sends it reports for some seconds. What arrives on watches that go on is gossiped to nobody else: all
-//! receive it there.
+//! Discovery takes polls in turn: after an outage, hundreds can't all be answered within the 6 s after
+//! which a change has to be known. To stop sending to an endpoint because of another relay's report is
+//! always allowed, to start never is; so only departures are gossiped. A relay whose list came by a new
+//! poll sends a few others what has left since its list before, and a relay that learns something from such
+//! a report passes it on once: reports multiply as long as most relays do not know. A relay whose poll is
+//! still pending knows that too: it queries one other from time to time, which sends it reports for some
+//! seconds. What arrives on watches that go on is gossiped to nobody else: all receive it there.
 //!
-//! A report counts until this relay's own list supersedes it: until an answer of the report's revision or a later one,
-//! or to a poll that was sent after the report came in. So a report of another service, with revisions of its own,
-//! does no lasting harm, and is not applied twice. `docs/cold-start.md` describes the alternatives that were weighed.
+//! A report counts until this relay's own list supersedes it: until an answer of the report's revision or a
+//! later one, or to a poll that was sent after the report came in. So a report of another service, with
+//! revisions of its own, does no lasting harm, and is not applied twice. `docs/cold-start.md` describes the
+//! alternatives that were weighed.
 
 mod departures;
 
@@ -113,8 +116,8 @@
         self.departures.is_reported(endpoint)
     }
 
-    /// The first poll is pending, one has failed, or a watch was broken off: no change arrives until another poll is
-    /// answered.
+    /// The first poll is pending, one has failed, or a watch was broken off: no change arrives until
+    /// another poll is answered.
     pub fn discovery_failed(&mut self, now: Millis, position: ClusterPosition) {
         if position.is_large() && self.next_query_at.is_none() {
             let jitter = 0.5 + self.random.next_fraction();
@@ -161,8 +164,8 @@
         restored
     }
 
-    /// Applies another relay's report, or answers its query. `is_ready` says whether this relay's list has an endpoint
-    /// as ready. Gives the endpoints that are to be treated as draining from now on.
+    /// Applies another relay's report, or answers its query. `is_ready` says whether this relay's list has
+    /// an endpoint as ready. Gives the endpoints that are to be treated as draining from now on.
     pub fn receive(
         &mut self,
         now: Millis,
--- a/crates/cluster/src/load_aggregation/mod.rs
+++ b/crates/cluster/src/load_aggregation/mod.rs
@@ -1,14 +1,15 @@
 //! The load of each endpoint over all relays of the cluster, summed from what each relay reports.
 //!
-//! Owns this relay's reporting schedule and, where it is the collector, the reports of the others. Inputs are its load
-//! by endpoint and other relays' messages, with the time in milliseconds; outputs are messages to send and the
-//! cluster's load once it is known anew. It decides nothing about connections.
+//! Owns this relay's reporting schedule and, where it is the collector, the reports of the others. Inputs
+//! are its load by endpoint and other relays' messages, with the time in milliseconds; outputs are messages
+//! to send and the cluster's load once it is known anew. It decides nothing about connections.
 //!
-//! In a cluster of hundreds a relay carries a dozen connections and knows nothing of the load of most endpoints. Each
-//! reports its load to one relay, the collector, which answers with the sums of the endpoints that carry most for
-//! their weight. Both are one datagram. A relay reports when connections have arrived since, and now and then anyway;
-//! more often at first, when all is new. Any relay can collect: a relay without an answer tries the next index, and a
-//! collector that has just started has a part of the cluster, which gives the same proportions with more noise.
+//! In a cluster of hundreds a relay carries a dozen connections and knows nothing of the load of most
+//! endpoints. Each reports its load to one relay, the collector, which answers with the sums of the
+//! endpoints that carry most for their weight. Both are one datagram. A relay reports when connections have
+//! arrived since, and now and then anyway; more often at first, when all is new. Any relay can collect: a
+//! relay without an answer tries the next index, and a collector that has just started has a part of the
+//! cluster, which gives the same proportions with more noise.
 
 mod reports;
 
@@ -103,8 +104,8 @@
         self.connections_since_report = self.connections_since_report.saturating_add(1);
     }
 
-    /// In how long to call [`LoadAggregation::report`], unless that was requested before. An arriving connection may
-    /// bring it forward.
+    /// In how long to call [`LoadAggregation::report`], unless that was requested before. An arriving
+    /// connection may bring it forward.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
         self.timer.arm(now, self.next_report_at()?, MIN_TIMER_MS)
     }
--- a/crates/cluster/src/location_gossip.rs
+++ b/crates/cluster/src/location_gossip.rs
@@ -1,14 +1,14 @@
 //! Replication of clients' locations: which relays are sent them, and which are queried on a miss.
 //!
-//! Owns the updates that are to be sent and the queries in flight. Inputs are placements, queries and the affinity
-//! tables, with the time in milliseconds; outputs are messages to send and when to look again. The locations
-//! themselves are in [`Affinity`].
+//! Owns the updates that are to be sent and the queries in flight. Inputs are placements, queries and the
+//! affinity tables, with the time in milliseconds; outputs are messages to send and when to look again. The
+//! locations themselves are in [`Affinity`].
 //!
-//! In a small cluster every relay is sent every update, and a connection that arrives mid-stream is found without a
-//! query. In a large one that would cost a datagram a relay for each connection. There every client has a few
-//! replicas, the same by every relay's computation: they are sent its location, and a relay that meets the client
-//! mid-stream and does not know it queries them. The cost is a fixed number of datagrams a connection, whatever the
-//! number of relays.
+//! In a small cluster every relay is sent every update, and a connection that arrives mid-stream is found
+//! without a query. In a large one that would cost a datagram a relay for each connection. There every
+//! client has a few replicas, the same by every relay's computation: they are sent its location, and a
+//! relay that meets the client mid-stream and does not know it queries them. The cost is a fixed number of
+//! datagrams a connection, whatever the number of relays.
 
 use std::collections::BTreeMap;
 
@@ -137,8 +137,9 @@
         self.timer.arm(now, self.pending_since + UPDATE_BATCH_MS, UPDATE_BATCH_MS)
     }
 
-    /// A client has arrived mid-stream: in how long to look again for its location, which its replicas are queried for.
-    /// Nothing where it is known, where no other relay would know it, or where the query has timed out.
+    /// A client has arrived mid-stream: in how long to look again for its location, which its replicas are
+    /// queried for. Nothing where it is known, where no other relay would know it, or where the query has
+    /// timed out.
     pub fn query(
         &mut self,
         affinity: &Affinity,
@@ -195,7 +196,8 @@
     out.extend(updates.into_iter().map(|update| OutgoingMessage::new(peer, update)));
 }
 
-/// The relays that a client's location is sent to: all of a small cluster, else the replicas that its key determines.
+/// The relays that a client's location is sent to: all of a small cluster, else the replicas that its key
+/// determines.
 ///
 /// ```
 /// use sandgw_cluster::location_gossip::location_replicas;
--- a/crates/cluster/src/overload_gossip.rs
+++ b/crates/cluster/src/overload_gossip.rs
@@ -1,14 +1,16 @@
-//! How the relays of a large cluster learn that set-ups are late at all endpoints before each has observed it itself.
+//! How the relays of a large cluster learn that set-ups are late at all endpoints before each has observed
+//! it itself.
 //!
-//! Owns the notices that came in lately and when this relay last sent one. Inputs are its late set-ups and other
-//! relays' notices, with the time in milliseconds; outputs are notices to send and whether the fault is common to all
-//! endpoints. It decides nothing about set-ups: that is [`crate::concurrency_limit`].
+//! Owns the notices that came in lately and when this relay last sent one. Inputs are its late set-ups and
+//! other relays' notices, with the time in milliseconds; outputs are notices to send and whether the fault
+//! is common to all endpoints. It decides nothing about set-ups: that is [`crate::concurrency_limit`].
 //!
-//! A thousand clients that arrive within two seconds are a handful for each of three hundred relays: all their set-ups
-//! are in flight before any relay has observed three late ones. A relay that observes one notifies a few others, drawn
-//! at random, and names the endpoint. Notices reach everybody soon when hundreds of relays send them, and hardly
-//! anybody while one endpoint is slow, so no relay needs to know how many there are in all: notices of several
-//! endpoints within a second mean a fault that they share. A notice is five bytes.
+//! A thousand clients that arrive within two seconds are a handful for each of three hundred relays: all
+//! their set-ups are in flight before any relay has observed three late ones. A relay that observes one
+//! notifies a few others, drawn at random, and names the endpoint. Notices reach everybody soon when
+//! hundreds of relays send them, and hardly anybody while one endpoint is slow, so no relay needs to know
+//! how many there are in all: notices of several endpoints within a second mean a fault that they share. A
+//! notice is five bytes.
 
 use sandgw_affinity::codec::ClusterMessage;
 use sandgw_affinity::outbox::{Outbox, OutgoingMessage};
--- a/crates/cluster/src/poll_scheduler/mod.rs
+++ b/crates/cluster/src/poll_scheduler/mod.rs
@@ -1,15 +1,16 @@
 //! When a relay polls discovery for the list, so that a cluster of hundreds is answered at all.
 //!
-//! Owns one relay's next poll and its copy of the cluster's poll rate. Inputs are the time, how polls ended and the
-//! rate that other relays announce, all times in milliseconds; outputs are when to poll, and announcements to send. It
-//! never polls itself.
+//! Owns one relay's next poll and its copy of the cluster's poll rate. Inputs are the time, how polls ended
+//! and the rate that other relays announce, all times in milliseconds; outputs are when to poll, and
+//! announcements to send. It never polls itself.
 //!
-//! Discovery takes the polls of all relays in turn, and one that it turns away or that waits too long has cost it as
-//! much as one that it answers. Hundreds of polls at once, retried a moment after they failed, keep it busy with
-//! polls of which none succeeds. A watch that goes on costs next to nothing: only its start has to be spread. A relay
-//! knows how many relays there are, but neither what discovery bears nor how many are polling. So the cluster shares
-//! one rate, adapted like a congestion window (`shared_rate`), and every relay moves its pending poll to it.
-//! `docs/cold-start.md` describes the alternatives that were weighed.
+//! Discovery takes the polls of all relays in turn, and one that it turns away or that waits too long has
+//! cost it as much as one that it answers. Hundreds of polls at once, retried a moment after they failed,
+//! keep it busy with polls of which none succeeds. A watch that goes on costs next to nothing: only its
+//! start has to be spread. A relay knows how many relays there are, but neither what discovery bears nor
+//! how many are polling. So the cluster shares one rate, adapted like a congestion window (`shared_rate`),
+//! and every relay moves its pending poll to it. `docs/cold-start.md` describes the alternatives that were
+//! weighed.
 
 mod shared_rate;
 
@@ -22,11 +23,11 @@
 use shared_rate::{PollObservation, SharedRate};
 
 /// The longest backoff of one relay after failures. A change must reach a relay within 6 s after discovery
-/// had it and could be reached: a poll that was out when discovery came back may last for another 2.5 s, then comes this
-/// backoff, and the answer takes its time too.
+/// had it and could be reached: a poll that was out when discovery came back may last for another 2.5 s,
+/// then comes this backoff, and the answer takes its time too.
 const MAX_BACKOFF_MS: Millis = 2000.0;
-/// The longest time over which a cluster spreads its polls after watches have fallen silent. Silence is noticed
-/// seconds late.
+/// The longest time over which a cluster spreads its polls after watches have fallen silent. Silence is
+/// noticed seconds late.
 const MAX_SILENT_WATCH_SPREAD_MS: Millis = 1500.0;
 /// The same for watches that were reset or turned away, which shows at once.
 const MAX_BROKEN_WATCH_SPREAD_MS: Millis = 3500.0;
@@ -35,8 +36,8 @@
 /// A poll that was turned away faster than this was refused: the service is down, not slow.
 const REFUSED_WITHIN_MS: Millis = 100.0;
 
-/// In how long to poll anew after a watch has fallen silent: what it has missed has to be known soon, so this is far
-/// less than a backoff after a failure. `draw` is a fresh random number from 0 to 1.
+/// In how long to poll anew after a watch has fallen silent: what it has missed has to be known soon, so
+/// this is far less than a backoff after a failure. `draw` is a fresh random number from 0 to 1.
 ///
 /// ```
 /// use sandgw_cluster::poll_scheduler::delay_after_silent_watch;
@@ -49,8 +50,9 @@
     spread_delay(relay_count, draw, MAX_SILENT_WATCH_SPREAD_MS)
 }
 
-/// In how long to poll anew after a watch that had been going on was reset, cut or turned away. Only if that poll fails
-/// too, discovery is taken for down or overloaded. `draw` as in [`delay_after_silent_watch`].
+/// In how long to poll anew after a watch that had been going on was reset, cut or turned away. Only if
+/// that poll fails too, discovery is taken for down or overloaded. `draw` as in
+/// [`delay_after_silent_watch`].
 ///
 /// ```
 /// use sandgw_cluster::poll_scheduler::delay_after_broken_watch;
@@ -100,6 +102,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollScheduler {
     consecutive_failures: i32,
+    /// When to poll next. `None`: not started; or a poll is in flight; or discovery has answered and the
+    /// subscription goes on.
     next_poll_at: Option<Millis>,
     /// When the poll that is in flight was sent.
     in_flight_since: Option<Millis>,
@@ -123,13 +127,17 @@
         self.next_poll_at = Some(now + delay);
     }
 
-    /// A poll has failed, or a watch was broken off: schedules the next one. The backoff is jittered, so that relays
-    /// that were turned away together do not come back together.
+    /// A poll has failed, or a watch was broken off: schedules the next one. The backoff is jittered, so
+    /// that relays that were turned away together do not come back together.
     pub fn record_failure(&mut self, now: Millis, settings: &PollSettings, out: &mut Outbox) {
         let backoff = self.next_backoff(settings);
         if let Some(sent_at) = self.in_flight_since.take() {
             let refused = now - sent_at < REFUSED_WITHIN_MS;
-            let duration = if refused { shared_rate::DOWN_MS } else { shared_rate::TURNED_AWAY_MS };
+            let duration = if refused {
+                shared_rate::REFUSED_COUNTS_AS_MS
+            } else {
+                shared_rate::TURNED_AWAY_COUNTS_AS_MS
+            };
             self.observe(now, sent_at, duration, settings, out);
         }
         let round = self.poll_round(now, settings);
@@ -150,17 +158,17 @@
         }
     }
 
-    /// Another relay announces the interval between the cluster's polls, and how long the poll took that it is
-    /// derived from.
+    /// Another relay announces the interval between the cluster's polls, and how long the poll took that it
+    /// is derived from.
     pub fn receive_poll_rate(
         &mut self,
         now: Millis,
         interval: Millis,
-        call_duration: Millis,
+        poll_duration: Millis,
         settings: &PollSettings,
     ) {
-        let interval = self.rate.merge_announced(now, interval, call_duration, settings);
-        self.adopt(now, interval, call_duration, settings);
+        let interval = self.rate.merge_announced(now, interval, poll_duration, settings);
+        self.adopt(now, interval, poll_duration, settings);
     }
 
     /// Whether the next poll is due; it is then in flight.
@@ -211,8 +219,8 @@
     }
 
     /// Moves the pending poll to another rate.
-    fn adopt(&mut self, now: Millis, interval: Millis, call_duration: Millis, settings: &PollSettings) {
-        let factor = self.rate.adopt(now, interval, call_duration, settings);
+    fn adopt(&mut self, now: Millis, interval: Millis, poll_duration: Millis, settings: &PollSettings) {
+        let factor = self.rate.adopt(now, interval, poll_duration, settings);
         if let Some(next) = self.next_poll_at.as_mut().filter(|next| **next > now) {
             *next = now + (*next - now) * factor;
         }
--- a/crates/cluster/src/rebalance.rs
+++ b/crates/cluster/src/rebalance.rs
@@ -1,12 +1,13 @@
 //! Which endpoints carry so much more than others that a fraction of their connections is migrated.
 //!
-//! Connections are placed once and last for a minute. What a cluster places on the endpoints that it has while others
-//! are away or warming up stays there once those are back, and new arrivals alone even it out within minutes. Each
-//! relay knows the load of all ([`crate::load_aggregation`]) and migrates the same fraction of its local connections,
-//! so that the sum over all relays is that fraction as well, without any coordination.
+//! Connections are placed once and last for a minute. What a cluster places on the endpoints that it has
+//! while others are away or warming up stays there once those are back, and new arrivals alone even it out
+//! within minutes. Each relay knows the load of all ([`crate::load_aggregation`]) and migrates the same
+//! fraction of its local connections, so that the sum over all relays is that fraction as well, without any
+//! coordination.
 
-/// How far an endpoint's load may exceed its fair load before it is excess, in square roots of the fair load: random
-/// placement alone brings about differences of this size.
+/// How far an endpoint's load may exceed its fair load before it is excess, in square roots of the fair
+/// load: random placement alone brings about differences of this size.
 const TOLERATED_EXCESS_IN_ROOTS: f64 = 0.3;
 /// The fraction of the excess that is migrated with each update of the cluster's load.
 const MIGRATED_FRACTION_OF_EXCESS: f64 = 0.3;
--- a/crates/cluster/tests/concurrency_limit.rs
+++ b/crates/cluster/tests/concurrency_limit.rs
@@ -1,5 +1,5 @@
-//! Many relays at one store that takes calls in turn: what they serve while it is slow, and how soon they serve all
-//! again once it is quick.
+//! Many relays at one store that takes calls in turn: what they serve while it is slow, and how soon they
+//! serve all again once it is quick.
 
 use std::collections::VecDeque;
 
@@ -18,8 +18,8 @@
     again: f64,
 }
 
-/// Clients of so many relays, each of which comes again until it is served; how many are served in time or late by
-/// each second. The store answers `rate` calls a second, those of clients that have left too.
+/// Clients of so many relays, each of which comes again until it is served; how many are served in time or
+/// late by each second. The store answers `rate` calls a second, those of clients that have left too.
 fn play(relays: usize, clients: usize, rate: impl Fn(f64) -> f64, is_limited: bool) -> Vec<usize> {
     let mut limits: Vec<ConcurrencyLimit> = (0..relays).map(|_| ConcurrencyLimit::new(0.0)).collect();
     let come = |n: usize| n as f64 * 6000.0 / clients as f64;
--- a/crates/cluster/tests/drain_gossip.rs
+++ b/crates/cluster/tests/drain_gossip.rs
@@ -1,5 +1,5 @@
-//! When each relay learns of each change of the list, by an answer or by another relay's report, whatever the fault of
-//! discovery was.
+//! When each relay learns of each change of the list, by an answer or by another relay's report, whatever
+//! the fault of discovery was.
 
 mod drain_simulation;
 
--- a/crates/cluster/tests/load_aggregation.rs
+++ b/crates/cluster/tests/load_aggregation.rs
@@ -38,7 +38,8 @@
         World { relays: (0..relays).map(relay).collect(), dice, lost, now: 0.0, datagrams: 0 }
     }
 
-    /// Connections come for a while, most to the first endpoints; every relay is asked every 20 ms whether to tell.
+    /// Connections come for a while, most to the first endpoints; every relay is asked every 20 ms whether
+    /// to tell.
     fn run(&mut self, span: f64, connections_a_second: f64) {
         let end = self.now + span;
         while self.now < end {
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Share of the load of the ten busiest endpoints by which relays' views are off, over all that have one; and
-    /// the share that has.
+    /// Share of the load of the ten busiest endpoints by which relays' views are off, over all that have
+    /// one; and the share that has.
     fn off(&self) -> (f64, f64) {
         let mut truth: BTreeMap<Tag, f64> = BTreeMap::new();
         let up = || self.relays.iter().filter(|r| r.up);
--- a/crates/cluster/tests/location_gossip.rs
+++ b/crates/cluster/tests/location_gossip.rs
@@ -1,5 +1,5 @@
-//! What replicating clients' locations costs a connection by the number of relays, and whether a relay that meets a client
-//! mid-flow finds its endpoint.
+//! What replicating clients' locations costs a connection by the number of relays, and whether a relay that
+//! meets a client mid-flow finds its endpoint.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/cluster/tests/overload_gossip.rs
+++ b/crates/cluster/tests/overload_gossip.rs
@@ -1,5 +1,5 @@
-//! Notices of late set-ups in a cluster of hundreds: how soon all relays know of a slow store, and how few are misled by
-//! endpoints that are slow alone.
+//! Notices of late set-ups in a cluster of hundreds: how soon all relays know of a slow store, and how few
+//! are misled by endpoints that are slow alone.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -17,7 +17,8 @@
     notices: usize,
 }
 
-/// So many set-ups a second for two seconds, of which a share, drawn or by endpoint, comes late half a second after.
+/// So many set-ups a second for two seconds, of which a share, drawn or by endpoint, comes late half a
+/// second after.
 fn play(rate: u32, late: impl Fn(u32, &mut StdRng) -> bool, loss: f64, seed: u64) -> Outcome {
     let mut dice = StdRng::seed_from_u64(seed);
     let mut gossips: Vec<OverloadGossip> =
--- a/crates/cluster/tests/poll_scheduler.rs
+++ b/crates/cluster/tests/poll_scheduler.rs
@@ -1,4 +1,5 @@
-//! Many relays and one discovery service that takes polls in turn: how many have a list, how soon, and what it costs.
+//! Many relays and one discovery service that takes polls in turn: how many have a list, how soon, and what
+//! it costs.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/datagram/src/binary.rs
+++ b/crates/datagram/src/binary.rs
@@ -1,6 +1,7 @@
 //! Bodies in binary: postcard in base64 behind one character that names the kind.
 //!
-//! The platform's datagrams are text. Base64 makes binary a third longer, where hexadecimal digits would double it.
+//! The platform's datagrams are text. Base64 makes binary a third longer, where hexadecimal digits would
+//! double it.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -26,7 +27,8 @@
     (text.len() <= MAX_BYTES).then_some(text)
 }
 
-/// Reads what [`encode`] wrote; `None` where the text is too long, of another kind, malformed, or has more behind it.
+/// Reads what [`encode`] wrote; `None` where the text is too long, of another kind, malformed, or has more
+/// behind it.
 pub fn decode<T: DeserializeOwned>(kind: char, text: &str) -> Option<T> {
     let body = text.strip_prefix(kind).filter(|_| text.len() <= MAX_BYTES)?;
     let bytes = STANDARD_NO_PAD.decode(body).ok()?;
--- a/crates/maintenance/src/plan/floors.rs
+++ b/crates/maintenance/src/plan/floors.rs
@@ -16,7 +16,8 @@
     pub zones: BTreeMap<String, u64>,
     /// The number of relays that must remain.
     pub min_relays: u32,
-    /// The maximum number of windows granted at once.
+    /// The configured limit of windows granted at once. The ledger holds `MAX_GRANTED_WINDOWS` at most,
+    /// whatever is configured.
     pub max_windows: usize,
     /// The longest window.
     pub max_window_duration: WholeMillis,
--- a/crates/maintenance/src/queue.rs
+++ b/crates/maintenance/src/queue.rs
@@ -1,4 +1,6 @@
-//! The order in which waiting windows are granted.
+//! The order in which waiting windows are granted. Inputs: the time and the time-outs, the plan, the
+//! granted and the waiting windows. Outputs: the windows to grant now, and the first that is blocked. The
+//! ledger is changed by the caller.
 //!
 //! The window that has waited longest is first. If it does not fit, a later one may overtake it
 //! only if that ends before the first one could start anyway. Windows that override the floor come
--- a/crates/maintenance/src/replicated_ledger/election.rs
+++ b/crates/maintenance/src/replicated_ledger/election.rs
@@ -41,11 +41,12 @@
         let votes = BTreeMap::from([(self.local_index, local_vote)]);
         self.role = Role::Candidate(CandidateState { term, votes, started_at: cx.now, requested_at: cx.now });
         self.send_to_voters(cx, &Message::RequestVote { term }, |_| true, out);
-        self.request_votes(cx, out);
+        self.advance_candidacy(cx, out);
     }
 
-    /// Leads once enough have voted, else asks the others again or gives up.
-    pub(super) fn request_votes(&mut self, cx: Context<'_>, out: &mut Outbox) {
+    /// Leads with a majority of votes, gives the candidacy up after its time-out, or asks those again that
+    /// have not voted.
+    pub(super) fn advance_candidacy(&mut self, cx: Context<'_>, out: &mut Outbox) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         let vote_count = candidate.votes.len();
         let grace_is_over = cx.now >= candidate.started_at + cx.timing.vote_grace;
@@ -86,7 +87,7 @@
             return;
         }
         candidate.votes.entry(from).or_insert(vote);
-        self.request_votes(cx, out);
+        self.advance_candidacy(cx, out);
     }
 
     /// Leads from the newest ledger that the electors have accepted.
--- a/crates/maintenance/src/replicated_ledger/grants.rs
+++ b/crates/maintenance/src/replicated_ledger/grants.rs
@@ -1,4 +1,9 @@
 //! The leader's decisions: which windows are granted, extended or refused, and the notices of it.
+//!
+//! A window waits while no leader is elected (a voter that has restarted abstains for one lease), the
+//! leader is in its `grant_holdoff`, a write is pending, the leader's list is older than `list_max_age`,
+//! its `not_before` is not reached, the ledger holds `MAX_GRANTED_WINDOWS`, the limit of windows, of relays
+//! or a floor would be violated, or it may not overtake the first blocked window (`queue`).
 
 use super::state::{Role, WaitingWindow};
 use super::{Context, Decision, Message, Outbox, OutgoingMessage, ReplicatedLedger};
--- a/crates/maintenance/src/replicated_ledger/messages.rs
+++ b/crates/maintenance/src/replicated_ledger/messages.rs
@@ -38,7 +38,8 @@
     },
     /// The window has to wait.
     Waits {
-        /// How many windows have waited longer.
+        /// How many known waiting windows have earlier ids. It is not the place in the queue: windows that
+        /// override the floor come first.
         ahead: u32,
         /// The first window in the queue that waits for granted windows to end.
         first: Option<WindowId>,
--- a/crates/maintenance/src/replicated_ledger/mod.rs
+++ b/crates/maintenance/src/replicated_ledger/mod.rs
@@ -161,7 +161,7 @@
         match &self.role {
             Role::Follower if self.may_vote(cx) => self.maybe_start_election(cx, out),
             Role::Follower => {}
-            Role::Candidate(_) => self.request_votes(cx, out),
+            Role::Candidate(_) => self.advance_candidacy(cx, out),
             Role::Leader(_) => self.maintain_leadership(cx, out),
         }
     }
--- a/crates/quota/src/aggregate.rs
+++ b/crates/quota/src/aggregate.rs
@@ -44,8 +44,8 @@
         (self.reporters + 1.0) * freshness(now - self.received_at)
     }
 
-    /// Whether a newer aggregate is to replace it: from the same process any later one; from another process, which has
-    /// other gaps, one that includes about as many relays as this one is still worth.
+    /// Whether a newer aggregate is to replace it: from the same process any later one; from another
+    /// process, which has other gaps, one that includes about as many relays as this one is still worth.
     pub fn is_superseded_by(&self, new: &Aggregate) -> bool {
         if self.source == new.source {
             return is_later(new.sequence, self.sequence);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,15 +1,16 @@
-//! Quotas of tenants over a whole cluster of relays: what each tenant uses, and whose connections are rejected first
-//! where capacity is scarce.
+//! Quotas of tenants over a whole cluster of relays: what each tenant uses, and whose connections are
+//! rejected first where capacity is scarce.
 //!
 //! - [`tenants`] names the tenants and their quotas.
 //! - [`usage_gossip`] is what relays report to each other, in datagrams of at most 256 bytes.
-//! - [`usage_table`] adds this relay's own counts, which are exact, to what the others report, whose age is known.
+//! - [`usage_table`] adds this relay's own counts, which are exact, to what the others report, whose age is
+//!   known.
 //! - [`usage_view`] is the estimate of a tenant's usage, with bounds.
 //! - [`policy`] decides which connections are rejected.
 //! - [`QuotaManager`] ties them together for the relay.
 //!
-//! The crate does no I/O; time is an argument, in milliseconds. It never closes an established connection and never
-//! waits. `docs/shares.md` compares the designs that were considered.
+//! The crate does no I/O; time is an argument, in milliseconds. It never closes an established connection
+//! and never waits. `docs/shares.md` compares the designs that were considered.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/quota/src/manager.rs
+++ b/crates/quota/src/manager.rs
@@ -1,7 +1,7 @@
 //! The quota of a relay's connections: the usage table and the policy over it.
 //!
-//! Inputs: connections' events, scarcity signals, peers' reports, and the time in milliseconds. Outputs: a verdict for
-//! each new connection, and reports to peers.
+//! Inputs: connections' events, scarcity signals, peers' reports, and the time in milliseconds. Outputs: a
+//! verdict for each new connection, and reports to peers.
 
 use sandgw_units::Millis;
 
@@ -12,7 +12,8 @@
 use crate::usage_table::{OutgoingReport, StoredUsage, UsageTable};
 use crate::usage_view::UsageView;
 
-/// Returning clients may exceed a tenant's connection limit by this fraction of it, and by one connection at least.
+/// Returning clients may exceed a tenant's connection limit by this fraction of it, and by one connection
+/// at least.
 const RETURNING_TOLERANCE: f64 = 0.05;
 
 /// Counts connections by tenant and decides about new ones.
@@ -37,14 +38,15 @@
 }
 
 impl QuotaManager {
-    /// For a relay that starts now. A later start must have a later time: it is the relay's incarnation number.
+    /// For a relay that starts now. A later start must have a later time: it is the relay's incarnation
+    /// number.
     pub fn new(tenants: Tenants, position: ClusterPosition, now: Millis) -> Self {
         let policy = QuotaPolicy::new(tenants.len(), now, u64::from(position.local_index));
         QuotaManager { usage: UsageTable::new(tenants, position, now), policy }
     }
 
-    /// Decides about a new connection. `is_returning` is one whose client was counted before. An admitted connection
-    /// counts as pending until [`QuotaManager::established`] or [`QuotaManager::closed`].
+    /// Decides about a new connection. `is_returning` is one whose client was counted before. An admitted
+    /// connection counts as pending until [`QuotaManager::established`] or [`QuotaManager::closed`].
     pub fn admit(
         &mut self,
         now: Millis,
--- a/crates/quota/src/peer_reports.rs
+++ b/crates/quota/src/peer_reports.rs
@@ -1,7 +1,8 @@
 //! Other relays' reports of their own usage, and their running sums by tenant.
 //!
-//! A report counts until its relay sends another or has been silent for [`PEER_TIMEOUT_MS`]. A report of a later
-//! incarnation replaces all of the earlier one's; duplicate and overtaken reports are known by their sequence number.
+//! A report counts until its relay sends another or has been silent for [`PEER_TIMEOUT_MS`]. A report of a
+//! later incarnation replaces all of the earlier one's; duplicate and overtaken reports are known by their
+//! sequence number.
 
 use std::collections::BTreeMap;
 
--- a/crates/quota/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -1,11 +1,13 @@
 //! Decides which new connections are rejected where capacity is scarce: those of tenants over their quota.
 //!
-//! Inputs: scarcity signals, endpoints' replies, and the tenant's usage for each new connection. Output: a verdict on
-//! that connection. Established connections are never touched, and while capacity is not scarce all are admitted.
+//! Inputs: scarcity signals, endpoints' replies, and the tenant's usage for each new connection. Output: a
+//! verdict on that connection. Established connections are never touched, and while capacity is not scarce
+//! all are admitted.
 //!
-//! A tenant over its rate is admitted at that rate; one over its connection limit, once it has fewer. A burst reaches
-//! all relays before they know of each other's part of it, so each would admit the whole remainder of the quota:
-//! therefore connections of a burst that exceeds the remainder are admitted at random.
+//! A tenant over its rate is admitted at that rate; one over its connection limit, once it has fewer. A
+//! burst reaches all relays before they know of each other's part of it, so each would admit the whole
+//! remainder of the quota: therefore connections of a burst that exceeds the remainder are admitted at
+//! random.
 
 use sandgw_units::Millis;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -135,9 +137,9 @@
         Verdict::Reject
     }
 
-    /// Whether the tenant's rate allows one more connection at this relay. The tenant is over its rate from the limit
-    /// plus the sampling error until it is below the limit; meanwhile this relay allows a part of the limit in
-    /// proportion to the arrivals that reach it.
+    /// Whether the tenant's rate allows one more connection at this relay. The tenant is over its rate from
+    /// the limit plus the sampling error until it is below the limit; meanwhile this relay allows a part of
+    /// the limit in proportion to the arrivals that reach it.
     fn is_within_rate(&mut self, now: Millis, index: usize, view: &UsageView) -> bool {
         let Some(limiter) = self.limiters.get_mut(index) else { return true };
         let Some(limit) = view.per_s_limit else { return true };
@@ -151,7 +153,8 @@
         !limiter.is_over_rate || limiter.tokens >= 1.0
     }
 
-    /// Whether the remainder of the tenant's connection limit allows one more, by chance where a burst exceeds it.
+    /// Whether the remainder of the tenant's connection limit allows one more, by chance where a burst
+    /// exceeds it.
     fn is_within_connections(&mut self, now: Millis, index: usize, view: &UsageView) -> bool {
         let Some(limiter) = self.limiters.get_mut(index) else { return true };
         if !view.limit.is_finite() {
@@ -161,8 +164,8 @@
             limiter.burst_since = now;
             limiter.burst = 0;
         }
-        // Steady arrivals are in the view's expectation. More than two at once are a burst: the other relays are taken
-        // to have as many each, of which none has reported yet.
+        // Steady arrivals are in the view's expectation. More than two at once are a burst: the other
+        // relays are taken to have as many each, of which none has reported yet.
         let burst = f64::from(limiter.burst.saturating_sub(1)) * view.relay_count;
         limiter.burst = limiter.burst.saturating_add(1);
         self.random_fraction(now) * burst < view.limit - view.expected
--- a/crates/quota/src/report_schedule.rs
+++ b/crates/quota/src/report_schedule.rs
@@ -1,12 +1,14 @@
 //! Decides when this relay reports, and to which relays.
 //!
-//! [`ReportSchedule`] owns the timers and the choice of the collector. Inputs: the time in milliseconds, collectors'
-//! replies, and how many relays report here. Output: the receivers of each round of reports. It sends nothing itself.
+//! [`ReportSchedule`] owns the timers and the choice of the collector. Inputs: the time in milliseconds,
+//! collectors' replies, and how many relays report here. Output: the receivers of each round of reports. It
+//! sends nothing itself.
 //!
-//! In a small cluster each relay reports to all others. In a larger one it reports to the current collector, the first
-//! of an order that is the same at all relays, and gets an aggregate in reply. After [`MAX_UNANSWERED_REPORTS`] without a
-//! reply the next one becomes current. Earlier ones are probed in turn, and one that replies with about as much as the
-//! current one knows becomes current again, so that all relays end up with the same collector.
+//! In a small cluster each relay reports to all others. In a larger one it reports to the current
+//! collector, the first of an order that is the same at all relays, and gets an aggregate in reply. After
+//! [`MAX_UNANSWERED_REPORTS`] without a reply the next one becomes current. Earlier ones are probed in
+//! turn, and one that replies with about as much as the current one knows becomes current again, so that
+//! all relays end up with the same collector.
 
 use sandgw_units::Millis;
 
@@ -23,11 +25,13 @@
 const MAX_UNANSWERED_REPORTS: u32 = 6;
 /// Reports without a reply, of any collector, before they are sent at the ordinary interval.
 const BACKOFF_AFTER_REPORTS: u32 = 60;
-/// An earlier collector becomes current again once it includes this ratio of what the aggregate here is worth.
+/// An earlier collector becomes current again once it includes this ratio of what the aggregate here is
+/// worth.
 const FAILBACK_COVERAGE_RATIO: f64 = 0.9;
 /// An earlier collector that replied counts as recovering for this time: it is probed at each report.
 const RECOVERY_MS: Millis = 2.0 * COLLECTOR_INTERVAL_MS;
-/// Distance of neighbours in the collector order, per mille of the cluster: the golden ratio spreads them evenly.
+/// Distance of neighbours in the collector order, per mille of the cluster: the golden ratio spreads them
+/// evenly.
 const COLLECTOR_STRIDE_PER_MILLE: u64 = 618;
 
 /// The receivers of a report, and when the next one is due.
@@ -69,7 +73,8 @@
 }
 
 impl ReportSchedule {
-    /// A schedule whose first report is within one retry interval, at a phase that differs from relay to relay.
+    /// A schedule whose first report is within one retry interval, at a phase that differs from relay to
+    /// relay.
     pub fn new(position: ClusterPosition, now: Millis) -> Self {
         let phase = f64::from(position.local_index) / f64::from(position.relay_count.max(1));
         ReportSchedule {
@@ -94,8 +99,8 @@
         self.position.is_full_mesh() || self.collector(self.current_rank) == self.position.local_index
     }
 
-    /// The collector of a rank. The order is the same at all relays, and neighbours in it are far apart, so that each
-    /// side of a partition has one of the first few.
+    /// The collector of a rank. The order is the same at all relays, and neighbours in it are far apart, so
+    /// that each side of a partition has one of the first few.
     fn collector(&self, rank: u32) -> u32 {
         let relay_count = u64::from(self.position.relay_count.max(1));
         let min_stride = relay_count * COLLECTOR_STRIDE_PER_MILLE / 1000;
@@ -157,8 +162,8 @@
         self.other_collector(self.probe.rank)
     }
 
-    /// Whether the relays that report here are about all. A collector that has just become one knows less than the next
-    /// one may.
+    /// Whether the relays that report here are about all. A collector that has just become one knows less
+    /// than the next one may.
     fn covers_cluster(&self, reporters: usize) -> bool {
         reporters as f64 + 1.0 >= SIMILAR_COVERAGE_RATIO * f64::from(self.position.relay_count)
     }
@@ -169,8 +174,9 @@
         (collector != self.position.local_index).then_some(collector)
     }
 
-    /// Handles a collector's reply with usage of so many relays; `known_worth` is the worth of the aggregate that is
-    /// known here. Returns whether the sender is a collector that this relay may have reported to.
+    /// Handles a collector's reply with usage of so many relays; `known_worth` is the worth of the
+    /// aggregate that is known here. Returns whether the sender is a collector that this relay may have
+    /// reported to.
     pub fn handle_reply(
         &mut self,
         now: Millis,
--- a/crates/quota/src/tenants.rs
+++ b/crates/quota/src/tenants.rs
@@ -1,7 +1,7 @@
 //! Tenants and their quotas, as the settings name them.
 //!
-//! [`Tenants`] owns their order and their tags: two bytes by which relays name them to each other. Relays with the same
-//! names compute the same tags, whatever the order in their settings.
+//! [`Tenants`] owns their order and their tags: two bytes by which relays name them to each other. Relays
+//! with the same names compute the same tags, whatever the order in their settings.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/quota/src/usage_gossip.rs
+++ b/crates/quota/src/usage_gossip.rs
@@ -1,7 +1,7 @@
 //! What relays report to each other of tenants' usage: one datagram each, of at most 256 bytes of plain text.
 //!
-//! A report is postcard in base64 behind a prefix of its own, which relays that do not count usage ignore as they do any
-//! kind that they do not know. What is malformed or too long is no report.
+//! A report is postcard in base64 behind a prefix of its own, which relays that do not count usage ignore
+//! as they do any kind that they do not know. What is malformed or too long is no report.
 
 use serde::{Deserialize, Serialize};
 
@@ -56,7 +56,8 @@
     }
 }
 
-/// A report. `incarnation` grows with each start of its sender, `sequence` with each report of that incarnation.
+/// A report. `incarnation` grows with each start of its sender, `sequence` with each report of that
+/// incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UsageReport {
     /// The sender's own usage.
--- a/crates/quota/src/usage_table.rs
+++ b/crates/quota/src/usage_table.rs
@@ -1,11 +1,13 @@
 //! What each tenant uses of the cluster, from local counts and other relays' reports.
 //!
-//! [`UsageTable`] owns this relay's counts, which are exact, and what others have reported. Inputs: connections' events,
-//! reports and the time in milliseconds. Outputs: reports to send and, for a tenant, a [`UsageView`].
+//! [`UsageTable`] owns this relay's counts, which are exact, and what others have reported. Inputs:
+//! connections' events, reports and the time in milliseconds. Outputs: reports to send and, for a tenant, a
+//! [`UsageView`].
 //!
-//! In a small cluster each relay reports to all others. In a larger one each reports to a collector, which replies with
-//! the sums of all relays but the receiver. The receiver adds its own counts as they are then, so none of its own
-//! connections is counted twice or late. A connection that continues at another relay is counted there only.
+//! In a small cluster each relay reports to all others. In a larger one each reports to a collector, which
+//! replies with the sums of all relays but the receiver. The receiver adds its own counts as they are then,
+//! so none of its own connections is counted twice or late. A connection that continues at another relay is
+//! counted there only.
 
 use sandgw_units::Millis;
 use serde::{Deserialize, Serialize};
@@ -237,7 +239,8 @@
             let per_s = sum.per_s - excluded.per_s + local.per_s;
             UsageRow::new(*tag, Usage { connections, per_s })
         });
-        // Paged by the receiver's own sequence, so that successive replies to one relay carry successive pages.
+        // Paged by the receiver's own sequence, so that successive replies to one relay carry successive
+        // pages.
         let rows = page(received.map_or(0, |report| report.id.sequence), rows.collect());
         let reporters = self.peer_reports.len() + 1 - usize::from(received.is_some());
         let reporters = u16::try_from(reporters).unwrap_or(u16::MAX);
--- a/crates/quota/src/usage_view.rs
+++ b/crates/quota/src/usage_view.rs
@@ -1,4 +1,5 @@
-//! Estimates a tenant's usage of the whole cluster, with bounds, from local counts and what other relays report.
+//! Estimates a tenant's usage of the whole cluster, with bounds, from local counts and what other relays
+//! report.
 //!
 //! Pure arithmetic: it owns no state and reads no clock.
 
@@ -10,7 +11,8 @@
 use crate::usage_gossip::Usage;
 
 const MS_PER_S: Millis = 1000.0;
-/// A part of the cluster over this fraction has the whole quota: two parts of a partition can't both be that large.
+/// A part of the cluster over this fraction has the whole quota: two parts of a partition can't both be
+/// that large.
 const MAJORITY: f64 = 0.5;
 /// Least connection limit of a relay, however little it knows of the others.
 const MIN_LIMIT: f64 = 1.0;
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A cluster in memory: relays with their usage tables, datagrams that are delayed, lost, duplicated and partitioned, and
-//! clients that arrive, leave and return at another relay when theirs is killed. Virtual time, seeded random numbers.
+//! A cluster in memory: relays with their usage tables, datagrams that are delayed, lost, duplicated and
+//! partitioned, and clients that arrive, leave and return at another relay when theirs is killed. Virtual
+//! time, seeded random numbers.
 
 #![allow(dead_code)]
 
@@ -195,8 +196,8 @@
     }
 }
 
-/// How long each relay's count has been off by more than a tolerance, at the longest; how far counts were off at the most
-/// and in the mean; how many lay within their bounds.
+/// How long each relay's count has been off by more than a tolerance, at the longest; how far counts were
+/// off at the most and in the mean; how many lay within their bounds.
 #[derive(Debug, Default)]
 pub struct ErrorStats {
     since: BTreeMap<usize, f64>,
--- a/crates/quota/tests/policy.rs
+++ b/crates/quota/tests/policy.rs
@@ -16,14 +16,15 @@
 /// What they use of their shares.
 const USUAL: f64 = 0.8;
 
-/// What tenants had of the places, in the mean, and the part of their arrivals within their shares that was served.
+/// What tenants had of the places, in the mean, and the part of their arrivals within their shares that was
+/// served.
 struct Served {
     held: [f64; 4],
     part: [f64; 4],
 }
 
-/// Members arrive for four fifths of their shares, the first for so many times as much. A connection that is not refused by
-/// share gets a place while there is one. With the limit, or without it.
+/// Members arrive for four fifths of their shares, the first for so many times as much. A connection that
+/// is not refused by share gets a place while there is one. With the limit, or without it.
 fn flood(relays: u32, times: f64, limit: bool, seed: u64) -> Served {
     let share = |(i, c): (usize, &f64)| Tenant { name: tenant_name(i), connections: Some(*c), per_s: None };
     let mut cluster = Cluster::new(relays, SHARES.iter().enumerate().map(share).collect(), seed);
@@ -44,7 +45,8 @@
                     continue;
                 }
                 let all: f64 = (0..4).map(|k| cluster.truth(k)).sum();
-                // What the relay sees: endpoints at their bound turn connections away from a little before they are full.
+                // What the relay sees: endpoints at their bound turn connections away from a little before
+                // they are full.
                 let full = ScarcitySignals { endpoints: all >= 0.97 * PLACES, ..ScarcitySignals::default() };
                 let signals = if limit { full } else { ScarcitySignals::default() };
                 let at = cluster.rng.random_range(0..relays as usize);
--- a/crates/quota/tests/usage_table.rs
+++ b/crates/quota/tests/usage_table.rs
@@ -100,8 +100,8 @@
     }
 }
 
-/// While it is cut nobody knows what the other half has: the bounds say so, and the two halves together admit no more
-/// than the share. Once it is whole again the counts are.
+/// While it is cut nobody knows what the other half has: the bounds say so, and the two halves together
+/// admit no more than the share. Once it is whole again the counts are.
 #[test]
 fn a_tier_cut_in_halves_keeps_to_its_bounds_and_is_whole_once_healed() {
     for relays in TIERS {
@@ -123,7 +123,8 @@
     }
 }
 
-/// Who hears nobody has its own part of the share, of one connection at the least, and the bounds grow with time.
+/// Who hears nobody has its own part of the share, of one connection at the least, and the bounds grow with
+/// time.
 #[test]
 fn who_hears_nobody_has_its_own_part() {
     for relays in TIERS {
--- a/crates/schema-version/src/lib.rs
+++ b/crates/schema-version/src/lib.rs
@@ -1,5 +1,5 @@
-//! Versions of the state that relays share: which version is written while processes of several releases run side by
-//! side, and the conversion between neighbouring versions.
+//! Versions of the state that relays share: which version is written while processes of several releases
+//! run side by side, and the conversion between neighbouring versions.
 //!
 //! - [`SchemaVersion`] is the number of a version, [`SupportedVersions`] the range that one process reads.
 //! - [`version_negotiator`] decides which version is written: the newest that all live processes support.
@@ -7,11 +7,11 @@
 //! - [`versioned_message`] is a version 2 datagram and its conversion from and to version 1.
 //! - [`versioned_channel`] sits between a relay's messages and its datagrams.
 //!
-//! The crate does no I/O; time is an argument, in milliseconds. It never interprets a version 1 text and never decides
-//! where a connection goes. `docs/forms.md` compares the designs that were considered.
+//! The crate does no I/O; time is an argument, in milliseconds. It never interprets a version 1 text and
+//! never decides where a connection goes. `docs/forms.md` compares the designs that were considered.
 //!
-//! Version 1 is what relays exchanged and stored before versions had numbers. A process that advertises nothing
-//! supports version 1 only.
+//! Version 1 is what relays exchanged and stored before versions had numbers. A process that advertises
+//! nothing supports version 1 only.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -73,7 +73,8 @@
     }
 }
 
-/// The contiguous range of versions that a process reads. It writes one of them, chosen by the [`version_negotiator`].
+/// The contiguous range of versions that a process reads. It writes one of them, chosen by the
+/// [`version_negotiator`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SupportedVersions {
     oldest: SchemaVersion,
--- a/crates/schema-version/src/quota_rows.rs
+++ b/crates/schema-version/src/quota_rows.rs
@@ -1,6 +1,7 @@
 //! Rows of tenants' usage as a version 2 datagram carries them.
 //!
-//! The rows are opaque here: [`QuotaRows`] checks their alphabet and length, `sandgw-quota` gives them a meaning.
+//! The rows are opaque here: [`QuotaRows`] checks their alphabet and length, `sandgw-quota` gives them a
+//! meaning.
 
 use sandgw_datagram::MAX_BYTES;
 
@@ -26,8 +27,8 @@
     /// ```
     ///
     /// # Errors
-    /// [`SchemaVersionError::Malformed`] where the text has another prefix, another alphabet, no body, or more than
-    /// [`MAX_ROWS_BYTES`].
+    /// [`SchemaVersionError::Malformed`] where the text has another prefix, another alphabet, no body, or
+    /// more than [`MAX_ROWS_BYTES`].
     pub fn new(text: &str) -> Result<QuotaRows, SchemaVersionError> {
         let is_body = |body: &str| !body.is_empty() && body.chars().all(is_base64);
         let is_valid = text.len() <= MAX_ROWS_BYTES && text.strip_prefix(ROWS_PREFIX).is_some_and(is_body);
--- a/crates/schema-version/src/version_advertisement.rs
+++ b/crates/schema-version/src/version_advertisement.rs
@@ -1,12 +1,13 @@
-//! How a process announces which versions it supports: a short text at the head of each version 2 datagram, and a
-//! datagram of its own before a version 1 datagram to a relay that may not know yet.
+//! How a process announces which versions it supports: a short text at the head of each version 2 datagram,
+//! and a datagram of its own before a version 1 datagram to a relay that may not know yet.
 //!
-//! Layout: [`PREFIX`], then the oldest and newest supported version and the finalized one, a base-36 digit each. Then,
-//! for each version below the newest of which an older process was seen lately, three digits: the version, and the age
-//! of that sighting in tenths of a second.
+//! Layout: [`PREFIX`], then the oldest and newest supported version and the finalized one, a base-36 digit
+//! each. Then, for each version below the newest of which an older process was seen lately, three digits:
+//! the version, and the age of that sighting in tenths of a second.
 //!
-//! All versions to come keep this layout, so that a process can tell from any advertisement that it is too old itself.
-//! Releases before version 2 ignore a datagram with this prefix, as they do everything that they can't read.
+//! All versions to come keep this layout, so that a process can tell from any advertisement that it is too
+//! old itself. Releases before version 2 ignore a datagram with this prefix, as they do everything that
+//! they can't read.
 
 use sandgw_datagram::base36::{BASE, digit, digit_value};
 
@@ -80,7 +81,8 @@
     /// Reads the advertisement at the head of a datagram.
     ///
     /// # Errors
-    /// [`SchemaVersionError::Malformed`], [`SchemaVersionError::InvalidNumber`] or [`SchemaVersionError::EmptyRange`].
+    /// [`SchemaVersionError::Malformed`], [`SchemaVersionError::InvalidNumber`] or
+    /// [`SchemaVersionError::EmptyRange`].
     pub fn decode(text: &str) -> Result<AdvertisementHead<'_>, SchemaVersionError> {
         let (head, rest) = match text.split_once('|') {
             Some((head, rest)) => (head, Some(rest)),
@@ -109,8 +111,8 @@
     SchemaVersion::new(u64::from(number))
 }
 
-/// An age in units, rounded up and one unit more: so an age that is passed on and on grows by more than the transit
-/// time that each relay leaves out, and a sighting that circulates expires.
+/// An age in units, rounded up and one unit more: so an age that is passed on and on grows by more than the
+/// transit time that each relay leaves out, and a sighting that circulates expires.
 fn age_units(age_ms: Millis) -> u32 {
     ((age_ms.max(0.0) / AGE_UNIT_MS).ceil() + 1.0).min(f64::from(MAX_AGE_UNITS)) as u32
 }
--- a/crates/schema-version/src/version_negotiator.rs
+++ b/crates/schema-version/src/version_negotiator.rs
@@ -1,18 +1,20 @@
 //! Decides which version this process writes: the newest that all live processes support.
 //!
-//! [`VersionNegotiator`] owns what is known of the other relays' supported versions. Inputs: advertisements, version 1
-//! datagrams without one, what was sent, and the time in milliseconds. Outputs: the cluster's version, the version for
-//! one relay, and the relays to which an advertisement is due. It upgrades only after [`QUIET_PERIOD_MS`] without a
-//! sighting of an older process, downgrades with the first one, and never goes below what an operator has finalized.
-//! It never needs to know who belongs to the cluster, and no relay has a special role.
+//! [`VersionNegotiator`] owns what is known of the other relays' supported versions. Inputs:
+//! advertisements, version 1 datagrams without one, what was sent, and the time in milliseconds. Outputs:
+//! the cluster's version, the version for one relay, and the relays to which an advertisement is due. It
+//! upgrades only after [`QUIET_PERIOD_MS`] without a sighting of an older process, downgrades with the
+//! first one, and never goes below what an operator has finalized. It never needs to know who belongs to
+//! the cluster, and no relay has a special role.
 //!
-//! A sighting is the time when a process was last seen that supports no version newer than a given one. Each
-//! advertisement carries the ages of sightings, and each receiver keeps the latest: they spread by gossip and expire by
-//! themselves.
+//! A sighting is the time when a process was last seen that supports no version newer than a given one.
+//! Each advertisement carries the ages of sightings, and each receiver keeps the latest: they spread by
+//! gossip and expire by themselves.
 //!
-//! Toward one relay more caution holds, so that a wrong belief about the cluster leaves no relay with datagrams that it
-//! can't read. It gets no newer version than it advertised; and it gets version 1 while its advertisement is
-//! out of date, once it has spoken without one, and once it was sent something newer and has not responded.
+//! Toward one relay more caution holds, so that a wrong belief about the cluster leaves no relay with
+//! datagrams that it can't read. It gets no newer version than it advertised; and it gets version 1 while
+//! its advertisement is out of date, once it has spoken without one, and once it was sent something newer
+//! and has not responded.
 
 use std::collections::BTreeMap;
 
@@ -21,14 +23,15 @@
 
 /// Time without a sighting of an older process before the cluster upgrades.
 pub const QUIET_PERIOD_MS: Millis = 20_000.0;
-/// Interval between advertisements to a few relays drawn at random, and the least between two to the same relay.
+/// Interval between advertisements to a few relays drawn at random, and the least between two to the same
+/// relay.
 pub const ADVERTISE_INTERVAL_MS: Millis = 2000.0;
 /// Number of relays that get an advertisement each time.
 const ADVERTISE_FANOUT: u32 = 3;
 /// How long a relay's advertisement is valid.
 pub const ADVERTISEMENT_TTL_MS: Millis = 8000.0;
-/// A datagram without an advertisement is attributed to the process that advertised at most this long before it: no
-/// process restarts as quickly.
+/// A datagram without an advertisement is attributed to the process that advertised at most this long
+/// before it: no process restarts as quickly.
 const MIN_RESTART_MS: Millis = 200.0;
 /// Interval between requests to a relay for its advertisement.
 const REQUEST_INTERVAL_MS: Millis = 250.0;
@@ -182,10 +185,11 @@
             .min_by(|a, b| a.version.cmp(&b.version).then(a.age_ms.total_cmp(&b.age_ms)))
     }
 
-    /// Versions below the newest of this process, and when a process was last seen that supports no newer one.
+    /// Versions below the newest of this process, and when a process was last seen that supports no newer
+    /// one.
     fn older_seen(&self) -> impl Iterator<Item = (SchemaVersion, Millis)> {
-        // A relay that ignored a request and is asked once more counts here, but is passed on to others only once
-        // that request has timed out too.
+        // A relay that ignored a request and is asked once more counts here, but is passed on to others
+        // only once that request has timed out too.
         let ignoring = self.peers.values().filter(|peer| peer.ignores_requests);
         let ignoring = ignoring.filter_map(|peer| Some((SchemaVersion::FIRST, peer.plain_message_at?)));
         let recorded = self.older_seen_at.iter().map(|(version, at)| (*version, *at));
@@ -235,7 +239,8 @@
     /// Handles a relay's advertisement.
     ///
     /// # Errors
-    /// [`SchemaVersionError::Finalized`] where the cluster is finalized at a version that is not supported here.
+    /// [`SchemaVersionError::Finalized`] where the cluster is finalized at a version that is not supported
+    /// here.
     pub fn handle_advertisement(
         &mut self,
         now: Millis,
@@ -288,8 +293,9 @@
         if peer.ignores_requests && previous.is_some_and(|at| now - at <= ADVERTISEMENT_TTL_MS) {
             self.record_older(SchemaVersion::FIRST, now);
         } else if peer.request.is_none() && advertised_ago > ADVERTISE_INTERVAL_MS + MIN_RESTART_MS {
-            // A process that advertises does so with the first datagram in each interval: either it was lost, or it
-            // has none. After a longer pause the relay may have been replaced, so what it was before proves nothing.
+            // A process that advertises does so with the first datagram in each interval: either it was
+            // lost, or it has none. After a longer pause the relay may have been replaced, so what it was
+            // before proves nothing.
             peer.request = Some(AdvertisementRequest { started_at: now, last_sent_at: f64::NEG_INFINITY });
         }
     }
@@ -373,7 +379,8 @@
     /// Ends the possibility to go back below the newest version, which it returns.
     ///
     /// # Errors
-    /// [`SchemaVersionError::OlderAlive`] or [`SchemaVersionError::TooEarly`] while an older process may be alive.
+    /// [`SchemaVersionError::OlderAlive`] or [`SchemaVersionError::TooEarly`] while an older process may be
+    /// alive.
     pub fn finalize(&mut self, now: Millis) -> Result<SchemaVersion, SchemaVersionError> {
         if let Some(OlderSighting { version, age_ms }) = self.oldest_sighting(now) {
             return Err(SchemaVersionError::OlderAlive { version, age_ms });
@@ -394,7 +401,8 @@
     /// Applies what the predecessor process knew: how long it listened, and what it advertised.
     ///
     /// # Errors
-    /// [`SchemaVersionError::Finalized`] where the cluster is finalized at a version that is not supported here.
+    /// [`SchemaVersionError::Finalized`] where the cluster is finalized at a version that is not supported
+    /// here.
     pub fn resume(
         &mut self,
         now: Millis,
--- a/crates/schema-version/src/versioned_channel.rs
+++ b/crates/schema-version/src/versioned_channel.rs
@@ -1,11 +1,13 @@
-//! Sits between a relay's messages and its datagrams: each message goes out in the version that its receiver supports,
-//! and comes in whatever version it has.
+//! Sits between a relay's messages and its datagrams: each message goes out in the version that its
+//! receiver supports, and comes in whatever version it has.
 //!
-//! [`VersionedChannel`] owns the negotiator and the rows of tenants' usage that version 1 can't carry. Inputs: version 1
-//! texts, rows, datagrams, and the time in milliseconds. Outputs: datagrams, texts and rows. It sends nothing itself.
+//! [`VersionedChannel`] owns the negotiator and the rows of tenants' usage that version 1 can't carry.
+//! Inputs: version 1 texts, rows, datagrams, and the time in milliseconds. Outputs: datagrams, texts and
+//! rows. It sends nothing itself.
 //!
-//! For each relay the latest rows only are queued for as long as that relay is written to in version 1. They go with the
-//! first version 2 datagram to it, so a downgrade and upgrade loses only rows that newer ones have replaced.
+//! For each relay the latest rows only are queued for as long as that relay is written to in version 1.
+//! They go with the first version 2 datagram to it, so a downgrade and upgrade loses only rows that newer
+//! ones have replaced.
 
 use std::collections::BTreeMap;
 
@@ -94,8 +96,8 @@
         self.queued_rows.insert(peer, QueuedRows { queued_at: now, rows });
     }
 
-    /// Sends a version 1 text in the version that the relay supports: one datagram, or two where it is to get an
-    /// advertisement first.
+    /// Sends a version 1 text in the version that the relay supports: one datagram, or two where it is to
+    /// get an advertisement first.
     ///
     /// ```
     /// use sandgw_schema_version::version_negotiator::{RelayPosition, VersionNegotiator};
@@ -139,8 +141,8 @@
     /// Handles a datagram of a relay; what is to be sent in reply is added to `out`.
     ///
     /// # Errors
-    /// Where it can't be read, which is counted, or where it says that the cluster is finalized at a version that is
-    /// not supported here.
+    /// Where it can't be read, which is counted, or where it says that the cluster is finalized at a
+    /// version that is not supported here.
     pub fn receive(
         &mut self,
         now: Millis,
@@ -186,7 +188,8 @@
             Some(prefix) if FIRST_VERSION_PREFIXES.contains(&prefix) => {
                 Received { text: Some(text.to_owned()), rows: None }
             }
-            // Of a process that reports usage but advertises nothing: it supports version 1, and ignores the rest.
+            // Of a process that reports usage but advertises nothing: it supports version 1, and ignores
+            // the rest.
             Some(ROWS_PREFIX) => Received { text: None, rows: Some(QuotaRows::new(text)?) },
             Some(prefix) => {
                 return Err(SchemaVersionError::UnknownPart { prefix, newest: SchemaVersion::NEWEST });
@@ -264,8 +267,8 @@
     }
 }
 
-/// As much of a version 1 text as fits beside an advertisement, in whole entries. Only load samples are ever longer, and
-/// their entries are sorted by size, the smallest groups last.
+/// As much of a version 1 text as fits beside an advertisement, in whole entries. Only load samples are
+/// ever longer, and their entries are sorted by size, the smallest groups last.
 fn fitting(text: &str) -> &str {
     if text.len() <= MAX_TEXT_BYTES {
         return text;
--- a/crates/schema-version/src/versioned_message.rs
+++ b/crates/schema-version/src/versioned_message.rs
@@ -1,8 +1,8 @@
 //! A version 2 datagram, and its conversion from and to version 1.
 //!
-//! Layout: `ADVERTISEMENT|TEXT|ROWS`: the sender's advertisement, a version 1 text as it is, and rows of tenants' usage.
-//! Either of the last two may be missing. [`downgrade`] separates the version 1 text from the rest, [`upgrade`] joins
-//! both again. Both are pure and lose nothing.
+//! Layout: `ADVERTISEMENT|TEXT|ROWS`: the sender's advertisement, a version 1 text as it is, and rows of
+//! tenants' usage. Either of the last two may be missing. [`downgrade`] separates the version 1 text from
+//! the rest, [`upgrade`] joins both again. Both are pure and lose nothing.
 
 use sandgw_datagram::MAX_BYTES;
 
@@ -76,8 +76,8 @@
 }
 
 impl VersionedMessage {
-    /// The datagram; `None` where it would be too long. Sightings of older processes are left out where only they
-    /// make it too long.
+    /// The datagram; `None` where it would be too long. Sightings of older processes are left out where
+    /// only they make it too long.
     pub fn encode(&self) -> Option<String> {
         let mut rest = String::new();
         for part in self.text.as_deref().into_iter().chain(self.rows.as_ref().map(QuotaRows::text)) {
--- a/crates/schema-version/tests/cluster.rs
+++ b/crates/schema-version/tests/cluster.rs
@@ -1,4 +1,5 @@
-//! Clusters of old and new processes over random schedules: loss, partitions, restarts, pinned versions and finalize.
+//! Clusters of old and new processes over random schedules: loss, partitions, restarts, pinned versions and
+//! finalize.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Starts a process anew: of before for 0, else of this program up to that form. One that can't read what is
-    /// finalized does not start. It takes longer than a datagram's way.
+    /// Starts a process anew: of before for 0, else of this program up to that form. One that can't read
+    /// what is finalized does not start. It takes longer than a datagram's way.
     fn start(&mut self, i: usize, most: u8) {
         if !matches!(std::mem::replace(&mut self.processes[i], Process::Down), Process::Down) {
             self.run(250.0);
@@ -249,7 +250,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens: nobody is sent only what it can't read, nothing goes below what is finalized, and all meet.
+    /// Whatever happens: nobody is sent only what it can't read, nothing goes below what is finalized, and
+    /// all meet.
     #[test]
     fn over_drawn_schedules_all_read_what_they_are_sent_and_meet(
         n in 2usize..14, seed: u64, changes in proptest::collection::vec((0u8..8, any::<u16>(), 0.0..20_000.0), 1..14),
@@ -278,8 +280,8 @@
     }
 }
 
-/// 24 processes are replaced three at a time with a fifth of the datagrams lost: form 2 once the last is new, not
-/// before; and back the same way.
+/// 24 processes are replaced three at a time with a fifth of the datagrams lost: form 2 once the last is
+/// new, not before; and back the same way.
 #[test]
 fn a_rolling_upgrade_goes_up_at_its_end_and_back_at_once() {
     let mut sim = Sim::new(24, 7, 0.2);
@@ -345,7 +347,8 @@
     sim.settles();
 }
 
-/// Rows that can't be told while an old process is alive are kept aside, and go once they can, the latest of them.
+/// Rows that can't be told while an old process is alive are kept aside, and go once they can, the latest
+/// of them.
 #[test]
 fn rows_are_kept_aside_while_form_1_is_written() {
     let mut sim = Sim::new(3, 5, 0.0);
@@ -361,8 +364,8 @@
     assert_eq!(sim.rows.get(&0), Some(&vec![rows(4)]), "the latest alone");
 }
 
-/// A relay that is silent since it was written to in form 2, or whose word is old, may have been replaced by an old
-/// one that has nothing to say: it gets form 1.
+/// A relay that is silent since it was written to in form 2, or whose word is old, may have been replaced
+/// by an old one that has nothing to say: it gets form 1.
 #[test]
 fn who_is_silent_gets_form_1() {
     let mut negotiator = VersionNegotiator::new(
--- a/crates/socket-activation/src/lib.rs
+++ b/crates/socket-activation/src/lib.rs
@@ -1,7 +1,7 @@
 //! Takes a listening socket that the platform has passed as an inherited descriptor.
 //!
-//! The program forbids unsafe code; a descriptor that is known by its number only can't be had without. This crate
-//! is that one place.
+//! The program forbids unsafe code; a descriptor that is known by its number only can't be had without.
+//! This crate is that one place.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
@@ -15,8 +15,9 @@
 /// The least number that may be passed: below are the standard streams.
 pub const LEAST: RawFd = 3;
 
-/// Takes over the listening stream socket that was inherited under this number; it is not passed on to other programs.
-/// It must be called before the process opens any descriptor itself, which could have the number otherwise.
+/// Takes over the listening stream socket that was inherited under this number; it is not passed on to
+/// other programs. It must be called before the process opens any descriptor itself, which could have the
+/// number otherwise.
 ///
 /// # Errors
 /// What has the number is no listening stream socket, or nothing has it. Nothing is closed then.
@@ -41,7 +42,8 @@
         return Err(wrong("listens for no Internet protocol"));
     }
     socket.set_nonblocking(true)?;
-    // SAFETY: it was inherited for this process to own, is open, and by the condition above nobody else here has it.
+    // SAFETY: it was inherited for this process to own, is open, and by the condition above nobody else
+    // here has it.
     #[allow(unsafe_code)]
     drop(unsafe { OwnedFd::from_raw_fd(number) });
     Ok(TcpListener::from(own))
--- a/crates/test-cluster/examples/cold_start.rs
+++ b/crates/test-cluster/examples/cold_start.rs
@@ -1,4 +1,5 @@
-//! Starts many relays together before a slow discovery and endpoints with one store, and prints how they fare.
+//! Starts many relays together before a slow discovery and endpoints with one store, and prints how they
+//! fare.
 //!
 //! `cargo run --release -p sandgw-test-cluster --example cold_start -- target/release/sandgw --relays 250`
 
--- a/crates/test-cluster/examples/mixed_versions.rs
+++ b/crates/test-cluster/examples/mixed_versions.rs
@@ -1,9 +1,10 @@
-//! Shows that two versions of the relay work together: in one cluster, over a hand-over, and on one state folder.
+//! Shows that two versions of the relay work together: in one cluster, over a hand-over, and on one state
+//! folder.
 //!
 //! `cargo run -p sandgw-test-cluster --example mixed_versions -- OLD_BINARY NEW_BINARY [SEED]`
 //!
-//! It runs both programs before the stand-ins of the test cluster and prints one line for each part with its verdict.
-//! It exits with a failure if any part fails. It judges neither version alone: tests do that.
+//! It runs both programs before the stand-ins of the test cluster and prints one line for each part with
+//! its verdict. It exits with a failure if any part fails. It judges neither version alone: tests do that.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -160,8 +161,8 @@
     }
 }
 
-/// One relay handed over from a process of one version to a process of the other: the established connections go on,
-/// new ones are served, and the next process knows where clients were placed.
+/// One relay handed over from a process of one version to a process of the other: the established
+/// connections go on, new ones are served, and the next process knows where clients were placed.
 async fn handover(from: &Path, to: &Path, more_settings: &str) -> PartResult {
     let folder = tempfile::tempdir()?;
     let settings = format!("[relay]\nhandover = {:?}\n{more_settings}", folder.path());
@@ -205,8 +206,8 @@
     ))
 }
 
-/// A state folder written by a relay of one version: the other version's tool reads the same from it, and its relay
-/// knows the clients from it.
+/// A state folder written by a relay of one version: the other version's tool reads the same from it, and
+/// its relay knows the clients from it.
 async fn state_folder(writer: &Path, reader: &Path) -> PartResult {
     let folder = tempfile::tempdir()?;
     let state = folder.path().join("state");
@@ -274,8 +275,8 @@
     }
 }
 
-/// What this version exports after it has imported the report's export into an empty folder, which is made here. Times
-/// may differ in their last digit from those of the report: JSON is not parsed to the last bit.
+/// What this version exports after it has imported the report's export into an empty folder, which is made
+/// here. Times may differ in their last digit from those of the report: JSON is not parsed to the last bit.
 fn imported(binary: &Path, report: &StateReport, folder: &Path) -> Result<Vec<u8>, PartError> {
     fs::create_dir(folder)?;
     let [from, to, copy] = ["from", "to", "state"].map(|name| folder.join(name).display().to_string());
--- a/crates/test-cluster/src/fault_proxy/mesh.rs
+++ b/crates/test-cluster/src/fault_proxy/mesh.rs
@@ -1,7 +1,7 @@
 //! The links between relays: one UDP socket for each relay stands in for it at all others.
 //!
-//! What relay `i` sends to the socket of `j` goes on to `j` from the socket of `i`, so that n sockets give every pair
-//! its own link, each way.
+//! What relay `i` sends to the socket of `j` goes on to `j` from the socket of `i`, so that n sockets give
+//! every pair its own link, each way.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -30,7 +30,8 @@
 const VERSION_2_KINDS: [&str; 9] =
     ["news", "ask", "plan", "sessions", "groups", "again", "where", "holds", "loads"];
 
-/// The shortest and the longest time that a datagram is on its way. With different ones, datagrams are reordered.
+/// The shortest and the longest time that a datagram is on its way. With different ones, datagrams are
+/// reordered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DelayRange {
     /// The shortest time.
--- a/crates/test-cluster/src/fault_proxy/mod.rs
+++ b/crates/test-cluster/src/fault_proxy/mod.rs
@@ -1,7 +1,8 @@
-//! Links between relays and before single addresses, on which datagrams and connections are delayed, lost and cut.
+//! Links between relays and before single addresses, on which datagrams and connections are delayed, lost
+//! and cut.
 //!
-//! A [`DatagramMesh`] owns one UDP socket for each relay; a [`TcpLink`] owns a listener before one address. Their
-//! inputs are the faults of each link. Neither reads more of what passes than the kind of a datagram.
+//! A [`DatagramMesh`] owns one UDP socket for each relay; a [`TcpLink`] owns a listener before one address.
+//! Their inputs are the faults of each link. Neither reads more of what passes than the kind of a datagram.
 
 mod mesh;
 mod tcp_link;
--- a/crates/test-cluster/src/fault_schedule.rs
+++ b/crates/test-cluster/src/fault_schedule.rs
@@ -1,7 +1,8 @@
 //! Schedules of faults, drawn from a seed: the same seed gives the same schedule.
 //!
-//! A schedule is data, with times in milliseconds from its start; [`crate::TestCluster::run`] carries it out. Every
-//! fault that is drawn ends within the schedule, so that the cluster is whole again when it is over.
+//! A schedule is data, with times in milliseconds from its start; [`crate::TestCluster::run`] carries it
+//! out. Every fault that is drawn ends within the schedule, so that the cluster is whole again when it is
+//! over.
 
 use std::fmt;
 
--- a/crates/test-cluster/src/invariants/drain.rs
+++ b/crates/test-cluster/src/invariants/drain.rs
@@ -13,7 +13,8 @@
 pub(super) fn check(log: &RunLog, knowledge: &mut ListKnowledge) -> Vec<Violation> {
     let mut violations = Vec::new();
     for event in log.events {
-        // The connection of a client that arrives mid-flow belongs to its endpoint, whether that drains or not.
+        // The connection of a client that arrives mid-flow belongs to its endpoint, whether that drains or
+        // not.
         if let EventKind::AttemptReceived { id, endpoint, first_byte_ms, mid_flow: false } = &event.kind {
             let attempt = Attempt { event, id: *id, endpoint, first_byte_ms: *first_byte_ms };
             violations.extend(check_attempt(log, knowledge, &attempt));
--- a/crates/test-cluster/src/invariants/list_knowledge.rs
+++ b/crates/test-cluster/src/invariants/list_knowledge.rs
@@ -1,5 +1,5 @@
-//! When a relay counts as informed of a change of the endpoint list: by an answer of discovery that reports it, or by
-//! the time for which it may go without an answer.
+//! When a relay counts as informed of a change of the endpoint list: by an answer of discovery that reports
+//! it, or by the time for which it may go without an answer.
 
 use std::collections::HashMap;
 
@@ -35,7 +35,8 @@
         ListKnowledge { log, informed_ms: HashMap::new() }
     }
 
-    /// When the incarnation of a relay that runs at `at_ms` counts as informed of a revision; none if not by then.
+    /// When the incarnation of a relay that runs at `at_ms` counts as informed of a revision; none if not
+    /// by then.
     pub(super) fn informed_at(&mut self, relay: RelayIndex, revision: u64, at_ms: Millis) -> Option<Millis> {
         let events = self.log.relay_events.get(&relay)?;
         let until = events.partition_point(|event| event.at_ms <= at_ms);
--- a/crates/test-cluster/src/invariants/mod.rs
+++ b/crates/test-cluster/src/invariants/mod.rs
@@ -1,8 +1,8 @@
 //! Checks the log of a run against the four rules: which relay violated which, with the events that show it.
 //!
-//! Its inputs are the events, the figures of the rules and the classes; it gives the violations and who was served. It
-//! owns nothing and reads no clock: the verdict rests on the log alone. It does not check what the log does not show:
-//! lines that are held back, and what a relay would have done next.
+//! Its inputs are the events, the figures of the rules and the classes; it gives the violations and who was
+//! served. It owns nothing and reads no clock: the verdict rests on the log alone. It does not check what
+//! the log does not show: lines that are held back, and what a relay would have done next.
 
 mod answered;
 mod drain;
--- a/crates/test-cluster/src/invariants/no_repeat.rs
+++ b/crates/test-cluster/src/invariants/no_repeat.rs
@@ -1,5 +1,5 @@
-//! Rule 2: no effect is repeated. A request has one attempt at a time, and one that may have been executed is repeated
-//! only where its class admits it.
+//! Rule 2: no effect is repeated. A request has one attempt at a time, and one that may have been executed
+//! is repeated only where its class admits it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/test-cluster/src/invariants/slow_start.rs
+++ b/crates/test-cluster/src/invariants/slow_start.rs
@@ -85,8 +85,8 @@
     attempts.collect()
 }
 
-/// A window with more attempts than the budget is a violation if more than two thirds of them are by relays that were
-/// informed of the start.
+/// A window with more attempts than the budget is a violation if more than two thirds of them are by relays
+/// that were informed of the start.
 fn check_window(
     log: &RunLog,
     knowledge: &mut ListKnowledge,
--- a/crates/test-cluster/src/invariants/verdict.rs
+++ b/crates/test-cluster/src/invariants/verdict.rs
@@ -106,8 +106,8 @@
     pub mid_flow: MidFlowCounts,
     /// The most that arrived at a cold endpoint within one window, as a fraction of its budget.
     pub max_cold_load_fraction: f64,
-    /// The longest stall of the stand-ins' thread: what arrived meanwhile is recorded as of one moment. It excuses
-    /// nothing.
+    /// The longest stall of the stand-ins' thread: what arrived meanwhile is recorded as of one moment. It
+    /// excuses nothing.
     pub max_stall_ms: Millis,
 }
 
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,9 +1,11 @@
-//! A cluster for tests: many relays as real processes, stand-ins for everything around them, and faults between.
+//! A cluster for tests: many relays as real processes, stand-ins for everything around them, and faults
+//! between.
 //!
-//! It owns the processes, their folders and the stand-ins' sockets. Its inputs are a [`ClusterConfig`] and a schedule
-//! of faults; its output is the log of what every stand-in saw, which [`invariants`] checks against the four rules.
-//! It decides nothing for a relay and sees only what passes a socket. Everything runs on one thread of tokio, on
-//! loopback addresses alone; it is for tests and measurements, never for a deployment.
+//! It owns the processes, their folders and the stand-ins' sockets. Its inputs are a [`ClusterConfig`] and
+//! a schedule of faults; its output is the log of what every stand-in saw, which [`invariants`] checks
+//! against the four rules. It decides nothing for a relay and sees only what passes a socket. Everything
+//! runs on one thread of tokio, on loopback addresses alone; it is for tests and measurements, never for a
+//! deployment.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/test-cluster/src/load_clients/health.rs
+++ b/crates/test-cluster/src/load_clients/health.rs
@@ -1,4 +1,5 @@
-//! Health checks of the relays: clients use a relay that answers `PING`, and a dead one is found some seconds later.
+//! Health checks of the relays: clients use a relay that answers `PING`, and a dead one is found some
+//! seconds later.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/test-cluster/src/load_clients/mod.rs
+++ b/crates/test-cluster/src/load_clients/mod.rs
@@ -1,9 +1,9 @@
 //! Clients that arrive whatever becomes of those before, spread over the relays that are healthy.
 //!
-//! They own their connections; their input is a plan with a seed; they record every first line and every reply, and
-//! count how each client fared. A client retries after a rejection or a failure while its time lasts, stays once it is
-//! served, returns after `MOVE` or a break, and arrives mid-flow at another relay when its own dies, where packets
-//! pass through.
+//! They own their connections; their input is a plan with a seed; they record every first line and every
+//! reply, and count how each client fared. A client retries after a rejection or a failure while its time
+//! lasts, stays once it is served, returns after `MOVE` or a break, and arrives mid-flow at another relay
+//! when its own dies, where packets pass through.
 
 mod client;
 mod health;
--- a/crates/test-cluster/src/log.rs
+++ b/crates/test-cluster/src/log.rs
@@ -1,7 +1,7 @@
 //! The log of what the stand-ins have seen, in one order and with one clock.
 //!
-//! It owns the events and the clock, in milliseconds since the cluster began. Every stand-in records events in it;
-//! [`crate::invariants`], [`crate::service_levels`] and tests read them. It draws no conclusions.
+//! It owns the events and the clock, in milliseconds since the cluster began. Every stand-in records events
+//! in it; [`crate::invariants`], [`crate::service_levels`] and tests read them. It draws no conclusions.
 
 use std::fmt;
 use std::sync::{Arc, Mutex};
--- a/crates/test-cluster/src/process.rs
+++ b/crates/test-cluster/src/process.rs
@@ -1,9 +1,10 @@
 //! Relays as processes of the real program.
 //!
-//! It owns each process, its folder and its log file. Its inputs are the configuration of a relay and signals; it
-//! gives whether the process runs and what it has logged. A relay is started as the platform starts it: by the shell,
-//! with `PROXY_*` in its environment, its configuration as a file, a folder of its own for temporary files that is
-//! empty at every start, and a limit of descriptors. It never looks into the process.
+//! It owns each process, its folder and its log file. Its inputs are the configuration of a relay and
+//! signals; it gives whether the process runs and what it has logged. A relay is started as the platform
+//! starts it: by the shell, with `PROXY_*` in its environment, its configuration as a file, a folder of its
+//! own for temporary files that is empty at every start, and a limit of descriptors. It never looks into
+//! the process.
 
 use std::fs::{self, File};
 use std::io;
@@ -128,8 +129,8 @@
     ///
     /// # Errors
     ///
-    /// [`TestClusterError::Folder`] if its files can't be written, [`TestClusterError::Start`] if the program can't be
-    /// run.
+    /// [`TestClusterError::Folder`] if its files can't be written, [`TestClusterError::Start`] if the
+    /// program can't be run.
     pub fn start(&mut self) -> Result<(), TestClusterError> {
         if self.child.is_some() {
             self.kill();
@@ -246,7 +247,8 @@
     ///
     /// # Errors
     ///
-    /// [`TestClusterError::Folder`] if the file can't be written, [`TestClusterError::Signal`] if there is no process.
+    /// [`TestClusterError::Folder`] if the file can't be written, [`TestClusterError::Signal`] if there is
+    /// no process.
     pub fn reload(&self) -> Result<(), TestClusterError> {
         self.write_configuration()?;
         self.signal(Signal::HUP)
--- a/crates/test-cluster/src/service_levels.rs
+++ b/crates/test-cluster/src/service_levels.rs
@@ -1,8 +1,9 @@
-//! Which fraction of the clients was served in each segment of a run: each third, each class and each tenant; and
-//! whether no segment is below a minimum.
+//! Which fraction of the clients was served in each segment of a run: each third, each class and each
+//! tenant; and whether no segment is below a minimum.
 //!
-//! Its inputs are the log's events and the caller's minimum; it owns the counts. A client counts in the third in which
-//! it arrived, whenever it is served, and one whose end the log does not show counts as not served.
+//! Its inputs are the log's events and the caller's minimum; it owns the counts. A client counts in the
+//! third in which it arrived, whenever it is served, and one whose end the log does not show counts as not
+//! served.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -161,8 +162,8 @@
     ///
     /// # Errors
     ///
-    /// [`ServiceLevelError::NoArrivals`] if a segment has no clients, [`ServiceLevelError::BelowMinimum`] if one is
-    /// below the minimum or the minimum is no number.
+    /// [`ServiceLevelError::NoArrivals`] if a segment has no clients, [`ServiceLevelError::BelowMinimum`]
+    /// if one is below the minimum or the minimum is no number.
     pub fn check_minimum(&self, min_fraction: f64) -> Result<(), ServiceLevelError> {
         let empty = self.counts.iter().filter(|(_, count)| count.arrived == 0);
         let empty: Vec<_> = empty.map(|(segment, _)| segment.clone()).collect();
--- a/crates/test-cluster/src/settings.rs
+++ b/crates/test-cluster/src/settings.rs
@@ -47,8 +47,9 @@
 }
 
 impl RuleSettings {
-    /// The number of requests within one window above which a cold endpoint is overloaded, where the settings allow
-    /// it `allowed` requests: two standard deviations and two requests more, since arrivals vary by chance.
+    /// The number of requests within one window above which a cold endpoint is overloaded, where the
+    /// settings allow it `allowed` requests: two standard deviations and two requests more, since arrivals
+    /// vary by chance.
     ///
     /// ```
     /// assert_eq!(sandgw_test_cluster::settings::RuleSettings::overload_budget(100.0), 122.0);
@@ -57,8 +58,8 @@
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 
-    /// The number of requests that the settings allow a cold endpoint within one window, for an endpoint that takes
-    /// `setups_per_s` when warm and started `age_ms` ago.
+    /// The number of requests that the settings allow a cold endpoint within one window, for an endpoint
+    /// that takes `setups_per_s` when warm and started `age_ms` ago.
     pub fn allowed_requests(&self, setups_per_s: f64, age_ms: Millis) -> f64 {
         let warm_up_factor = self.cold_capacity_fraction
             + (1.0 - self.cold_capacity_fraction) * (age_ms / self.warm_up_ms).clamp(0.0, 1.0);
@@ -66,8 +67,8 @@
     }
 }
 
-/// The settings of relay `local_index` of `relays`, in the platform's format: tenants have equal fractions, and
-/// classes are all alike, with requests that may be repeated.
+/// The settings of relay `local_index` of `relays`, in the platform's format: tenants have equal fractions,
+/// and classes are all alike, with requests that may be repeated.
 pub fn relay_settings(
     rules: &RuleSettings,
     relays: usize,
--- a/crates/test-cluster/src/stub_discovery/mod.rs
+++ b/crates/test-cluster/src/stub_discovery/mod.rs
@@ -1,10 +1,10 @@
 //! A stand-in for discovery: one service for all relays that takes calls in turn.
 //!
-//! It owns the endpoint list, the queue of calls and an address for each relay, so that the caller is known. Its
-//! inputs are changes of the list and faults; it answers over HTTP and records each call. The queue is arithmetic:
-//! each call that begins takes the stated cost after the one before, also one that fails because it would wait too
-//! long. A watch that continues another costs nothing. A call for the whole list is no watch: the watch after it
-//! begins anew.
+//! It owns the endpoint list, the queue of calls and an address for each relay, so that the caller is
+//! known. Its inputs are changes of the list and faults; it answers over HTTP and records each call. The
+//! queue is arithmetic: each call that begins takes the stated cost after the one before, also one that
+//! fails because it would wait too long. A watch that continues another costs nothing. A call for the whole
+//! list is no watch: the watch after it begins anew.
 
 mod body;
 mod list;
--- a/crates/test-cluster/src/stub_endpoints/connection.rs
+++ b/crates/test-cluster/src/stub_endpoints/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a relay to an endpoint: its first line, the endpoint's decision, and the lines after that.
+//! One connection of a relay to an endpoint: its first line, the endpoint's decision, and the lines after
+//! that.
 
 use std::sync::Arc;
 
--- a/crates/test-cluster/src/stub_endpoints/mod.rs
+++ b/crates/test-cluster/src/stub_endpoints/mod.rs
@@ -1,9 +1,9 @@
 //! Stand-ins for endpoints, and the store that all their set-ups call.
 //!
-//! They own their listeners and their connections; their inputs are first lines and faults; they record every attempt.
-//! A set-up takes its turn at the store, first come, first served, also when its relay has cancelled it since. A cold
-//! endpoint counts what arrives, rejected or not, and is overloaded by the rule's budget. One that has died stays
-//! down until it is started again.
+//! They own their listeners and their connections; their inputs are first lines and faults; they record
+//! every attempt. A set-up takes its turn at the store, first come, first served, also when its relay has
+//! cancelled it since. A cold endpoint counts what arrives, rejected or not, and is overloaded by the
+//! rule's budget. One that has died stays down until it is started again.
 
 mod connection;
 mod model;
@@ -25,8 +25,8 @@
 pub use model::{Behaviour, EndpointModel};
 use state::{Command, EndpointState, Shared, Store};
 
-/// How often a listener is tried at the address of an endpoint that starts again: what listened there before is
-/// released a moment after its end.
+/// How often a listener is tried at the address of an endpoint that starts again: what listened there
+/// before is released a moment after its end.
 const MAX_LISTEN_RETRIES: u32 = 100;
 /// The pause between two such tries.
 const LISTEN_RETRY_MS: Millis = 10.0;
--- a/crates/test-cluster/src/stub_endpoints/state.rs
+++ b/crates/test-cluster/src/stub_endpoints/state.rs
@@ -1,4 +1,5 @@
-//! The state of one endpoint and of the store: what they hold, and what becomes of a request. No input or output.
+//! The state of one endpoint and of the store: what they hold, and what becomes of a request. No input or
+//! output.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/test-cluster/tests/invariants.rs
+++ b/crates/test-cluster/tests/invariants.rs
@@ -176,7 +176,8 @@
         self.record(EventKind::ColdStart { endpoint: "b2".into(), setups_per_s: 100.0 });
         self.listed(6, "b2", EndpointPhase::Ready, true);
         self.record(EventKind::DiscoveryAnswered { relay: 3, call: 3, revision: 6 });
-        // 100 a second, of which 34% in the middle of it tripled are 102; for chance two roots of that and two: 124.
+        // 100 a second, of which 34% in the middle of it tripled are 102; for chance two roots of that and
+        // two: 124.
         for _ in 0..if self.is(Floods) { 130 } else { 90 } {
             let id = self.asks("stream");
             self.record(EventKind::AttemptReceived {
@@ -259,7 +260,8 @@
     }
 }
 
-/// What arrived during a stall is recorded in one moment: the verdict names the stall, and excuses nothing for it.
+/// What arrived during a stall is recorded in one moment: the verdict names the stall, and excuses nothing
+/// for it.
 #[test]
 fn a_stall_of_the_rig_is_told_and_excuses_nothing() {
     for careless in [Nothing, Floods] {
@@ -290,7 +292,8 @@
         play.record(EventKind::RelayReady(0));
         check_invariants(&play.log, &RuleSettings::default(), &HashMap::new())
     };
-    // It has not asked, and has still time to; and its client was lost with it, at the death that the log shows.
+    // It has not asked, and has still time to; and its client was lost with it, at the death that the log
+    // shows.
     let dies = |log: &mut Vec<Event>| {
         let at_ms = log.last().map_or(0.0, |e| e.at_ms);
         log.push(Event { at_ms, kind: EventKind::RelayDied(3) });
--- a/crates/test-cluster/tests/service_levels.rs
+++ b/crates/test-cluster/tests/service_levels.rs
@@ -1,4 +1,5 @@
-//! Service levels: on logs that are written here, and on a run of clients before a stand-in that starves some of them.
+//! Service levels: on logs that are written here, and on a run of clients before a stand-in that starves
+//! some of them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -114,7 +115,8 @@
     assert!(error.to_string().contains("third 2") && error.help().len() > 20, "{error}");
 }
 
-/// Before a stand-in for a relay that turns away, by their first line and by how many came before, whom it is told to.
+/// Before a stand-in for a relay that turns away, by their first line and by how many came before, whom it
+/// is told to.
 async fn run(refuses: impl Fn(usize, &str) -> bool + Send + Sync + 'static) -> ServiceLevels {
     let listener = TcpListener::bind((loopback_host(), 0)).await.unwrap();
     let (at, came, refuses) =
--- a/crates/units/src/random.rs
+++ b/crates/units/src/random.rs
@@ -1,7 +1,7 @@
 //! Reproducible pseudo-random numbers for jitter and for sampling peers.
 //!
-//! The generator is a chain of xxh3 hashes: the same seed gives the same numbers on every platform. It is neither
-//! cryptographic nor suited to simulations that need a long period.
+//! The generator is a chain of xxh3 hashes: the same seed gives the same numbers on every platform. It is
+//! neither cryptographic nor suited to simulations that need a long period.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/units/src/timer.rs
+++ b/crates/units/src/timer.rs
@@ -1,8 +1,9 @@
-//! Timers of parts that do no I/O: each asks its driver for a wake-up and does not ask for the same one twice.
+//! Timers of parts that do no I/O: each asks its driver for a wake-up and does not ask for the same one
+//! twice.
 //!
-//! Both types take the time and the next deadline in milliseconds and give the delay after which the driver is to
-//! call, or nothing where a wake-up that is early enough is already pending. They never cancel a wake-up; a call that
-//! comes too early is harmless.
+//! Both types take the time and the next deadline in milliseconds and give the delay after which the driver
+//! is to call, or nothing where a wake-up that is early enough is already pending. They never cancel a
+//! wake-up; a call that comes too early is harmless.
 
 use crate::Millis;
 
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,4 +1,5 @@
-//! Configuration files: their values, and which keys they have, to tell a file that was cut short from a whole one.
+//! Configuration files: their values, and which keys they have, to tell a file that was cut short from a
+//! whole one.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +9,8 @@
 
 /// The key that stands for a file as a whole.
 pub(super) const WHOLE_FILE: &str = "(file)";
-/// Keys that come and go with other values: what is in the list of endpoints is its own matter, and these of a class
-/// depend on its effect when repeated.
+/// Keys that come and go with other values: what is in the list of endpoints is its own matter, and these
+/// of a class depend on its effect when repeated.
 const OPTIONAL_KEYS: [&str; 4] =
     ["known", "settings.lanes[].group", "settings.lanes[].windowMs", "settings.lanes[].aimStretch"];
 
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -1,7 +1,8 @@
 //! Reading the configuration: the platform's file, variables of the environment, an application's file.
 //!
-//! What the application's file says goes over the platform's file; a variable says only what the files leave out, since
-//! they can be replaced under a running relay and its environment can't. All faults are reported, not the first only.
+//! What the application's file says goes over the platform's file; a variable says only what the files
+//! leave out, since they can be replaced under a running relay and its environment can't. All faults are
+//! reported, not the first only.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -95,8 +96,8 @@
 }
 
 impl Config {
-    /// Reads the platform's configuration, if `PROXY_CONFIG` names one, and over it an application's file, if one is
-    /// given.
+    /// Reads the platform's configuration, if `PROXY_CONFIG` names one, and over it an application's file,
+    /// if one is given.
     ///
     /// # Errors
     ///
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The one place where configuration is read, checked and given defaults: the platform's environment, its JSON file and
-//! an application's TOML file.
+//! The one place where configuration is read, checked and given defaults: the platform's environment, its
+//! JSON file and an application's TOML file.
 //!
-//! [`Config::load`] reads all of it and reports every fault with file, key and reason. [`Config::whole`] tells a file
-//! that was cut short, and [`Config::reload`] takes what may change while the relay runs.
+//! [`Config::load`] reads all of it and reports every fault with file, key and reason. [`Config::whole`]
+//! tells a file that was cut short, and [`Config::reload`] takes what may change while the relay runs.
 
 mod errors;
 mod file;
@@ -70,8 +70,8 @@
     pub snmp: Option<Snmp>,
     /// The store of clients and groups, where an application's file names a folder.
     pub state: Option<StateFolder>,
-    /// What it reads of shared state and may write, where an application's file turns forms on; without it, it
-    /// writes form 1 and tells nobody what it reads.
+    /// What it reads of shared state and may write, where an application's file turns forms on; without it,
+    /// it writes form 1 and tells nobody what it reads.
     pub forms: Option<SupportedVersions>,
     /// Maintenance windows, where an application's file has a section for them.
     pub maintenance: Option<Maintenance>,
@@ -84,8 +84,8 @@
 pub struct Limits {
     /// Descriptors that the process may hold. The platform says, and it is the usual limit elsewhere.
     pub sockets: usize,
-    /// How long a client of the line protocol may take for its first line. Some take 2 s; one that never ends it is
-    /// owed an end within 3 s, of which a busy relay may need some.
+    /// How long a client of the line protocol may take for its first line. Some take 2 s; one that never
+    /// ends it is owed an end within 3 s, of which a busy relay may need some.
     pub first_line: Millis,
 }
 
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -6,8 +6,9 @@
 use crate::policy::api::Settings;
 
 impl Config {
-    /// Gives a newly read configuration back if its files are whole beside those in force: nothing that they said is left
-    /// out, and they don't end within a line. Cut short, a TOML file may well read as a valid one.
+    /// Gives a newly read configuration back if its files are whole beside those in force: nothing that
+    /// they said is left out, and they don't end within a line. Cut short, a TOML file may well read as a
+    /// valid one.
     ///
     /// # Errors
     ///
@@ -24,14 +25,14 @@
         if faults.is_empty() { Ok(new) } else { Err(faults) }
     }
 
-    /// Takes what a newly read configuration may change under a running relay; names the keys that differ but are taken
-    /// at the next start only.
+    /// Takes what a newly read configuration may change under a running relay; names the keys that differ
+    /// but are taken at the next start only.
     ///
-    /// Taken are `settings`, where to ask and whom to believe: `discovery`, `peers`, `limits.first_line_ms`,
-    /// `rtmp.class`, `rtmp.give_up_ms`, `rtmp.trusted` and `snmp.community`; what a connection began with holds to its
-    /// end. Not taken are the addresses listened on, since clients and peers would still use the old ones, the name, the
-    /// store, and the process's own limit of descriptors. `known` and `seed` are for a start: the list held is newer
-    /// than any in the file.
+    /// Taken are `settings`, where to ask and whom to believe: `discovery`, `peers`,
+    /// `limits.first_line_ms`, `rtmp.class`, `rtmp.give_up_ms`, `rtmp.trusted` and `snmp.community`; what a
+    /// connection began with holds to its end. Not taken are the addresses listened on, since clients and
+    /// peers would still use the old ones, the name, the store, and the process's own limit of descriptors.
+    /// `known` and `seed` are for a start: the list held is newer than any in the file.
     pub fn reload(&mut self, new: Config) -> Vec<&'static str> {
         let deferred = self.keys_of_next_start(&new);
         self.discovery = new.discovery;
--- a/src/config/template.rs
+++ b/src/config/template.rs
@@ -14,8 +14,8 @@
 /// The folder that files are written into.
 const FOLDER: &str = "deploy";
 
-/// Writes a commented application file that is valid as it stands, into `deploy/` below `folder`. A file that is there
-/// already is never overwritten.
+/// Writes a commented application file that is valid as it stands, into `deploy/` below `folder`. A file
+/// that is there already is never overwritten.
 ///
 /// # Errors
 ///
--- a/src/discovery/entry.rs
+++ b/src/discovery/entry.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// A number from 0 to `max`. One that can't be read is an error: a start misread as long ago would have an endpoint that
-/// warms up taken for a warm one.
+/// A number from 0 to `max`. One that can't be read is an error: a start misread as long ago would have an
+/// endpoint that warms up taken for a warm one.
 fn read_number(id: &str, value: &Value, key: &'static str, default: f64, max: f64) -> Result<f64, ListError> {
     let value = &value[key];
     if value.is_null() {
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The list of endpoints as discovery gives it, and what is asked of discovery.
 //!
-//! Nothing here knows a socket: a driver asks for [`EndpointList::request`] and hands the body of what comes back to
-//! [`EndpointList::answer`]. When to ask is decided by `sandgw_cluster::poll_scheduler`.
+//! Nothing here knows a socket: a driver asks for [`EndpointList::request`] and hands the body of what
+//! comes back to [`EndpointList::answer`]. When to ask is decided by `sandgw_cluster::poll_scheduler`.
 
 mod entry;
 mod errors;
@@ -19,18 +19,19 @@
 use crate::policy::api::*;
 use crate::policy::hashing::unit_of_hash;
 
-/// How long discovery may hold a watch at the least, in ms. Each wait is drawn, so that relays whose watches were all
-/// answered by one change do not go on in step.
+/// How long discovery may hold a watch at the least, in ms. Each wait is drawn, so that relays whose
+/// watches were all answered by one change do not go on in step.
 pub const MIN_WAIT_MS: Millis = 1000.0;
-/// How long discovery may hold a watch at the most, in ms. What a watch that has fallen silent misses counts as told 6 s
-/// later, whether or not it arrived: by then the silence has to be noticed, and another call answered.
+/// How long discovery may hold a watch at the most, in ms. What a watch that has fallen silent misses
+/// counts as told 6 s later, whether or not it arrived: by then the silence has to be noticed, and another
+/// call answered.
 pub const MAX_WAIT_MS: Millis = 2500.0;
 /// How much longer an answer to a watch may be on its way, in ms: beyond that the watch is broken.
 pub const ANSWER_GRACE_MS: Millis = 1000.0;
 /// A call that doesn't wait is answered at once, after at most the 2 s that discovery lets one queue.
 pub const LIST_TIMEOUT_MS: Millis = 2500.0;
-/// Pause before the next try at a discovery service that has not answered since it was configured, in ms: what it has to
-/// tell counts as told 4 s later.
+/// Pause before the next try at a discovery service that has not answered since it was configured, in ms:
+/// what it has to tell counts as told 4 s later.
 pub const RETRY_MS: Millis = 250.0;
 /// Most bytes of one answer; a list of thousands of endpoints stays far below.
 pub const ANSWER_BYTES: usize = 4 << 20;
@@ -40,7 +41,8 @@
 pub struct EndpointList {
     /// The list's version; nothing where it is not known to be this discovery service's.
     revision: Option<u64>,
-    /// No call has been answered since the start or since one failed: the version is of the list as last held.
+    /// No call has been answered since the start or since one failed: the version is of the list as last
+    /// held.
     unconfirmed: bool,
     /// How long the latest call lets discovery wait, and what the draws for it go on from.
     wait: Millis,
@@ -63,8 +65,8 @@
         if known.is_null() {
             return Ok((list, Vec::new()));
         }
-        // What has changed since costs discovery less than the whole list. Should it be of another service, that one
-        // says so at once, unless its versions are ahead by chance.
+        // What has changed since costs discovery less than the whole list. Should it be of another service,
+        // that one says so at once, unless its versions are ahead by chance.
         let (_, entries) = list.read(known)?;
         list.unconfirmed = true;
         Ok((list, entries))
@@ -109,14 +111,15 @@
         if self.wait > 0.0 { self.wait + ANSWER_GRACE_MS } else { LIST_TIMEOUT_MS }
     }
 
-    /// The call that is out has failed. Changes are asked for without a wait next, which shows at once whether there
-    /// is a service; whether a watch was broken by it that had been going on.
+    /// The call that is out has failed. Changes are asked for without a wait next, which shows at once
+    /// whether there is a service; whether a watch was broken by it that had been going on.
     pub fn broken(&mut self) -> bool {
         self.asked = None;
         !std::mem::replace(&mut self.unconfirmed, self.revision.is_some()) && self.revision.is_some()
     }
 
-    /// In how long to ask anew after a watch has fallen silent, or was broken otherwise, in a tier of so many relays.
+    /// In how long to ask anew after a watch has fallen silent, or was broken otherwise, in a tier of so
+    /// many relays.
     pub fn anew(&mut self, relays: u32, silent: bool) -> Millis {
         let draw = self.draw();
         if silent {
@@ -136,7 +139,8 @@
         unit_of_hash(self.seed)
     }
 
-    /// Where an endpoint listens for this relay; nowhere once it is gone, since nothing is sent there any more.
+    /// Where an endpoint listens for this relay; nowhere once it is gone, since nothing is sent there any
+    /// more.
     pub fn address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         self.addresses.get(endpoint).copied()
     }
@@ -193,7 +197,8 @@
         Ok((kind, entries))
     }
 
-    /// Takes one entry. The address of an endpoint that was removed is forgotten: nothing is sent there any more.
+    /// Takes one entry. The address of an endpoint that was removed is forgotten: nothing is sent there any
+    /// more.
     fn apply(&mut self, listed: ListedEndpoint, value: &Value) -> EndpointEntry {
         let ListedEndpoint { entry, address } = listed;
         if entry.state == EndpointState::Removed {
--- a/src/handover/codec.rs
+++ b/src/handover/codec.rs
@@ -10,7 +10,8 @@
 /// Length of the body's length.
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are no message. The peer learns that it speaks another version: no other sender sends such bytes.
+/// Why bytes are no message. The peer learns that it speaks another version: no other sender sends such
+/// bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The body would be longer than any.
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -1,5 +1,5 @@
-//! The messages between the two processes of a hand-over. They are encoded with postcard: the order of the variants, and
-//! the order and types of their fields, are the wire format.
+//! The messages between the two processes of a hand-over. They are encoded with postcard: the order of the
+//! variants, and the order and types of their fields, are the wire format.
 
 use sandgw_affinity::Record;
 use serde::{Deserialize, Serialize};
@@ -70,8 +70,8 @@
         /// How many.
         descriptors: u32,
     },
-    /// From version 2 on, before anything else: the version that both speak, and what is known of the cluster's schema
-    /// versions.
+    /// From version 2 on, before anything else: the version that both speak, and what is known of the
+    /// cluster's schema versions.
     VersionAgreement {
         /// Version of the messages that follow.
         version: u32,
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,11 +1,14 @@
 //! How one process of a relay hands it over to the next: the messages, and each side's state machine.
 //!
-//! Exactly one of the two accepts requests at any time. The old one ([`PredecessorProcess`]) stops accepting before it
-//! says so, and resumes only while the new one can't have begun; the new one ([`SuccessorProcess`]) begins only once
-//! ownership was granted to it.
+//! At most one of the two accepts requests at any time; from the stop to the grant neither does, until the
+//! old one's time-out at most. The old one ([`PredecessorProcess`]) stops accepting before it says so; the
+//! new one ([`SuccessorProcess`]) begins only once ownership was granted to it. If the new process ends or
+//! is given up, the old one resumes, unless it was itself told to terminate: before the stop it never
+//! ceased to accept, between stop and grant the new one can't have begun, and after the grant the new one
+//! is gone.
 //!
-//! No socket and no clock: a driver sends what it is told to, and reports messages, timeouts and the end of the link.
-//! Times are in milliseconds.
+//! No socket and no clock: a driver sends what it is told to, and reports messages, timeouts and the end of
+//! the link. Times are in milliseconds.
 
 mod codec;
 mod message;
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -1,4 +1,5 @@
-//! The old process's side of a hand-over: it serves, sends what it has, stops accepting and gives the relay away.
+//! The old process's side of a hand-over: it serves, sends what it has, stops accepting and gives the relay
+//! away.
 
 use thiserror::Error;
 
@@ -54,7 +55,8 @@
 }
 
 impl PredecessorProcess {
-    /// Takes a message of the new process to the relay of this name. A message that is refused changes no state.
+    /// Takes a message of the new process to the relay of this name. A message that is refused changes no
+    /// state.
     pub fn handle_message(&mut self, message: &Message, relay_name: &str) -> PredecessorAction {
         match (*self, message) {
             (PredecessorProcess::AwaitingHello, Message::Hello { version, relay_name: other }) => {
@@ -93,8 +95,8 @@
         }
     }
 
-    /// Whether this process is to accept again, now that the new one has ended or was given up. One that was told to
-    /// terminate finishes what it has, unless it is still the owner.
+    /// Whether this process is to accept again, now that the new one has ended or was given up. One that
+    /// was told to terminate finishes what it has, unless it is still the owner.
     pub fn resumes_accepting(self, terminated: bool) -> bool {
         match self {
             PredecessorProcess::AwaitingHello | PredecessorProcess::SendingSnapshot => false,
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -1,4 +1,5 @@
-//! The new process's side of a hand-over: it takes the old one's state, requests the relay and serves once it owns it.
+//! The new process's side of a hand-over: it takes the old one's state, requests the relay and serves once
+//! it owns it.
 
 use thiserror::Error;
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -7,15 +7,16 @@
 //! and again may be held until its deadline.
 //!
 //! A request gets its final answer here because, in this order:
-//! 1. another attempt is not allowed ([`LoadBalancer::dispatch`], `retry`): its deadline has passed, it may have run and
-//!    a repeat would not be recognized, the retry budget is spent, or it has had all its attempts;
+//! 1. another attempt is not allowed ([`LoadBalancer::dispatch`], `retry`): its deadline has passed, it may
+//!    have run and a repeat would not be recognized, the retry budget is spent, or it has had all its
+//!    attempts;
 //! 2. its turn at the concurrency limit is not expected before a set-up would be too late
 //!    ([`LoadBalancer::hold_for_turn`]);
 //! 3. no endpoint may take it within its latency objective ([`LoadBalancer::wait_for_endpoint`]).
 //!
-//! It is a rejection where a retry of the client is harmless, else a failure. Elsewhere: a connection that ends without
-//! its client's doing fails (`attempt_outcome`); the core rejects requests of tenants over their quota, and the driver
-//! those that there is no descriptor for.
+//! It is a rejection where a retry of the client is harmless, else a failure. Elsewhere: a connection that
+//! ends without its client's doing fails (`attempt_outcome`); the core rejects requests of tenants over
+//! their quota, and the driver those that there is no descriptor for.
 
 use super::api::*;
 use super::load_balancer::LoadBalancer;
@@ -66,7 +67,8 @@
         }
     }
 
-    /// The final answer of a request that no endpoint is to get: rejected where a retry is harmless, else failed.
+    /// The final answer of a request that no endpoint is to get: rejected where a retry is harmless, else
+    /// failed.
     fn answer_finally(&mut self, id: RequestId, is_safe_to_reject: bool, actions: &mut Actions) {
         self.forget(id);
         actions.push(if is_safe_to_reject {
--- a/src/policy/api/actions.rs
+++ b/src/policy/api/actions.rs
@@ -39,7 +39,8 @@
     },
     /// Subscribe to changes of the list.
     Subscribe,
-    /// Send a message to another relay, where [`Settings::peer_messages`](super::Settings::peer_messages) allows it.
+    /// Send a message to another relay, where [`Settings::peer_messages`](super::Settings::peer_messages)
+    /// allows it.
     SendToPeer {
         /// The receiver's number.
         peer: u32,
--- a/src/policy/api/settings.rs
+++ b/src/policy/api/settings.rs
@@ -127,8 +127,8 @@
     }
 }
 
-/// Whether quotas are enforced where no file of an operator says so. Nothing is counted or reported where they
-/// are not.
+/// Whether quotas are enforced where no file of an operator says so. Nothing is counted or reported where
+/// they are not.
 const ENFORCED_BY_DEFAULT: bool = false;
 
 /// Tenants' quotas.
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -1,9 +1,9 @@
-//! The relay's part of the cluster's state: the tables of clients and groups, and what is exchanged of them, of loads
-//! and of polls with the other relays.
+//! The relay's part of the cluster's state: the tables of clients and groups, and what is exchanged of
+//! them, of loads and of polls with the other relays.
 //!
-//! Inputs are placements, lists, other relays' messages and stored records, with the time in milliseconds; outputs are
-//! messages and timers (by [`ClusterState::flush`]), locations, sizes and loads. It is bookkeeping only: what follows
-//! from it is decided by the load balancer.
+//! Inputs are placements, lists, other relays' messages and stored records, with the time in milliseconds;
+//! outputs are messages and timers (by [`ClusterState::flush`]), locations, sizes and loads. It is
+//! bookkeeping only: what follows from it is decided by the load balancer.
 
 use std::collections::BTreeMap;
 
@@ -81,7 +81,8 @@
         self.affinity.set_position(position(settings));
     }
 
-    /// Takes a list or changes to it. With the cached list, which is the first, the other relays' tables are requested.
+    /// Takes a list or changes to it. With the cached list, which is the first, the other relays' tables
+    /// are requested.
     pub fn apply_list(&mut self, now: Millis, kind: ListKind, entries: &[EndpointEntry]) {
         let is_full = matches!(kind, ListKind::Full | ListKind::Cached);
         self.affinity.apply_list(now, is_full, entries.iter().map(listed_endpoint));
@@ -119,16 +120,17 @@
     /// A connection is established. Its location is sent to the other relays.
     pub fn record_established(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) {
         let is_new = self.record_location(now, request, load, endpoint);
-        // The location of a connection that arrived mid-flow is sent even if it is known here: its replicas may have
-        // restarted since.
+        // The location of a connection that arrived mid-flow is sent even if it is known here: its replicas
+        // may have restarted since.
         let is_mid_flow = self.packet_passthrough && request.mid_flow;
         if (is_new || is_mid_flow) && self.peer_messages {
             self.location_gossip.queue_update(now, Affinity::client_key(&request.client_key()));
         }
     }
 
-    /// A connection is established, since before the start or as of now; whether its client's location is new. Locations
-    /// from before the start are sent in answer to queries only: all at once they would be many messages.
+    /// A connection is established, since before the start or as of now; whether its client's location is
+    /// new. Locations from before the start are sent in answer to queries only: all at once they would be
+    /// many messages.
     pub fn record_location(
         &mut self,
         now: Millis,
@@ -153,7 +155,8 @@
         self.affinity.session(client).map(EndpointId)
     }
 
-    /// In how long to look again for the holder of a connection that arrives mid-flow, if other relays are queried.
+    /// In how long to look again for the holder of a connection that arrives mid-flow, if other relays are
+    /// queried.
     pub fn query_location(&mut self, now: Millis, request: &Request) -> Option<Millis> {
         if !self.peer_messages {
             return None;
@@ -203,7 +206,8 @@
         self.load_aggregation.record_connection();
     }
 
-    /// Reports this relay's load by endpoint where that is due; gives the cluster's load, once it is known anew.
+    /// Reports this relay's load by endpoint where that is due; gives the cluster's load, once it is known
+    /// anew.
     pub fn take_cluster_load(
         &mut self,
         now: Millis,
@@ -242,8 +246,8 @@
         out.extend(timers.map(|after| Action::SetTimer { after, token }));
     }
 
-    /// The groups' sizes by slot, once after other relays or a store have reported them: as a sample of as many
-    /// arrivals as they rest on, at most `max_arrivals`.
+    /// The groups' sizes by slot, once after other relays or a store have reported them: as a sample of as
+    /// many arrivals as they rest on, at most `max_arrivals`.
     pub fn take_learned_sizes(&mut self, now: Millis, max_arrivals: f64) -> Option<GroupSample> {
         let has_learned = std::mem::take(&mut self.has_restored_sizes) || self.replication.take_learned();
         if !has_learned {
@@ -259,14 +263,15 @@
         (total > 0.0).then_some(sample)
     }
 
-    /// The load of the cluster as other relays or a store have reported it, and how much to trust it over this relay's
-    /// own count, from 0 to 1.
+    /// The load of the cluster as other relays or a store have reported it, and how much to trust it over
+    /// this relay's own count, from 0 to 1.
     pub fn fleet_load(&self, now: Millis) -> (f64, f64) {
         let estimate = self.affinity.estimated_load(now);
         (estimate.load, estimate.confidence)
     }
 
-    /// From now on changes are tracked for [`ClusterState::take_changes`], of which all that is known is the first.
+    /// From now on changes are tracked for [`ClusterState::take_changes`], of which all that is known is
+    /// the first.
     pub fn track_changes(&mut self) {
         self.affinity.track_changes();
     }
--- a/src/policy/drain.rs
+++ b/src/policy/drain.rs
@@ -1,5 +1,5 @@
-//! Which clients are asked to reconnect because their endpoint drains. One of three causes of a migration, beside
-//! `overload` and `rebalance`.
+//! Which clients are asked to reconnect because their endpoint drains. One of three causes of a migration,
+//! beside `overload` and `rebalance`.
 //!
 //! Inputs: since when endpoints are listed as draining or removed, and their established connections whose
 //! clients the endpoint does not notify itself. Output: the clients to be asked now, evenly over
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -66,7 +66,8 @@
     pub load: f64,
     /// When an attempt was last sent here.
     pub last_attempt_at: Millis,
-    /// Load of all relays here, as last reported, with own placements since; what has ended since still counts.
+    /// Load of all relays here, as last reported, with own placements since; what has ended since still
+    /// counts.
     pub cluster_load: f64,
     /// How much own load it seems to manage.
     pub load_limit: LoadLimit,
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -53,8 +53,8 @@
     pub(crate) merged_sample: MergedSample,
     /// Mean of the work, in ms a second, that connections report: the unit that loads are counted in.
     pub(super) reported_work: RunningMean,
-    /// Message delays are reported: load limits follow them better than an even distribution can. Set by the first report,
-    /// and never cleared.
+    /// Message delays are reported: load limits follow them better than an even distribution can. Set by
+    /// the first report, and never cleared.
     pub(super) latency_is_reported: bool,
     /// Where clients and groups are held, and what relays exchange about it.
     pub(crate) cluster: ClusterState,
--- a/src/policy/load_limit.rs
+++ b/src/policy/load_limit.rs
@@ -32,8 +32,8 @@
 }
 
 impl LoadLimit {
-    /// The limit now. `load_per_endpoint` is this relay's mean load of an endpoint: growth starts from there, so
-    /// that a limit near zero recovers too.
+    /// The limit now. `load_per_endpoint` is this relay's mean load of an endpoint: growth starts from
+    /// there, so that a limit near zero recovers too.
     pub fn current(&self, now: Millis, load_per_endpoint: f64) -> f64 {
         if !self.limit.is_finite() {
             return self.limit;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -11,8 +11,8 @@
 //! | Why was this client asked to reconnect? | `drain` (its endpoint drains), `overload` (its endpoint is overloaded), `rebalance` (its endpoint carries too much of the tier's load) |
 //! | What follows from an attempt's end, or from a slow message? | `attempt_outcome`, `overload` |
 //!
-//! Loads are counted in *mean connections*: 1.0 is the mean of the work that connections have reported so far. What was
-//! counted before keeps its value when the mean moves.
+//! Loads are counted in *mean connections*: 1.0 is the mean of the work that connections have reported so
+//! far. What was counted before keeps its value when the mean moves.
 //!
 //! State: `placements` over `endpoint_table` and `request_table`; `estimates` and `group_sample` are what
 //! is measured; `cluster_state` is what relays tell each other; `learned_state` is what a process hands to
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -53,7 +53,8 @@
         Outcome::Reset => true,
         Outcome::ConnectFailed => !was_established,
         Outcome::TimedOut => !was_established && !fault_is_common,
-        // Errors and rejections show an endpoint that is there and has too much to do: `retry` paces attempts for them.
+        // Errors and rejections show an endpoint that is there and has too much to do: `retry` paces
+        // attempts for them.
         Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => false,
     }
 }
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -1,5 +1,5 @@
-//! Which clients are asked to reconnect because their endpoint carries too much of the cluster's load. One of three causes
-//! of a migration, beside `drain` and `overload`.
+//! Which clients are asked to reconnect because their endpoint carries too much of the cluster's load. One
+//! of three causes of a migration, beside `drain` and `overload`.
 //!
 //! Input: what all relays hold at each endpoint, in mean connections, whenever it is reported anew. Output:
 //! a share of the own clients of endpoints that hold more than their fair load
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -90,7 +90,8 @@
         let mut candidates = self.eligible_candidates(&order);
         let first_eligible = candidates.first().map(|candidate| candidate.id.clone());
         if self.tracked.continues_mid_flow() {
-            // Where its endpoint is not known, the Maglev table most likely chose it: neither ejection nor load counts.
+            // Where its endpoint is not known, the Maglev table most likely chose it: neither ejection nor
+            // load counts.
             return self.balancer.cluster.sticky_endpoint(&self.tracked.request).or(first_eligible);
         }
         candidates.retain(|candidate| !candidate.endpoint.ejection.is_ejected(self.now));
--- a/src/properties/attempts.rs
+++ b/src/properties/attempts.rs
@@ -14,10 +14,12 @@
 
 /// An endpoint that drains gets nothing new after this.
 const STOP_WITHIN_MS: Millis = 1_000.0;
-/// New connections a second that a warm endpoint can take for good, by which the rule of cold endpoints is measured.
+/// New connections a second that a warm endpoint can take for good, by which the rule of cold endpoints is
+/// measured.
 const CAPACITY_PER_S: f64 = 12.0;
 const COLD_WINDOW_MS: Millis = 1_000.0;
-/// Slack for chance of that rule: of a few relays in connections, of a large cluster in roots of the bound and connections.
+/// Slack for chance of that rule: of a few relays in connections, of a large cluster in roots of the bound
+/// and connections.
 const FEW_RELAYS: usize = 4;
 const FEW_RELAYS_SLACK: f64 = 2.0;
 const SLACK_ROOTS: f64 = 2.0;
--- a/src/properties/endpoint_list.rs
+++ b/src/properties/endpoint_list.rs
@@ -33,7 +33,8 @@
     list.answer(body.as_bytes())
 }
 
-/// Answers that are wrong or end early anywhere: none of them changes anything, and the next good one is taken.
+/// Answers that are wrong or end early anywhere: none of them changes anything, and the next good one is
+/// taken.
 #[test]
 fn a_list_is_taken_whole_or_not_at_all() {
     let mut random = StdRng::seed_from_u64(1);
@@ -70,8 +71,8 @@
     assert_eq!((kind, entries.len(), list.address(&endpoint(7)).is_some()), (ListKind::Delta, 1, true));
 }
 
-/// The list as last held is gone on from with one call that is answered at once; one of a service that lies behind it
-/// is not, and is asked for whole.
+/// The list as last held is gone on from with one call that is answered at once; one of a service that lies
+/// behind it is not, and is asked for whole.
 #[test]
 fn the_first_call_goes_on_from_the_list_as_last_held_unless_the_service_lies_behind() {
     let known = serde_json::from_str(&answer_body(50, true, &[entry_json(1, "Ready", "")])).expect("a list");
@@ -93,8 +94,8 @@
     assert!(list.address(&endpoint(1)).is_none());
 }
 
-/// What a watch that has fallen silent misses counts as told 6 s later: it has to be noticed and asked anew well before,
-/// by hundreds of relays at different times, and with a call that is answered at once.
+/// What a watch that has fallen silent misses counts as told 6 s later: it has to be noticed and asked anew
+/// well before, by hundreds of relays at different times, and with a call that is answered at once.
 #[test]
 fn a_watch_that_has_fallen_silent_is_asked_anew_well_before_what_it_misses_counts_as_told() {
     let mut latest: Millis = 0.0;
@@ -116,8 +117,8 @@
     assert!(noticed.len() >= 20, "in step: {noticed:?}");
 }
 
-/// Changes to a list that is not held, and an answer of the place that discovery has moved from, were taken: the
-/// versions of one service then stood for another's.
+/// Changes to a list that is not held, and an answer of the place that discovery has moved from, were
+/// taken: the versions of one service then stood for another's.
 #[test]
 fn changes_without_their_list_and_answers_of_the_old_place_are_refused() {
     let mut list = EndpointList::default();
--- a/src/properties/faults.rs
+++ b/src/properties/faults.rs
@@ -1,5 +1,5 @@
-//! Faults: endpoints that drain, crash and come back, relays that are killed, surges and bursts of clients, and lists
-//! that fail.
+//! Faults: endpoints that drain, crash and come back, relays that are killed, surges and bursts of clients,
+//! and lists that fail.
 
 use rand::RngExt;
 use rand::seq::SliceRandom;
@@ -12,8 +12,8 @@
 
 /// No new fault after the faults less this: the last have ended by then.
 const LAST_FAULTS_MS: Millis = 4_500.0;
-/// An endpoint's clients are asked to reconnect within this of the notice, and one that was established since within a
-/// step.
+/// An endpoint's clients are asked to reconnect within this of the notice, and one that was established
+/// since within a step.
 const MIGRATED_WITHIN_MS: Millis = 1_300.0;
 /// Parts of the relays that are killed at once; at least one is.
 const KILLED_FRACTIONS: [f64; 3] = [0.0, 0.1, 0.7];
@@ -100,8 +100,8 @@
         self.announce(endpoint);
     }
 
-    /// An endpoint that drained leaves now: those of its clients that it does not migrate itself were asked to
-    /// reconnect.
+    /// An endpoint that drained leaves now: those of its clients that it does not migrate itself were asked
+    /// to reconnect.
     fn check_migrated(&mut self, i: usize) {
         let now = self.now;
         let mut all = Vec::new();
--- a/src/properties/runs.rs
+++ b/src/properties/runs.rs
@@ -33,8 +33,8 @@
     RunSize { relays, runs, rate }
 }
 
-/// Large clusters, in which each relay gets a connection in seconds: of what warm endpoints can take two fifths, at a
-/// hundred relays and more a fifth.
+/// Large clusters, in which each relay gets a connection in seconds: of what warm endpoints can take two
+/// fifths, at a hundred relays and more a fifth.
 const LARGE: [RunSize; 5] =
     [size(20, 24, 40.0), size(30, 24, 40.0), size(32, 4, 40.0), size(100, 12, 20.0), size(312, 2, 20.0)];
 /// The same at three fifths and two fifths, for the rule of cold endpoints alone.
@@ -82,8 +82,8 @@
 }
 
 impl World {
-    /// Plays a run to its end: once all faults have ended and no client is left, nothing is recorded any more, and new
-    /// connections are served.
+    /// Plays a run to its end: once all faults have ended and no client is left, nothing is recorded any
+    /// more, and new connections are served.
     fn play(&mut self) {
         self.run_until(START + FAULTS_MS + RECOVERY_MS);
         for relay in 0..self.relays.len() {
--- a/src/relay/actions.rs
+++ b/src/relay/actions.rs
@@ -9,7 +9,7 @@
 
 impl Relay {
     /// Hands events to the load balancer until none is left, and runs the actions of each in order.
-    pub(super) fn drain_actions(&mut self, now: Millis) {
+    pub(super) fn handle_queued_events(&mut self, now: Millis) {
         let mut actions = Actions::new();
         while let Some(event) = self.events.pop_front() {
             self.load_balancer.handle(now, event, &mut actions);
--- a/src/relay/affinity.rs
+++ b/src/relay/affinity.rs
@@ -11,7 +11,8 @@
         self.load_balancer.cluster_state_mut().restore(now, records)
     }
 
-    /// From now on removed keys are remembered for [`Relay::take_affinity_changes`], and all entries count as changed.
+    /// From now on removed keys are remembered for [`Relay::take_affinity_changes`], and all entries count
+    /// as changed.
     pub fn track_affinity_changes(&mut self) {
         self.load_balancer.cluster_state_mut().track_changes();
     }
--- a/src/relay/classes.rs
+++ b/src/relay/classes.rs
@@ -1,5 +1,6 @@
-//! Positions of classes. Connections, the core and the load balancer refer to a class by its position in the settings,
-//! so a position must mean the same for as long as anything refers to it, whatever settings are applied in between.
+//! Positions of classes. Connections, the core and the load balancer refer to a class by its position in
+//! the settings, so a position must mean the same for as long as anything refers to it, whatever settings
+//! are applied in between.
 //!
 //! Inputs are the classes of each new settings and the positions that connections refer to, with times in
 //! milliseconds; outputs are the classes by position, and the position of a name. It never moves a class.
@@ -8,10 +9,11 @@
 
 use crate::policy::api::{Class, ClassId, Idempotency, Millis};
 
-/// For how long new requests may still name a class that was dropped: clients learn of new settings up to 1.2 s later,
-/// and then take their time to send a request.
+/// For how long new requests may still name a class that was dropped: clients learn of new settings up to
+/// 1.2 s later, and then take their time to send a request.
 const DROPPED_CLASS_GRACE_MS: Millis = 2000.0;
-/// Dropped classes that stay though no connection here refers to them: connections of theirs may arrive mid-flow.
+/// Dropped classes that stay though no connection here refers to them: connections of theirs may arrive
+/// mid-flow.
 const MAX_UNUSED_DROPPED_CLASSES: usize = 8;
 
 /// A class that requests may name.
@@ -19,8 +21,8 @@
 pub struct AcceptedClass {
     /// Its name.
     pub name: String,
-    /// Where it was dropped from the settings, the time until which a new request may still name it. A connection that
-    /// arrives mid-flow may come with it all the same.
+    /// Where it was dropped from the settings, the time until which a new request may still name it. A
+    /// connection that arrives mid-flow may come with it all the same.
     pub accepted_until: Option<Millis>,
 }
 
--- a/src/relay/commands.rs
+++ b/src/relay/commands.rs
@@ -1,5 +1,6 @@
-//! What the core commands: the values that [`Relay::take_commands`](super::Relay::take_commands) returns and a
-//! driver carries out in order. Times are absolute milliseconds on the core's clock unless said otherwise.
+//! What the core commands: the values that [`Relay::take_commands`](super::Relay::take_commands) returns
+//! and a driver carries out in order. Times are absolute milliseconds on the core's clock unless said
+//! otherwise.
 
 use crate::policy::api::{EndpointId, Millis, PeerMessage, RequestId};
 
@@ -19,7 +20,8 @@
     pub number: u32,
     /// Where to.
     pub endpoint: EndpointId,
-    /// Whether the endpoint was listed as ready at the decision: then it must still be ready when the attempt begins.
+    /// Whether the endpoint was listed as ready at the decision: then it must still be ready when the
+    /// attempt begins.
     pub was_ready: bool,
     /// When to give the attempt up.
     pub until: Millis,
--- a/src/relay/connections.rs
+++ b/src/relay/connections.rs
@@ -1,7 +1,7 @@
 //! The table of requests and connections, with the stage that each is in.
 //!
-//! An entry has one [`RequestId`] from its acceptance to its end: it is a request until an endpoint has taken it, and
-//! a connection from then on. The table decides nothing.
+//! An entry has one [`RequestId`] from its acceptance to its end: it is a request until an endpoint has
+//! taken it, and a connection from then on. The table decides nothing.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -25,9 +25,11 @@
     pub(super) class: Option<ClassId>,
     /// Attempts started.
     pub(super) attempts: u32,
-    /// The final reply has been given; only the end of the attempt is still to come.
+    /// The final reply was given, by an endpoint, by the core or before a transfer; or the client has left.
+    /// No other reply may follow.
     pub(super) answered: bool,
     pub(super) existing_endpoint_only: bool,
+    /// It can go on without this process, as in [`IncomingRequest`](super::IncomingRequest).
     pub(super) reroutable: bool,
     /// Its client was asked to reconnect.
     pub(super) migrating: bool,
--- a/src/relay/counters.rs
+++ b/src/relay/counters.rs
@@ -10,7 +10,7 @@
     pub connections: u64,
     /// Connections that were established.
     pub established: u64,
-    /// Attempts ended, by outcome in the order of [`Outcome`](crate::policy::api::Outcome).
+    /// Attempts and established connections that have ended, by outcome in the order of [`Outcome`].
     pub attempts: [u64; OUTCOME_COUNT],
     /// Local replies that reject.
     pub rejected: u64,
--- a/src/relay/discovery_events.rs
+++ b/src/relay/discovery_events.rs
@@ -23,8 +23,8 @@
         AnswerEntries { ready: hashes(true), not_ready: hashes(false) }
     }
 
-    /// Of endpoints that were usable, those that are no longer: a full list does not name them as ready, changes name
-    /// them as not ready.
+    /// Of endpoints that were usable, those that are no longer: a full list does not name them as ready,
+    /// changes name them as not ready.
     fn departed(&self, full: bool, usable: impl Iterator<Item = EndpointHash>) -> Vec<EndpointHash> {
         let named = if full { &self.ready } else { &self.not_ready };
         let named: BTreeSet<EndpointHash> = named.iter().copied().collect();
@@ -67,7 +67,7 @@
         self.endpoints.apply_list(kind, &endpoints);
         self.has_endpoint_list |= kind == ListKind::Full || !endpoints.is_empty();
         self.events.push_back(Event::List { kind, endpoints });
-        self.drain_actions(now);
+        self.handle_queued_events(now);
         if matches!(kind, ListKind::Cached | ListKind::Failed) {
             self.subscription_lost(now);
         }
--- a/src/relay/drain_exchange.rs
+++ b/src/relay/drain_exchange.rs
@@ -1,8 +1,8 @@
 //! What relays tell each other about draining endpoints while discovery is slow to answer. All uses of
 //! [`DrainGossip`](sandgw_cluster::drain_gossip::DrainGossip) are here.
 //!
-//! On another relay's message nothing is sent to an endpoint any more; nothing is ever sent to one because of such a
-//! message.
+//! On another relay's message nothing is sent to an endpoint any more; nothing is ever sent to one because
+//! of such a message.
 
 use std::collections::BTreeSet;
 
@@ -38,7 +38,8 @@
         self.send_drain_gossip(now, Outbox::new());
     }
 
-    /// The relays that gossip about draining endpoints: all, where each requests the list from discovery itself.
+    /// The relays that gossip about draining endpoints: all, where each requests the list from discovery
+    /// itself.
     fn gossip_cluster(&self) -> ClusterPosition {
         let settings = self.load_balancer.settings();
         let gossips = settings.peer_messages && settings.discovery == Discovery::OnRequest;
--- a/src/relay/endpoints.rs
+++ b/src/relay/endpoints.rs
@@ -1,5 +1,5 @@
-//! What the core knows of endpoints: their listed state, how many connections each has, and round trips measured on
-//! them. Once a tick it reports the endpoints whose messages are slow.
+//! What the core knows of endpoints: their listed state, how many connections each has, and round trips
+//! measured on them. Once a tick it reports the endpoints whose messages are slow.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,8 @@
     EndpointEntry, EndpointId, EndpointState, Event, ListKind, Measurement, Millis, RequestId, Settings,
 };
 
-/// A message is slow when its round trip takes longer than the shortest objective divided by this, as in the simulator.
+/// A message is slow when its round trip takes longer than the shortest objective divided by this, as in
+/// the simulator.
 const OBJECTIVE_PER_SLOW_ROUND_TRIP: f64 = 3.0;
 
 /// An endpoint as the relay sees it, for monitoring.
@@ -56,8 +57,8 @@
         !matches!(self.state, None | Some(EndpointState::Removed))
     }
 
-    /// Ends the measuring interval: the median of its round trips, where any was measured. The median, since a message
-    /// that waited behind a pause of the endpoint or of this machine says little.
+    /// Ends the measuring interval: the median of its round trips, where any was measured. The median,
+    /// since a message that waited behind a pause of the endpoint or of this machine says little.
     fn take_median_ms(&mut self) -> Option<Millis> {
         self.round_trips_ms.sort_by(f64::total_cmp);
         let median = self.round_trips_ms.get(self.round_trips_ms.len() / 2).copied();
@@ -163,22 +164,23 @@
         self.endpoints.is_ready(endpoint)
     }
 
-    /// A message of an established connection was answered after this many milliseconds, or has not been for as long.
+    /// A message of an established connection was answered after this many milliseconds, or has not been
+    /// for as long.
     pub fn record_round_trip(&mut self, id: RequestId, round_trip_ms: Millis) {
         let Some(connection) = self.connections.get(id) else { return };
         let ConnectionStage::Established(endpoint) = &connection.stage else { return };
         self.endpoints.record_round_trip(endpoint, round_trip_ms);
     }
 
-    /// To be called once a second: reports endpoints whose messages are slow to the load balancer, and logs what was
-    /// rejected for quotas. No other measurement tells of slow messages on sockets.
+    /// To be called once a second: reports endpoints whose messages are slow to the load balancer, and logs
+    /// what was rejected for quotas. No other measurement tells of slow messages on sockets.
     pub fn tick(&mut self, now: Millis) {
         let slow = self.endpoints.take_slow(self.slow_round_trip_ms);
         self.log_quota_rejections();
         for endpoint in slow {
             self.report_slow_endpoint(endpoint);
         }
-        self.drain_actions(now);
+        self.handle_queued_events(now);
     }
 
     /// Reports it on one of its connections: that is enough, however many it has.
--- a/src/relay/incoming.rs
+++ b/src/relay/incoming.rs
@@ -15,15 +15,17 @@
     pub deadline: Millis,
     /// How much of the set-up budget was used before the request could be placed.
     pub setup_time_used: Millis,
-    /// Expected load.
+    /// Expected load, in milliseconds of work a second.
     pub load: Option<f64>,
-    /// Packets of an open connection that were routed through another relay so far.
+    /// Whether it is a connection that is open already, and whose packets, routed through another relay so
+    /// far, now arrive here.
     pub mid_flow: bool,
     /// The client was here before.
     pub returned: bool,
     /// Its endpoint migrates it by itself when it drains.
     pub drained_by_endpoint: bool,
-    /// Where packets pass through, the network routes its packets through another relay when this one drains.
+    /// Whether it can go on without this process: the network reroutes its packets where packets pass
+    /// through, and its sockets can be transferred to the next process.
     pub reroutable: bool,
     /// It can't be set up anew: only the endpoint that already has it will do.
     pub existing_endpoint_only: bool,
--- a/src/relay/migration_schedule.rs
+++ b/src/relay/migration_schedule.rs
@@ -1,13 +1,13 @@
-//! The schedule by which connections are migrated off a relay on standby: in equal steps, so that the other relays
-//! never get many of them at once. Pure arithmetic on milliseconds.
+//! The schedule by which connections are migrated off a relay on standby: in equal steps, so that the other
+//! relays never get many of them at once. Pure arithmetic on milliseconds.
 
 use crate::policy::api::Millis;
 
-/// First step after the begin of standby. New connections still arrive for as long after the first health check that
-/// says `STANDBY`, and a client that is asked to reconnect before may return to this relay.
+/// First step after the begin of standby. New connections still arrive for as long after the first health
+/// check that says `STANDBY`, and a client that is asked to reconnect before may return to this relay.
 const FIRST_MIGRATION_MS: Millis = 300.0;
-/// By then all clients have been asked. What is left of a drain is for endpoints' last messages and for connections
-/// that were being set up.
+/// By then all clients have been asked. What is left of a drain is for endpoints' last messages and for
+/// connections that were being set up.
 const LAST_MIGRATION_MS: Millis = 2500.0;
 /// Between two steps.
 pub const MIGRATION_STEP_MS: Millis = 100.0;
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,9 +1,9 @@
-//! The core of a relay: owns the load balancer and the table of connections. It turns what happens to connections into
-//! the load balancer's events, and the load balancer's actions into commands.
+//! The core of a relay: owns the load balancer and the table of connections. It turns what happens to
+//! connections into the load balancer's events, and the load balancer's actions into commands.
 //!
 //! Inputs are method calls with the time in milliseconds on a monotonic clock; outputs are the commands of
-//! [`Relay::take_commands`]. It knows no socket and no wire format, and never waits. Whatever the load balancer decides,
-//! a request gets exactly one final reply and has at most one attempt out.
+//! [`Relay::take_commands`]. It knows no socket and no wire format, and never waits. Whatever the load
+//! balancer decides, a request gets exactly one final reply and has at most one attempt out.
 
 mod actions;
 mod affinity;
@@ -97,8 +97,8 @@
         relay
     }
 
-    /// Applies new settings, with the names of their classes. Connections keep the class that they came with; the
-    /// number of attempts binds all of them from now on.
+    /// Applies new settings, with the names of their classes. Connections keep the class that they came
+    /// with; the number of attempts binds all of them from now on.
     pub fn apply_settings(&mut self, now: Millis, settings: Settings, class_names: &[String]) {
         let in_use = self.connections.classes_in_use();
         self.classes.apply_settings(now, class_names, &settings.classes, &in_use);
@@ -108,7 +108,7 @@
         self.slow_round_trip_ms = slow_round_trip_ms(&settings);
         self.apply_quota_settings(now, &settings);
         self.events.push_back(Event::Settings(Box::new(settings)));
-        self.drain_actions(now);
+        self.handle_queued_events(now);
     }
 
     /// Classes that requests may name.
@@ -129,12 +129,12 @@
     /// A timer that was set by [`Command::SetTimer`] is due.
     pub fn timer_fired(&mut self, now: Millis, token: u64) {
         match CoreTimer::from_token(token) {
-            Some(CoreTimer::MigrationStep) => self.migrate_on_standby(now),
+            Some(CoreTimer::MigrationStep) => self.run_migration_step(now),
             Some(CoreTimer::UsageReport) => self.send_due_usage_reports(now),
             Some(CoreTimer::DrainQuery) => self.send_drain_query(now),
             None => {
                 self.events.push_back(Event::Timer(token));
-                self.drain_actions(now);
+                self.handle_queued_events(now);
             }
         }
     }
--- a/src/relay/operator_calls.rs
+++ b/src/relay/operator_calls.rs
@@ -1,7 +1,7 @@
 //! Operators' calls to a running relay at its operations address: one line in, one line out.
 //!
-//! A parser and a formatter without I/O: a driver feeds [`CallParser`] the bytes that it reads and writes the line of
-//! [`reply_line`]. It carries out no call.
+//! A parser and a formatter without I/O: a driver feeds [`CallParser`] the bytes that it reads and writes
+//! the line of [`reply_line`]. It carries out no call.
 
 use sandgw_maintenance::{RefusalReason, call};
 use sandgw_schema_version::SchemaVersionError;
--- a/src/relay/peer_messages.rs
+++ b/src/relay/peer_messages.rs
@@ -1,5 +1,5 @@
-//! Messages of other relays, by what they are about: quotas and draining endpoints are the core's, all else the load
-//! balancer's.
+//! Messages of other relays, by what they are about: quotas and draining endpoints are the core's, all else
+//! the load balancer's.
 
 use super::Relay;
 use crate::policy::api::{ClusterMessage, Event, Millis, PeerMessage};
@@ -14,7 +14,7 @@
             ) => self.receive_drain_gossip(now, peer, gossip),
             message => {
                 self.events.push_back(Event::PeerMessage { peer, message });
-                self.drain_actions(now);
+                self.handle_queued_events(now);
             }
         }
     }
