--- a/src/relay/quota_accounting.rs
+++ b/src/relay/quota_accounting.rs
@@ -1,5 +1,5 @@
-//! How the core counts connections for tenants' quotas, rejects what is over a quota, and reports usage to other
-//! relays. All uses of [`TenantQuotas`] are here.
+//! How the core counts connections for tenants' quotas, rejects what is over a quota, and reports usage to
+//! other relays. All uses of [`TenantQuotas`] are here.
 
 use log::warn;
 use sandgw_quota::policy::ScarcitySignals;
@@ -40,8 +40,8 @@
 }
 
 impl Relay {
-    /// Counts anew, by the connections of now, where tenants, their quotas or the cluster differ from those before.
-    /// To be called while the load balancer still has the settings before.
+    /// Counts anew, by the connections of now, where tenants, their quotas or the cluster differ from those
+    /// before. To be called while the load balancer still has the settings before.
     pub(super) fn apply_quota_settings(&mut self, now: Millis, settings: &Settings) {
         if count_alike(settings, self.load_balancer.settings()) {
             return;
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Whether a request is rejected since its tenant is over its quota and capacity is short. One that goes on where
-    /// it is established sets nothing up and is never rejected; it counts all the same.
+    /// Whether a request is rejected since its tenant is over its quota and capacity is short. One that
+    /// goes on where it is established sets nothing up and is never rejected; it counts all the same.
     pub(super) fn exceeds_quota(&mut self, now: Millis, incoming: &IncomingRequest) -> bool {
         let Some(tenant) = &incoming.tenant else { return false };
         if incoming.mid_flow || incoming.existing_endpoint.is_some() {
--- a/src/relay/quotas.rs
+++ b/src/relay/quotas.rs
@@ -16,8 +16,8 @@
 pub(crate) struct TenantQuotas(Option<QuotaManager>);
 
 impl TenantQuotas {
-    /// For these settings. Nothing is counted without a limit, or where a connection over quota weighs as much as one
-    /// within it.
+    /// For these settings. Nothing is counted without a limit, or where a connection over quota weighs as
+    /// much as one within it.
     pub fn new(settings: &Settings, now: Millis) -> Self {
         let quotas = &settings.quotas;
         let is_enforced = quotas.enforce && quotas.over_quota_weight < FULL_WEIGHT && quotas.has_limits();
--- a/src/relay/requests.rs
+++ b/src/relay/requests.rs
@@ -1,5 +1,6 @@
-//! What happens to one request or connection, from its acceptance to its end. Each handler turns one occurrence into
-//! the load balancer's event and keeps the two guarantees: one final reply, and one attempt out at most.
+//! What happens to one request or connection, from its acceptance to its end. Each handler turns one
+//! occurrence into the load balancer's event and keeps the two guarantees: one final reply, and one attempt
+//! out at most.
 
 use log::warn;
 
@@ -40,7 +41,7 @@
             None if over_quota => self.reject_over_quota(id),
             None => self.events.push_back(Event::Request(request)),
         }
-        self.drain_actions(now);
+        self.handle_queued_events(now);
         id
     }
 
@@ -81,8 +82,8 @@
         self.remove_connection(id);
     }
 
-    /// The endpoint has taken the connection, `elapsed` milliseconds after the attempt was sent: that was the final
-    /// reply.
+    /// The endpoint has taken the connection, `elapsed` milliseconds after the attempt was sent: that was
+    /// the final reply.
     pub fn connection_established(&mut self, now: Millis, id: RequestId, elapsed: Millis) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let ConnectionStage::Attempting(endpoint) = &connection.stage else { return };
@@ -94,7 +95,7 @@
         let attempt = connection.last_attempt();
         self.count_established(id);
         self.events.push_back(Event::Established { request: id, attempt, elapsed });
-        self.drain_actions(now);
+        self.handle_queued_events(now);
     }
 
     /// The attempt that is out, or the established connection, has ended.
@@ -112,7 +113,7 @@
             self.remove_connection(id);
         }
         self.events.push_back(Event::AttemptEnded { request: id, attempt, endpoint, outcome, finished });
-        self.drain_actions(now);
+        self.handle_queued_events(now);
     }
 
     fn count_ended_attempt(
@@ -142,7 +143,7 @@
         if queued {
             self.remove_connection(id);
         }
-        self.drain_actions(now);
+        self.handle_queued_events(now);
         if !queued {
             self.attempt_ended(now, id, Outcome::Cancelled);
         }
@@ -157,7 +158,8 @@
         }
     }
 
-    /// Gives the final reply, unless one was given.
+    /// Commands the final reply, unless one was given. It does not mark the request as answered: the caller
+    /// removes the request or reports its client gone next.
     pub(super) fn reply(&mut self, id: RequestId, reply: LocalReply) {
         if self.connections.get(id).is_none_or(|connection| connection.answered) {
             return;
--- a/src/relay/standby.rs
+++ b/src/relay/standby.rs
@@ -1,4 +1,6 @@
-//! Standby and the migration of connections off this relay, on standby and while another process takes over.
+//! Standby, and migration off this relay on standby or once this process is to end. A migration asks the
+//! client to reconnect, anywhere; a transfer (`transfer`) passes its sockets to the next process of this
+//! relay; after a hand-over (`takeover`) that process accepts.
 
 use std::fmt;
 
@@ -47,7 +49,8 @@
         if self.standby.since.is_some() { ServingMode::Standby } else { ServingMode::Active }
     }
 
-    /// Goes on standby: wants no new clients, and migrates connections that can't stay. A second call changes nothing.
+    /// Goes on standby: wants no new clients, and migrates connections that can't stay. A second call
+    /// changes nothing.
     pub fn enter_standby(&mut self, now: Millis) {
         self.standby.since.get_or_insert(now);
         self.start_migration();
@@ -71,14 +74,16 @@
         }
     }
 
-    /// One step of the migration off this relay. Connections established between two steps count for the next.
-    pub(super) fn migrate_on_standby(&mut self, now: Millis) {
+    /// One step of the migration off this relay, on standby or once this process is to end. Connections
+    /// that are established after this step are looked at by the next one.
+    pub(super) fn run_migration_step(&mut self, now: Millis) {
         let Some(since) = self.standby.since.or(self.standby.handed_over_at) else {
             self.standby.migration_timer_set = false;
             return;
         };
-        let mut due =
-            self.connections.sorted_ids(|c| c.is_established() && !c.migrating && !self.stays_on_standby(c));
+        let mut due = self
+            .connections
+            .sorted_ids(|c| c.is_established() && !c.migrating && !self.needs_no_migration(c));
         due.truncate(migrations_due(now - since, due.len()));
         for id in due {
             self.migrate_connection(id);
@@ -86,14 +91,14 @@
         self.set_timer(MIGRATION_STEP_MS, CoreTimer::MigrationStep);
     }
 
-    /// Whether a connection needs no migration: the network reroutes its packets, or it is transferred to the process
-    /// that serves now.
-    fn stays_on_standby(&self, connection: &Connection) -> bool {
+    /// Whether a connection goes on without being asked to reconnect. On standby only one that the network
+    /// reroutes does; when only handed over, one that can be transferred to the next process does too.
+    fn needs_no_migration(&self, connection: &Connection) -> bool {
         connection.reroutable && (self.packet_passthrough || self.standby.since.is_none())
     }
 
-    /// Asks the client of an established connection to reconnect, once: asked for twice while the endpoint's last
-    /// message is awaited, it is still one migration.
+    /// Asks the client of an established connection to reconnect, at most once a connection; further calls
+    /// change nothing.
     pub(super) fn migrate_connection(&mut self, id: RequestId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if !connection.is_established() || connection.migrating {
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -1,5 +1,5 @@
-//! The core's part of a takeover by another process of the same relay: who serves, and what the load balancer has
-//! learned. The messages and their order are in [`crate::handover`].
+//! The core's part of a takeover by another process of the same relay: who serves, and what the load
+//! balancer has learned. The messages and their order are in [`crate::handover`].
 
 use super::Relay;
 use crate::policy::api::Millis;
--- a/src/relay/transfer.rs
+++ b/src/relay/transfer.rs
@@ -7,8 +7,8 @@
 use super::connections::{Connection, ConnectionStage};
 use crate::policy::api::{EndpointId, Event, Key, Millis, Request, RequestId};
 
-/// An established connection, as it is sent to the other process: the order and the types of the fields are part of
-/// the hand-over's messages.
+/// An established connection, as it is sent to the other process: the order and the types of the fields are
+/// part of the hand-over's messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredConnection {
     /// Name of its class.
@@ -42,8 +42,8 @@
 }
 
 impl Relay {
-    /// The process ends soon: commands the transfer of at most `max_connections` to the other process, and migrates
-    /// those that can't be transferred as on standby, though the relay goes on accepting requests.
+    /// The process ends soon: commands the transfer of at most `max_connections` to the other process, and
+    /// migrates those that can't be transferred as on standby, though the relay goes on accepting requests.
     pub fn transfer_connections(&mut self, max_connections: usize) {
         self.start_migration();
         let ids = self
@@ -85,7 +85,7 @@
         self.endpoints.connection_established(&endpoint);
         let request = transferred.into_request(id, class, now);
         self.events.push_back(Event::ExistingConnection { request, endpoint });
-        self.drain_actions(now);
+        self.handle_queued_events(now);
         id
     }
 }
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -16,8 +16,8 @@
 /// Loads come in thousandths.
 const LOAD_UNITS: f64 = 1000.0;
 
-/// Reads an event; `None` of those that say nothing to the load balancer. `classes` are the names of the settings'
-/// classes, by position.
+/// Reads an event; `None` of those that say nothing to the load balancer. `classes` are the names of the
+/// settings' classes, by position.
 pub(super) fn decode_event(fields: &Fields<'_>, classes: &[String]) -> Result<Option<Event>, WireFault> {
     let event = match fields.name {
         "KNOCK" => decode_request(fields, classes)?,
@@ -126,8 +126,8 @@
     })
 }
 
-/// Whatever a peer may send, it is no fault of the wire: what can't be read is passed over, as are reports of quotas,
-/// which are for the core.
+/// Whatever a peer may send, it is no fault of the wire: what can't be read is passed over, as are reports
+/// of quotas, which are for the core.
 fn decode_peer_message(fields: &Fields<'_>) -> Result<Option<Event>, WireFault> {
     let Some(message) = peers::decode(fields.text(2)?) else { return Ok(None) };
     if matches!(message, PeerMessage::Quota(_)) {
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,7 +1,8 @@
 //! Translation between the simulator's wire and the load balancer's interface; no decisions.
 //!
-//! One JSON array a line: a batch opens with `ROUND`, holds one event a line and closes with `GO`; the reply holds one
-//! action a line and closes with `FINISHED`. The wire's field names meet ours here and nowhere else.
+//! One JSON array a line: a batch opens with `ROUND`, holds one event a line and closes with `GO`; the
+//! reply holds one action a line and closes with `FINISHED`. The wire's field names meet ours here and
+//! nowhere else.
 
 mod adapter;
 mod codec;
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -1,5 +1,5 @@
-//! The load balancer's settings, read from the simulator's START message. The relay on sockets is given them in the same
-//! shape in its configuration. The keys' names stay here.
+//! The load balancer's settings, read from the simulator's START message. The relay on sockets is given
+//! them in the same shape in its configuration. The keys' names stay here.
 
 use std::ops::RangeInclusive;
 
@@ -35,8 +35,8 @@
     path: &'a str,
 }
 
-/// Reads values of the settings. What is wrong goes to the faults and reads as absent: a figure misread, or one that the
-/// load balancer can't work with, would break a rule in silence or stop the relay much later.
+/// Reads values of the settings. What is wrong goes to the faults and reads as absent: a figure misread, or
+/// one that the load balancer can't work with, would break a rule in silence or stop the relay much later.
 #[derive(Default)]
 struct SettingsReader {
     faults: Vec<SettingError>,
@@ -230,8 +230,8 @@
         self.number(class, "windowMs", 0.0, 0.0..=MAX_SPAN_MS)
     }
 
-    /// The budget of attempts beyond the first; `None` where its window is not stated. A limit misread would break a
-    /// rule in silence: nothing but a number from 0 up will do.
+    /// The budget of attempts beyond the first; `None` where its window is not stated. A limit misread
+    /// would break a rule in silence: nothing but a number from 0 up will do.
     fn retry_budget(&mut self, rules: &Value) -> Option<RetryBudget> {
         let read = || -> Result<Option<RetryBudget>, SettingError> {
             let min_retries = amount(rules, "spareAttempts")?.unwrap_or(0.0);
@@ -245,8 +245,8 @@
         })
     }
 
-    /// Tenants and their quotas. A figure that is missing is no limit, and so is a rate of nothing: what is stated in
-    /// whole numbers reads so for a tenant that is small.
+    /// Tenants and their quotas. A figure that is missing is no limit, and so is a rate of nothing: what is
+    /// stated in whole numbers reads so for a tenant that is small.
     fn quotas(&mut self, settings: &Value, defaults: QuotaSettings) -> QuotaSettings {
         let connections = &settings["domain"]["tenantQuotaConnections"];
         if !connections.is_null() && !connections.is_array() {
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -114,7 +114,8 @@
     (Settings { classes, max_attempts, ..settings() }, names)
 }
 
-/// What a connection may do holds from its start to its end, wherever its class stands in the settings meanwhile.
+/// What a connection may do holds from its start to its end, wherever its class stands in the settings
+/// meanwhile.
 #[test]
 fn a_flow_keeps_the_class_that_it_came_with() {
     let (safe, unsafe_) = (("safe", Idempotency::Safe), ("once", Idempotency::Unsafe));
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,5 +1,6 @@
-//! What comes between two lines while a connection is placed: its client's end, its window, the list. A crossing is forced by
-//! stopping the process until both events are there, or by a stand-in that waits for the other one.
+//! What comes between two lines while a connection is placed: its client's end, its window, the list. A
+//! crossing is forced by stopping the process until both events are there, or by a stand-in that waits for
+//! the other one.
 
 mod common;
 
@@ -29,8 +30,8 @@
     }
 }
 
-/// An endpoint whose connections do not come up until it is told: its queue of connections is full, so that the system
-/// drops each attempt to connect, which is repeated after a second.
+/// An endpoint whose connections do not come up until it is told: its queue of connections is full, so that
+/// the system drops each attempt to connect, which is repeated after a second.
 struct Late {
     address: String,
     log: Log,
@@ -99,8 +100,8 @@
     fields.filter(|f| f.get(2) == Some(&&*remote) && f.get(3) == Some(&"01")).count()
 }
 
-/// Ends a client's connection now. A drop alone ends it once nobody else has it, and a process that another test starts
-/// just then has it for a moment.
+/// Ends a client's connection now. A drop alone ends it once nobody else has it, and a process that another
+/// test starts just then has it for a moment.
 fn leaves(client: Client) {
     client.0.get_ref().shutdown(Shutdown::Both).unwrap();
 }
@@ -126,8 +127,8 @@
     relay
 }
 
-/// A client's line and its end had both arrived before the relay read either: the line was taken, and an attempt was
-/// made for nobody.
+/// A client's line and its end had both arrived before the relay read either: the line was taken, and an
+/// attempt was made for nobody.
 #[test]
 fn a_client_that_had_left_before_it_was_read_is_not_placed() {
     let endpoint = Endpoint::lines("UP 1\r\n");
@@ -153,8 +154,8 @@
     assert_eq!(placed, 0, "attempts for clients that had left: {seen:?}");
 }
 
-/// A connection to an endpoint that comes up late, and the client's end, are there together: chance decided which of
-/// them was looked at first, and the line was written for a client that had gone.
+/// A connection to an endpoint that comes up late, and the client's end, are there together: chance decided
+/// which of them was looked at first, and the line was written for a client that had gone.
 #[test]
 fn an_attempt_whose_connection_comes_up_with_its_clients_end_does_not_begin() {
     let late = Late::start("UP 1\r\n");
@@ -183,8 +184,8 @@
     format!("OPEN 5c0f{id:08x} 7f3a9c21e0b4d655 c=subtitle-stream,t=acme,d={deadline}{more}\r\n")
 }
 
-/// The window of a connection that may be repeated was looked at when the repeat was decided: a connection that came up later
-/// let it begin outside. It is given up when its window ends, and answered at once.
+/// The window of a connection that may be repeated was looked at when the repeat was decided: a connection
+/// that came up later let it begin outside. It is given up when its window ends, and answered at once.
 #[test]
 fn a_repeat_whose_window_ends_while_it_connects_does_not_begin() {
     const WINDOW: Duration = Duration::from_millis(3400);
@@ -199,7 +200,8 @@
     let late = Late::start("UP 2\r\n");
     let discovery = Discovery::start();
     discovery.set("s-1", &first.address, "Ready", 0);
-    // A repeat comes a quarter to three quarters of the wanted time after its attempt has ended, and has all of it.
+    // A repeat comes a quarter to three quarters of the wanted time after its attempt has ended, and has
+    // all of it.
     let keyed = [
         ("\"connectTimeoutMs\":200.0", "\"connectTimeoutMs\":15000.0"),
         ("\"semantics\":\"safe\"", "\"semantics\":\"keyed\",\"group\":\"all\",\"windowMs\":3400.0"),
@@ -228,8 +230,8 @@
     assert!(answers.iter().all(told), "{answers:?}");
 }
 
-/// The list changes while a connection is on its way: nothing begins at an endpoint that leaves, or whose place
-/// another has taken.
+/// The list changes while a connection is on its way: nothing begins at an endpoint that leaves, or whose
+/// place another has taken.
 #[test]
 fn an_attempt_does_not_begin_where_the_list_has_changed_while_it_connects() {
     for change in ["Terminating", "Gone", "moves"] {
@@ -257,7 +259,8 @@
     }
 }
 
-/// The end of a first attempt and of its client are there together: no further attempt is made, of one or of many.
+/// The end of a first attempt and of its client are there together: no further attempt is made, of one or
+/// of many.
 #[test]
 fn no_further_attempt_begins_for_clients_that_leave_as_their_first_ends() {
     let answer = Gate::default();
@@ -295,8 +298,8 @@
     assert_eq!(more, 0, "{seen:?}");
 }
 
-/// A client that ends its sending while it waits, or says more than its line, is answered at once, and its attempt is
-/// given up: the endpoint sees the end.
+/// A client that ends its sending while it waits, or says more than its line, is answered at once, and its
+/// attempt is given up: the endpoint sees the end.
 #[test]
 fn an_attempt_is_given_up_as_soon_as_its_client_leaves() {
     let endpoint = Endpoint::start(|stream, log| {
@@ -331,8 +334,9 @@
     assert_eq!(opens(&endpoint.seen()), 4, "{:?}", endpoint.seen());
 }
 
-/// An endpoint answers, and again some milliseconds later, while other connections are placed: nobody gets the second answer,
-/// be it with the first one, on its own, or in place of the end of one that is cut in the middle.
+/// An endpoint answers, and again some milliseconds later, while other connections are placed: nobody gets
+/// the second answer, be it with the first one, on its own, or in place of the end of one that is cut in
+/// the middle.
 #[test]
 fn a_second_answer_reaches_nobody() {
     for first in ["BUSY\r\n", "ERR\r\n", "MOVE\r\n", "BYE\r\n", "UP", "BUSY 20\r\nUP 8\r\n"] {
@@ -376,8 +380,8 @@
     }
 }
 
-/// Answers arrive as their attempts are given up for being late, and the process sees both at once: each client has one
-/// answer, and stands at one endpoint at the most.
+/// Answers arrive as their attempts are given up for being late, and the process sees both at once: each
+/// client has one answer, and stands at one endpoint at the most.
 #[test]
 fn an_answer_that_crosses_the_end_of_its_attempt_leaves_nothing_behind() {
     let answer = Gate::default();
--- a/tests/burst.rs
+++ b/tests/burst.rs
@@ -1,5 +1,5 @@
-//! A burst of connections in a full house, in a file of its own: a process starts with as many places for descriptors as the
-//! one that starts it has ever needed, and what the relay takes is read from its places.
+//! A burst of connections in a full house, in a file of its own: a process starts with as many places for
+//! descriptors as the one that starts it has ever needed, and what the relay takes is read from its places.
 
 mod common;
 
@@ -8,10 +8,10 @@
 
 use common::*;
 
-/// All who are heard ask in the same moment: each connection takes a second descriptor, which somebody else has to give
-/// back first. The process is stopped for so long that it reads all of them at once. Gives how many were served, and
-/// the process, which is told that it may hold so many and is held to `limit`; of one that is held to more, what it
-/// takes beyond what it is told is seen.
+/// All who are heard ask in the same moment: each connection takes a second descriptor, which somebody else
+/// has to give back first. The process is stopped for so long that it reads all of them at once. Gives how
+/// many were served, and the process, which is told that it may hold so many and is held to `limit`; of one
+/// that is held to more, what it takes beyond what it is told is seen.
 fn burst(sockets: usize, limit: usize) -> (usize, Relay) {
     let endpoint = Endpoint::lines("UP 1\r\n");
     let discovery = Discovery::start();
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -1,5 +1,6 @@
-//! Ends of connections that meet: a last word and a reset, a request and a shutdown, half a line and a move. Each
-//! crossing is forced: the relay is stopped until both have arrived, or a stand-in waits for the other.
+//! Ends of connections that meet: a last word and a reset, a request and a shutdown, half a line and a
+//! move. Each crossing is forced: the relay is stopped until both have arrived, or a stand-in waits for the
+//! other.
 
 mod common;
 
@@ -138,7 +139,8 @@
     }
 }
 
-/// What an endpoint has said before it was reset reaches its client, in whole lines; then the client is reset too.
+/// What an endpoint has said before it was reset reaches its client, in whole lines; then the client is
+/// reset too.
 #[test]
 fn the_lines_before_a_reset_reach_the_client_whole() {
     let stand = Stand::start();
@@ -155,8 +157,8 @@
     }
 }
 
-/// A client that is slow to read goes on sending to an endpoint that has ended in good order: all that was said to it
-/// still reaches it. It was reset at its second line, and what it had not read was lost.
+/// A client that is slow to read goes on sending to an endpoint that has ended in good order: all that was
+/// said to it still reaches it. It was reset at its second line, and what it had not read was lost.
 #[test]
 fn a_slow_client_gets_all_that_was_said_before_the_end() {
     const LINES: usize = 20_000;
@@ -208,8 +210,8 @@
 
 // --- moves ---
 
-/// In the middle of a line of the endpoint's no word could be put in: a client that was told to move at such a moment
-/// was cut off without one.
+/// In the middle of a line of the endpoint's no word could be put in: a client that was told to move at
+/// such a moment was cut off without one.
 #[test]
 fn half_a_line_from_the_streamer_is_no_hindrance_to_a_move() {
     let stand = Stand::start_moving();
@@ -226,7 +228,8 @@
     assert_eq!((lines(&mut endpoint), lines(&mut finishes)), (vec!["(end)".into()], vec!["(end)".into()]));
 }
 
-/// An endpoint that falls silent in the middle of a line: its client is told to move within 7 s, after whole lines.
+/// An endpoint that falls silent in the middle of a line: its client is told to move within 7 s, after
+/// whole lines.
 #[test]
 fn the_client_of_a_streamer_that_hangs_in_a_line_is_told_to_move() {
     let stand = Stand::start();
@@ -241,8 +244,8 @@
     assert!(start.elapsed() < Duration::from_secs(7), "after {:?}", start.elapsed());
 }
 
-/// Moved while its endpoint has bytes unread and unsent: all lines of both that had arrived reach the other side, and
-/// the endpoint's connection ends in order.
+/// Moved while its endpoint has bytes unread and unsent: all lines of both that had arrived reach the other
+/// side, and the endpoint's connection ends in order.
 #[test]
 fn a_move_takes_nothing_along() {
     const LINES: usize = 30_000;
@@ -274,8 +277,8 @@
     });
 }
 
-/// What an endpoint has said of its end goes before the relay's own word: nobody is told twice, or told to come again
-/// once he has been served.
+/// What an endpoint has said of its end goes before the relay's own word: nobody is told twice, or told to
+/// come again once he has been served.
 #[test]
 fn a_last_word_that_has_arrived_goes_before_a_move() {
     let stand = Stand::start_moving();
@@ -315,8 +318,8 @@
 
 // --- answers and closes before a connection stands ---
 
-/// A client that sends on and on after its last word is not read for ever, and not reset at once either: the word has
-/// time to arrive.
+/// A client that sends on and on after its last word is not read for ever, and not reset at once either:
+/// the word has time to arrive.
 #[test]
 fn a_flood_is_cut_off_once_its_last_word_has_had_time_to_arrive() {
     let stand = Stand::start();
@@ -342,8 +345,8 @@
     });
 }
 
-/// Whatever a client leaves unread or unsaid, its last word arrives and its connection is closed soon; what it asks after
-/// that goes nowhere.
+/// Whatever a client leaves unread or unsaid, its last word arrives and its connection is closed soon; what
+/// it asks after that goes nowhere.
 #[test]
 fn what_comes_after_the_last_word_is_never_placed() {
     let stand = Stand::start();
@@ -367,8 +370,8 @@
     assert!(stand.listener.accept().is_err(), "something was sent on");
 }
 
-/// A connection that has to make room gets its word, and the request that has arrived by then is answered by it. Closed
-/// over the unread request, it was reset.
+/// A connection that has to make room gets its word, and the request that has arrived by then is answered
+/// by it. Closed over the unread request, it was reset.
 #[test]
 fn a_request_that_has_arrived_as_its_connection_makes_room_is_answered() {
     let stand = Stand::start_limited("ulimit -n 96", 96, "");
@@ -396,8 +399,8 @@
 
 // --- SIGTERM, standby, hand-over ---
 
-/// Half a request before the relay is told to end, put on standby or handed over, and the rest after it: it is served.
-/// So is a whole one that has arrived unread by then, on a connection that rests.
+/// Half a request before the relay is told to end, put on standby or handed over, and the rest after it: it
+/// is served. So is a whole one that has arrived unread by then, on a connection that rests.
 #[test]
 fn a_request_that_crosses_sigterm_or_standby_is_served() {
     let stand = Stand::start();
@@ -419,7 +422,8 @@
         if what == "standby" {
             signal();
         } else {
-            // The signal, a request on a resting connection and a new connection with its request arrive together.
+            // The signal, a request on a resting connection and a new connection with its request arrive
+            // together.
             stand.meanwhile(|| {
                 signal();
                 clients[2].send(&whole(2));
@@ -466,8 +470,8 @@
     (stand, folder)
 }
 
-/// Requests that are half said, unread or in the queue of connections as a new process takes over are all served, by
-/// one process or the other, and an end that was asked for meanwhile changes nothing.
+/// Requests that are half said, unread or in the queue of connections as a new process takes over are all
+/// served, by one process or the other, and an end that was asked for meanwhile changes nothing.
 #[test]
 fn a_request_that_crosses_a_hand_over_is_served() {
     let (stand, _folder) = start_handed();
@@ -568,8 +572,8 @@
     }
 }
 
-/// SIGTERM between the steps of a hand-over that then fails: who came to the queue meanwhile is served by the old
-/// process.
+/// SIGTERM between the steps of a hand-over that then fails: who came to the queue meanwhile is served by
+/// the old process.
 #[test]
 fn a_request_in_the_queue_is_served_where_a_hand_over_fails_under_sigterm() {
     let (stand, folder) = start_handed();
@@ -601,8 +605,9 @@
 const SOCKETS: u32 = 72;
 const PLACES: usize = 32;
 
-/// A process that was told to end has accepted a client that waits for a place, just as all who have one leave and the
-/// last step of a hand-over arrives: it took itself for empty and ended with the client unread.
+/// A process that was told to end has accepted a client that waits for a place, just as all who have one
+/// leave and the last step of a hand-over arrives: it took itself for empty and ended with the client
+/// unread.
 #[test]
 fn a_client_that_waits_for_a_place_keeps_a_process_that_has_handed_over() {
     for _ in 0..3 {
@@ -635,8 +640,9 @@
     }
 }
 
-/// A connection that came from the process before has its last word and is waited for to close, in a full house: it makes room
-/// at once for one that asks. Nobody told it, and who asked waited for as long as it might take to close.
+/// A connection that came from the process before has its last word and is waited for to close, in a full
+/// house: it makes room at once for one that asks. Nobody told it, and who asked waited for as long as it
+/// might take to close.
 #[test]
 fn a_flow_of_the_process_before_that_has_ended_makes_room() {
     /// How long it is waited for, and from when on it is the first to make room.
@@ -684,8 +690,8 @@
     assert!(least < LINGERS / 5, "asked for after {least:?}");
 }
 
-/// The time of connections that rest is up just as a request, half a request or their end arrives: a whole request is
-/// served, and all else is answered by the last word and not sent on.
+/// The time of connections that rest is up just as a request, half a request or their end arrives: a whole
+/// request is served, and all else is answered by the last word and not sent on.
 #[test]
 fn a_request_that_arrives_as_its_resting_connection_is_closed_is_answered() {
     const PATIENCE: Duration = Duration::from_millis(2600);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,5 +1,6 @@
-//! The cold budget with 20 and 30 processes of the program: endpoints start again cold and new ones join under load,
-//! while relays are killed, end as planned and start again. What counts is what all processes together send.
+//! The cold budget with 20 and 30 processes of the program: endpoints start again cold and new ones join
+//! under load, while relays are killed, end as planned and start again. What counts is what all processes
+//! together send.
 
 use sandgw_test_cluster::fault_schedule::{Fault, FaultSchedule, FaultStep};
 use sandgw_test_cluster::invariants::Rule;
@@ -12,8 +13,8 @@
 const WARM_ENDPOINTS: usize = 6;
 /// Set-ups a second that a warm endpoint takes, by which its budget while cold is computed.
 const SETUPS_PER_S: f64 = 6.0;
-/// Clients that arrive a second: a little more than the warm endpoints take, so that a cold endpoint is well over its
-/// budget if it gets an equal part of them.
+/// Clients that arrive a second: a little more than the warm endpoints take, so that a cold endpoint is
+/// well over its budget if it gets an equal part of them.
 const CLIENTS_PER_S: f64 = 40.0;
 const SCHEDULE_MS: f64 = 15_000.0;
 
@@ -56,8 +57,8 @@
     let results = clients.finish(20_000.0).await;
     let verdict = cluster.verdict();
     println!("{verdict}");
-    // The rule is about relays that were informed of the start; the load fraction and the overload of a stand-in are
-    // about all requests that arrived.
+    // The rule is about relays that were informed of the start; the load fraction and the overload of a
+    // stand-in are about all requests that arrived.
     let overloaded = cluster.log.count(|w| matches!(w, EventKind::EndpointOverloaded(_)));
     let satisfied =
         verdict.satisfies(Rule::SlowStart) && verdict.max_cold_load_fraction <= 1.0 && overloaded == 0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -390,8 +390,8 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Places for descriptors that it has ever needed at a time: the system doubles them, 64 being the least, and
-    /// takes none back.
+    /// Places for descriptors that it has ever needed at a time: the system doubles them, 64 being the
+    /// least, and takes none back.
     pub fn descriptor_places(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("FDSize")).unwrap();
@@ -468,7 +468,8 @@
     }
 }
 
-/// The next connection of a listener that doesn't block; one that never comes fails the test, and does not hold it.
+/// The next connection of a listener that doesn't block; one that never comes fails the test, and does not
+/// hold it.
 pub fn accepted<S, A>(accept: impl Fn() -> std::io::Result<(S, A)>) -> S {
     let start = Instant::now();
     loop {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -37,8 +37,9 @@
     insta::assert_snapshot!(String::from_utf8(output.stderr).unwrap());
 }
 
-/// Figures that were taken once and deadly later: without a time to connect in, a connection that no endpoint could take
-/// was looked at again within itself until the stack was full; without a pause discovery was asked without end.
+/// Figures that were taken once and deadly later: without a time to connect in, a connection that no
+/// endpoint could take was looked at again within itself until the stack was full; without a pause
+/// discovery was asked without end.
 #[test]
 fn settings_that_the_module_cannot_work_with_name_their_keys() {
     let folder = tempfile::tempdir().unwrap();
@@ -96,8 +97,8 @@
     }
 }
 
-/// A TOML file that ends early at a line's end is whole to its reader. Beside the one in force it shows, by what it
-/// lacks; at a start there is nothing to hold it against (docs/release-review.md, finding 10).
+/// A TOML file that ends early at a line's end is whole to its reader. Beside the one in force it shows, by
+/// what it lacks; at a start there is nothing to hold it against (docs/release-review.md, finding 10).
 #[test]
 fn half_an_application_file_is_refused_at_a_reload_wherever_it_ends() {
     let folder = tempfile::tempdir().unwrap();
@@ -208,7 +209,8 @@
     }
 }
 
-/// What would be kept to in silence, or not at all, is told: shares without figures, and figures of the wrong members.
+/// What would be kept to in silence, or not at all, is told: shares without figures, and figures of the
+/// wrong members.
 #[test]
 fn shares_are_checked_with_what_can_be_done() {
     let folder = tempfile::tempdir().unwrap();
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -1,9 +1,9 @@
 //! Every decision of the load balancer over a long seeded run, pinned as a digest.
 //!
 //! A small world of clients, endpoints and peers is simulated from fixed seeds and played through the real
-//! adapter program: lists, requests, outcomes, measurements, peers' messages, and timers as they were armed. The
-//! replies' digest and the counts of events and actions are snapshots. A change that is meant to leave decisions
-//! as they are must leave the snapshots as they are.
+//! adapter program: lists, requests, outcomes, measurements, peers' messages, and timers as they were
+//! armed. The replies' digest and the counts of events and actions are snapshots. A change that is meant to
+//! leave decisions as they are must leave the snapshots as they are.
 
 #![allow(clippy::too_many_lines, reason = "one world, played in order")]
 
@@ -364,7 +364,8 @@
             "MEMO_TO" => {
                 let text = &action[3];
                 let peer = action[2].as_u64().expect("a number") as usize;
-                // Peers that this run does not host fall to one that it does; some messages are lost or doubled.
+                // Peers that this run does not host fall to one that it does; some messages are lost or
+                // doubled.
                 let to = peer % self.relays;
                 let copies = [0, 1, 1, 1, 1, 2][self.random.below(6)];
                 for _ in 0..copies {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery's clock, with real processes: whatever a call ran into before, the relay has asked again and was answered
-//! 6 s after the service had a change and could be reached.
+//! Discovery's clock, with real processes: whatever a call ran into before, the relay has asked again and
+//! was answered 6 s after the service had a change and could be reached.
 
 #![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
 
@@ -295,8 +295,8 @@
     )
 }
 
-/// The service fails in one way until each relay's pause would have grown to its most, and comes back with a change
-/// right after a call that failed, or while one is out that will.
+/// The service fails in one way until each relay's pause would have grown to its most, and comes back with
+/// a change right after a call that failed, or while one is out that will.
 fn comes_back(mode: Mode, relays: usize) {
     let tier = Tier::start(relays);
     let failures = |relay: &Relay| relay.log().matches("discovery at ").count();
@@ -369,8 +369,8 @@
     comes_back(Mode::Trickles, 4);
 }
 
-/// A watch that breaks once says nothing of the service: the call after it is made at once, not after a pause, which
-/// would be of a second at the least with these settings.
+/// A watch that breaks once says nothing of the service: the call after it is made at once, not after a
+/// pause, which would be of a second at the least with these settings.
 #[test]
 fn a_watch_that_breaks_once_is_asked_anew_without_a_pause() {
     let tier = Tier::start_with(1, 2000);
@@ -483,7 +483,8 @@
     }
 }
 
-/// The second of two watches that break within seconds is followed by the load balancer's pause, of which there is time for.
+/// The second of two watches that break within seconds is followed by the load balancer's pause, of which
+/// there is time for.
 #[test]
 fn relays_are_told_in_time_where_two_watches_in_a_row_break() {
     for (odd, relays) in [(Odd::Reset, 1), (Odd::Unavailable, 4), (Odd::Cut, 4)] {
@@ -505,7 +506,8 @@
     }
 }
 
-/// The agent of pushed lists accepts calls and says nothing for a while: what it has at its return is heard in time.
+/// The agent of pushed lists accepts calls and says nothing for a while: what it has at its return is heard
+/// in time.
 #[test]
 fn a_relay_is_told_in_time_by_an_agent_that_was_mute() {
     let tier = Tier::start_as(1, 800, "pushed");
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,7 +1,7 @@
 //! The console blocks of README and of the operators' pages, run as they stand there.
 //!
-//! Each page is copied into a folder of its own and its commands run one after another in another beside it, with
-//! the files that the page speaks of. What a command prints must be what the page shows.
+//! Each page is copied into a folder of its own and its commands run one after another in another beside
+//! it, with the files that the page speaks of. What a command prints must be what the page shows.
 
 use std::path::Path;
 
@@ -28,8 +28,8 @@
 {"group":{"key":"0000000000000007","holders":[["1286f81b",1.5],["f7324ac1",0.5]],"at_ms":1760000103000.0}}
 "#;
 
-/// Writes a page and what it speaks of. A folder `NAME.in` is what the runner starts its commands in, a copy of it
-/// where there is a `NAME.out`.
+/// Writes a page and what it speaks of. A folder `NAME.in` is what the runner starts its commands in, a
+/// copy of it where there is a `NAME.out`.
 fn lay_out(folder: &Path, name: &str, page: &str, files: &[File]) -> std::io::Result<()> {
     let start = folder.join(format!("{name}.in"));
     std::fs::create_dir(&start)?;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Several processes of the program with faults between them. What counts is the verdict of the invariants on the log
-//! of all stand-ins, and counts; limits of time are the rules' own and a second of grace for a busy machine.
+//! Several processes of the program with faults between them. What counts is the verdict of the invariants
+//! on the log of all stand-ins, and counts; limits of time are the rules' own and a second of grace for a
+//! busy machine.
 
 use std::time::Duration;
 
@@ -38,8 +39,8 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// No rule is violated, this fraction of the clients was served in each third of the run, of each class and of each
-/// tenant, and no relay has ended by itself.
+/// No rule is violated, this fraction of the clients was served in each third of the run, of each class and
+/// of each tenant, and no relay has ended by itself.
 fn assert_invariants(cluster: &mut TestCluster, min_served_fraction: f64) {
     let verdict = cluster.verdict();
     println!("{verdict}");
@@ -92,7 +93,8 @@
 #[tokio::test]
 async fn clients_find_their_streamers_after_most_relays_were_killed_at_once() {
     let mut cluster = ready(config(8, 8)).await;
-    // Clients are placed by five endpoints and come back to eight: what the table says now is not where they are.
+    // Clients are placed by five endpoints and come back to eight: what the table says now is not where
+    // they are.
     for n in 0..3 {
         cluster.apply(&Fault::KillEndpoint(n)).await.unwrap();
     }
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -1,4 +1,5 @@
-//! A cluster of real processes of several schema versions. The old one is a socket that speaks version 1 only.
+//! A cluster of real processes of several schema versions. The old one is a socket that speaks version 1
+//! only.
 
 #![allow(clippy::too_many_lines, reason = "one test follows a cluster through all of an upgrade")]
 
@@ -115,8 +116,8 @@
     (read, unread)
 }
 
-/// Up only once the old one is gone, down when it is back, and back no more after finalize; the clients' places
-/// outlast all of it.
+/// Up only once the old one is gone, down when it is back, and back no more after finalize; the clients'
+/// places outlast all of it.
 #[test]
 fn a_tier_goes_up_together_and_down_with_an_old_one_until_it_is_finalized() {
     let cluster = Cluster::new();
@@ -149,7 +150,8 @@
     thread::sleep(Duration::from_millis(1200));
     let again: Vec<_> = (20..40).map(|key| opened(&new, key, ",mid=1").0).collect();
     assert_eq!(again, more.iter().map(|(up, _)| up.clone()).collect::<Vec<_>>());
-    // Its place is taken by an old one again, killed as it stands: told nothing that it can't read once it spoke.
+    // Its place is taken by an old one again, killed as it stands: told nothing that it can't read once it
+    // spoke.
     drop(new);
     until("the folder is of form 2", || cluster.folder(4).starts_with("form 2"));
     let old = UdpSocket::bind(&address).unwrap();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -324,7 +324,8 @@
     assert_eq!(std::fs::read_to_string(&path).unwrap(), "mine");
 }
 
-/// The platform holds the clients' socket: who connects before anybody listens is served, and none of the two binds.
+/// The platform holds the clients' socket: who connects before anybody listens is served, and none of the
+/// two binds.
 #[test]
 fn a_passed_socket_is_shared_by_both_processes() {
     let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
@@ -403,8 +404,8 @@
     assert!(start.elapsed() < LONG);
 }
 
-/// The new process dies after the old one was told to end: connections not passed yet go on where they are, and nothing is
-/// accepted there again.
+/// The new process dies after the old one was told to end: connections not passed yet go on where they are,
+/// and nothing is accepted there again.
 #[test]
 fn who_dies_while_flows_pass_takes_only_those_along() {
     let fleet = Fleet::start();
@@ -478,8 +479,9 @@
     assert_eq!(sent, Ok(bytes.len()));
 }
 
-/// The new process has no descriptor left for a connection's sockets: that connection is lost. It was not: what its message left
-/// unsaid was read together with the next connection and its sockets, which the first took for its own.
+/// The new process has no descriptor left for a connection's sockets: that connection is lost. It was not:
+/// what its message left unsaid was read together with the next connection and its sockets, which the first
+/// took for its own.
 #[test]
 fn a_flow_whose_sockets_found_no_room_takes_nobody_elses() {
     let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
@@ -490,7 +492,8 @@
     let more = format!("[relay]\nhandover = {:?}\n", folder.path());
     let new = Relay::start_more(&discovery, 1024, &[host()], 0, &more);
     let mut link = link.join().unwrap();
-    // The first connection's message is longer than what is read at once, and its sockets come with its first bytes.
+    // The first connection's message is longer than what is read at once, and its sockets come with its
+    // first bytes.
     let [(client, mut first), (to_endpoint, mut at_first)] = [pair(), pair()];
     let message = passed("1", b"first\r\n".repeat(700));
     new.limit_descriptors(3);
@@ -510,7 +513,8 @@
     assert_eq!(new.status(), "done active, 1 standing");
 }
 
-/// Two processes hand over in the newest form that both speak; who speaks the first only is asked again in that.
+/// Two processes hand over in the newest form that both speak; who speaks the first only is asked again in
+/// that.
 #[test]
 fn a_hand_over_is_in_the_newest_form_that_both_speak() {
     let fleet = Fleet::start_more("[forms]\n");
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Words of endpoints that leave: what the core makes of them, and real processes that discovery can't all answer.
+//! Words of endpoints that leave: what the core makes of them, and real processes that discovery can't all
+//! answer.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -178,8 +179,8 @@
 fn a_streamer_is_sent_to_again_once_an_answer_knows_better_than_a_word() {
     let all = names(&[0, 1, 2, 3]);
     let answer = |revision, asked, whole| DiscoveryAnswer { revision, requested_at: asked, is_full: whole };
-    // Of the word's version or a later one, or to a call that was made after the word came, whatever its version: the
-    // word may be of another service.
+    // Of the word's version or a later one, or to a call that was made after the word came, whatever its
+    // version: the word may be of another service.
     for answer in
         [answer(41, START - 1.0, false), answer(45, START - 1.0, false), answer(40, START + 5.0, false)]
     {
@@ -211,8 +212,8 @@
     assert_eq!(sent(&mut relay, START + 30.0), names(&[1, 3]), "and has not taken it back");
 }
 
-/// An endpoint left as of version 41 and is back, started anew, as of 43: whatever way the words of its leaving cross the
-/// own list's answers, it is sent to, and leaves again when it does.
+/// An endpoint left as of version 41 and is back, started anew, as of 43: whatever way the words of its
+/// leaving cross the own list's answers, it is sent to, and leaves again when it does.
 #[test]
 fn words_of_a_start_before_do_no_harm_to_a_streamer_that_is_back() {
     let back = || EndpointEntry { started: START - 100.0, ..entry(2, EndpointState::Ready) };
@@ -296,8 +297,8 @@
     events.iter().filter(|e| e.at_ms > since).filter(attempt).count()
 }
 
-/// Discovery was down, and is back with a change and at a rate that has most relays wait for half a minute: by then
-/// all of them have stopped sending to the endpoint that leaves.
+/// Discovery was down, and is back with a change and at a rate that has most relays wait for half a minute:
+/// by then all of them have stopped sending to the endpoint that leaves.
 #[tokio::test]
 async fn relays_that_discovery_cannot_answer_in_time_know_by_word_what_has_left() {
     const RELAYS: usize = 20;
--- a/tests/line.rs
+++ b/tests/line.rs
@@ -76,7 +76,8 @@
         assert_eq!(answers, ["ERR", "(end)"], "{line}");
     }
     assert_eq!(endpoint.seen(), Vec::<String>::new());
-    // The id of another client's open connection, whatever else is said with it; it is free once that has ended.
+    // The id of another client's open connection, whatever else is said with it; it is free once that has
+    // ended.
     let mut first = relay.client();
     assert_eq!(first.send("OPEN 5 2 c=subtitle-stream,t=acme,d=2000\r\n").line(), "UP 17");
     let again = || relay.client().send("OPEN 5 3 c=subtitle-stream,t=acme,d=2000\r\n").line();
@@ -120,8 +121,8 @@
     assert_eq!(connection.send("still?\r\n").line(), "still?");
 }
 
-/// Clients that stop reading hold a buffer each and no more, whatever their endpoints send; when they read again they
-/// get all of it, and new connections are served.
+/// Clients that stop reading hold a buffer each and no more, whatever their endpoints send; when they read
+/// again they get all of it, and new connections are served.
 #[test]
 fn clients_that_stop_reading_cost_no_memory_and_get_all_of_it_later() {
     const BYTES: usize = 16 << 20;
@@ -146,8 +147,9 @@
     assert_eq!(relay.client().open("").line(), "UP 1");
 }
 
-/// A process with fewer descriptors than it was told of: connections are refused with a wait, discovery is heard all the
-/// same, and with room again connections are served at once. The log had a line for each that made room for another.
+/// A process with fewer descriptors than it was told of: connections are refused with a wait, discovery is
+/// heard all the same, and with room again connections are served at once. The log had a line for each that
+/// made room for another.
 #[test]
 fn with_descriptors_again_flows_are_served_and_the_list_is_fresh() {
     let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
@@ -163,7 +165,8 @@
             other => break other.to_owned(),
         }
     };
-    // The last descriptor is mostly the client's own; where it is a forward's, the next client is not accepted.
+    // The last descriptor is mostly the client's own; where it is a forward's, the next client is not
+    // accepted.
     assert!(["BUSY 1500", "(WouldBlock)"].contains(&refused.as_str()), "{refused}");
     // Discovery fails, its descriptor is free for others, and many wait to be accepted.
     discovery.down(true);
@@ -333,8 +336,9 @@
     assert_eq!(later(&endpoints[1]), 0);
 }
 
-/// An endpoint that drains while a connect to it is on its way: what comes up more than a second after the notice must
-/// not be used. Its queue of connections is full, so the connect is repeated by the kernel after 1 s and 3 s.
+/// An endpoint that drains while a connect to it is on its way: what comes up more than a second after the
+/// notice must not be used. Its queue of connections is full, so the connect is repeated by the kernel
+/// after 1 s and 3 s.
 #[test]
 fn a_connect_that_comes_up_after_the_drain_notice_is_not_used() {
     let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -391,7 +395,8 @@
 }
 
 /// SIGHUP once ended the program. It takes the file anew, whole or not at all; what stands goes on; another
-/// discovery service is asked at once for its whole list, whose versions have nothing to do with the old one's.
+/// discovery service is asked at once for its whole list, whose versions have nothing to do with the old
+/// one's.
 #[test]
 fn sighup_takes_a_new_configuration_and_keeps_the_old_one_where_it_is_bad() {
     let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
@@ -423,8 +428,8 @@
     until("a change is heard of", || relay.client().open("").line() == "UP 1");
 }
 
-/// Where lists are pushed, an agent on the relay's machine has them. It was never asked, and the list of the start
-/// was all that a relay ever knew.
+/// Where lists are pushed, an agent on the relay's machine has them. It was never asked, and the list of
+/// the start was all that a relay ever knew.
 #[test]
 fn a_pushed_list_is_heard_of_from_the_agent() {
     let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
@@ -442,8 +447,8 @@
     until("the new list is used", || relay.client().open("").line() == "UP 2");
 }
 
-/// An endpoint that is short of power keeps answering messages at once on sockets; only its set-ups grow slow.
-/// It once kept its whole share of new connections.
+/// An endpoint that is short of power keeps answering messages at once on sockets; only its set-ups grow
+/// slow. It once kept its whole share of new connections.
 #[test]
 fn a_streamer_whose_set_ups_are_slow_gets_few_flows() {
     let slow = Endpoint::start(|stream, log| {
@@ -472,8 +477,8 @@
     assert!((1..12).contains(&slow.seen().len()), "{} flows were sent there", slow.seen().len());
 }
 
-/// When the set of relays changes, open connections arrive at another one, or at a relay that has started again
-/// from nothing. They once went where the table points, which was not where half of them were.
+/// When the set of relays changes, open connections arrive at another one, or at a relay that has started
+/// again from nothing. They once went where the table points, which was not where half of them were.
 #[test]
 fn a_mid_flow_arrival_finds_its_streamer_at_every_relay_of_the_tier() {
     let endpoints = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Endpoint::lines);
@@ -568,8 +573,8 @@
     assert!(relay.memory() < before + 1024, "{before} KiB before, {} after", relay.memory());
 }
 
-/// In a crowd that connects and never finishes, progress tells who makes room: a client that takes 2 s to write once
-/// lost its place to those who came after it, or its time was up.
+/// In a crowd that connects and never finishes, progress tells who makes room: a client that takes 2 s to
+/// write once lost its place to those who came after it, or its time was up.
 #[test]
 fn a_slow_writer_is_served_in_a_crowd_that_never_finishes() {
     let endpoint = Endpoint::lines("UP 17\r\n");
@@ -587,7 +592,8 @@
                     here.push(client);
                     thread::sleep(Duration::from_millis(20));
                 }
-                // Whoever is here for 3 s must have had his end; all of these are, and the machine may be slow.
+                // Whoever is here for 3 s must have had his end; all of these are, and the machine may be
+                // slow.
                 thread::sleep(Duration::from_millis(4500));
                 let ended = |client: &TcpStream| {
                     client.set_nonblocking(true).unwrap();
--- a/tests/narrow.rs
+++ b/tests/narrow.rs
@@ -1,6 +1,7 @@
-//! Narrow moments of starts, descriptors and floods, with real processes over loopback: relays that are restarted
-//! together while discovery is up, slow or down; idle clients that fill every descriptor; clients that send
-//! everything at once, next to nothing, or nothing. Limits of time are the page's with room for a busy machine.
+//! Narrow moments of starts, descriptors and floods, with real processes over loopback: relays that are
+//! restarted together while discovery is up, slow or down; idle clients that fill every descriptor; clients
+//! that send everything at once, next to nothing, or nothing. Limits of time are the page's with room for a
+//! busy machine.
 
 mod common;
 
@@ -123,8 +124,8 @@
     }
 }
 
-/// Keeps so many connections open that never ask for anything: silent ones, halves of a first line, and such that had
-/// their last word and don't close. Whoever is closed on comes again.
+/// Keeps so many connections open that never ask for anything: silent ones, halves of a first line, and
+/// such that had their last word and don't close. Whoever is closed on comes again.
 fn crowd(relay: &Relay, clients: usize) -> Beside {
     let addresses = [relay.line.clone(), relay.rtmp.clone()];
     let words: [&[u8]; 5] = [b"", b"", b"OPEN 7 7 c=subti", b"what?\r\n", b"\x03\0\0"];
@@ -239,8 +240,8 @@
     filled(64);
 }
 
-/// Far more clients come together than there is room for, and have asked before the first is heard: who makes room for the
-/// next is answered as well, and not closed on without a word.
+/// Far more clients come together than there is room for, and have asked before the first is heard: who
+/// makes room for the next is answered as well, and not closed on without a word.
 #[test]
 fn newcomers_who_make_room_for_each_other_are_answered() {
     let _alone = alone();
@@ -262,8 +263,8 @@
     assert_eq!(unanswered, 0, "of {}: {answers:?}", answers.len());
 }
 
-/// In a full house clients ask and leave in one breath: they wait for a descriptor that somebody else has to give back,
-/// and are gone by then. Each is answered at once, and nothing is sent for them.
+/// In a full house clients ask and leave in one breath: they wait for a descriptor that somebody else has
+/// to give back, and are gone by then. Each is answered at once, and nothing is sent for them.
 #[test]
 fn clients_that_leave_as_they_wait_for_a_descriptor_are_answered_and_not_placed() {
     const PLACES: usize = 32;
@@ -293,8 +294,8 @@
     assert!(!seen.iter().any(|line| line.contains("g=gone")), "{seen:?}");
 }
 
-/// Those who send megabytes at once, a byte a second, or nothing until they are ended get their error or are closed on
-/// in time; meanwhile connections are served.
+/// Those who send megabytes at once, a byte a second, or nothing until they are ended get their error or
+/// are closed on in time; meanwhile connections are served.
 #[test]
 fn floods_are_ended_in_time_and_flows_are_served_meanwhile() {
     let _alone = alone();
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -72,8 +72,9 @@
     assert_eq!(caller.send("tus\n").line(), "done active, 0 standing");
 }
 
-/// Far more calls have arrived than there are seats before the relay reads the first: who makes room has asked already,
-/// and is answered. He was closed on unread; and more were accepted than are counted before the first was let go.
+/// Far more calls have arrived than there are seats before the relay reads the first: who makes room has
+/// asked already, and is answered. He was closed on unread; and more were accepted than are counted before
+/// the first was let go.
 #[test]
 fn calls_that_arrive_together_are_all_answered_by_a_few_descriptors() {
     /// Callers that may be there at a time, the next one, and what is held back for them.
@@ -138,8 +139,9 @@
     drop(clients);
 }
 
-/// The same where time passes between the calls, and both listeners look for a descriptor in the same moment: one that a
-/// caller had given back was a client's by then, and so was each that clients made room for, for seconds.
+/// The same where time passes between the calls, and both listeners look for a descriptor in the same
+/// moment: one that a caller had given back was a client's by then, and so was each that clients made room
+/// for, for seconds.
 #[test]
 fn a_descriptor_that_a_caller_gives_back_is_the_next_callers() {
     let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
@@ -165,7 +167,8 @@
     assert!(late.is_empty(), "answered after {late:?}");
 }
 
-/// Where packets pass through, the front leads standing connections elsewhere: to move them would break what holds.
+/// Where packets pass through, the front leads standing connections elsewhere: to move them would break
+/// what holds.
 #[test]
 fn on_standby_new_ones_are_told_off_and_those_who_pass_through_stay() {
     let (_endpoint, discovery, relay) = one("");
@@ -189,8 +192,8 @@
     assert!(echoes(&mut held, "on") && echoes(&mut late, "on"));
 }
 
-/// Where connections end at the relay, all are told to move, also who comes to stand on the way; no later than 4 s
-/// after the call, with room for a slow machine.
+/// Where connections end at the relay, all are told to move, also who comes to stand on the way; no later
+/// than 4 s after the call, with room for a slow machine.
 #[test]
 fn on_standby_those_who_would_be_lost_are_moved_in_time() {
     let (_endpoint, _discovery, relay) = one(PROXY);
--- a/tests/rtmp.rs
+++ b/tests/rtmp.rs
@@ -247,7 +247,8 @@
     for bad in ["_error NetConnection.Connect.Failed", "_error NetConnection.Connect.Rejected", "break"] {
         let endpoints = [endpoint("bad", bad, PACE), endpoint("good", TAKES, PACE)];
         let (_discovery, relay) = fleet(&endpoints);
-        // A connection may be refused all the same where the load balancer's jittered pauses use up its attempts.
+        // A connection may be refused all the same where the load balancer's jittered pauses use up its
+        // attempts.
         let answers: Vec<_> = (0..6).map(|g| Peer::open(&relay, &format!("vod/{g}"), &[]).1).collect();
         assert!(
             answers.iter().all(|a| a.contains("\"good\"") || a.contains("Rejected")),
@@ -261,8 +262,8 @@
     insta::assert_debug_snapshot!((answer, client.told()));
 }
 
-/// An endpoint that has refused a connection takes it some milliseconds later, or in the same breath: nobody gets that answer,
-/// whatever other connections are placed meanwhile.
+/// An endpoint that has refused a connection takes it some milliseconds later, or in the same breath:
+/// nobody gets that answer, whatever other connections are placed meanwhile.
 #[test]
 fn a_second_answer_reaches_nobody() {
     let _alone = alone();
@@ -335,8 +336,8 @@
     assert!(answer.starts_with("_result") && client.told().starts_with('('));
 }
 
-/// An endpoint asks its client to reconnect and is reset: the word arrives, and the client's side ends in order. It was
-/// reset as well, and the word went with it where the client sent something just then.
+/// An endpoint asks its client to reconnect and is reset: the word arrives, and the client's side ends in
+/// order. It was reset as well, and the word went with it where the client sent something just then.
 #[test]
 fn a_request_to_reconnect_before_a_reset_reaches_the_client() {
     let _alone = alone();
@@ -390,8 +391,8 @@
     queue.map_or(0, |queue| usize::from_str_radix(&queue, 16).unwrap())
 }
 
-/// A client whose bytes there is no room for any more leaves while its attempt is out: its end stands behind what was
-/// not read, and is heard all the same. The attempt lasted until its time was up.
+/// A client whose bytes there is no room for any more leaves while its attempt is out: its end stands
+/// behind what was not read, and is heard all the same. The attempt lasted until its time was up.
 #[test]
 fn a_client_that_leaves_behind_a_full_buffer_is_noticed() {
     const BEHIND: usize = 1000;
@@ -441,8 +442,8 @@
     assert_eq!(seen(&log, "begun"), 3);
 }
 
-/// A front that sends a connection's packets to another relay marks them; the endpoint that holds the connection goes on
-/// where it was, and an unknown connection is reset.
+/// A front that sends a connection's packets to another relay marks them; the endpoint that holds the
+/// connection goes on where it was, and an unknown connection is reset.
 #[test]
 fn a_mid_stream_arrival_goes_to_its_holder_or_is_reset() {
     let _alone = alone();
@@ -467,7 +468,8 @@
     insta::assert_debug_snapshot!((lost, holders, strays));
 }
 
-/// Many clients at once find an endpoint that has just started: the load balancer's pace for cold ones holds here too.
+/// Many clients at once find an endpoint that has just started: the load balancer's pace for cold ones
+/// holds here too.
 #[test]
 fn a_cold_streamer_is_not_pushed_over() {
     let _alone = alone();
@@ -487,8 +489,8 @@
     assert!(cold < 25 && (cold as f64) < paced, "{cold} of 50 in {:?}", start.elapsed());
 }
 
-/// The proof asked for: an endpoint takes a drain notice under load. Nothing new goes to it later than 1 s after
-/// the notice, and every client that it holds is told to reconnect before it leaves.
+/// The proof asked for: an endpoint takes a drain notice under load. Nothing new goes to it later than 1 s
+/// after the notice, and every client that it holds is told to reconnect before it leaves.
 #[test]
 fn a_drain_notice_under_load() {
     let _alone = alone();
@@ -538,8 +540,8 @@
     assert!(late <= Duration::from_secs(1), "a send {late:?} after the notice");
 }
 
-/// No front can lead an RTMP connection elsewhere by itself: on standby all of them are moved, whatever the settings say of
-/// lines.
+/// No front can lead an RTMP connection elsewhere by itself: on standby all of them are moved, whatever the
+/// settings say of lines.
 #[test]
 fn on_standby_a_flow_is_told_to_reconnect() {
     let _alone = alone();
@@ -575,8 +577,9 @@
     chunk
 }
 
-/// Where the relay was in the middle of a chunk as its time for a move was up, no word could be put in and the client
-/// was cut off without one: of an endpoint that hangs there, and of one whose chunks never end as reading does.
+/// Where the relay was in the middle of a chunk as its time for a move was up, no word could be put in and
+/// the client was cut off without one: of an endpoint that hangs there, and of one whose chunks never end
+/// as reading does.
 #[test]
 fn a_flow_is_told_to_reconnect_wherever_its_streamer_is_in_a_chunk() {
     let _alone = alone();
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -1,5 +1,5 @@
-//! Tenants' quotas with real processes: a cluster of four relays, endpoints that are full, one tenant that floods them,
-//! and a relay that is killed meanwhile.
+//! Tenants' quotas with real processes: a cluster of four relays, endpoints that are full, one tenant that
+//! floods them, and a relay that is killed meanwhile.
 
 mod common;
 
@@ -81,8 +81,8 @@
     (at, client)
 }
 
-/// Rounds in which some of each tenant's connections end and others arrive. Returns the served fraction of the arrivals
-/// in the second half of the rounds, and the open connections at the end, by tenant.
+/// Rounds in which some of each tenant's connections end and others arrive. Returns the served fraction of
+/// the arrivals in the second half of the rounds, and the open connections at the end, by tenant.
 fn rounds(enforce: bool) -> ([f64; 2], [usize; 2]) {
     let endpoints = [full_at(CAPACITY), full_at(CAPACITY)];
     let discovery = Discovery::start();
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -59,7 +59,8 @@
     assert!(relay.log().contains("state.folder: 41 entries taken"), "{}", relay.log());
 }
 
-/// While the relay is down one endpoint leaves and one starts again: what the folder says of them draws nothing.
+/// While the relay is down one endpoint leaves and one starts again: what the folder says of them draws
+/// nothing.
 #[test]
 fn entries_of_streamers_that_left_meanwhile_draw_no_flow() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
