--- a/src/listener/line.rs
+++ b/src/listener/line.rs
@@ -1,4 +1,8 @@
-//! The platform's front: lines of text.
+//! The platform's line protocol: one text line a message, from client and endpoint.
+//!
+//! Owns what the settings say of lines, the ids of the open connections, and the state of each of them. It reads
+//! `OPEN` and `PING` of clients and the endpoint's answers, writes the attempt's `OPEN` with the time that is left,
+//! and observes the lines of established connections. Times are milliseconds.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,39 +12,43 @@
 
 use bytes::{Buf, BytesMut};
 
-use super::{Answer, Arrive, ClientProtocol, TransferredProtocol};
+use super::{AttemptAnswer, ClientProtocol, ReadProgress, TransferredProtocol};
 use crate::policy::api::*;
 use crate::relay::ServingMode;
 use crate::relay::{AcceptedClass, IncomingRequest, LocalReply};
 
 /// Longest line, with its end.
-const LINE_BYTES: usize = 4096;
-/// No client waits longer than this for its answer; what says so does not mean it.
-const LONGEST_WAIT: Millis = 3_600_000.0;
-/// So much of an answer that is none is logged.
-const LOGGED: usize = 64;
-/// Enough of a line to tell `BYE` and `MOVE` from others.
-const WORD: usize = 8;
+const MAX_LINE_BYTES: usize = 4096;
+/// Shortest and longest time that a client may say it waits for its answer.
+const MIN_DEADLINE_MS: Millis = 1.0;
+/// See [`MIN_DEADLINE_MS`].
+const MAX_DEADLINE_MS: Millis = 3_600_000.0;
+/// The health check of a load balancer in front of the relay.
+const PING: &str = "PING";
+/// How much of a malformed answer is logged.
+const MAX_LOGGED_BYTES: usize = 64;
+/// How much of the endpoint's line is stored: enough to tell `BYE` and `MOVE` from other lines.
+const LINE_PREFIX_BYTES: usize = 8;
 
 /// What the settings in force say of lines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LineNames {
-    /// Whether `g` names a group or else the client: whether connections of one group share work.
+    /// Whether `g` names a group, whose connections share work, or else the client.
     pub groups: bool,
-    /// Classes, each with until when new connections may name it, where it was dropped. Connections that arrive mid-flow began
-    /// when it was in force.
+    /// Classes, each with the time until which new connections may name it, where it was dropped. Connections that
+    /// arrive mid-flow may name any: they began when it was in force.
     pub classes: Vec<AcceptedClass>,
-    /// Tenants; where there are none any will do.
+    /// Tenants; any is accepted where there are none.
     pub tenants: Vec<String>,
 }
 
-/// What is alike for all clients that speak lines.
+/// What all clients of the line protocol share.
 #[derive(Default)]
 pub struct LineRules {
     names: RefCell<LineNames>,
-    /// Tenants of the settings before these: connections of theirs may arrive mid-flow.
-    former: RefCell<Vec<String>>,
-    /// Ids of the connections that are open, each with its key.
+    /// Tenants of the previous settings: connections of theirs may still arrive mid-flow.
+    previous_tenants: RefCell<Vec<String>>,
+    /// Ids of the open connections, each with its client's key.
     open: RefCell<HashMap<String, String>>,
 }
 
@@ -50,127 +58,195 @@
         LineRules { names: RefCell::new(names), ..LineRules::default() }
     }
 
-    /// Takes the names of new settings. Who has been read already keeps what he came with.
-    pub fn renew(&self, names: LineNames) {
+    /// Replaces the names by those of new settings. Requests that were read before are not affected.
+    pub fn apply_names(&self, names: LineNames) {
         let before = self.names.replace(names);
         if before.tenants != self.names.borrow().tenants {
-            self.former.replace(before.tenants);
+            self.previous_tenants.replace(before.tenants);
         }
     }
 
-    fn knows_class(&self, now: Millis, class: &str, mid_flow: bool) -> bool {
-        let may = |until: &Option<Millis>| mid_flow || until.is_none_or(|until| now < until);
-        self.names.borrow().classes.iter().any(|c| c.name == class && may(&c.accepted_until))
+    fn accepts_class(&self, now: Millis, class: &str, mid_flow: bool) -> bool {
+        let accepted = |until: &Option<Millis>| mid_flow || until.is_none_or(|until| now < until);
+        self.names.borrow().classes.iter().any(|c| c.name == class && accepted(&c.accepted_until))
     }
 
-    fn knows_tenant(&self, tenant: &str, mid_flow: bool) -> bool {
-        let named = |tenants: &[String]| tenants.iter().any(|t| t == tenant);
+    fn accepts_tenant(&self, tenant: &str, mid_flow: bool) -> bool {
+        let contains = |tenants: &[String]| tenants.iter().any(|t| t == tenant);
         let names = self.names.borrow();
-        names.tenants.is_empty() || named(&names.tenants) || mid_flow && named(&self.former.borrow())
+        names.tenants.is_empty()
+            || contains(&names.tenants)
+            || mid_flow && contains(&self.previous_tenants.borrow())
     }
+
+    /// Registers an open connection; false where its id is open already. A mid-flow arrival whose packets took
+    /// another path before may still be open here: it replaces the one of the same id and key.
+    fn register(&self, id: &str, key: &str, mid_flow: bool) -> bool {
+        let mut open = self.open.borrow_mut();
+        if open.get(id).is_some_and(|other| !mid_flow || other != key) {
+            return false;
+        }
+        open.insert(id.to_owned(), key.to_owned());
+        true
+    }
+}
+
+/// The fields of `OPEN ID KEY name=value,...`.
+struct OpenLine<'a> {
+    id: &'a str,
+    key: &'a str,
+    options: &'a str,
 }
 
-/// One client that speaks lines.
+impl<'a> OpenLine<'a> {
+    fn parse(line: &'a str) -> Option<Self> {
+        let mut fields = line.split(' ');
+        let command = fields.next()?;
+        let id = fields.next()?;
+        let key = fields.next()?;
+        let options = fields.next()?;
+        let printable = line.bytes().all(|b| b.is_ascii_graphic() || b == b' ');
+        let complete = command == "OPEN" && !id.is_empty() && !key.is_empty() && fields.next().is_none();
+        (complete && printable).then_some(OpenLine { id, key, options })
+    }
+
+    /// The request that the options describe; `None` where one is malformed or repeated, or the deadline is missing.
+    fn request(&self, now: Millis, groups: bool) -> Option<IncomingRequest> {
+        let mut request = IncomingRequest {
+            client: text_key(self.key),
+            drained_by_endpoint: true,
+            reroutable: true,
+            ..IncomingRequest::default()
+        };
+        let mut deadline_ms = None;
+        let mut seen = Vec::new();
+        for option in self.options.split(',') {
+            let (name, value) = option.split_once('=')?;
+            if seen.contains(&name) {
+                return None;
+            }
+            seen.push(name);
+            match name {
+                "c" => request.class = value.to_owned(),
+                "d" => deadline_ms = Some(parse_deadline_ms(value)?),
+                "t" => request.tenant = text_key(value),
+                "g" if groups => request.group = text_key(value),
+                "g" => request.client = text_key(value),
+                "r" | "again" => request.returned |= value == "1",
+                "mid" => request.mid_flow = value == "1",
+                "at" => request.existing_endpoint = Some(EndpointId(Arc::from(value))),
+                "h" => request.load = Some(parse_number(value)?).filter(|load| *load > 0.0),
+                _ => {}
+            }
+        }
+        request.deadline = now + deadline_ms?;
+        Some(request)
+    }
+}
+
+fn text_key(value: &str) -> Option<Key> {
+    Some(Key(Arc::from(value)))
+}
+
+/// A number in plain decimal notation, without sign or exponent.
+fn parse_number(value: &str) -> Option<f64> {
+    let decimal = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    value.parse::<f64>().ok().filter(|_| decimal)
+}
+
+fn parse_deadline_ms(value: &str) -> Option<Millis> {
+    parse_number(value).filter(|ms| (MIN_DEADLINE_MS..=MAX_DEADLINE_MS).contains(ms))
+}
+
+/// One client of the line protocol.
 pub struct LineProtocol {
     rules: Rc<LineRules>,
-    patience: Millis,
-    /// Its id, while it is open.
+    handshake_timeout: Millis,
+    /// The connection's id, while it is registered as open.
     id: Option<String>,
-    /// The first line without its end.
-    first: String,
-    /// Start of the endpoint's current line, and how many bytes of it have passed.
-    word: Vec<u8>,
-    partial: usize,
+    /// The client's `OPEN` without the line's end.
+    open_line: String,
+    /// Start of the endpoint's current line.
+    line_prefix: Vec<u8>,
+    /// How many bytes of the endpoint's current line have been received.
+    line_bytes: usize,
     /// Outcome that the endpoint's last whole line announces.
     announced: Option<Outcome>,
     /// When the client sent the oldest line that is without an answer.
-    asked: Option<Millis>,
+    unanswered_since: Option<Millis>,
 }
 
 impl LineProtocol {
-    /// A front for one connection, which may take so long for its first line.
-    pub fn new(rules: Rc<LineRules>, patience: Millis) -> Self {
+    /// The protocol of one connection, whose first line may take `handshake_timeout` milliseconds.
+    pub fn new(rules: Rc<LineRules>, handshake_timeout: Millis) -> Self {
         LineProtocol {
             rules,
-            patience,
+            handshake_timeout,
             id: None,
-            first: String::new(),
-            word: Vec::new(),
-            partial: 0,
+            open_line: String::new(),
+            line_prefix: Vec::new(),
+            line_bytes: 0,
             announced: None,
-            asked: None,
+            unanswered_since: None,
         }
     }
 
-    /// Goes on with a connection that stood at the process before.
-    pub fn adopt(rules: Rc<LineRules>, now: Millis, carried: TransferredProtocol) -> Self {
-        rules.open.borrow_mut().insert(carried.id.clone(), carried.key);
-        let outcome = |served| if served { Outcome::Ok } else { Outcome::Cancelled };
+    /// Resumes a connection that another process has handed over.
+    pub fn resume(rules: Rc<LineRules>, now: Millis, transferred: TransferredProtocol) -> Self {
+        rules.open.borrow_mut().insert(transferred.id.clone(), transferred.key);
+        let outcome = |completed| if completed { Outcome::Ok } else { Outcome::Cancelled };
         let mut protocol = LineProtocol::new(rules, 0.0);
-        protocol.id = Some(carried.id);
-        protocol.word = carried.word;
-        protocol.word.truncate(WORD);
-        protocol.partial = carried.partial as usize;
-        protocol.announced = carried.announced.map(outcome);
-        protocol.asked = carried.unanswered.filter(|age| *age >= 0.0).map(|age| now - age);
+        protocol.id = Some(transferred.id);
+        protocol.line_prefix = transferred.line_prefix;
+        protocol.line_prefix.truncate(LINE_PREFIX_BYTES);
+        protocol.line_bytes = transferred.line_bytes as usize;
+        protocol.announced = transferred.announced_completion.map(outcome);
+        let unanswered_ms = transferred.unanswered_ms.filter(|age| *age >= 0.0);
+        protocol.unanswered_since = unanswered_ms.map(|age| now - age);
         protocol
     }
 
-    /// Reads `OPEN ID KEY name=value,...`; nothing of what is malformed, names what there is not, or is open
-    /// already. An endpoint would refuse it or close on it, which says nothing of the endpoint, and the load balancer
-    /// would try the next one with it.
-    fn parse(&mut self, now: Millis, line: &str) -> Option<IncomingRequest> {
-        let mut words = line.split(' ');
-        let (open, id, key, list) = (words.next()?, words.next()?, words.next()?, words.next()?);
-        let plain = line.bytes().all(|b| b.is_ascii_graphic() || b == b' ');
-        if open != "OPEN" || id.is_empty() || key.is_empty() || words.next().is_some() || !plain {
-            return None;
-        }
-        let text = |value: &str| Some(Key(Arc::from(value)));
-        let mut arrival = IncomingRequest {
-            client: text(key),
-            drained_by_endpoint: true,
-            reroutable: true,
-            ..IncomingRequest::default()
-        };
-        let (mut left, mut seen, mut tenant) = (None, Vec::new(), None);
+    /// Parses `OPEN ID KEY name=value,...` and registers the connection; `None` where the line is malformed, names an
+    /// unknown class or tenant, or an id that is open already. Such a request is not forwarded: an endpoint would
+    /// refuse it or close on it, which says nothing of the endpoint, and the load balancer would retry it elsewhere.
+    fn open(&mut self, now: Millis, line: &str) -> Option<IncomingRequest> {
+        let open = OpenLine::parse(line)?;
         let groups = self.rules.names.borrow().groups;
-        for pair in list.split(',') {
-            let (name, value) = pair.split_once('=')?;
-            if seen.contains(&name) {
-                return None;
-            }
-            seen.push(name);
-            let digits = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-            let number = || value.parse::<f64>().ok().filter(|_| digits);
-            match name {
-                "c" => arrival.class = value.to_owned(),
-                "d" => left = Some(number().filter(|d| (1.0..=LONGEST_WAIT).contains(d))?),
-                "t" => tenant = Some(value),
-                "g" if groups => arrival.group = text(value),
-                "g" => arrival.client = text(value),
-                "r" | "again" => arrival.returned |= value == "1",
-                "mid" => arrival.mid_flow = value == "1",
-                "at" => arrival.existing_endpoint = Some(EndpointId(Arc::from(value))),
-                "h" => arrival.load = Some(number()?).filter(|h| *h > 0.0),
-                _ => {}
-            }
-        }
-        arrival.tenant = tenant.and_then(text);
-        arrival.deadline = now + left?;
-        let mid_flow = arrival.mid_flow;
-        let class = self.rules.knows_class(now, &arrival.class, mid_flow);
-        if !class || !self.rules.knows_tenant(tenant.unwrap_or_default(), mid_flow) {
+        let request = open.request(now, groups)?;
+        let mid_flow = request.mid_flow;
+        let tenant = request.tenant.as_ref().map_or("", |tenant| &*tenant.0);
+        let accepted = self.rules.accepts_class(now, &request.class, mid_flow)
+            && self.rules.accepts_tenant(tenant, mid_flow)
+            && self.rules.register(open.id, open.key, mid_flow);
+        if !accepted {
             return None;
         }
-        // A connection whose packets took another way may still look open here; nobody else has its key.
-        let mut open = self.rules.open.borrow_mut();
-        if open.get(id).is_some_and(|other| !arrival.mid_flow || other != key) {
+        self.id = Some(open.id.to_owned());
+        Some(request)
+    }
+
+    /// Rejects a request of which nothing may reach an endpoint. The rest of the input is dropped unread.
+    fn reject_request(&mut self, input: &mut BytesMut, reply: &mut BytesMut) -> ReadProgress {
+        input.clear();
+        self.write_local_reply(LocalReply::Failed, reply);
+        ReadProgress::Close
+    }
+
+    /// Takes the end of a line into account; returns a round-trip time when the line answers the client.
+    fn end_endpoint_line(&mut self, now: Millis) -> Option<Millis> {
+        self.announced = match self.line_prefix.trim_ascii_end() {
+            b"BYE" => Some(Outcome::Ok),
+            b"MOVE" => Some(Outcome::Cancelled),
+            _ => None,
+        };
+        // An endpoint sends `LOAD` unasked: it answers nothing.
+        let unsolicited = self.line_prefix.starts_with(b"LOAD ");
+        self.line_bytes = 0;
+        self.line_prefix.clear();
+        if unsolicited {
             return None;
         }
-        open.insert(id.to_owned(), key.to_owned());
-        self.id = Some(id.to_owned());
-        Some(arrival)
+        self.unanswered_since.take().map(|since| now - since)
     }
 }
 
@@ -193,88 +269,89 @@
     Some(line)
 }
 
+fn ping_reply(mode: ServingMode) -> &'static [u8] {
+    match mode {
+        ServingMode::Active => b"PONG\r\n",
+        ServingMode::Standby => b"STANDBY\r\n",
+    }
+}
+
 impl ClientProtocol for LineProtocol {
-    fn patience(&self) -> Millis {
-        self.patience
+    fn handshake_timeout(&self) -> Millis {
+        self.handshake_timeout
     }
 
-    fn arrive(
+    fn read_request(
         &mut self,
         now: Millis,
-        does: ServingMode,
+        mode: ServingMode,
         input: &mut BytesMut,
         reply: &mut BytesMut,
-    ) -> Arrive {
+    ) -> ReadProgress {
         loop {
-            let ends = input.iter().take(LINE_BYTES).any(|b| *b == b'\n');
-            if !ends && input.len() < LINE_BYTES {
-                return Arrive::More;
+            let ends = input.iter().take(MAX_LINE_BYTES).any(|b| *b == b'\n');
+            if !ends && input.len() < MAX_LINE_BYTES {
+                return ReadProgress::Incomplete;
             }
+            // A line that is too long is malformed like an empty one.
             let line = if ends { take_line(input) } else { None };
             let line = line.as_deref().and_then(|l| str::from_utf8(l).ok()).unwrap_or_default();
-            if line == "PING" {
-                let word: &[u8] = match does {
-                    ServingMode::Active => b"PONG\r\n",
-                    ServingMode::Standby => b"STANDBY\r\n",
-                };
-                reply.extend_from_slice(word);
+            if line == PING {
+                reply.extend_from_slice(ping_reply(mode));
                 continue;
             }
-            // Too long or malformed: nothing of it may reach an endpoint.
-            let Some(arrival) = self.parse(now, line) else {
-                // Not even to be read: whoever sends more than one line does not wait for its answer.
-                input.clear();
-                self.fixed(LocalReply::Failed, reply);
-                return Arrive::Close;
+            let Some(request) = self.open(now, line) else {
+                return self.reject_request(input, reply);
             };
-            self.first = line.to_owned();
-            if !input.is_empty() && !self.speaks_early() {
-                // Hundreds of commands at once are no connection: after its line a client waits for the answer.
-                input.clear();
-                self.fixed(LocalReply::Failed, reply);
-                return Arrive::Close;
+            self.open_line = line.to_owned();
+            // A client waits for the answer to its line: several lines at once are no request.
+            if !input.is_empty() && !self.accepts_early_data() {
+                return self.reject_request(input, reply);
             }
-            return Arrive::Connection(arrival);
+            return ReadProgress::Request(request);
         }
     }
 
-    fn speaks_early(&self) -> bool {
+    fn accepts_early_data(&self) -> bool {
         false
     }
 
-    fn attempt(&mut self, left: Millis, out: &mut BytesMut) {
-        let left = format!("d={:.0}", left.floor().max(1.0));
-        let (head, list) = self.first.rsplit_once(' ').unwrap_or(("", &self.first));
-        let pairs = list.split(',').map(|p| if p.starts_with("d=") { left.as_str() } else { p });
-        let list = pairs.collect::<Vec<_>>().join(",");
-        out.extend_from_slice(format!("{head} {list}\r\n").as_bytes());
+    fn begin_attempt(&mut self, time_left: Millis, out: &mut BytesMut) {
+        let deadline = format!("d={:.0}", time_left.floor().max(1.0));
+        let (head, options) = self.open_line.rsplit_once(' ').unwrap_or(("", &self.open_line));
+        let with_deadline = options
+            .split(',')
+            .map(|option| if option.starts_with("d=") { deadline.as_str() } else { option });
+        let options = with_deadline.collect::<Vec<_>>().join(",");
+        out.extend_from_slice(format!("{head} {options}\r\n").as_bytes());
     }
 
     fn request_complete(&self) -> bool {
         true
     }
 
-    fn answer(&mut self, input: &mut BytesMut, _out: &mut BytesMut) -> Answer {
-        let Some(end) = input.iter().take(LINE_BYTES).position(|b| *b == b'\n') else {
-            let long = input.len() >= LINE_BYTES;
-            return if long { Answer::Ended(Outcome::Error) } else { Answer::More };
+    fn read_answer(&mut self, input: &mut BytesMut, _out: &mut BytesMut) -> AttemptAnswer {
+        let Some(end) = input.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
+            let too_long = input.len() >= MAX_LINE_BYTES;
+            return if too_long { AttemptAnswer::Ended(Outcome::Error) } else { AttemptAnswer::Incomplete };
         };
         let line = input[..end].strip_suffix(b"\r").unwrap_or(&input[..end]);
         match line.split(|b| *b == b' ').next().unwrap_or_default() {
-            b"UP" => return Answer::Up,
-            b"BUSY" => return Answer::Ended(Outcome::Rejected),
-            b"MOVE" => return Answer::Ended(Outcome::Cancelled),
-            b"BYE" => return Answer::Ended(Outcome::Reset),
+            b"UP" => return AttemptAnswer::Established,
+            b"BUSY" => return AttemptAnswer::Ended(Outcome::Rejected),
+            b"MOVE" => return AttemptAnswer::Ended(Outcome::Cancelled),
+            b"BYE" => return AttemptAnswer::Ended(Outcome::Reset),
             b"ERR" => {}
             other => {
-                log::warn!("a streamer answered {}", other[..other.len().min(LOGGED)].escape_ascii());
+                let start = &other[..other.len().min(MAX_LOGGED_BYTES)];
+                log::warn!("an endpoint sent a malformed answer: {}", start.escape_ascii());
             }
         }
         input.advance(end + 1);
-        Answer::Ended(Outcome::Error)
+        AttemptAnswer::Ended(Outcome::Error)
     }
 
-    fn fixed(&mut self, response: LocalReply, reply: &mut BytesMut) {
+    fn write_local_reply(&mut self, response: LocalReply, reply: &mut BytesMut) {
         let line = match response {
             LocalReply::Rejected(Some(ms)) => format!("BUSY {:.0}\r\n", ms.max(0.0)),
             LocalReply::Rejected(None) => "BUSY\r\n".into(),
@@ -283,65 +360,56 @@
         reply.extend_from_slice(line.as_bytes());
     }
 
-    fn client_sent(&mut self, now: Millis, bytes: &[u8]) {
+    fn observe_client_bytes(&mut self, now: Millis, bytes: &[u8]) {
         if bytes.contains(&b'\n') {
-            self.asked.get_or_insert(now);
+            self.unanswered_since.get_or_insert(now);
         }
     }
 
-    fn endpoint_sent(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis> {
-        let mut trip = None;
+    fn observe_endpoint_bytes(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis> {
+        let mut round_trip = None;
         for part in bytes.split_inclusive(|b| *b == b'\n') {
-            self.partial += part.len();
-            let room = WORD.saturating_sub(self.word.len());
-            self.word.extend_from_slice(&part[..part.len().min(room)]);
+            self.line_bytes += part.len();
+            let prefix_room = LINE_PREFIX_BYTES.saturating_sub(self.line_prefix.len());
+            self.line_prefix.extend_from_slice(&part[..part.len().min(prefix_room)]);
             if part.ends_with(b"\n") {
-                self.announced = match self.word.trim_ascii_end() {
-                    b"BYE" => Some(Outcome::Ok),
-                    b"MOVE" => Some(Outcome::Cancelled),
-                    _ => None,
-                };
-                // `LOAD` comes unasked: it answers nothing.
-                if !self.word.starts_with(b"LOAD ") {
-                    trip = trip.or(self.asked.take().map(|at| now - at));
-                }
-                self.partial = 0;
-                self.word.clear();
+                let answered = self.end_endpoint_line(now);
+                round_trip = round_trip.or(answered);
             }
         }
-        trip
+        round_trip
     }
 
-    fn partial(&self) -> Option<usize> {
-        Some(self.partial)
+    fn bytes_since_boundary(&self) -> Option<usize> {
+        Some(self.line_bytes)
     }
 
-    fn held(&self) -> usize {
-        // What is too long for a line is passed on as it comes.
-        if self.partial < LINE_BYTES { self.partial } else { 0 }
+    fn incomplete_tail(&self) -> usize {
+        // Bytes of a line that is too long are passed on as they come.
+        if self.line_bytes < MAX_LINE_BYTES { self.line_bytes } else { 0 }
     }
 
     fn unanswered_since(&self) -> Option<Millis> {
-        self.asked
+        self.unanswered_since
     }
 
-    fn carry(&self, now: Millis) -> Option<TransferredProtocol> {
+    fn export(&self, now: Millis) -> Option<TransferredProtocol> {
         let id = self.id.clone()?;
         Some(TransferredProtocol {
             key: self.rules.open.borrow().get(&id)?.clone(),
             id,
-            word: self.word.clone(),
-            partial: self.partial as u64,
-            announced: self.announced.map(|outcome| outcome == Outcome::Ok),
-            unanswered: self.asked.map(|at| now - at),
+            line_prefix: self.line_prefix.clone(),
+            line_bytes: self.line_bytes as u64,
+            announced_completion: self.announced.map(|outcome| outcome == Outcome::Ok),
+            unanswered_ms: self.unanswered_since.map(|since| now - since),
         })
     }
 
-    fn moved(&mut self, reply: &mut BytesMut) {
+    fn write_migration(&mut self, reply: &mut BytesMut) {
         reply.extend_from_slice(b"MOVE\r\n");
     }
 
-    fn announced(&self) -> Option<Outcome> {
+    fn announced_outcome(&self) -> Option<Outcome> {
         self.announced
     }
 }
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -1,5 +1,8 @@
-//! The fronts: each a state machine that is fed bytes and knows no socket. A driver in [`crate::net`] does
-//! the reading and writing, alike for all of them.
+//! The protocols that clients speak: each is a state machine that is fed bytes and does no I/O.
+//!
+//! A protocol owns what it has parsed of one client and of the endpoint's answer to it. It is given the bytes read
+//! from both sides and the time in milliseconds, and returns what to do next and the bytes to write. It never
+//! touches a socket, a timer or the load balancer: a driver in [`crate::net`] does that, alike for all protocols.
 
 pub mod line;
 pub mod rtmp;
@@ -15,131 +18,135 @@
 use crate::relay::ServingMode;
 use crate::relay::{IncomingRequest, LocalReply};
 
-/// What has come of a client's bytes before its connection is placed.
+/// What a client's bytes have amounted to before its request is placed.
 #[derive(Debug, PartialEq)]
-pub enum Arrive {
-    /// More bytes are wanted.
-    More,
-    /// A connection asks to be placed.
-    Connection(IncomingRequest),
-    /// Nothing more will come of this connection: write what is in the reply, then close.
+pub enum ReadProgress {
+    /// More bytes are needed.
+    Incomplete,
+    /// The client's request is complete and can be placed.
+    Request(IncomingRequest),
+    /// The client is not served: write what is in the reply, then close.
     Close,
 }
 
-/// What has come of an endpoint's bytes before the connection stands.
+/// What an endpoint's bytes have amounted to before the connection is established.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
-    /// More bytes are wanted.
-    More,
-    /// The endpoint has taken the connection; all that is left in the input goes to the client.
-    Up,
-    /// The attempt has ended.
+pub enum AttemptAnswer {
+    /// More bytes are needed.
+    Incomplete,
+    /// The endpoint has accepted the connection; everything left in the input belongs to the client.
+    Established,
+    /// The attempt has ended without a connection.
     Ended(Outcome),
 }
 
-/// What a front knows of a standing connection, for the process that serves next.
+/// The protocol's state of an established connection, as sent to the process that takes it over.
+///
+/// Encoded by position: the order and the types of the fields are part of the hand-over's format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredProtocol {
-    /// Its id and key.
+    /// Id of the connection.
     pub id: String,
-    /// See above.
+    /// Key of its client.
     pub key: String,
-    /// Start of the endpoint's current line, and how many bytes of it have passed.
-    pub word: Vec<u8>,
-    /// See above.
-    pub partial: u64,
-    /// What the endpoint's last whole line says of its end: served, or sent away.
-    pub announced: Option<bool>,
-    /// How long the client's oldest line has been without an answer.
-    pub unanswered: Option<Millis>,
+    /// Start of the endpoint's current line.
+    pub line_prefix: Vec<u8>,
+    /// How many bytes of the endpoint's current line have been received.
+    pub line_bytes: u64,
+    /// The end that the endpoint's last whole line announces: completed, or sent to another endpoint.
+    pub announced_completion: Option<bool>,
+    /// How long the client's oldest line has been without an answer, in milliseconds.
+    pub unanswered_ms: Option<Millis>,
 }
 
-/// One client's side of the relay and, while a forward is out, its endpoint's.
+/// One client's side of a connection and, during an attempt, its endpoint's.
 pub trait ClientProtocol {
-    /// How long a client may take, from accept, until its connection is known.
-    fn patience(&self) -> Millis;
+    /// How long a client may take, from accept, until its request is complete.
+    fn handshake_timeout(&self) -> Millis;
 
-    /// Takes bytes of a client that is not placed yet, and consumes those that it understands. Who asks how the
-    /// relay does is told what it does.
-    fn arrive(
+    /// Reads bytes of a client whose request is not complete yet, and consumes those that it understands. A health
+    /// check is answered by the serving mode.
+    fn read_request(
         &mut self,
         now: Millis,
-        does: ServingMode,
+        mode: ServingMode,
         input: &mut BytesMut,
         reply: &mut BytesMut,
-    ) -> Arrive;
+    ) -> ReadProgress;
 
-    /// Whether a client is in the middle of saying what it wants, of which this is left.
-    fn has_begun(&self, input: &BytesMut) -> bool {
+    /// Whether a client has sent a part of its request, of which `input` is not consumed yet.
+    fn request_begun(&self, input: &BytesMut) -> bool {
         !input.is_empty()
     }
 
-    /// Whether a client may go on speaking before it has its answer.
-    fn speaks_early(&self) -> bool {
+    /// Whether a client may send more before it has the answer to its request.
+    fn accepts_early_data(&self) -> bool {
         true
     }
 
-    /// Starts a forward that is given up after `left`: writes what the endpoint is to see first.
-    fn attempt(&mut self, left: Millis, out: &mut BytesMut);
+    /// Begins an attempt that is given up after `time_left`: writes the first bytes for the endpoint.
+    fn begin_attempt(&mut self, time_left: Millis, out: &mut BytesMut);
 
-    /// Whether the endpoint has been given all that it needs to act, once `out` is written.
+    /// Whether the endpoint has the whole request, and so may act on it, once `out` is written.
     fn request_complete(&self) -> bool;
 
-    /// Takes bytes of the endpoint until the connection stands or the attempt has ended. What is left in `input`
-    /// when it stands goes to the client.
-    fn answer(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Answer;
+    /// Reads bytes of the endpoint until the connection is established or the attempt has ended. What is left in
+    /// `input` of an established connection goes to the client.
+    fn read_answer(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> AttemptAnswer;
 
-    /// How long an endpoint that says nothing to a complete request may take until the connection counts as
-    /// standing; where nothing, it has to answer.
-    fn up_when_quiet(&self) -> Option<Duration> {
+    /// After how long without a byte from an endpoint that has the whole request the connection counts as
+    /// established; `None` where the endpoint has to answer.
+    fn established_when_silent(&self) -> Option<Duration> {
         None
     }
 
-    /// Writes a local reply.
-    fn fixed(&mut self, response: LocalReply, reply: &mut BytesMut);
+    /// Writes a reply of the relay itself.
+    fn write_local_reply(&mut self, response: LocalReply, reply: &mut BytesMut);
 
-    /// Whether this client can only be told by a reset.
-    fn resets(&self) -> bool {
+    /// Whether a reset is the only reply that this client understands.
+    fn closes_by_reset(&self) -> bool {
         false
     }
 
-    /// Sees bytes that a client of a standing connection has sent.
-    fn client_sent(&mut self, now: Millis, bytes: &[u8]);
+    /// Observes bytes that the client of an established connection has sent.
+    fn observe_client_bytes(&mut self, now: Millis, bytes: &[u8]);
 
-    /// Sees bytes that the endpoint has sent; gives a round trip when one was completed.
-    fn endpoint_sent(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis>;
+    /// Observes bytes that the endpoint of an established connection has sent; returns a round-trip time when they
+    /// complete one.
+    fn observe_endpoint_bytes(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis>;
 
-    /// Bytes of the endpoint since the last place at which the relay may put in a message of its own, where
-    /// such places are known.
-    fn partial(&self) -> Option<usize>;
+    /// Bytes of the endpoint since the last message boundary, at which the relay may insert a message of its own;
+    /// `None` where boundaries are not known.
+    fn bytes_since_boundary(&self) -> Option<usize>;
 
-    /// How many of the endpoint's last bytes are no whole message yet and better wait for the rest of it: the relay may
-    /// put in a message of its own before them, and an endpoint that breaks leaves nothing half said.
-    fn held(&self) -> usize {
+    /// How many of the endpoint's last bytes are an incomplete message that should wait for its rest: the relay may
+    /// insert a message before them, and an endpoint that breaks off leaves no partial message at the client.
+    fn incomplete_tail(&self) -> usize {
         0
     }
 
-    /// Since when a client's message is without an answer.
+    /// Since when a message of the client is without an answer.
     fn unanswered_since(&self) -> Option<Millis>;
 
-    /// How long an endpoint may leave bytes unacknowledged, where no message tells that it has vanished.
-    fn silence(&self) -> Option<Duration> {
+    /// How long an endpoint may leave bytes unacknowledged, for protocols without a message that shows that it has
+    /// vanished.
+    fn unacknowledged_timeout(&self) -> Option<Duration> {
         None
     }
 
-    /// Writes what tells the client to come again.
-    fn moved(&mut self, reply: &mut BytesMut);
+    /// Writes the message that asks the client to reconnect.
+    fn write_migration(&mut self, reply: &mut BytesMut);
 
-    /// What the next process has to know to go on in this one's place; nothing where it could not.
-    fn carry(&self, _now: Millis) -> Option<TransferredProtocol> {
+    /// The state that another process needs to take the connection over; `None` where it could not.
+    fn export(&self, _now: Millis) -> Option<TransferredProtocol> {
         None
     }
 
-    /// What the endpoint's last whole message says of the connection's end, if it does.
-    fn announced(&self) -> Option<Outcome>;
+    /// The end that the endpoint's last whole message announces, if it does.
+    fn announced_outcome(&self) -> Option<Outcome>;
 
-    /// What it means that the endpoint has now ended the connection in good order.
-    fn endpoint_end(&self) -> Outcome {
-        self.announced().unwrap_or(Outcome::Reset)
+    /// The outcome if the endpoint closes the connection now, without a reset.
+    fn outcome_at_end(&self) -> Outcome {
+        self.announced_outcome().unwrap_or(Outcome::Reset)
     }
 }
--- a/src/listener/rtmp/mod.rs
+++ b/src/listener/rtmp/mod.rs
@@ -22,7 +22,7 @@
 use rml_rtmp::handshake::{Handshake, HandshakeProcessResult, PeerType};
 
 use self::chunks::{COMMAND, Malformed, Reader, write_command};
-use super::{Answer, Arrive, ClientProtocol};
+use super::{AttemptAnswer, ClientProtocol, ReadProgress};
 use crate::policy::api::*;
 use crate::relay::ServingMode;
 use crate::relay::{IncomingRequest, LocalReply};
@@ -115,11 +115,11 @@
         }
     }
 
-    fn start(&mut self, now: Millis, input: &mut BytesMut) -> Result<Option<Arrive>, Malformed> {
-        let Some(first) = input.first() else { return Ok(Some(Arrive::More)) };
+    fn start(&mut self, now: Millis, input: &mut BytesMut) -> Result<Option<ReadProgress>, Malformed> {
+        let Some(first) = input.first() else { return Ok(Some(ReadProgress::Incomplete)) };
         if self.trusted && *first == proxy::SIGNATURE[0] {
             let Some((length, header)) = proxy::read(input).map_err(|()| Malformed)? else {
-                return Ok(Some(Arrive::More));
+                return Ok(Some(ReadProgress::Incomplete));
             };
             let _ = input.split_to(length);
             self.client = header.client.unwrap_or(self.client);
@@ -127,7 +127,7 @@
                 let arrival = self.arrival(now, connection.clone(), group.clone());
                 self.stage = Stage::MidStream(connection, group);
                 self.down = Err(Malformed);
-                return Ok(Some(Arrive::Connection(IncomingRequest {
+                return Ok(Some(ReadProgress::Request(IncomingRequest {
                     mid_flow: true,
                     existing_endpoint_only: true,
                     ..arrival
@@ -138,7 +138,7 @@
         Ok(None)
     }
 
-    fn connect(&mut self, now: Millis, input: &mut BytesMut) -> Result<Arrive, Malformed> {
+    fn connect(&mut self, now: Millis, input: &mut BytesMut) -> Result<ReadProgress, Malformed> {
         let Stage::Connect(reader) = &mut self.stage else { return Err(Malformed) };
         loop {
             let (taken, message) = reader.next(input)?;
@@ -147,7 +147,7 @@
                 return Err(Malformed);
             }
             match message {
-                None => return Ok(Arrive::More),
+                None => return Ok(ReadProgress::Incomplete),
                 Some(message) if message.kind == COMMAND => {
                     let (name, transaction, mut rest) = command(&message.body).ok_or(Malformed)?;
                     let object = rest.next().and_then(Amf0Value::get_object_properties).ok_or(Malformed)?;
@@ -160,7 +160,7 @@
                     let named = query.split('&').find_map(|p| p.strip_prefix("flow="));
                     let connection = named.map_or_else(|| self.client.to_string(), str::to_owned);
                     let group = path.trim_matches('/').to_owned();
-                    return Ok(Arrive::Connection(self.arrival(now, connection, group)));
+                    return Ok(ReadProgress::Request(self.arrival(now, connection, group)));
                 }
                 Some(_) => {}
             }
@@ -217,15 +217,21 @@
 }
 
 impl ClientProtocol for RtmpProtocol {
-    fn patience(&self) -> Millis {
+    fn handshake_timeout(&self) -> Millis {
         (self.settings.give_up - MARGIN).max(0.0)
     }
 
-    fn has_begun(&self, input: &BytesMut) -> bool {
+    fn request_begun(&self, input: &BytesMut) -> bool {
         !matches!(self.stage, Stage::Start) || !input.is_empty()
     }
 
-    fn arrive(&mut self, now: Millis, _: ServingMode, input: &mut BytesMut, reply: &mut BytesMut) -> Arrive {
+    fn read_request(
+        &mut self,
+        now: Millis,
+        _: ServingMode,
+        input: &mut BytesMut,
+        reply: &mut BytesMut,
+    ) -> ReadProgress {
         self.accepted.get_or_insert(now);
         loop {
             let step = match &mut self.stage {
@@ -240,25 +246,25 @@
                             self.stage = Stage::Connect(Reader::default());
                             Ok(None)
                         }
-                        other => other.map(|_| Some(Arrive::More)),
+                        other => other.map(|_| Some(ReadProgress::Incomplete)),
                     }
                 }
                 Stage::Connect(_) => self.connect(now, input).map(Some),
-                Stage::Known(_) | Stage::MidStream(..) => return Arrive::More,
+                Stage::Known(_) | Stage::MidStream(..) => return ReadProgress::Incomplete,
             };
             match step {
                 Ok(Some(arrive)) => return arrive,
                 Ok(None) => {}
                 Err(Malformed) => {
                     debug!("{}: not RTMP, or no connect command", self.client);
-                    self.fixed(LocalReply::Failed, reply);
-                    return Arrive::Close;
+                    self.write_local_reply(LocalReply::Failed, reply);
+                    return ReadProgress::Close;
                 }
             }
         }
     }
 
-    fn attempt(&mut self, _left: Millis, out: &mut BytesMut) {
+    fn begin_attempt(&mut self, _left: Millis, out: &mut BytesMut) {
         if let Stage::MidStream(connection, group) = &self.stage {
             return proxy::write_mid_stream(out, connection, group);
         }
@@ -273,48 +279,48 @@
         matches!((&self.stage, &self.attempt), (Stage::MidStream(..), _) | (_, Some(Attempt::Reply(..))))
     }
 
-    fn answer(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Answer {
+    fn read_answer(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> AttemptAnswer {
         if let Stage::MidStream(..) = self.stage {
-            return Answer::Up;
+            return AttemptAnswer::Established;
         }
         if let Some(Attempt::Handshake(handshake)) = &mut self.attempt {
             match shake(handshake, input, out) {
-                Ok(false) => return Answer::More,
+                Ok(false) => return AttemptAnswer::Incomplete,
                 Ok(true) => {
                     out.extend_from_slice(&self.first);
                     self.attempt = Some(Attempt::Reply(Reader::default(), 0));
                 }
-                Err(Malformed) => return Answer::Ended(Outcome::Error),
+                Err(Malformed) => return AttemptAnswer::Ended(Outcome::Error),
             }
         }
-        let Some(Attempt::Reply(reader, read)) = &mut self.attempt else { return Answer::More };
+        let Some(Attempt::Reply(reader, read)) = &mut self.attempt else { return AttemptAnswer::Incomplete };
         loop {
             let Ok((taken, message)) = reader.next(&input[*read..]) else {
-                return Answer::Ended(Outcome::Error);
+                return AttemptAnswer::Ended(Outcome::Error);
             };
             *read += taken;
-            let Some(message) = message else { return Answer::More };
+            let Some(message) = message else { return AttemptAnswer::Incomplete };
             let Some((name, _, rest)) = command(&message.body).filter(|_| message.kind == COMMAND) else {
                 continue;
             };
             match name.as_str() {
-                "_result" => return Answer::Up,
+                "_result" => return AttemptAnswer::Established,
                 "_error" => {
                     let rejected = code(rest).is_some_and(|c| c == "NetConnection.Connect.Rejected");
-                    return Answer::Ended(if rejected { Outcome::Rejected } else { Outcome::Error });
+                    return AttemptAnswer::Ended(if rejected { Outcome::Rejected } else { Outcome::Error });
                 }
                 _ => {}
             }
         }
     }
 
-    fn up_when_quiet(&self) -> Option<Duration> {
+    fn established_when_silent(&self) -> Option<Duration> {
         matches!(self.stage, Stage::MidStream(..)).then_some(HELD_AFTER)
     }
 
-    fn fixed(&mut self, response: LocalReply, reply: &mut BytesMut) {
+    fn write_local_reply(&mut self, response: LocalReply, reply: &mut BytesMut) {
         // Before the handshake a client could not tell an answer from the handshake: it sees the end.
-        if !self.greeted || self.resets() {
+        if !self.greeted || self.closes_by_reset() {
             return;
         }
         let transaction = if let Stage::Known(transaction) = self.stage { transaction } else { 1.0 };
@@ -333,13 +339,13 @@
         write_command(reply, 3, FIRST_CHUNK, &encode("_error", transaction, object));
     }
 
-    fn resets(&self) -> bool {
+    fn closes_by_reset(&self) -> bool {
         matches!(self.stage, Stage::MidStream(..))
     }
 
-    fn client_sent(&mut self, _now: Millis, _bytes: &[u8]) {}
+    fn observe_client_bytes(&mut self, _now: Millis, _bytes: &[u8]) {}
 
-    fn endpoint_sent(&mut self, _now: Millis, bytes: &[u8]) -> Option<Millis> {
+    fn observe_endpoint_bytes(&mut self, _now: Millis, bytes: &[u8]) -> Option<Millis> {
         let mut at = 0;
         while let Ok(reader) = &mut self.down {
             match reader.next(&bytes[at..]) {
@@ -359,24 +365,24 @@
         None
     }
 
-    fn partial(&self) -> Option<usize> {
+    fn bytes_since_boundary(&self) -> Option<usize> {
         self.down.as_ref().ok().map(Reader::partial)
     }
 
-    fn held(&self) -> usize {
+    fn incomplete_tail(&self) -> usize {
         // Half a chunk is of no use to a client. Of a longer one there is no room to wait for the end.
-        self.partial().filter(|partial| *partial < HELD_BYTES).unwrap_or(0)
+        self.bytes_since_boundary().filter(|partial| *partial < HELD_BYTES).unwrap_or(0)
     }
 
     fn unanswered_since(&self) -> Option<Millis> {
         None
     }
 
-    fn silence(&self) -> Option<Duration> {
+    fn unacknowledged_timeout(&self) -> Option<Duration> {
         Some(SILENCE)
     }
 
-    fn moved(&mut self, reply: &mut BytesMut) {
+    fn write_migration(&mut self, reply: &mut BytesMut) {
         if let Ok(reader) = &self.down {
             let object =
                 information("status", "NetConnection.Connect.ReconnectRequest", "the streamer is leaving");
@@ -384,11 +390,11 @@
         }
     }
 
-    fn announced(&self) -> Option<Outcome> {
+    fn announced_outcome(&self) -> Option<Outcome> {
         self.endpoint_moves.then_some(Outcome::Cancelled)
     }
 
-    fn endpoint_end(&self) -> Outcome {
+    fn outcome_at_end(&self) -> Outcome {
         match &self.down {
             _ if self.endpoint_moves => Outcome::Cancelled,
             Ok(reader) if reader.partial() == 0 => Outcome::Ok,
--- a/src/listener/tests.rs
+++ b/src/listener/tests.rs
@@ -1,25 +1,25 @@
-//! What the front of lines makes of an endpoint's bytes, however they come.
+//! How the line protocol reads an endpoint's bytes, however they are split over reads.
 
 use std::rc::Rc;
 
 use bytes::BytesMut;
 
 use super::line::{LineProtocol, LineRules};
-use super::{Answer, ClientProtocol};
+use super::{AttemptAnswer, ClientProtocol};
 use crate::policy::api::Outcome;
 
 fn protocol() -> LineProtocol {
     LineProtocol::new(Rc::new(LineRules::default()), 1000.0)
 }
 
-/// What comes of these reads, and what is left for the client.
-fn answered(reads: &[&[u8]]) -> (Answer, Vec<u8>) {
+/// The result of these reads, and the bytes that remain for the client.
+fn read_all(reads: &[&[u8]]) -> (AttemptAnswer, Vec<u8>) {
     let (mut protocol, mut input) = (protocol(), BytesMut::new());
-    let mut answer = Answer::More;
+    let mut answer = AttemptAnswer::Incomplete;
     for read in reads {
-        assert_eq!(answer, Answer::More, "{reads:?} was decided before its end");
+        assert_eq!(answer, AttemptAnswer::Incomplete, "{reads:?} was decided before its end");
         input.extend_from_slice(read);
-        answer = protocol.answer(&mut input, &mut BytesMut::new());
+        answer = protocol.read_answer(&mut input, &mut BytesMut::new());
     }
     (answer, input.to_vec())
 }
@@ -28,25 +28,29 @@
 fn an_answer_is_the_same_wherever_it_is_cut() {
     use Outcome::{Cancelled, Error, Rejected, Reset};
     let cases = [
-        ("UP 17", Answer::Up),
-        ("BUSY", Answer::Ended(Rejected)),
-        ("BUSY 250", Answer::Ended(Rejected)),
-        ("MOVE", Answer::Ended(Cancelled)),
-        ("BYE", Answer::Ended(Reset)),
-        ("ERR", Answer::Ended(Error)),
-        ("UPPER", Answer::Ended(Error)),
-        ("", Answer::Ended(Error)),
-        ("\u{e9}\u{1b}[2J", Answer::Ended(Error)),
+        ("UP 17", AttemptAnswer::Established),
+        ("BUSY", AttemptAnswer::Ended(Rejected)),
+        ("BUSY 250", AttemptAnswer::Ended(Rejected)),
+        ("MOVE", AttemptAnswer::Ended(Cancelled)),
+        ("BYE", AttemptAnswer::Ended(Reset)),
+        ("ERR", AttemptAnswer::Ended(Error)),
+        ("UPPER", AttemptAnswer::Ended(Error)),
+        ("", AttemptAnswer::Ended(Error)),
+        ("\u{e9}\u{1b}[2J", AttemptAnswer::Ended(Error)),
     ];
-    for (word, answer) in cases {
+    for (text, answer) in cases {
         for end in ["\n", "\r\n"] {
-            let line = format!("{word}{end}");
+            let line = format!("{text}{end}");
             for at in 1..line.len() {
                 let (head, tail) = line.as_bytes().split_at(at);
-                assert_eq!(answered(&[head]).0, Answer::More, "{line:?} without its end, cut at {at}");
-                assert_eq!(answered(&[head, tail]).0, answer, "{line:?} cut at {at}");
+                assert_eq!(
+                    read_all(&[head]).0,
+                    AttemptAnswer::Incomplete,
+                    "{line:?} without its end, cut at {at}"
+                );
+                assert_eq!(read_all(&[head, tail]).0, answer, "{line:?} cut at {at}");
             }
-            assert_eq!(answered(&[line.as_bytes()]).0, answer, "{line:?}");
+            assert_eq!(read_all(&[line.as_bytes()]).0, answer, "{line:?}");
         }
     }
 }
@@ -56,11 +60,11 @@
 fn a_second_answer_behind_the_first_changes_nothing() {
     for second in ["UP 2\r\n", "BUSY\r\n", "ERR\r\n", "BYE\r\n", "half"] {
         let both = format!("UP 1\r\n{second}");
-        assert_eq!(answered(&[both.as_bytes()]), (Answer::Up, both.clone().into_bytes()));
+        assert_eq!(read_all(&[both.as_bytes()]), (AttemptAnswer::Established, both.clone().into_bytes()));
         for (first, outcome) in [("BUSY", Outcome::Rejected), ("ERR", Outcome::Error), ("x", Outcome::Error)]
         {
             let both = format!("{first}\r\n{second}");
-            assert_eq!(answered(&[both.as_bytes()]).0, Answer::Ended(outcome), "{both:?}");
+            assert_eq!(read_all(&[both.as_bytes()]).0, AttemptAnswer::Ended(outcome), "{both:?}");
         }
     }
 }
@@ -68,40 +72,58 @@
 /// An answer that never ends is one as soon as it is too long for a line, however much of it one read brings.
 #[test]
 fn an_answer_too_long_for_a_line_is_an_error_however_it_is_read() {
-    let error = Answer::Ended(Outcome::Error);
-    assert_eq!(answered(&[&[b'U'; 4095]]).0, Answer::More);
-    assert_eq!(answered(&[&[b'U'; 4096]]).0, error);
+    let error = AttemptAnswer::Ended(Outcome::Error);
+    assert_eq!(read_all(&[&[b'U'; 4095]]).0, AttemptAnswer::Incomplete);
+    assert_eq!(read_all(&[&[b'U'; 4096]]).0, error);
     let longest = [b"UP ", &[b'1'; 4091][..], b"\r\n"].concat();
-    assert_eq!(answered(&[&longest]).0, Answer::Up);
-    assert_eq!(answered(&[&longest[..4000], &longest[4000..]]).0, Answer::Up);
+    assert_eq!(read_all(&[&longest]).0, AttemptAnswer::Established);
+    assert_eq!(read_all(&[&longest[..4000], &longest[4000..]]).0, AttemptAnswer::Established);
     let over = [b"UP ", &[b'1'; 4092][..], b"\r\n"].concat();
-    assert_eq!(answered(&[&over[..4096]]).0, error);
-    assert_eq!(answered(&[&over[..4000], &over[4000..]]).0, error, "with its end in the second read");
-    assert_eq!(answered(&[&over]).0, error, "in one read");
+    assert_eq!(read_all(&[&over[..4096]]).0, error);
+    assert_eq!(read_all(&[&over[..4000], &over[4000..]]).0, error, "with its end in the second read");
+    assert_eq!(read_all(&[&over]).0, error, "in one read");
 }
 
-/// A line that has no end yet is held, so that a word of the relay's own may go before it; one that is too long is
-/// passed on as it comes.
+/// A line without its end waits, so that the relay may insert a message before it; one that is too long is passed on
+/// as it comes.
 #[test]
 fn half_a_line_is_held_and_an_endless_one_is_not() {
     let mut protocol = protocol();
-    let mut held = |bytes: &[u8]| {
-        protocol.endpoint_sent(0.0, bytes);
-        protocol.held()
+    let mut tail_after = |bytes: &[u8]| {
+        protocol.observe_endpoint_bytes(0.0, bytes);
+        protocol.incomplete_tail()
     };
-    assert_eq!([held(b"one\r\nha"), held(b"lf"), held(b"\r"), held(b"\n"), held(b"\n")], [2, 4, 5, 0, 0]);
-    assert_eq!([held(&[b'x'; 4095]), held(b"x"), held(&[b'x'; 9000]), held(b"\r\nab")], [4095, 0, 0, 2]);
+    assert_eq!(
+        [
+            tail_after(b"one\r\nha"),
+            tail_after(b"lf"),
+            tail_after(b"\r"),
+            tail_after(b"\n"),
+            tail_after(b"\n")
+        ],
+        [2, 4, 5, 0, 0]
+    );
+    assert_eq!(
+        [tail_after(&[b'x'; 4095]), tail_after(b"x"), tail_after(&[b'x'; 9000]), tail_after(b"\r\nab")],
+        [4095, 0, 0, 2]
+    );
 }
 
 #[test]
 fn only_the_last_whole_line_announces_an_end() {
     let mut protocol = protocol();
-    let mut said = |bytes: &[u8]| {
-        protocol.endpoint_sent(0.0, bytes);
-        protocol.announced()
+    let mut announced_after = |bytes: &[u8]| {
+        protocol.observe_endpoint_bytes(0.0, bytes);
+        protocol.announced_outcome()
     };
-    assert_eq!([said(b"BY"), said(b"E\r"), said(b"\n")], [None, None, Some(Outcome::Ok)]);
-    assert_eq!([said(b"more"), said(b"\r\n")], [Some(Outcome::Ok), None]);
-    assert_eq!([said(b"MOVE\nBYE"), said(b"\nMOVE\n")], [Some(Outcome::Cancelled); 2]);
-    assert_eq!([said(b"BYE NOW\r\n"), said(b"BYEBYEBYE\r\n"), said(b" BYE\r\n")], [None; 3]);
+    assert_eq!(
+        [announced_after(b"BY"), announced_after(b"E\r"), announced_after(b"\n")],
+        [None, None, Some(Outcome::Ok)]
+    );
+    assert_eq!([announced_after(b"more"), announced_after(b"\r\n")], [Some(Outcome::Ok), None]);
+    assert_eq!([announced_after(b"MOVE\nBYE"), announced_after(b"\nMOVE\n")], [Some(Outcome::Cancelled); 2]);
+    assert_eq!(
+        [announced_after(b"BYE NOW\r\n"), announced_after(b"BYEBYEBYE\r\n"), announced_after(b" BYE\r\n")],
+        [None; 3]
+    );
 }
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -20,7 +20,7 @@
 use super::pool::Pooled;
 use super::{Shared, local_shortage, span};
 use crate::handover::Message;
-use crate::listener::{Answer, Arrive, ClientProtocol};
+use crate::listener::{AttemptAnswer, ClientProtocol, ReadProgress};
 use crate::policy::api::RequestId;
 use crate::policy::api::{Key, Millis, Outcome};
 use crate::relay::TransferredConnection;
@@ -59,7 +59,7 @@
         biased;
         () = room.notified() => {
             if !session.answered {
-                session.protocol.fixed(LocalReply::Rejected(session.shared.retry_after()), &mut session.reply);
+                session.protocol.write_local_reply(LocalReply::Rejected(session.shared.retry_after()), &mut session.reply);
             }
             session.make_room()
         }
@@ -135,21 +135,21 @@
 
 impl<F: ClientProtocol> Session<F> {
     async fn run(&mut self, accepted: Millis) -> io::Result<()> {
-        let limit = self.shared.clock.at(accepted + self.protocol.patience());
+        let limit = self.shared.clock.at(accepted + self.protocol.handshake_timeout());
         let mut spoken = false;
         let mut arrival = loop {
             let now = self.shared.clock.now();
             let does = self.shared.relay.borrow().serving_mode();
-            let arrive = self.protocol.arrive(now, does, &mut self.input, &mut self.reply);
+            let arrive = self.protocol.read_request(now, does, &mut self.input, &mut self.reply);
             let written = timeout_at(limit, self.client.write_all_buf(&mut *self.reply)).await;
             match arrive {
                 _ if written.is_err() => return Ok(()),
-                Arrive::Connection(arrival) => break arrival,
-                Arrive::Close => return self.close().await,
-                Arrive::More => written??,
+                ReadProgress::Request(arrival) => break arrival,
+                ReadProgress::Close => return self.close().await,
+                ReadProgress::Incomplete => written??,
             }
             if spoken {
-                self.seat.heard(self.protocol.has_begun(&self.input));
+                self.seat.heard(self.protocol.request_begun(&self.input));
             }
             match timeout_at(limit, more(&self.client, &mut self.input)).await {
                 Ok(Ok(n)) if n > 0 => spoken = true,
@@ -157,18 +157,18 @@
                 // Its line came in the very moment: it is heard, not answered unread.
                 Err(_) if matches!(self.input.look(&self.client), Ok(Some(n)) if n > 0) => spoken = true,
                 Err(_) => {
-                    self.protocol.fixed(LocalReply::Failed, &mut self.reply);
+                    self.protocol.write_local_reply(LocalReply::Failed, &mut self.reply);
                     return self.close().await;
                 }
             }
         };
         if !self.seat.ask().await {
-            self.protocol.fixed(LocalReply::Rejected(self.shared.retry_after()), &mut self.reply);
+            self.protocol.write_local_reply(LocalReply::Rejected(self.shared.retry_after()), &mut self.reply);
             return self.close().await;
         }
         // Its end may have come with its line, before either was read: nothing is sent for it.
-        if has_gone(&self.client, &mut self.input, self.protocol.speaks_early()) {
-            self.protocol.fixed(LocalReply::Failed, &mut self.reply);
+        if has_gone(&self.client, &mut self.input, self.protocol.accepts_early_data()) {
+            self.protocol.write_local_reply(LocalReply::Failed, &mut self.reply);
             return self.close().await;
         }
         arrival.descriptors_short = self.seat.is_short();
@@ -184,20 +184,20 @@
         match self.place(id, deadline, &mut commands).await? {
             Placed::Up(upstream, first) => {
                 let now = self.shared.clock.now();
-                self.protocol.client_sent(now, &self.input);
-                self.protocol.endpoint_sent(now, &first);
+                self.protocol.observe_client_bytes(now, &self.input);
+                self.protocol.observe_endpoint_bytes(now, &first);
                 self.stand(id, upstream, first, &mut commands).await
             }
             Placed::Answered(response) => {
                 debug!("flow {}: answered {response:?}", id.0);
-                self.protocol.fixed(response, &mut self.reply);
+                self.protocol.write_local_reply(response, &mut self.reply);
                 self.close().await
             }
             Placed::Left => {
                 // At once: its place is another's while it is waited for to close.
                 self.shared.core(|relay, now| relay.client_gone(now, id));
                 // It may have ended its sending only, and still read.
-                self.protocol.fixed(LocalReply::Failed, &mut self.reply);
+                self.protocol.write_local_reply(LocalReply::Failed, &mut self.reply);
                 self.close().await
             }
         }
@@ -212,7 +212,7 @@
     ) -> io::Result<Placed> {
         let shared = self.shared.clone();
         let limit = shared.clock.at(deadline);
-        let early = self.protocol.speaks_early();
+        let early = self.protocol.accepts_early_data();
         loop {
             // Of what has come together the client's end counts first: nothing may begin after it.
             let command = tokio::select! {
@@ -314,7 +314,7 @@
     /// Gives the connection to the process that serves now, with descriptors of its own; whether it could.
     fn pass(&self, id: RequestId, upstream: &TcpStream, up: &Pipe, down: &Pipe) -> bool {
         let connection = self.shared.relay.borrow().transfer_connection(id);
-        let Some((connection, protocol)) = connection.zip(self.protocol.carry(self.shared.clock.now()))
+        let Some((connection, protocol)) = connection.zip(self.protocol.export(self.shared.clock.now()))
         else {
             return false;
         };
@@ -333,7 +333,7 @@
     /// Takes what the client of a standing connection has to say; whether there was anything.
     fn listen(&mut self, up: &mut Pipe) -> io::Result<bool> {
         let n = up.fill(&self.client, &self.shared)?;
-        self.protocol.client_sent(self.shared.clock.now(), up.last(n));
+        self.protocol.observe_client_bytes(self.shared.clock.now(), up.last(n));
         Ok(n > 0 || up.eof)
     }
 
@@ -359,7 +359,7 @@
                 (*broken, down.eof) = (true, true);
                 0
             });
-            if let Some(trip) = protocol.endpoint_sent(shared.clock.now(), down.last(n)) {
+            if let Some(trip) = protocol.observe_endpoint_bytes(shared.clock.now(), down.last(n)) {
                 shared.core(|relay, _| relay.record_round_trip(id, trip));
             }
             n > 0 || down.eof
@@ -377,7 +377,7 @@
                 up.cut();
                 broken |= !down.eof;
             }
-            let announced = self.protocol.announced();
+            let announced = self.protocol.announced_outcome();
             if down.eof && !told {
                 // Known at once, however long the client takes to end its side.
                 told = true;
@@ -385,17 +385,20 @@
                     Some(outcome) => outcome,
                     None if broken => Outcome::Reset,
                     None if up.eof => Outcome::Cancelled,
-                    None => self.protocol.endpoint_end(),
+                    None => self.protocol.outcome_at_end(),
                 });
             }
             // The endpoint's own word goes before the relay's.
             moving = moving.filter(|_| !down.eof || announced.is_none());
             // Of a connection that moves, a place at which its client can be told is kept once there is one.
-            let place = self.protocol.partial().filter(|partial| moving.is_some() && *partial <= down.len());
+            let place = self
+                .protocol
+                .bytes_since_boundary()
+                .filter(|partial| moving.is_some() && *partial <= down.len());
             let held = match place {
                 Some(partial) => partial,
                 None if down.eof && !broken && moving.is_none() => 0,
-                None => self.protocol.held(),
+                None => self.protocol.incomplete_tail(),
             };
             if down.flush(&self.client, held).is_err() {
                 ended(announced.unwrap_or(Outcome::Cancelled));
@@ -433,14 +436,15 @@
                         continue;
                     }
                 }
-                let whole = self.protocol.partial().and_then(|partial| down.len().checked_sub(partial));
+                let whole =
+                    self.protocol.bytes_since_boundary().and_then(|partial| down.len().checked_sub(partial));
                 if whole.is_some() || Instant::now() >= limit {
                     ended(announced.unwrap_or(outcome));
                     if let Some(whole) = whole {
                         // What the endpoint has begun to say is left out: it can't end any more.
                         self.reply.extend_from_slice(&down.bytes()[..whole]);
                         if announced.is_none() {
-                            self.protocol.moved(&mut self.reply);
+                            self.protocol.write_migration(&mut self.reply);
                         }
                     }
                     return self.leave(upstream).await;
@@ -606,7 +610,7 @@
     input: &mut Pooled,
     reply: &mut Pooled,
 ) -> io::Result<()> {
-    if protocol.resets() {
+    if protocol.closes_by_reset() {
         return reset(client);
     }
     let written = async {
@@ -752,12 +756,12 @@
     until: Millis,
 ) -> Result<(TcpStream, Pooled), Outcome> {
     let _ = upstream.set_nodelay(true);
-    if let Some(silence) = protocol.silence() {
+    if let Some(silence) = protocol.unacknowledged_timeout() {
         // Where it can't be set, a vanished endpoint is noticed later.
         let _ = SockRef::from(&upstream).set_tcp_user_timeout(Some(silence));
     }
     let (mut input, mut out) = (shared.pool.get(), shared.pool.get());
-    protocol.attempt(until - shared.clock.now(), &mut out);
+    protocol.begin_attempt(until - shared.clock.now(), &mut out);
     let mut whole = false;
     let exchanged = async {
         loop {
@@ -765,17 +769,17 @@
             let broken = |whole| if whole { Outcome::Reset } else { Outcome::ConnectFailed };
             upstream.write_all_buf(&mut *out).await.map_err(|_| broken(whole))?;
             whole |= protocol.request_complete();
-            let quiet = protocol.up_when_quiet().unwrap_or(Duration::MAX);
+            let quiet = protocol.established_when_silent().unwrap_or(Duration::MAX);
             match timeout(quiet, more(&upstream, &mut input)).await {
                 Ok(Ok(n)) if n > 0 => {}
                 Ok(_) => return Err(broken(whole)),
                 Err(_) => return Ok(()),
             }
-            match protocol.answer(&mut input, &mut out) {
-                Answer::More if input.room() == 0 => return Err(Outcome::Error),
-                Answer::More => {}
-                Answer::Up => return Ok(()),
-                Answer::Ended(outcome) => return Err(outcome),
+            match protocol.read_answer(&mut input, &mut out) {
+                AttemptAnswer::Incomplete if input.room() == 0 => return Err(Outcome::Error),
+                AttemptAnswer::Incomplete => {}
+                AttemptAnswer::Established => return Ok(()),
+                AttemptAnswer::Ended(outcome) => return Err(outcome),
             }
         }
     };
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -274,7 +274,7 @@
         post.borrow_mut().ladder.renumber(settings.local_index, settings.relay_count);
     }
     shared.core(|relay, now| relay.apply_settings(now, settings, &classes));
-    shared.rules.renew(line_names(&shared.relay.borrow(), &shared.config.borrow()));
+    shared.rules.apply_names(line_names(&shared.relay.borrow(), &shared.config.borrow()));
 }
 
 /// Runs a relay; returns when it cannot start, or has handed over and has nothing left. `load` reads its
--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -335,7 +335,7 @@
         return Err(io::Error::other("it came without its sockets"));
     };
     let (client, endpoint) = (stream(client)?, stream(endpoint)?);
-    let protocol = LineProtocol::adopt(shared.rules.clone(), shared.clock.now(), protocol);
+    let protocol = LineProtocol::resume(shared.rules.clone(), shared.clock.now(), protocol);
     let passed = connection::Passed { connection, protocol, client, upstream: endpoint, up, down };
     tokio::task::spawn_local(connection::adopt(shared.clone(), passed, shared.admission.adopt()));
     Ok(())
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -457,8 +457,8 @@
 fn passed(id: &str, up: Vec<u8>) -> Vec<u8> {
     let connection = serde_json::json!({"class": "subtitle-stream", "endpoint": "s-1", "client": id, "group": null,
         "load": null, "drained_by_endpoint": true, "reroutable": true});
-    let protocol = serde_json::json!({"id": id, "key": id, "word": [], "partial": 0, "announced": null,
-        "unanswered": null});
+    let protocol = serde_json::json!({"id": id, "key": id, "line_prefix": [], "line_bytes": 0,
+        "announced_completion": null, "unanswered_ms": null});
     let (connection, protocol) =
         (serde_json::from_value(connection).unwrap(), serde_json::from_value(protocol).unwrap());
     encode(&Message::Connection {
