--- /dev/null
+++ b/src/listener/line/open_line.rs
@@ -0,0 +1,82 @@
+//! The line by which a client asks for a connection: `OPEN ID KEY name=value,...`.
+//!
+//! Takes the line without its end and the time in milliseconds, and returns the request that it describes. Whether
+//! class, tenant and id are acceptable is for the caller to check.
+
+use std::sync::Arc;
+
+use crate::policy::api::{EndpointId, Key, Millis};
+use crate::relay::IncomingRequest;
+
+/// Shortest time that a client may say it waits for its answer.
+const MIN_DEADLINE_MS: Millis = 1.0;
+/// Longest time that a client may say it waits for its answer.
+const MAX_DEADLINE_MS: Millis = 3_600_000.0;
+
+/// The fields of `OPEN ID KEY name=value,...`.
+pub(super) struct OpenLine<'a> {
+    pub(super) id: &'a str,
+    pub(super) key: &'a str,
+    options: &'a str,
+}
+
+impl<'a> OpenLine<'a> {
+    /// Splits the line into its fields; `None` where it is no such line.
+    pub(super) fn parse(line: &'a str) -> Option<Self> {
+        let mut fields = line.split(' ');
+        let command = fields.next()?;
+        let id = fields.next()?;
+        let key = fields.next()?;
+        let options = fields.next()?;
+        let printable = line.bytes().all(|b| b.is_ascii_graphic() || b == b' ');
+        let complete = command == "OPEN" && !id.is_empty() && !key.is_empty() && fields.next().is_none();
+        (complete && printable).then_some(OpenLine { id, key, options })
+    }
+
+    /// The request that the options describe; `None` where one is malformed or repeated, or the deadline is missing.
+    pub(super) fn request(&self, now: Millis, groups: bool) -> Option<IncomingRequest> {
+        let mut request = IncomingRequest {
+            client: text_key(self.key),
+            drained_by_endpoint: true,
+            reroutable: true,
+            ..IncomingRequest::default()
+        };
+        let mut deadline_ms = None;
+        let mut seen = Vec::new();
+        for option in self.options.split(',') {
+            let (name, value) = option.split_once('=')?;
+            if seen.contains(&name) {
+                return None;
+            }
+            seen.push(name);
+            match name {
+                "c" => request.class = value.to_owned(),
+                "d" => deadline_ms = Some(parse_deadline_ms(value)?),
+                "t" => request.tenant = text_key(value),
+                "g" if groups => request.group = text_key(value),
+                "g" => request.client = text_key(value),
+                "r" | "again" => request.returned |= value == "1",
+                "mid" => request.mid_flow = value == "1",
+                "at" => request.existing_endpoint = Some(EndpointId(Arc::from(value))),
+                "h" => request.load = Some(parse_number(value)?).filter(|load| *load > 0.0),
+                _ => {}
+            }
+        }
+        request.deadline = now + deadline_ms?;
+        Some(request)
+    }
+}
+
+fn text_key(value: &str) -> Option<Key> {
+    Some(Key(Arc::from(value)))
+}
+
+/// A number in plain decimal notation, without sign or exponent.
+fn parse_number(value: &str) -> Option<f64> {
+    let decimal = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    value.parse::<f64>().ok().filter(|_| decimal)
+}
+
+fn parse_deadline_ms(value: &str) -> Option<Millis> {
+    parse_number(value).filter(|ms| (MIN_DEADLINE_MS..=MAX_DEADLINE_MS).contains(ms))
+}
