--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,32 +1,39 @@
-//! A toy to try the relay with: discovery that lists two endpoints, and the endpoints, which take every
-//! connection and return each line. Run it with `cargo run --example toy_server`.
+//! A service to try the relay with: a discovery service that lists two endpoints, and these endpoints, which accept
+//! every connection and echo each line. Run it with `cargo run --example toy_server`.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 use std::time::Duration;
 
+/// Where the discovery service listens.
 const DISCOVERY: &str = "127.0.0.1:8500";
+/// Where the endpoints listen.
 const ENDPOINTS: [&str; 2] = ["127.0.0.1:9001", "127.0.0.1:9002"];
 
-/// The list never changes: a watch on changes waits out its time and gets none.
+/// How long a request for changes is left open before it is answered with none.
+const LONG_POLL: Duration = Duration::from_secs(3);
+
+/// Answers one request for the list of endpoints. The list never changes, so a request for changes waits for
+/// [`LONG_POLL`].
 fn discovery(mut stream: TcpStream) -> io::Result<()> {
-    let mut line = String::new();
-    BufReader::new(&stream).read_line(&mut line)?;
+    let mut request_line = String::new();
+    BufReader::new(&stream).read_line(&mut request_line)?;
     let members = ENDPOINTS.map(|address| {
         format!(
             r#"{{"id":"toy-{address}","host_port":"{address}","locality":"a","flavor":"toy","cell":0,"phase":"Ready","size":1.0,"up_since_ms":0}}"#
         )
     });
-    let first = !line.contains("after=1&");
-    if !first {
-        thread::sleep(Duration::from_secs(3));
+    let complete = !request_line.contains("after=1&");
+    if !complete {
+        thread::sleep(LONG_POLL);
     }
-    let members = if first { members.join(",") } else { String::new() };
-    let body = format!(r#"{{"revision":1,"complete":{first},"members":[{members}]}}"#);
+    let members = if complete { members.join(",") } else { String::new() };
+    let body = format!(r#"{{"revision":1,"complete":{complete},"members":[{members}]}}"#);
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
+/// Serves one connection of the line protocol.
 fn endpoint(name: &str, mut stream: TcpStream) -> io::Result<()> {
     for line in BufReader::new(stream.try_clone()?).lines() {
         let line = line?;
@@ -40,10 +47,11 @@
     Ok(())
 }
 
-fn serve(address: &'static str, answer: fn(&'static str, TcpStream) -> io::Result<()>) -> io::Result<()> {
+/// Accepts connections and handles each in a thread of its own.
+fn serve(address: &'static str, handle: fn(&'static str, TcpStream) -> io::Result<()>) -> io::Result<()> {
     for stream in TcpListener::bind(address)?.incoming() {
         let stream = stream?;
-        thread::spawn(move || answer(address, stream));
+        thread::spawn(move || handle(address, stream));
     }
     Ok(())
 }
--- a/src/bin/sandgw-adapter.rs
+++ b/src/bin/sandgw-adapter.rs
@@ -1,4 +1,4 @@
-//! Runs the load balancer on the simulator's wire: batches on standard input, replies on standard output.
+//! Runs the load balancer on the simulator's wire: batches of JSON lines on standard input, replies on standard output.
 
 #![forbid(unsafe_code)]
 
@@ -11,7 +11,7 @@
 
 /// Why the adapter ended before its input did.
 #[derive(Debug, Error)]
-enum Failed {
+enum AdapterError {
     #[error("{0}")]
     Wire(#[from] WireError),
     #[error("reading standard input: {0}")]
@@ -20,23 +20,26 @@
     Write(io::Error),
 }
 
-impl Failed {
+impl AdapterError {
+    /// What an operator can do.
     fn help(&self) -> &'static str {
         match self {
-            Failed::Wire(e) => e.what.help(),
-            Failed::Read(_) | Failed::Write(_) => "look at the simulator, which holds the other end",
+            AdapterError::Wire(e) => e.what.help(),
+            AdapterError::Read(_) | AdapterError::Write(_) => {
+                "look at the simulator, which holds the other end"
+            }
         }
     }
 }
 
-fn run() -> Result<(), Failed> {
+fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut adapter = Adapter::new();
     let mut line = String::new();
     loop {
         line.clear();
-        let read = input.read_line(&mut line).map_err(Failed::Read)?;
+        let read = input.read_line(&mut line).map_err(AdapterError::Read)?;
         if read == 0 {
             return Ok(adapter.end()?);
         }
@@ -44,8 +47,8 @@
             continue;
         }
         if let Some(reply) = adapter.line(&line)? {
-            let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-            written.map_err(Failed::Write)?;
+            output.write_all(reply.as_bytes()).map_err(AdapterError::Write)?;
+            output.flush().map_err(AdapterError::Write)?;
         }
     }
 }
@@ -53,8 +56,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("sandgw-adapter: {what}; {}", what.help());
+        Err(error) => {
+            eprintln!("sandgw-adapter: {error}; {}", error.help());
             ExitCode::FAILURE
         }
     }
--- a/src/config/errors.rs
+++ b/src/config/errors.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use crate::discovery::ListError;
-use crate::help::{Help, help};
+use crate::help::{Help, HelpEntry, help};
 use crate::simulator::SettingFault;
 
 /// What was wrong with a configuration, or with a folder that it names.
@@ -22,10 +22,10 @@
 }
 
 impl Help for ConfigError {
-    const ALL: &'static [(&'static str, &'static str)] = Fault::ALL;
+    const ALL: &'static [HelpEntry] = Fault::ALL;
 
-    fn said(&self) -> &'static str {
-        self.fault.said()
+    fn stable_text(&self) -> &'static str {
+        self.fault.stable_text()
     }
 
     fn help(&self) -> &'static str {
--- a/src/help/mod.rs
+++ b/src/help/mod.rs
@@ -1,23 +1,32 @@
 //! What an operator can do about an error.
 //!
-//! Owns the words that go with each error: a short piece of its text by which it is found in
-//! `docs/operators/errors.md`, and the advice that stands there beside it. An error's own text says what happened
-//! and with what; whoever prints it adds file, key or peer, and the advice. Nothing here decides anything.
+//! Owns two texts for each error: the part of its message that never varies, by which it is found in
+//! `docs/operators/errors.md`, and the advice listed there. An error's message says what happened and with which
+//! value; the caller that prints it adds file, key or peer, and the advice. Nothing here decides anything.
 
 use std::fmt;
 
-/// An error that knows what can be done about it. Implemented by [`help!`](crate::help), so that an error
-/// that gains a case does not build until the case has its words.
+/// The texts of one variant of an error.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HelpEntry {
+    /// The part of the error's message that never varies.
+    pub stable_text: &'static str,
+    /// What an operator can do.
+    pub help: &'static str,
+}
+
+/// An error with advice. Implemented by the `help!` macro, so that an error that gains a variant does not build until
+/// the variant has its texts.
 pub trait Help {
-    /// What all cases say, and the advice on each.
-    const ALL: &'static [(&'static str, &'static str)];
-    /// The piece of this error's text that is the same whatever it happened to.
-    fn said(&self) -> &'static str;
+    /// The texts of all variants.
+    const ALL: &'static [HelpEntry];
+    /// The part of this error's message that is the same whatever value it is about.
+    fn stable_text(&self) -> &'static str;
     /// What an operator can do.
     fn help(&self) -> &'static str;
 }
 
-/// An error in one line, with its advice behind it.
+/// An error in one line, followed by its advice.
 ///
 /// ```
 /// use sandgw::help::with_help;
@@ -30,7 +39,7 @@
     WithHelp(error)
 }
 
-/// What [`with_help`] gives.
+/// The display of an error with its advice, from [`with_help`].
 pub struct WithHelp<'a, E>(&'a E);
 
 impl<E: Help + fmt::Display> fmt::Display for WithHelp<'_, E> {
@@ -39,24 +48,25 @@
     }
 }
 
-/// Implements [`Help`]: each case with what it says and the advice on it; cases that hold an error with advice of
-/// its own are named behind `of`.
+/// Implements [`Help`]: each variant with its stable text and its advice; variants that contain an error with advice
+/// of its own are listed after `of`.
 macro_rules! help {
-    ($error:ident { $($case:ident: $said:literal => $help:literal,)* } $(of $($whole:ident),*)?) => {
+    ($error:ident { $($variant:ident: $text:literal => $help:literal,)* } $(of $($nested:ident),*)?) => {
         impl crate::help::Help for $error {
-            const ALL: &'static [(&'static str, &'static str)] = &[$(($said, $help)),*];
+            const ALL: &'static [crate::help::HelpEntry] =
+                &[$(crate::help::HelpEntry { stable_text: $text, help: $help }),*];
 
-            fn said(&self) -> &'static str {
+            fn stable_text(&self) -> &'static str {
                 match self {
-                    $($error::$case { .. } => $said,)*
-                    $($($error::$whole(error) => error.said(),)*)?
+                    $($error::$variant { .. } => $text,)*
+                    $($($error::$nested(error) => error.stable_text(),)*)?
                 }
             }
 
             fn help(&self) -> &'static str {
                 match self {
-                    $($error::$case { .. } => $help,)*
-                    $($($error::$whole(error) => error.help(),)*)?
+                    $($error::$variant { .. } => $help,)*
+                    $($($error::$nested(error) => error.help(),)*)?
                 }
             }
         }
--- a/src/help/tests.rs
+++ b/src/help/tests.rs
@@ -1,37 +1,40 @@
+//! Every error of the relay occurs, has its advice and is listed on the operators' page.
+
 use std::fmt::Display;
 
 use serde_json::{Value, json};
 use tokio::io::AsyncWriteExt;
 
-use super::Help;
+use super::{Help, HelpEntry};
 use crate::config::{Config, ConfigError, Fault, new_application};
 use crate::discovery::{ANSWER_BYTES, CallError, EndpointList, ListError};
 use crate::net::http_call::fetch;
 use crate::simulator::{Adapter, SettingFault, WireFault, read_settings};
 
-/// Errors as they come about: all cases of a kind are among them, each says what it is found by, and its row of
-/// the operators' page has that and its advice.
-fn all_named<E: Help + Display>(errors: &[E]) {
+/// Checks errors as they occur: every variant is among them, each message contains its stable text, and the
+/// operators' page has a row with that text and the advice.
+fn assert_all_documented<E: Help + Display>(errors: &[E]) {
     let page = include_str!("../../docs/operators/errors.md");
-    for (said, help) in E::ALL {
-        let known = errors.iter().any(|e| e.said() == *said && e.help() == *help);
-        assert!(known, "nothing brings {said:?} about");
+    for HelpEntry { stable_text, help } in E::ALL {
+        let occurs = errors.iter().any(|e| e.stable_text() == *stable_text && e.help() == *help);
+        assert!(occurs, "no error has the text {stable_text:?}");
         let row = format!("| {help} |");
-        let named = page.lines().any(|l| l.contains(&format!("`{said}`")) && l.ends_with(&row));
-        assert!(named, "the page does not name {said:?}, or has not: {help}");
+        let text = format!("`{stable_text}`");
+        let documented = page.lines().any(|line| line.contains(&text) && line.ends_with(&row));
+        assert!(documented, "the page does not list {stable_text:?}, or not with: {help}");
     }
     for e in errors {
-        assert!(e.to_string().contains(e.said()), "{e} does not say {:?}", e.said());
+        assert!(e.to_string().contains(e.stable_text()), "{e} does not contain {:?}", e.stable_text());
     }
 }
 
-fn list(asked: &[&str]) -> ListError {
-    let mut group = EndpointList::default();
-    let answers = asked.iter().map(|body| {
-        group.request();
-        group.answer(body.as_bytes())
+fn list(answers: &[&str]) -> ListError {
+    let mut list = EndpointList::default();
+    let results = answers.iter().map(|body| {
+        list.request();
+        list.answer(body.as_bytes())
     });
-    answers.last().expect("an answer").expect_err("a faulty list")
+    results.last().expect("an answer").expect_err("a faulty list")
 }
 
 fn member(text: &str) -> ListError {
@@ -43,7 +46,7 @@
     let held = r#"{"revision":5,"complete":true,"members":[]}"#;
     let changes = r#"{"revision":4,"complete":false,"members":[]}"#;
     let unasked = EndpointList::default().answer(b"{}").expect_err("an answer that nobody asked for");
-    all_named(&[
+    assert_all_documented(&[
         list(&["<html>"]),
         list(&["{}"]),
         list(&[changes]),
@@ -62,7 +65,7 @@
     let answer = |bytes: &[u8]| {
         let (end, mut service) = tokio::io::duplex(1 << 16);
         let served = async move {
-            // Who has heard enough hangs up.
+            // The caller may close before it has read everything.
             let _ = service.write_all(bytes).await;
             let _ = service.shutdown().await;
             service
@@ -75,7 +78,7 @@
     let short = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{";
     assert!(matches!(answer(chunk.as_bytes()), CallError::NotHttp(_)));
     assert!(matches!(answer(short.as_bytes()), CallError::Cut("body")));
-    all_named(&[
+    assert_all_documented(&[
         CallError::Io(std::io::Error::from_raw_os_error(111)),
         CallError::Late,
         answer(b"SSH-2.0\r\n"),
@@ -95,7 +98,7 @@
     };
     let whole = include_str!("../application.toml");
     let running = load(whole).expect("the template");
-    let told = |faults: Result<Config, Vec<ConfigError>>| faults.expect_err("faults");
+    let faults_of = |faults: Result<Config, Vec<ConfigError>>| faults.expect_err("faults");
     let failed = |fault: Fault| {
         let key = if matches!(fault, Fault::Start(_)) { ("relay", "start") } else { ("f", "state.folder") };
         ConfigError { file: key.0.into(), key: key.1.into(), fault }
@@ -110,19 +113,19 @@
         std::fs::write(&platform, text).expect("a file");
         Config::load(&[("PROXY_CONFIG".into(), platform.display().to_string())].into(), None)
     };
-    let mut all = told(Config::load(&[].into(), None));
-    all.extend(told(Config::load(&[].into(), Some(&folder.path().join("none")))));
-    all.extend([many, more, added, "[relay", ""].map(|text| told(load(text))).into_iter().flatten());
-    all.extend(["[]", r#"{"seed":"x"}"#].map(|text| told(base(text))).into_iter().flatten());
+    let mut all = faults_of(Config::load(&[].into(), None));
+    all.extend(faults_of(Config::load(&[].into(), Some(&folder.path().join("none")))));
+    all.extend([many, more, added, "[relay", ""].map(|text| faults_of(load(text))).into_iter().flatten());
+    all.extend(["[]", r#"{"seed":"x"}"#].map(|text| faults_of(base(text))).into_iter().flatten());
     let cut = whole.trim_end().rsplit_once('\n').expect("lines").0;
-    all.extend(told(load(cut).and_then(|new| running.whole(new))));
+    all.extend(faults_of(load(cut).and_then(|new| running.whole(new))));
     all.extend(["app", "app", "A"].iter().filter_map(|name| new_application(folder.path(), name).err()));
     let form = sandgw_schema_version::SchemaVersion::new(99).expect_err("no form");
     all.push(ConfigError { file: "f".into(), key: "forms.most".into(), fault: Fault::Forms(form) });
     all.push(ConfigError { file: "f".into(), key: "maintenance.floor".into(), fault: Fault::NoMessages });
     all.push(failed(Fault::Start(std::io::Error::from_raw_os_error(98))));
     all.push(failed(Fault::Folder("another process has the store open".into())));
-    all_named(&all);
+    assert_all_documented(&all);
 }
 
 #[test]
@@ -131,7 +134,7 @@
     let wrong = json!({"limits": 1, "discovery": "no", "nInstances": 1.5, "resolutionMs": -1,
         "domain": {"messageAimMs": 1}, "lanes": [{"semantics": "keyed"}]});
     let limits = json!({"limits": {"retryAfter": 1}, "rules": {"spareAttempts": -1}, "realms": [{}]});
-    all_named::<SettingFault>(&faults(wrong).chain(faults(limits)).collect::<Vec<_>>());
+    assert_all_documented::<SettingFault>(&faults(wrong).chain(faults(limits)).collect::<Vec<_>>());
 }
 
 #[test]
@@ -156,5 +159,5 @@
         let read = [round, start, last].map(|line| adapter.line(line));
         all.extend(read.into_iter().filter_map(Result::err).map(|e| e.what));
     }
-    all_named::<WireFault>(&all);
+    assert_all_documented::<WireFault>(&all);
 }
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,4 +1,5 @@
-//! The project's logger: one line a record on standard error, which is where the platform reads the log.
+//! The logger: writes each record as one line to standard error, where the platform reads it. Each line has the time
+//! in milliseconds since the epoch, the level and the message.
 
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -14,9 +15,9 @@
 
     fn log(&self, record: &Record) {
         if self.enabled(record.metadata()) {
-            let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
-            // A log that cannot be written is no reason to stop serving.
-            let _ = writeln!(std::io::stderr().lock(), "{at} {:5} {}", record.level(), record.args());
+            let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+            // The relay goes on serving when the log can't be written.
+            let _ = writeln!(std::io::stderr().lock(), "{now_ms} {:5} {}", record.level(), record.args());
         }
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,6 +2,7 @@
 
 #![forbid(unsafe_code)]
 
+use std::fmt::Display;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -121,7 +122,7 @@
     let arguments = Arguments::parse();
     logger::start(if arguments.verbose { log::LevelFilter::Debug } else { log::LevelFilter::Info });
     let environment: Environment = std::env::vars().collect();
-    let done = match arguments.command.unwrap_or(Command::Run { file: None }) {
+    let result = match arguments.command.unwrap_or(Command::Run { file: None }) {
         Command::Run { file } => run(&environment, file.as_deref()),
         Command::Config { command: ConfigCommand::New { app } } => {
             match new_application(Path::new("."), &app) {
@@ -133,9 +134,9 @@
             }
         }
         Command::Config { command: ConfigCommand::Check { files } } => check(&environment, &files),
-        Command::State { command } => state(command).map_err(|e| vec![e]),
+        Command::State { command } => run_state_command(command).map_err(|e| vec![e]),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(faults) => {
             faults.iter().for_each(|e| eprintln!("sandgw: {}", with_help(e)));
@@ -158,87 +159,119 @@
     for file in files {
         match Config::load(environment, Some(file)) {
             Ok(_) => println!("{}: no fault", file.display()),
-            Err(own) => faults.extend(own),
+            Err(more) => faults.extend(more),
         }
     }
     if faults.is_empty() { Ok(()) } else { Err(faults) }
 }
 
-/// Runs a command on a folder; a fault names it, or the file read or written beside it.
-fn state(command: StateCommand) -> Result<(), ConfigError> {
-    let fault = |path: &Path, reason: String| ConfigError {
+/// An error of a command on a folder; `path` is the folder, or the file that is read or written beside it.
+fn folder_error(path: &Path, reason: impl Display) -> ConfigError {
+    ConfigError {
         file: path.display().to_string(),
         key: "state.folder".into(),
-        fault: Fault::Folder(reason),
-    };
-    let of = |path: &Path, e: &dyn std::fmt::Display| fault(path, e.to_string());
-    let say = |json: bool, text: String, value: serde_json::Value| {
-        if json { println!("{value}") } else { println!("{text}") }
-    };
+        fault: Fault::Folder(reason.to_string()),
+    }
+}
+
+fn print_result(json: bool, text: &str, value: &serde_json::Value) {
+    if json { println!("{value}") } else { println!("{text}") }
+}
+
+/// Runs a command on a folder.
+fn run_state_command(command: StateCommand) -> Result<(), ConfigError> {
     match command {
-        StateCommand::Show { folder, json, groups } => {
-            let summary = commands::show(&folder, groups).map_err(|e| of(&folder, &e))?;
-            let value = serde_json::to_value(&summary).map_err(|e| of(&folder, &e))?;
-            say(json, shown(&summary), value);
-        }
-        StateCommand::Verify { folder, json } => {
-            let loaded = commands::verify(&folder).map_err(|e| of(&folder, &e))?;
-            let text = format!("{} records, {} damaged", loaded.records, loaded.damaged);
-            say(json, text, serde_json::json!({"records": loaded.records, "damaged": loaded.damaged}));
-            if loaded.damaged > 0 {
-                return Err(fault(&folder, format!("{} records are damaged", loaded.damaged)));
-            }
-        }
-        StateCommand::Export { folder, to } => {
-            let lines = match to {
-                Some(path) => {
-                    // Written whole before it has its name: a broken export is not taken for a good one.
-                    let part = path.with_extension("part");
-                    let file = std::fs::File::create_new(&part).map_err(|e| of(&part, &e))?;
-                    let mut out = std::io::BufWriter::new(file);
-                    let done = commands::export(&folder, &mut out).map_err(|e| of(&folder, &e));
-                    let done = done.and_then(|n| out.flush().map(|()| n).map_err(|e| of(&part, &e)));
-                    let named = done.and_then(|n| {
-                        std::fs::hard_link(&part, &path).map(|()| n).map_err(|e| of(&path, &e))
-                    });
-                    let _ = std::fs::remove_file(&part);
-                    named?
-                }
-                None => {
-                    let mut out = std::io::stdout().lock();
-                    commands::export(&folder, &mut out).map_err(|e| of(&folder, &e))?
-                }
-            };
-            eprintln!("{lines} lines");
-        }
-        StateCommand::Import { folder, from, json } => {
-            let lines = match from {
-                Some(path) => {
-                    let file = std::fs::File::open(&path).map_err(|e| of(&path, &e))?;
-                    commands::import(&folder, std::io::BufReader::new(file)).map_err(|e| of(&path, &e))?
-                }
-                None => commands::import(&folder, std::io::stdin().lock()).map_err(|e| of(&folder, &e))?,
-            };
-            say(json, format!("{lines} lines taken"), serde_json::json!({"lines": lines}));
-        }
-        StateCommand::SchemaVersion { folder, to } => {
-            let told = |e: StoreError| fault(&folder, format!("{e}; {}", e.help()));
-            let store = Store::existing(&folder).map_err(told)?;
-            to.map(|form| store.move_to(form)).transpose().map_err(told)?;
-            let (form, finalized) = (store.form().map_err(told)?, store.finalized().map_err(told)?);
-            println!("form {form}, finalized {finalized}");
+        StateCommand::Show { folder, json, groups } => show(&folder, json, groups),
+        StateCommand::Verify { folder, json } => verify(&folder, json),
+        StateCommand::Export { folder, to } => export(&folder, to.as_deref()),
+        StateCommand::Import { folder, from, json } => import(&folder, from.as_deref(), json),
+        StateCommand::SchemaVersion { folder, to } => schema_version(&folder, to),
+        StateCommand::Compact { folder, json } => compact(&folder, json),
+    }
+}
+
+fn show(folder: &Path, json: bool, groups: usize) -> Result<(), ConfigError> {
+    let summary = commands::show(folder, groups).map_err(|e| folder_error(folder, e))?;
+    let value = serde_json::to_value(&summary).map_err(|e| folder_error(folder, e))?;
+    print_result(json, &format_summary(&summary), &value);
+    Ok(())
+}
+
+fn verify(folder: &Path, json: bool) -> Result<(), ConfigError> {
+    let loaded = commands::verify(folder).map_err(|e| folder_error(folder, e))?;
+    let text = format!("{} records, {} damaged", loaded.records, loaded.damaged);
+    let value = serde_json::json!({"records": loaded.records, "damaged": loaded.damaged});
+    print_result(json, &text, &value);
+    if loaded.damaged > 0 {
+        return Err(folder_error(folder, format!("{} records are damaged", loaded.damaged)));
+    }
+    Ok(())
+}
+
+fn export(folder: &Path, to: Option<&Path>) -> Result<(), ConfigError> {
+    let lines = match to {
+        Some(path) => export_to_file(folder, path)?,
+        None => {
+            let mut out = std::io::stdout().lock();
+            commands::export(folder, &mut out).map_err(|e| folder_error(folder, e))?
         }
-        StateCommand::Compact { folder, json } => {
-            let (before, after) = commands::compact(&folder).map_err(|e| of(&folder, &e))?;
-            let text = format!("{before} bytes before, {after} after");
-            say(json, text, serde_json::json!({"bytes_before": before, "bytes_after": after}));
+    };
+    eprintln!("{lines} lines");
+    Ok(())
+}
+
+/// Exports to a new file and returns the number of lines. The file gets its name only once it is complete, so that a
+/// partial export is never mistaken for a whole one.
+fn export_to_file(folder: &Path, path: &Path) -> Result<u64, ConfigError> {
+    let part = path.with_extension("part");
+    let file = std::fs::File::create_new(&part).map_err(|e| folder_error(&part, e))?;
+    let exported = export_and_link(folder, file, &part, path);
+    let _ = std::fs::remove_file(&part);
+    exported
+}
+
+fn export_and_link(folder: &Path, file: std::fs::File, part: &Path, path: &Path) -> Result<u64, ConfigError> {
+    let mut out = std::io::BufWriter::new(file);
+    let lines = commands::export(folder, &mut out).map_err(|e| folder_error(folder, e))?;
+    out.flush().map_err(|e| folder_error(part, e))?;
+    std::fs::hard_link(part, path).map_err(|e| folder_error(path, e))?;
+    Ok(lines)
+}
+
+fn import(folder: &Path, from: Option<&Path>, json: bool) -> Result<(), ConfigError> {
+    let lines = match from {
+        Some(path) => {
+            let file = std::fs::File::open(path).map_err(|e| folder_error(path, e))?;
+            let input = std::io::BufReader::new(file);
+            commands::import(folder, input).map_err(|e| folder_error(path, e))?
         }
+        None => commands::import(folder, std::io::stdin().lock()).map_err(|e| folder_error(folder, e))?,
+    };
+    print_result(json, &format!("{lines} lines taken"), &serde_json::json!({"lines": lines}));
+    Ok(())
+}
+
+fn schema_version(folder: &Path, to: Option<u64>) -> Result<(), ConfigError> {
+    let error = |e: StoreError| folder_error(folder, format!("{e}; {}", e.help()));
+    let store = Store::existing(folder).map_err(error)?;
+    if let Some(version) = to {
+        store.move_to(version).map_err(error)?;
     }
+    let version = store.form().map_err(error)?;
+    let finalized = store.finalized().map_err(error)?;
+    println!("form {version}, finalized {finalized}");
+    Ok(())
+}
+
+fn compact(folder: &Path, json: bool) -> Result<(), ConfigError> {
+    let (before, after) = commands::compact(folder).map_err(|e| folder_error(folder, e))?;
+    let text = format!("{before} bytes before, {after} after");
+    print_result(json, &text, &serde_json::json!({"bytes_before": before, "bytes_after": after}));
     Ok(())
 }
 
-/// A summary for reading.
-fn shown(s: &commands::Summary) -> String {
+/// Formats a summary as text.
+fn format_summary(s: &commands::Summary) -> String {
     let age = |at: Option<f64>| {
         at.map_or("none".into(), |at| format!("{:.1} s", (s.newest_ms.unwrap_or(at) - at) / 1000.0))
     };
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -1,135 +1,180 @@
-//! A read-only SNMP agent (version 2c, RFC 3416) for `mibs/SANDGW-MIB.txt`: fed datagrams, knows no socket.
+//! A read-only SNMP agent (version 2c, RFC 3416) for `mibs/SANDGW-MIB.txt`.
+//!
+//! Builds the objects of the MIB from the relay's counters, and answers one datagram with another. It does no I/O and
+//! changes nothing: a request to set is refused.
 
 use std::collections::BTreeMap;
+use std::ops::Bound;
 
 use rasn::types::{Integer, ObjectIdentifier, OctetString};
 use rasn_smi::v2::{ApplicationSyntax, Counter64, ObjectSyntax, SimpleSyntax};
-use rasn_snmp::v2::{Pdu, Pdus, Response, VarBind, VarBindValue};
+use rasn_snmp::v2::{BulkPdu, Pdu, Pdus, Response, VarBind, VarBindValue};
 use rasn_snmp::v2c::Message;
 
 use sandgw_affinity_store::writer::Written;
 
 use crate::policy::api::EndpointState;
-use crate::relay::Relay;
+use crate::relay::{EndpointStatus, Relay};
 
 /// iso.org.dod.internet.private.enterprises.32473.1: the example enterprise of RFC 5612.
 pub const BASE: [u32; 8] = [1, 3, 6, 1, 4, 1, 32473, 1];
-/// Most rows that one GETBULK is answered with; keeps answers in one datagram.
-const MOST_REPETITIONS: u32 = 32;
-const MOST_BINDINGS: usize = 64;
+/// Most repetitions in the answer to one GETBULK, so that the answer fits into one datagram.
+const MAX_REPETITIONS: u32 = 32;
+/// Number of bindings from which on no further repetition is added to an answer.
+const MAX_BINDINGS: usize = 64;
+/// Version number of SNMPv2c on the wire.
+const VERSION_2C: u32 = 1;
 
 /// Objects of the agent in the order of their identifiers.
 pub type View = BTreeMap<Vec<u32>, ObjectSyntax>;
 
-/// What the relay shows now.
+/// Builds the view of the relay's current state; `written` counts the writes of the affinity store.
 pub fn view(relay: &Relay, written: Written) -> View {
     let mut view = View::new();
-    let mut put = |tail: &[u32], value: ObjectSyntax| {
-        view.insert([&BASE[..], tail].concat(), value);
-    };
-    let counter = |n: u64| ObjectSyntax::ApplicationWide(ApplicationSyntax::BigCounter(Counter64(n)));
-    let gauge = |n: u64| {
-        ObjectSyntax::ApplicationWide(ApplicationSyntax::Unsigned(rasn_smi::v1::Gauge(
-            n.try_into().unwrap_or(u32::MAX),
-        )))
-    };
-    let c = relay.counters();
-    let scalars = [c.connections, c.established, c.rejected, c.failed, c.migrations];
-    for (i, n) in (1..).zip(scalars) {
-        put(&[1, i, 0], counter(n));
+    put_connections(&mut view, relay);
+    put_affinity(&mut view, relay, written);
+    for row in relay.endpoints() {
+        put_endpoint(&mut view, &row);
+    }
+    view
+}
+
+fn put(view: &mut View, tail: &[u32], value: ObjectSyntax) {
+    view.insert([&BASE[..], tail].concat(), value);
+}
+
+fn counter(n: u64) -> ObjectSyntax {
+    ObjectSyntax::ApplicationWide(ApplicationSyntax::BigCounter(Counter64(n)))
+}
+
+fn gauge(n: u64) -> ObjectSyntax {
+    let gauge = rasn_smi::v1::Gauge(n.try_into().unwrap_or(u32::MAX));
+    ObjectSyntax::ApplicationWide(ApplicationSyntax::Unsigned(gauge))
+}
+
+/// Connections (1) and attempts by outcome (2).
+fn put_connections(view: &mut View, relay: &Relay) {
+    let counters = relay.counters();
+    let scalars =
+        [counters.connections, counters.established, counters.rejected, counters.failed, counters.migrations];
+    for (object, n) in (1..).zip(scalars) {
+        put(view, &[1, object, 0], counter(n));
     }
-    put(&[1, 6, 0], gauge(relay.established_connections()));
-    for (i, n) in (1..).zip(c.attempts) {
-        put(&[2, 1, 2, i], counter(n));
+    put(view, &[1, 6, 0], gauge(relay.established_connections()));
+    for (outcome, n) in (1..).zip(counters.attempts) {
+        put(view, &[2, 1, 2, outcome], counter(n));
     }
-    let a = relay.affinity_statistics();
-    for (i, n) in (1..).zip([a.sessions, a.groups, a.max_bytes]) {
-        put(&[5, i, 0], gauge(n));
+}
+
+/// The affinity table (5).
+fn put_affinity(view: &mut View, relay: &Relay, written: Written) {
+    let affinity = relay.affinity_statistics();
+    for (object, n) in (1..).zip([affinity.sessions, affinity.groups, affinity.max_bytes]) {
+        put(view, &[5, object, 0], gauge(n));
     }
     let totals = [
-        a.evicted,
-        a.not_admitted,
-        a.expired,
-        a.stale_lookups,
-        a.resent_chunks,
+        affinity.evicted,
+        affinity.not_admitted,
+        affinity.expired,
+        affinity.stale_lookups,
+        affinity.resent_chunks,
         written.entries,
         written.failed,
     ];
-    for (i, n) in (4..).zip(totals) {
-        put(&[5, i, 0], counter(n));
-    }
-    for row in relay.endpoints() {
-        // The id is the index, as its length and its bytes: it needs no column of its own to be read.
-        let id = row.id.0.as_bytes();
-        let index: Vec<u32> =
-            std::iter::once(id.len() as u32).chain(id.iter().map(|b| u32::from(*b))).collect();
-        let state = match row.state {
-            EndpointState::Ready => 1,
-            EndpointState::Draining => 2,
-            EndpointState::Removed => 3,
-        };
-        put(
-            &[&[3, 1, 2][..], &index].concat(),
-            ObjectSyntax::Simple(SimpleSyntax::Integer(Integer::from(state))),
-        );
-        put(&[&[3, 1, 3][..], &index].concat(), gauge(row.established));
-        put(&[&[3, 1, 4][..], &index].concat(), counter(row.attempts));
+    for (object, n) in (4..).zip(totals) {
+        put(view, &[5, object, 0], counter(n));
     }
-    view
 }
 
-/// Answers a datagram; nothing where it is malformed or of another community, as the protocol wants.
+/// A row of the table of endpoints (3). Its index is the endpoint's id, as length and bytes (SMIv2), so the id needs
+/// no column.
+fn put_endpoint(view: &mut View, row: &EndpointStatus) {
+    let id = row.id.0.as_bytes();
+    let length = std::iter::once(id.len() as u32);
+    let index: Vec<u32> = length.chain(id.iter().map(|byte| u32::from(*byte))).collect();
+    let column = |number: u32| [&[3, 1, number][..], &index].concat();
+    let state = match row.state {
+        EndpointState::Ready => 1,
+        EndpointState::Draining => 2,
+        EndpointState::Removed => 3,
+    };
+    put(view, &column(2), ObjectSyntax::Simple(SimpleSyntax::Integer(Integer::from(state))));
+    put(view, &column(3), gauge(row.established));
+    put(view, &column(4), counter(row.attempts));
+}
+
+/// Answers a datagram; `None` where it is malformed or of another community, as the protocol requires.
 pub fn answer(datagram: &[u8], community: &str, view: &View) -> Option<Vec<u8>> {
     let message: Message<Pdus> = rasn::ber::decode(datagram).ok()?;
-    if message.version != Integer::from(1) || &message.community[..] != community.as_bytes() {
+    if message.version != Integer::from(VERSION_2C) || &message.community[..] != community.as_bytes() {
         return None;
     }
-    let oid = |b: &VarBind| b.name.to_vec();
-    let bind = |name: &[u32], value| Some(VarBind { name: ObjectIdentifier::new(name.to_vec())?, value });
-    let get = |b: &VarBind| {
-        let value = view.get(&oid(b)).map_or(VarBindValue::NoSuchObject, |v| VarBindValue::Value(v.clone()));
-        Some(VarBind { name: b.name.clone(), value })
-    };
-    let next = |b: &VarBind| {
-        let after = (std::ops::Bound::Excluded(oid(b)), std::ops::Bound::Unbounded);
-        match view.range(after).next() {
-            Some((name, value)) => bind(name, VarBindValue::Value(value.clone())),
-            None => Some(VarBind { name: b.name.clone(), value: VarBindValue::EndOfMibView }),
+    let pdu = match message.data {
+        Pdus::GetRequest(request) => {
+            let variables = &request.0.variable_bindings;
+            let bindings = variables.iter().map(|variable| get(view, variable)).collect();
+            response(request.0.request_id, bindings)
         }
-    };
-    let mut status = (Pdu::ERROR_STATUS_NO_ERROR, 0);
-    let (id, bindings) = match message.data {
-        Pdus::GetRequest(r) => (r.0.request_id, r.0.variable_bindings.iter().filter_map(get).collect()),
-        Pdus::GetNextRequest(r) => (r.0.request_id, r.0.variable_bindings.iter().filter_map(next).collect()),
-        Pdus::GetBulkRequest(r) => {
-            let asked = &r.0.variable_bindings;
-            let (once, repeated) = asked.split_at(asked.len().min(r.0.non_repeaters as usize));
-            let mut found: Vec<VarBind> = once.iter().filter_map(next).collect();
-            let mut row = repeated.to_vec();
-            for _ in 0..r.0.max_repetitions.min(MOST_REPETITIONS) {
-                row = row.iter().filter_map(next).collect();
-                found.extend(row.iter().cloned());
-                let ended = row.iter().all(|b| b.value == VarBindValue::EndOfMibView);
-                if ended || found.len() >= MOST_BINDINGS {
-                    break;
-                }
-            }
-            (r.0.request_id, found)
+        Pdus::GetNextRequest(request) => {
+            let variables = &request.0.variable_bindings;
+            let bindings = variables.iter().filter_map(|variable| get_next(view, variable)).collect();
+            response(request.0.request_id, bindings)
         }
-        // Read only.
-        Pdus::SetRequest(r) => {
-            status = (Pdu::ERROR_STATUS_NOT_WRITABLE, 1);
-            (r.0.request_id, r.0.variable_bindings)
+        Pdus::GetBulkRequest(request) => {
+            let bindings = get_bulk(view, &request.0);
+            response(request.0.request_id, bindings)
         }
+        Pdus::SetRequest(request) => Pdu {
+            error_status: Pdu::ERROR_STATUS_NOT_WRITABLE,
+            error_index: 1,
+            ..response(request.0.request_id, request.0.variable_bindings)
+        },
         _ => return None,
     };
-    let (error_status, error_index) = status;
-    let data = Pdus::Response(Response(Pdu {
-        request_id: id,
-        error_status,
-        error_index,
-        variable_bindings: bindings,
-    }));
+    let data = Pdus::Response(Response(pdu));
     let community = OctetString::from(community.as_bytes().to_vec());
-    rasn::ber::encode(&Message { version: Integer::from(1), community, data }).ok()
+    rasn::ber::encode(&Message { version: Integer::from(VERSION_2C), community, data }).ok()
+}
+
+/// A response without an error.
+fn response(request_id: i32, variable_bindings: Vec<VarBind>) -> Pdu {
+    Pdu { request_id, error_status: Pdu::ERROR_STATUS_NO_ERROR, error_index: 0, variable_bindings }
+}
+
+/// The value of the variable itself.
+fn get(view: &View, variable: &VarBind) -> VarBind {
+    let found = view.get(&variable.name.to_vec());
+    let value = found.map_or(VarBindValue::NoSuchObject, |value| VarBindValue::Value(value.clone()));
+    VarBind { name: variable.name.clone(), value }
+}
+
+/// The first object after the variable in the order of identifiers.
+fn get_next(view: &View, variable: &VarBind) -> Option<VarBind> {
+    let after = (Bound::Excluded(variable.name.to_vec()), Bound::Unbounded);
+    match view.range(after).next() {
+        Some((name, value)) => {
+            let name = ObjectIdentifier::new(name.clone())?;
+            Some(VarBind { name, value: VarBindValue::Value(value.clone()) })
+        }
+        None => Some(VarBind { name: variable.name.clone(), value: VarBindValue::EndOfMibView }),
+    }
+}
+
+/// The next object of the first variables, then repeatedly the next objects of the others.
+fn get_bulk(view: &View, request: &BulkPdu) -> Vec<VarBind> {
+    let variables = &request.variable_bindings;
+    let non_repeaters = variables.len().min(request.non_repeaters as usize);
+    let (once, repeated) = variables.split_at(non_repeaters);
+    let next = |variable: &VarBind| get_next(view, variable);
+    let mut found: Vec<VarBind> = once.iter().filter_map(next).collect();
+    let mut row = repeated.to_vec();
+    for _ in 0..request.max_repetitions.min(MAX_REPETITIONS) {
+        row = row.iter().filter_map(next).collect();
+        found.extend(row.iter().cloned());
+        let at_end = row.iter().all(|binding| binding.value == VarBindValue::EndOfMibView);
+        if at_end || found.len() >= MAX_BINDINGS {
+            break;
+        }
+    }
+    found
 }
