--- /dev/null
+++ b/src/listener/line/mod.rs
@@ -0,0 +1,346 @@
+//! The platform's line protocol: one text line a message, from client and endpoint.
+//!
+//! Owns what the settings say of lines, the ids of the open connections, and the state of each of them. It reads
+//! `OPEN` and `PING` of clients and the endpoint's answers, writes the attempt's `OPEN` with the time that is left,
+//! and observes the lines of established connections. Times are milliseconds.
+
+mod open_line;
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::str;
+
+use bytes::{Buf, BytesMut};
+
+use self::open_line::OpenLine;
+use super::{AttemptAnswer, ClientProtocol, ReadProgress, TransferredProtocol};
+use crate::policy::api::*;
+use crate::relay::ServingMode;
+use crate::relay::{AcceptedClass, IncomingRequest, LocalReply};
+
+/// Longest line, with its end.
+const MAX_LINE_BYTES: usize = 4096;
+/// The health check of a load balancer in front of the relay.
+const PING: &str = "PING";
+/// How much of a malformed answer is logged.
+const MAX_LOGGED_BYTES: usize = 64;
+/// How much of the endpoint's line is stored: enough to tell `BYE` and `MOVE` from other lines.
+const LINE_PREFIX_BYTES: usize = 8;
+
+/// What the settings in force say of lines.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct LineNames {
+    /// Whether `g` names a group, whose connections share work, or else the client.
+    pub groups: bool,
+    /// Classes, each with the time until which new connections may name it, where it was dropped. Connections that
+    /// arrive mid-flow may name any: they began when it was in force.
+    pub classes: Vec<AcceptedClass>,
+    /// Tenants; any is accepted where there are none.
+    pub tenants: Vec<String>,
+}
+
+/// What all clients of the line protocol share.
+#[derive(Default)]
+pub struct LineRules {
+    names: RefCell<LineNames>,
+    /// Tenants of the previous settings: connections of theirs may still arrive mid-flow.
+    previous_tenants: RefCell<Vec<String>>,
+    /// Ids of the open connections, each with its client's key.
+    open: RefCell<HashMap<String, String>>,
+}
+
+impl LineRules {
+    /// Rules with these names.
+    pub fn new(names: LineNames) -> Self {
+        LineRules { names: RefCell::new(names), ..LineRules::default() }
+    }
+
+    /// Replaces the names by those of new settings. Requests that were read before are not affected.
+    pub fn apply_names(&self, names: LineNames) {
+        let before = self.names.replace(names);
+        if before.tenants != self.names.borrow().tenants {
+            self.previous_tenants.replace(before.tenants);
+        }
+    }
+
+    fn accepts_class(&self, now: Millis, class: &str, mid_flow: bool) -> bool {
+        let accepted = |until: &Option<Millis>| mid_flow || until.is_none_or(|until| now < until);
+        self.names.borrow().classes.iter().any(|c| c.name == class && accepted(&c.accepted_until))
+    }
+
+    fn accepts_tenant(&self, tenant: &str, mid_flow: bool) -> bool {
+        let contains = |tenants: &[String]| tenants.iter().any(|t| t == tenant);
+        let names = self.names.borrow();
+        names.tenants.is_empty()
+            || contains(&names.tenants)
+            || mid_flow && contains(&self.previous_tenants.borrow())
+    }
+
+    /// Registers an open connection; false where its id is open already. A mid-flow arrival whose packets took
+    /// another path before may still be open here: it replaces the one of the same id and key.
+    fn register(&self, id: &str, key: &str, mid_flow: bool) -> bool {
+        let mut open = self.open.borrow_mut();
+        if open.get(id).is_some_and(|other| !mid_flow || other != key) {
+            return false;
+        }
+        open.insert(id.to_owned(), key.to_owned());
+        true
+    }
+}
+
+/// One client of the line protocol.
+pub struct LineProtocol {
+    rules: Rc<LineRules>,
+    handshake_timeout: Millis,
+    /// The connection's id, while it is registered as open.
+    id: Option<String>,
+    /// The client's `OPEN` without the line's end.
+    open_line: String,
+    /// Start of the endpoint's current line.
+    line_prefix: Vec<u8>,
+    /// How many bytes of the endpoint's current line have been received.
+    line_bytes: usize,
+    /// Outcome that the endpoint's last whole line announces.
+    announced: Option<Outcome>,
+    /// When the client sent the oldest line that is without an answer.
+    unanswered_since: Option<Millis>,
+}
+
+impl LineProtocol {
+    /// The protocol of one connection, whose first line may take `handshake_timeout` milliseconds.
+    pub fn new(rules: Rc<LineRules>, handshake_timeout: Millis) -> Self {
+        LineProtocol {
+            rules,
+            handshake_timeout,
+            id: None,
+            open_line: String::new(),
+            line_prefix: Vec::new(),
+            line_bytes: 0,
+            announced: None,
+            unanswered_since: None,
+        }
+    }
+
+    /// Resumes a connection that another process has handed over.
+    pub fn resume(rules: Rc<LineRules>, now: Millis, transferred: TransferredProtocol) -> Self {
+        rules.open.borrow_mut().insert(transferred.id.clone(), transferred.key);
+        let outcome = |completed| if completed { Outcome::Ok } else { Outcome::Cancelled };
+        let mut protocol = LineProtocol::new(rules, 0.0);
+        protocol.id = Some(transferred.id);
+        protocol.line_prefix = transferred.line_prefix;
+        protocol.line_prefix.truncate(LINE_PREFIX_BYTES);
+        protocol.line_bytes = transferred.line_bytes as usize;
+        protocol.announced = transferred.announced_completion.map(outcome);
+        let unanswered_ms = transferred.unanswered_ms.filter(|age| *age >= 0.0);
+        protocol.unanswered_since = unanswered_ms.map(|age| now - age);
+        protocol
+    }
+
+    /// Parses `OPEN ID KEY name=value,...` and registers the connection; `None` where the line is malformed, names an
+    /// unknown class or tenant, or an id that is open already. Such a request is not forwarded: an endpoint would
+    /// refuse it or close on it, which says nothing of the endpoint, and the load balancer would retry it elsewhere.
+    fn open(&mut self, now: Millis, line: &str) -> Option<IncomingRequest> {
+        let open = OpenLine::parse(line)?;
+        let groups = self.rules.names.borrow().groups;
+        let request = open.request(now, groups)?;
+        let mid_flow = request.mid_flow;
+        let tenant = request.tenant.as_ref().map_or("", |tenant| &*tenant.0);
+        let accepted = self.rules.accepts_class(now, &request.class, mid_flow)
+            && self.rules.accepts_tenant(tenant, mid_flow)
+            && self.rules.register(open.id, open.key, mid_flow);
+        if !accepted {
+            return None;
+        }
+        self.id = Some(open.id.to_owned());
+        Some(request)
+    }
+
+    /// Rejects a request of which nothing may reach an endpoint. The rest of the input is dropped unread.
+    fn reject_request(&mut self, input: &mut BytesMut, reply: &mut BytesMut) -> ReadProgress {
+        input.clear();
+        self.write_local_reply(LocalReply::Failed, reply);
+        ReadProgress::Close
+    }
+
+    /// Takes the end of a line into account; returns a round-trip time when the line answers the client.
+    fn end_endpoint_line(&mut self, now: Millis) -> Option<Millis> {
+        self.announced = match self.line_prefix.trim_ascii_end() {
+            b"BYE" => Some(Outcome::Ok),
+            b"MOVE" => Some(Outcome::Cancelled),
+            _ => None,
+        };
+        // An endpoint sends `LOAD` unasked: it answers nothing.
+        let unsolicited = self.line_prefix.starts_with(b"LOAD ");
+        self.line_bytes = 0;
+        self.line_prefix.clear();
+        if unsolicited {
+            return None;
+        }
+        self.unanswered_since.take().map(|since| now - since)
+    }
+}
+
+impl Drop for LineProtocol {
+    fn drop(&mut self) {
+        if let Some(id) = self.id.take() {
+            self.rules.open.borrow_mut().remove(&id);
+        }
+    }
+}
+
+/// Takes a whole line off the input, without its end.
+fn take_line(input: &mut BytesMut) -> Option<BytesMut> {
+    let end = input.iter().position(|b| *b == b'\n')?;
+    let mut line = input.split_to(end + 1);
+    line.truncate(end);
+    if line.ends_with(b"\r") {
+        line.truncate(end - 1);
+    }
+    Some(line)
+}
+
+fn ping_reply(mode: ServingMode) -> &'static [u8] {
+    match mode {
+        ServingMode::Active => b"PONG\r\n",
+        ServingMode::Standby => b"STANDBY\r\n",
+    }
+}
+
+impl ClientProtocol for LineProtocol {
+    fn handshake_timeout(&self) -> Millis {
+        self.handshake_timeout
+    }
+
+    fn read_request(
+        &mut self,
+        now: Millis,
+        mode: ServingMode,
+        input: &mut BytesMut,
+        reply: &mut BytesMut,
+    ) -> ReadProgress {
+        loop {
+            let ends = input.iter().take(MAX_LINE_BYTES).any(|b| *b == b'\n');
+            if !ends && input.len() < MAX_LINE_BYTES {
+                return ReadProgress::Incomplete;
+            }
+            // A line that is too long is malformed like an empty one.
+            let line = if ends { take_line(input) } else { None };
+            let line = line.as_deref().and_then(|l| str::from_utf8(l).ok()).unwrap_or_default();
+            if line == PING {
+                reply.extend_from_slice(ping_reply(mode));
+                continue;
+            }
+            let Some(request) = self.open(now, line) else {
+                return self.reject_request(input, reply);
+            };
+            self.open_line = line.to_owned();
+            // A client waits for the answer to its line: several lines at once are no request.
+            if !input.is_empty() && !self.accepts_early_data() {
+                return self.reject_request(input, reply);
+            }
+            return ReadProgress::Request(request);
+        }
+    }
+
+    fn accepts_early_data(&self) -> bool {
+        false
+    }
+
+    fn begin_attempt(&mut self, time_left: Millis, out: &mut BytesMut) {
+        let deadline = format!("d={:.0}", time_left.floor().max(1.0));
+        let (head, options) = self.open_line.rsplit_once(' ').unwrap_or(("", &self.open_line));
+        let with_deadline = options
+            .split(',')
+            .map(|option| if option.starts_with("d=") { deadline.as_str() } else { option });
+        let options = with_deadline.collect::<Vec<_>>().join(",");
+        out.extend_from_slice(format!("{head} {options}\r\n").as_bytes());
+    }
+
+    fn request_complete(&self) -> bool {
+        true
+    }
+
+    fn read_answer(&mut self, input: &mut BytesMut, _out: &mut BytesMut) -> AttemptAnswer {
+        let Some(end) = input.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
+            let too_long = input.len() >= MAX_LINE_BYTES;
+            return if too_long { AttemptAnswer::Ended(Outcome::Error) } else { AttemptAnswer::Incomplete };
+        };
+        let line = input[..end].strip_suffix(b"\r").unwrap_or(&input[..end]);
+        match line.split(|b| *b == b' ').next().unwrap_or_default() {
+            b"UP" => return AttemptAnswer::Established,
+            b"BUSY" => return AttemptAnswer::Ended(Outcome::Rejected),
+            b"MOVE" => return AttemptAnswer::Ended(Outcome::Cancelled),
+            b"BYE" => return AttemptAnswer::Ended(Outcome::Reset),
+            b"ERR" => {}
+            other => {
+                let start = &other[..other.len().min(MAX_LOGGED_BYTES)];
+                log::warn!("an endpoint sent a malformed answer: {}", start.escape_ascii());
+            }
+        }
+        input.advance(end + 1);
+        AttemptAnswer::Ended(Outcome::Error)
+    }
+
+    fn write_local_reply(&mut self, response: LocalReply, reply: &mut BytesMut) {
+        let line = match response {
+            LocalReply::Rejected(Some(ms)) => format!("BUSY {:.0}\r\n", ms.max(0.0)),
+            LocalReply::Rejected(None) => "BUSY\r\n".into(),
+            LocalReply::Failed => "ERR\r\n".into(),
+        };
+        reply.extend_from_slice(line.as_bytes());
+    }
+
+    fn observe_client_bytes(&mut self, now: Millis, bytes: &[u8]) {
+        if bytes.contains(&b'\n') {
+            self.unanswered_since.get_or_insert(now);
+        }
+    }
+
+    fn observe_endpoint_bytes(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis> {
+        let mut round_trip = None;
+        for part in bytes.split_inclusive(|b| *b == b'\n') {
+            self.line_bytes += part.len();
+            let prefix_room = LINE_PREFIX_BYTES.saturating_sub(self.line_prefix.len());
+            self.line_prefix.extend_from_slice(&part[..part.len().min(prefix_room)]);
+            if part.ends_with(b"\n") {
+                let answered = self.end_endpoint_line(now);
+                round_trip = round_trip.or(answered);
+            }
+        }
+        round_trip
+    }
+
+    fn bytes_since_boundary(&self) -> Option<usize> {
+        Some(self.line_bytes)
+    }
+
+    fn incomplete_tail(&self) -> usize {
+        // Bytes of a line that is too long are passed on as they come.
+        if self.line_bytes < MAX_LINE_BYTES { self.line_bytes } else { 0 }
+    }
+
+    fn unanswered_since(&self) -> Option<Millis> {
+        self.unanswered_since
+    }
+
+    fn export(&self, now: Millis) -> Option<TransferredProtocol> {
+        let id = self.id.clone()?;
+        Some(TransferredProtocol {
+            key: self.rules.open.borrow().get(&id)?.clone(),
+            id,
+            line_prefix: self.line_prefix.clone(),
+            line_bytes: self.line_bytes as u64,
+            announced_completion: self.announced.map(|outcome| outcome == Outcome::Ok),
+            unanswered_ms: self.unanswered_since.map(|since| now - since),
+        })
+    }
+
+    fn write_migration(&mut self, reply: &mut BytesMut) {
+        reply.extend_from_slice(b"MOVE\r\n");
+    }
+
+    fn announced_outcome(&self) -> Option<Outcome> {
+        self.announced
+    }
+}
