--- a/crates/cluster/src/concurrency_limit.rs
+++ b/crates/cluster/src/concurrency_limit.rs
@@ -90,7 +90,7 @@
     }
 
     /// Whether late set-ups at changing endpoints outweigh those in time, or a peer has warned within
-    /// [`PEER_WARNING_TTL_MS`].
+    /// `PEER_WARNING_TTL_MS`.
     pub fn fault_is_common(&self, now: Millis) -> bool {
         self.late_fraction > COMMON_FAULT_LATE_FRACTION || self.peer_warning_counts(now)
     }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,6 +1,6 @@
 //! Messages between relays as datagrams: plain text of at most [`MAX_BYTES`].
 //!
-//! The first character says of which kind a datagram is: [`SAMPLE`] and [`MERGED_SAMPLE`] are group sizes,
+//! The first character says of which kind a datagram is: `SAMPLE` and `MERGED_SAMPLE` are group sizes,
 //! written here; the others are written by the crates that own them. What is too long, malformed or of
 //! another version reads as nothing: it is no fault of this relay and is ignored.
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,6 @@
 //! Every decision of the relay. Nothing here does I/O or reads a clock: time is an argument.
 //!
-//! [`api`] has the settings, events and actions; [`LoadBalancer`](load_balancer::LoadBalancer) hands each
+//! [`api`] has the settings, events and actions; [`LoadBalancer`] hands each
 //! event to the rule that takes it. Each rule is a module that opens with its inputs, units and reason:
 //!
 //! | question | module |
--- a/src/relay/counters.rs
+++ b/src/relay/counters.rs
@@ -1,6 +1,6 @@
 //! Totals of one relay since its start.
 
-/// Number of variants of [`Outcome`](crate::policy::api::Outcome), for [`Counters::attempts`].
+/// Number of variants of `Outcome`(crate::policy::api::Outcome), for [`Counters::attempts`].
 pub const OUTCOME_COUNT: usize = 8;
 
 /// Totals since the start.
@@ -10,7 +10,7 @@
     pub connections: u64,
     /// Connections that were established.
     pub established: u64,
-    /// Attempts and established connections that have ended, by outcome in the order of [`Outcome`].
+    /// Attempts and established connections that have ended, by outcome in the order of `Outcome`.
     pub attempts: [u64; OUTCOME_COUNT],
     /// Local replies that reject.
     pub rejected: u64,
