--- /dev/null
+++ b/src/net/connection/response_timer.rs
@@ -0,0 +1,39 @@
+//! When a message that an endpoint has not answered counts as slow, and when its endpoint counts as silent.
+
+use crate::policy::api::Millis;
+
+/// An endpoint that has left a message unanswered for so long is silent: its client is asked to reconnect. A client has to
+/// be asked within 7 s of the silence, and clients send a message only every 2 s.
+pub const SILENCE_TIMEOUT_MS: Millis = 4500.0;
+/// How often the age of an unanswered message is reported as a round trip.
+const SLOW_REPORT_INTERVAL_MS: Millis = 1000.0;
+
+/// When the age of the oldest unanswered message is next due for a report.
+#[derive(Default)]
+pub struct ResponseTimer {
+    unanswered_since: Millis,
+    next_report: Millis,
+}
+
+impl ResponseTimer {
+    /// When the next report is due for a message unanswered since `unanswered`; `None` where there is none.
+    pub fn next_report(&mut self, unanswered: Option<Millis>) -> Option<Millis> {
+        let since = unanswered?;
+        if since != self.unanswered_since {
+            self.unanswered_since = since;
+            self.next_report = since + SLOW_REPORT_INTERVAL_MS;
+        }
+        Some(self.next_report)
+    }
+
+    /// Whether a report is due; if so, the next one is scheduled, and one for the moment of [`SILENCE_TIMEOUT_MS`].
+    pub fn is_due(&mut self, now: Millis) -> bool {
+        let is_due = now >= self.next_report;
+        if is_due {
+            let silent_at = self.unanswered_since + SILENCE_TIMEOUT_MS;
+            let next = now + SLOW_REPORT_INTERVAL_MS;
+            self.next_report = if now < silent_at { silent_at.min(next) } else { next };
+        }
+        is_due
+    }
+}
--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -336,7 +336,14 @@
     };
     let (client, endpoint) = (stream(client)?, stream(endpoint)?);
     let protocol = LineProtocol::adopt(shared.rules.clone(), shared.clock.now(), protocol);
-    let passed = connection::Passed { connection, protocol, client, upstream: endpoint, up, down };
+    let passed = connection::AdoptedConnection {
+        connection,
+        protocol,
+        client,
+        upstream: endpoint,
+        from_client: up,
+        from_upstream: down,
+    };
     tokio::task::spawn_local(connection::adopt(shared.clone(), passed, shared.admission.adopt()));
     Ok(())
 }
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -124,7 +124,8 @@
         for crossing in ["", "more\r\n"] {
             for _ in 0..4 {
                 let (mut client, mut endpoint) = stand.connection();
-                let stood = || stand.relay.log().matches(&format!("stood, {outcome}")).count();
+                let stood =
+                    || stand.relay.log().matches(&format!("established connection ended: {outcome}")).count();
                 let before = stood();
                 stand.meanwhile(|| {
                     endpoint.send(&format!("first\r\n{word}\r\n"));
@@ -174,7 +175,7 @@
     endpoint.0.get_ref().shutdown(Shutdown::Write).unwrap();
     client.send("read\r\n");
     assert_eq!(endpoint.line(), "read");
-    until("its end is known", || stand.relay.log().contains("stood, Ok"));
+    until("its end is known", || stand.relay.log().contains("established connection ended: Ok"));
     drop(endpoint);
     for _ in 0..4 {
         // The first is answered by a reset, and the next can't be sent on.
@@ -195,15 +196,15 @@
     drop(client);
     assert_eq!(endpoint.line(), "(end)");
     drop(endpoint);
-    until("it is known", || stand.relay.log().contains("stood, "));
-    assert!(stand.relay.log().contains("stood, Ok"));
+    until("it is known", || stand.relay.log().contains("established connection ended: "));
+    assert!(stand.relay.log().contains("established connection ended: Ok"));
     // The same where the client resets.
     let (mut client, mut endpoint) = stand.connection();
     endpoint.send("BYE\r\n");
     assert_eq!(client.line(), "BYE");
     reset(client);
     assert_eq!(endpoint.line(), "(ConnectionReset)");
-    until("it is known", || stand.relay.log().matches("stood, Ok").count() == 2);
+    until("it is known", || stand.relay.log().matches("established connection ended: Ok").count() == 2);
 }
 
 // --- moves ---
@@ -286,7 +287,8 @@
             assert!(stand.relay.call(b"active\n").starts_with("done active"));
             let (mut client, mut endpoint) = stand.connection();
             let start = Instant::now();
-            let stood = || stand.relay.log().matches(&format!("stood, {outcome}")).count();
+            let stood =
+                || stand.relay.log().matches(&format!("established connection ended: {outcome}")).count();
             let before = stood();
             assert!(stand.relay.call(b"standby\n").starts_with("done standby"));
             let crosses = stand.meanwhile(|| {
