--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -94,7 +94,7 @@
 
 /// Writes behind for as long as the program runs.
 pub async fn keep(shared: Rc<Shared>) {
-    let Some(writer) = &shared.keeper else { return };
+    let Some(writer) = &shared.store_writer else { return };
     let Some(flush) = shared.config.borrow().state.as_ref().map(|s| s.flush) else { return };
     let max_age = shared.config.borrow().settings.affinity_limits.max_age;
     let mut interval = tokio::time::interval(span(flush));
--- a/src/net/connection/adopt.rs
+++ b/src/net/connection/adopt.rs
@@ -8,7 +8,7 @@
 use super::{ClientConnection, Registration};
 use crate::listener::ClientProtocol;
 use crate::net::Shared;
-use crate::net::accept::Seat;
+use crate::net::admission::Seat;
 use crate::relay::TransferredConnection;
 
 /// An established connection as the predecessor process has transferred it.
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -28,7 +28,7 @@
 pub use self::adopt::{AdoptedConnection, adopt};
 use self::attempt::Placement;
 use super::Shared;
-use super::accept::Seat;
+use super::admission::Seat;
 use super::pool::Pooled;
 use crate::listener::ClientProtocol;
 use crate::policy::api::{Millis, Outcome, RequestId};
--- a/src/net/connection/tunnel.rs
+++ b/src/net/connection/tunnel.rs
@@ -22,6 +22,7 @@
 use crate::handover::Message;
 use crate::listener::ClientProtocol;
 use crate::net::pool::Pooled;
+use crate::net::shared::OutgoingTransfer;
 use crate::policy::api::{Millis, Outcome, RequestId};
 use crate::relay::ConnectionCommand;
 
@@ -385,6 +386,7 @@
             down: tunnel.to_client.bytes().into(),
         };
         debug!("connection {}: transferred", tunnel.id.0);
-        self.shared.passing.0.send((message, [client, upstream])).is_ok()
+        let transfer = OutgoingTransfer { message, sockets: [client, upstream] };
+        self.shared.transfers.sender.send(transfer).is_ok()
     }
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -22,13 +22,13 @@
 pub async fn watch(shared: Rc<Shared>) {
     let pushed = || shared.config.borrow().settings.discovery == Discovery::Pushed;
     if pushed() {
-        shared.watch.notify_one();
+        shared.list_requested.notify_one();
     }
     let mut anew = f64::NEG_INFINITY;
     loop {
         let mut moved = tokio::select! {
-            () = shared.watch.notified() => false,
-            () = shared.moved.notified() => true,
+            () = shared.list_requested.notified() => false,
+            () = shared.discovery_moved.notified() => true,
         };
         // The next call follows an answer at once: within 200 ms it continues the same watch.
         loop {
@@ -39,7 +39,7 @@
             let answer = tokio::select! {
                 biased;
                 // The watch that is out would go on for seconds, and tell of the old place only.
-                () = shared.moved.notified() => {
+                () = shared.discovery_moved.notified() => {
                     moved = true;
                     continue;
                 }
@@ -74,7 +74,7 @@
                         let pause = span(shared.endpoint_list.borrow_mut().anew(relays, silent));
                         shared.core(Relay::subscription_lost);
                         tokio::select! {
-                            () = shared.moved.notified() => moved = true,
+                            () = shared.discovery_moved.notified() => moved = true,
                             () = tokio::time::sleep(pause) => {}
                         }
                         continue;
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -12,7 +12,8 @@
 use sandgw_maintenance::{MaintenanceService, ServiceConfig, WholeMillis, WindowId, WindowRow, codec};
 use tokio::time::MissedTickBehavior;
 
-use super::{Shared, until};
+use super::Shared;
+use super::accept::wait_for_accepting;
 use crate::config::Config;
 use crate::policy::api::{EndpointEntry, EndpointState, ListKind, Millis};
 use crate::relay::operator_calls::OperatorCallError;
@@ -48,7 +49,7 @@
         let mut service = self.maintenance.as_ref()?.borrow_mut();
         let result = step(&mut service, self.clock.now() as WholeMillis);
         for outgoing in service.take_outbox() {
-            self.send(outgoing.to, codec::encode(&outgoing.message).as_bytes());
+            self.send_datagram_to_peer(outgoing.to, codec::encode(&outgoing.message).as_bytes());
         }
         for event in service.take_events() {
             if event.is_alarm() { warn!("maintenance: {event}") } else { info!("maintenance: {event}") }
@@ -169,9 +170,9 @@
     let tick_ms = (lease / TICKS_PER_LEASE).clamp(MIN_TICK_MS, MAX_TICK_MS);
     let mut interval = tokio::time::interval(Duration::from_millis(tick_ms));
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut gate = shared.gate.subscribe();
+    let mut gate = shared.accepting.subscribe();
     loop {
-        until(&mut gate, true).await;
+        wait_for_accepting(&mut gate, true).await;
         interval.tick().await;
         shared.with_maintenance(|service, now| service.tick(now));
     }
--- a/src/net/operators.rs
+++ b/src/net/operators.rs
@@ -18,8 +18,9 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::accept::CALLERS;
-use super::{ACCEPT_PAUSE, Shared};
+use super::Shared;
+use super::accept::ACCEPT_PAUSE;
+use super::admission::CALLERS;
 use crate::relay::operator_calls::{self, CallParser, MAX_CALL_BYTES, OperatorCall, OperatorCallError};
 
 /// A caller that has not said what he wants by then is told so, and his seat is free again.
@@ -201,7 +202,7 @@
         OperatorCall::Finalize => return super::schema_version::finalize(shared),
         _ => {}
     }
-    let ready = || *shared.gate.borrow() && shared.relay.borrow().has_endpoint_list();
+    let ready = || *shared.accepting.borrow() && shared.relay.borrow().has_endpoint_list();
     match call {
         OperatorCall::Status if !ready() => return Err(OperatorCallError::NotReady),
         // Answered where it may be waited for.
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -41,12 +41,12 @@
 
 /// Reads a datagram of a relay, and answers it where it asks for a word; nothing of what is no message.
 pub(super) fn read(shared: &Shared, peer: u32, text: &str) -> Option<PeerMessage> {
-    let Some(post) = &shared.post else { return peers::decode(text) };
+    let Some(post) = &shared.peer_channel else { return peers::decode(text) };
     match receive(shared, post, peer, text) {
         Ok(message) => message,
         Err(e @ SchemaVersionError::Finalized { .. }) => {
             // It started while nobody told it, or the tier was finalized over it: once is enough for a log.
-            if !shared.left_behind.replace(true) {
+            if !shared.is_unreadable_version_logged.replace(true) {
                 error!("forms: relay {peer}: {e}; {}", e.help());
             }
             None
@@ -67,16 +67,16 @@
     let (now, mut out) = (shared.clock.now(), Vec::new());
     let before = post.borrow().ladder.form(now);
     let received = post.borrow_mut().receive(now, peer, text, &mut out);
-    out.iter().for_each(|(peer, text)| shared.post_to(*peer, text));
+    out.iter().for_each(|(peer, text)| shared.send_text_to_peer(*peer, text));
     if post.borrow().ladder.form(now) != before {
-        shared.forms.notify_one();
+        shared.version_changed.notify_one();
     }
     Ok(received?.text.as_deref().and_then(peers::decode))
 }
 
 /// Asks others what is finalized before anything is served; it fails where this process can't read that.
 pub async fn enquire(shared: &Rc<Shared>) -> io::Result<()> {
-    let (Some(post), Some(socket)) = (&shared.post, shared.peers.get()) else { return Ok(()) };
+    let (Some(post), Some(socket)) = (&shared.peer_channel, shared.peers.get()) else { return Ok(()) };
     let (local_index, relays) =
         (shared.config.borrow().settings.local_index, shared.config.borrow().settings.relay_count);
     let mut buffer = [0; peers::BUFFER];
@@ -84,7 +84,7 @@
         let word = post.borrow().ladder.word(shared.clock.now()).text() + "|?";
         let step = ((relays - 1) / ASKED).max(1);
         let asked = (0..ASKED.min(relays - 1)).map(|n| (local_index + 1 + n * step) % relays);
-        asked.for_each(|peer| shared.post_to(peer, &word));
+        asked.for_each(|peer| shared.send_text_to_peer(peer, &word));
         let until = Instant::now() + span(wait);
         while let Ok(received) = timeout_at(until, socket.recv_from(&mut buffer)).await {
             // An error is of a relay that is not there.
@@ -106,27 +106,27 @@
 
 /// Tells words as they are due, and moves the folder with the tier, for as long as the program runs.
 pub async fn tell(shared: Rc<Shared>) {
-    let Some(post) = &shared.post else { return };
+    let Some(post) = &shared.peer_channel else { return };
     let mut at = None;
     loop {
         let now = shared.clock.now();
         let mut out = Vec::new();
-        if *shared.gate.borrow() {
+        if *shared.accepting.borrow() {
             post.borrow_mut().due(now, &mut out);
         }
-        out.iter().for_each(|(peer, text)| shared.post_to(*peer, text));
+        out.iter().for_each(|(peer, text)| shared.send_text_to_peer(*peer, text));
         follow(&shared, &mut at, now);
         let wait = post.borrow().timer(now);
         tokio::select! {
             () = tokio::time::sleep(span(wait)) => {}
-            () = shared.forms.notified() => {}
+            () = shared.version_changed.notified() => {}
         }
     }
 }
 
 /// Says what the tier writes now where that is new, and has the folder moved to it.
 fn follow(shared: &Shared, at: &mut Option<(SchemaVersion, SchemaVersion, bool)>, now: Millis) {
-    let Some(post) = &shared.post else { return };
+    let Some(post) = &shared.peer_channel else { return };
     let (form, finalized, range, known) = {
         let ladder = &post.borrow().ladder;
         // While it only waits for signs of others, the folder stays as it is found.
@@ -144,7 +144,7 @@
             info!("forms: the tier writes form {form}, this process reads {range}; finalized is {finalized}")
         }
     }
-    if let Some(writer) = shared.keeper.as_ref().filter(|_| known)
+    if let Some(writer) = shared.store_writer.as_ref().filter(|_| known)
         && !writer.move_to(form.number().into(), finalized.number().into())
     {
         // The queue is full: asked again with the next word.
@@ -154,13 +154,13 @@
 
 /// What the next process is told of the tier's forms.
 pub(super) fn word(shared: &Shared) -> Option<(Millis, String)> {
-    let (now, post) = (shared.clock.now(), shared.post.as_ref()?.borrow());
+    let (now, post) = (shared.clock.now(), shared.peer_channel.as_ref()?.borrow());
     Some((post.ladder.listened(now), post.ladder.word(now).text()))
 }
 
 /// Takes what the process before knew of the tier's forms. It fails where this one can't read what is finalized.
 pub(super) fn resume(shared: &Shared, listened: Millis, word: &str) -> io::Result<()> {
-    let Some(post) = &shared.post else { return Ok(()) };
+    let Some(post) = &shared.peer_channel else { return Ok(()) };
     let resumed = VersionAdvertisement::read(word)
         .and_then(|(word, _)| post.borrow_mut().ladder.resume(shared.clock.now(), listened, &word));
     resumed.map_err(refused)
@@ -168,16 +168,16 @@
 
 /// What operators are told of forms.
 pub(super) fn status(shared: &Shared) -> Result<String, OperatorCallError> {
-    let post = shared.post.as_ref().ok_or(OperatorCallError::Unknown)?;
+    let post = shared.peer_channel.as_ref().ok_or(OperatorCallError::Unknown)?;
     Ok(crate::schema_status::status(&post.borrow(), shared.clock.now()))
 }
 
 /// Ends the possibility to go back.
 pub(super) fn finalize(shared: &Shared) -> Result<String, OperatorCallError> {
-    let post = shared.post.as_ref().ok_or(OperatorCallError::Unknown)?;
+    let post = shared.peer_channel.as_ref().ok_or(OperatorCallError::Unknown)?;
     let form =
         post.borrow_mut().ladder.finalize(shared.clock.now()).map_err(OperatorCallError::SchemaVersion)?;
     warn!("operators: finalize: nothing is written below form {form} any more");
-    shared.forms.notify_one();
+    shared.version_changed.notify_one();
     Ok(format!("finalized {form}"))
 }
--- /dev/null
+++ b/src/net/startup.rs
@@ -0,0 +1,239 @@
+//! Starts a relay: the store, the core, the hand-over from a predecessor process, the sockets, and then the drivers.
+//!
+//! Nothing is served before all sockets are open and the predecessor process, where there is one, has stopped accepting.
+
+use std::cell::{Cell, OnceCell, RefCell};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use log::{info, warn};
+use sandgw_schema_version::{SchemaVersion, SupportedVersions};
+use tokio::net::{TcpListener, UdpSocket};
+use tokio::sync::{Notify, watch};
+use tokio::task::spawn_local;
+
+use super::accept::accept;
+use super::admission::{Admission, HANDOVER};
+use super::clock::Clock;
+use super::shared::{InheritableSocket, Shared, TransferQueue, line_names};
+use super::signals::Signals;
+use super::sockets::{listen, with_setting};
+use super::takeover::{self, Predecessor, TakeoverError};
+use super::{
+    affinity_store, connection, discovery, maintenance, operators, peers, schema_version, snmp, sockets,
+};
+use crate::config::{Config, ConfigError};
+use crate::discovery::EndpointList;
+use crate::listener::line::{LineProtocol, LineRules};
+use crate::listener::rtmp::RtmpProtocol;
+use crate::policy::api::{EndpointEntry, ListKind};
+use crate::relay::Relay;
+
+/// How often round trips are summed up for the load balancer.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The list as the configuration has it, for as long as discovery has not answered.
+struct ConfiguredList {
+    endpoint_list: EndpointList,
+    entries: Vec<EndpointEntry>,
+}
+
+/// Starts a relay and serves; returns when it can't start, or has handed over and has nothing left.
+///
+/// # Errors
+/// The store, a socket or the predecessor process keeps it from starting.
+pub async fn serve(
+    mut config: Config,
+    passed: Option<std::net::TcpListener>,
+    load: impl Fn() -> Result<Config, Vec<ConfigError>> + 'static,
+) -> io::Result<()> {
+    // Before anything listens: a signal's default action would end a program that others already use.
+    let signals = Signals::register()?;
+    let entries = std::mem::take(&mut config.known);
+    let endpoint_list = std::mem::take(&mut config.endpoint_list);
+    let shared = open_shared(config)?;
+    let _file_too_large = signals.handle(&shared, load);
+    start_operators(&shared)?;
+    let folder = shared.config.borrow().handover.clone();
+    let mut inherited = Vec::new();
+    let predecessor = request_snapshot(&shared, folder.as_deref(), &mut inherited).await?;
+    // All addresses are taken before anything is served: a relay that lacks one does not start.
+    let sockets = sockets::open(&shared, passed, inherited)?;
+    if let Some(socket) = shared.peers.get() {
+        // Until it has been waited for once, the runtime does not know it as writable: the first datagram would be lost.
+        socket.writable().await?;
+    }
+    load_configured_list(&shared, ConfiguredList { endpoint_list, entries });
+    let is_takeover = predecessor.is_some();
+    take_over(&shared, predecessor, folder.as_deref()).await?;
+    if !is_takeover {
+        schema_version::enquire(&shared).await?;
+    }
+    start_drivers(&shared, sockets.agent);
+    if let Some(listener) = sockets.rtmp {
+        start_rtmp(&shared, listener)?;
+    }
+    if let Some(listener) = sockets.line {
+        start_line(&shared, listener)?;
+    }
+    shared.accepting.send_replace(true);
+    start_handover_offer(&shared, folder);
+    shared.finished.notified().await;
+    Ok(())
+}
+
+/// Opens the store and sets up what the drivers share.
+fn open_shared(config: Config) -> io::Result<Rc<Shared>> {
+    let clock = Clock::new();
+    let newest_version = config.forms.map_or(SchemaVersion::FIRST, SupportedVersions::newest);
+    let stored = config
+        .state
+        .as_ref()
+        .map(|state| affinity_store::open(&state.folder, newest_version))
+        .transpose()
+        .map_err(|e| with_setting("state.folder", e))?;
+    let finalized = stored.as_ref().map_or(SchemaVersion::FIRST, |stored| stored.finalized);
+    let peer_channel = schema_version::post(&config, finalized, &clock)?;
+    let handover_descriptors = if config.handover.is_some() { HANDOVER } else { 0 };
+    let mut relay = Relay::new(config.settings.clone(), config.classes.clone(), config.seed, clock.now());
+    let store_writer =
+        stored.map(|stored| affinity_store::restore(stored, &mut relay, clock.now())).transpose()?;
+    let names = line_names(&relay, &config);
+    let maintenance = maintenance::service(&config, clock.now()).map(RefCell::new);
+    Ok(Rc::new(Shared {
+        clock,
+        relay: RefCell::new(relay),
+        connections: RefCell::default(),
+        endpoint_list: RefCell::default(),
+        pool: Rc::default(),
+        list_requested: Notify::new(),
+        discovery_moved: Notify::new(),
+        peers: OnceCell::new(),
+        peer_channel,
+        version_changed: Notify::new(),
+        is_unreadable_version_logged: Cell::new(false),
+        admission: Admission::new(config.limits.sockets, handover_descriptors),
+        accepting: watch::Sender::new(false),
+        is_predecessor_running: Cell::new(false),
+        is_terminated: Cell::new(false),
+        finished: Notify::new(),
+        transfers: TransferQueue::new(),
+        inheritable_sockets: RefCell::default(),
+        store_writer,
+        line_rules: Rc::new(LineRules::new(names)),
+        maintenance,
+        config: RefCell::new(config),
+    }))
+}
+
+/// Answers operators from the first moment on, also while this process is not ready.
+fn start_operators(shared: &Rc<Shared>) -> io::Result<()> {
+    let address = shared.config.borrow().ops;
+    let listener = address.map(listen).transpose().map_err(|e| with_setting("ops", e))?;
+    if let Some(listener) = listener {
+        info!("operators call at {}", listener.local_addr()?);
+        spawn_local(operators::answer(shared.clone(), listener));
+    }
+    Ok(())
+}
+
+/// Requests the state and the sockets of the process that runs in a folder; `None` where there is none.
+async fn request_snapshot(
+    shared: &Rc<Shared>,
+    folder: Option<&Path>,
+    inherited: &mut Vec<InheritableSocket>,
+) -> io::Result<Option<Predecessor>> {
+    match folder {
+        Some(folder) => takeover::request_snapshot(shared, folder, inherited).await,
+        None => Ok(None),
+    }
+}
+
+/// Takes the configured list where no predecessor process had one.
+fn load_configured_list(shared: &Rc<Shared>, configured: ConfiguredList) {
+    if !shared.relay.borrow().has_endpoint_list() {
+        *shared.endpoint_list.borrow_mut() = configured.endpoint_list;
+        shared.handle_list_update(ListKind::Cached, configured.entries, shared.clock.now());
+    }
+    let seed = shared.config.borrow().seed;
+    shared.endpoint_list.borrow_mut().reseed(seed);
+}
+
+/// Takes over from the predecessor process. Where it breaks the link, it is asked again if it still runs.
+async fn take_over(
+    shared: &Rc<Shared>,
+    mut predecessor: Option<Predecessor>,
+    folder: Option<&Path>,
+) -> io::Result<()> {
+    while let Some(mut running) = predecessor.take() {
+        match takeover::take_over(shared, &mut running).await {
+            Ok(()) => drop(spawn_local(takeover::follow_predecessor(shared.clone(), running))),
+            Err(TakeoverError::Refused(e)) => return Err(e),
+            Err(TakeoverError::LinkBroken(e)) => {
+                warn!("hand-over: the running process has broken off: {e}");
+                // Where it has ended, all that it had was received with the snapshot.
+                let folder = folder.unwrap_or(Path::new(""));
+                predecessor = takeover::request_snapshot(shared, folder, &mut Vec::new()).await?;
+            }
+        }
+    }
+    Ok(())
+}
+
+/// Starts the drivers that need no listener.
+fn start_drivers(shared: &Rc<Shared>, agent: Option<UdpSocket>) {
+    spawn_local(tick(shared.clone()));
+    spawn_local(schema_version::tell(shared.clone()));
+    spawn_local(discovery::watch(shared.clone()));
+    spawn_local(peers::receive(shared.clone()));
+    spawn_local(affinity_store::keep(shared.clone()));
+    spawn_local(maintenance::run_ticks(shared.clone()));
+    if let Some(socket) = agent {
+        spawn_local(snmp::answer(shared.clone(), socket));
+    }
+}
+
+fn start_rtmp(shared: &Rc<Shared>, listener: TcpListener) -> io::Result<()> {
+    info!("{} listens for RTMP on {}", shared.config.borrow().name, listener.local_addr()?);
+    let admission = shared.admission.clone();
+    let accepting = shared.accepting.subscribe();
+    let shared = shared.clone();
+    spawn_local(accept(admission, accepting, listener, move |client, from, seat| {
+        // Read for each connection: all of it but the address may have been reloaded.
+        let Some(rtmp) = shared.config.borrow().rtmp.clone() else { return };
+        let protocol = RtmpProtocol::new(rtmp.settings, from, rtmp.trusted.contains(&from.ip()));
+        spawn_local(connection::serve(shared.clone(), client, protocol, seat));
+    }));
+    Ok(())
+}
+
+fn start_line(shared: &Rc<Shared>, listener: TcpListener) -> io::Result<()> {
+    info!("{} listens on {}", shared.config.borrow().name, listener.local_addr()?);
+    let admission = shared.admission.clone();
+    let accepting = shared.accepting.subscribe();
+    let shared = shared.clone();
+    spawn_local(accept(admission, accepting, listener, move |client, _, seat| {
+        let first_line_limit = shared.config.borrow().limits.first_line;
+        let protocol = LineProtocol::new(shared.line_rules.clone(), first_line_limit);
+        spawn_local(connection::serve(shared.clone(), client, protocol, seat));
+    }));
+    Ok(())
+}
+
+/// Offers the relay to a successor process, where there is a folder for it.
+fn start_handover_offer(shared: &Rc<Shared>, folder: Option<PathBuf>) {
+    if let Some(folder) = folder {
+        spawn_local(takeover::offer(shared.clone(), folder));
+    }
+}
+
+/// Ticks the core for as long as the program runs.
+async fn tick(shared: Rc<Shared>) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
+    loop {
+        interval.tick().await;
+        shared.core(|relay, now| relay.tick(now));
+    }
+}
--- /dev/null
+++ b/src/net/takeover/predecessor.rs
@@ -0,0 +1,345 @@
+//! The predecessor's side of a hand-over: offers the relay, sends its state, and transfers its connections.
+
+use std::io;
+use std::os::fd::AsFd;
+use std::os::unix::fs::{FileTypeExt, MetadataExt, PermissionsExt};
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use log::{error, info, warn};
+use sandgw_affinity::Record;
+use serde_json::Value;
+use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio::time::{Interval, timeout};
+
+use super::link::Link;
+use super::{SEND_TIMEOUT, SOCKET_NAME, newest_version};
+use crate::handover::{
+    FIRST_PROTOCOL_VERSION, MAX_LIST_ENTRIES_PER_MESSAGE, MAX_RECORDS_PER_MESSAGE, MAX_TRANSFERS_AT_A_TIME,
+    Message, PredecessorAction, PredecessorProcess, negotiate_version,
+};
+use crate::net::accept::ACCEPT_PAUSE;
+use crate::net::shared::{InheritableSocket, OutgoingTransfer, Shared};
+use crate::net::{schema_version, span};
+
+/// How often the successor is sent what has changed.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Hands the relay to the next process that requests it, for as long as the program runs.
+pub async fn offer(shared: Rc<Shared>, folder: PathBuf) {
+    let path = folder.join(SOCKET_NAME);
+    loop {
+        let listener = match bind(&path) {
+            Ok(listener) => listener,
+            Err(e) => {
+                // The relay serves all the same; a new version can only be had by a restart.
+                return error!("hand-over: {}: {e}; it is off", path.display());
+            }
+        };
+        serve_successors(&shared, &listener, &path).await;
+        // The path was the successor's: the socket is bound anew, if this process still may hand over.
+        if shared.relay.borrow().is_handed_over() {
+            // There is no successor to transfer connections to: they migrate before they would be lost.
+            shared.core(|relay, now| relay.enter_standby(now));
+            return wait_until_finished(&shared).await;
+        }
+    }
+}
+
+/// Serves one successor after the other until one has taken the relay over and has gone.
+async fn serve_successors(shared: &Rc<Shared>, listener: &UnixListener, path: &Path) {
+    let owner = std::fs::metadata(path).map(|metadata| metadata.uid());
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_PAUSE).await;
+            continue;
+        };
+        let is_same_user =
+            stream.peer_cred().is_ok_and(|peer| owner.as_ref().is_ok_and(|owner| peer.uid() == *owner));
+        if !is_same_user {
+            warn!("hand-over: refused to another user's process");
+            continue;
+        }
+        let mut state = PredecessorProcess::default();
+        if let Err(e) = serve_successor(shared, &mut state, listener, stream).await {
+            warn!("hand-over: {e}");
+        }
+        if state.resumes_accepting(shared.is_terminated.get()) {
+            warn!("hand-over: it has failed, this process goes on");
+            shared.relay.borrow_mut().resume_serving();
+            shared.accepting.send_replace(true);
+        }
+        if state == PredecessorProcess::HandedOver {
+            return;
+        }
+    }
+}
+
+/// Serves one successor, and refuses all others meanwhile.
+async fn serve_successor(
+    shared: &Rc<Shared>,
+    state: &mut PredecessorProcess,
+    listener: &UnixListener,
+    stream: UnixStream,
+) -> io::Result<()> {
+    let mut hand_over = std::pin::pin!(HandOver::new(shared, state, Link::new(stream)).run());
+    loop {
+        tokio::select! {
+            ended = &mut hand_over => return ended,
+            Ok((other, _)) = listener.accept() => {
+                spawn_local(turn_away(Link::new(other)));
+            }
+        }
+    }
+}
+
+/// Waits until nothing is left of a process that has no successor to report to any more.
+async fn wait_until_finished(shared: &Rc<Shared>) {
+    // A connection that is to be transferred from now on stays here.
+    drop(shared.transfers.receiver.borrow_mut().take());
+    while !is_finished(shared) {
+        tokio::time::sleep(REPORT_INTERVAL).await;
+    }
+    shared.finished.notify_one();
+}
+
+fn is_finished(shared: &Shared) -> bool {
+    shared.is_terminated.get() && shared.relay.borrow().is_empty() && shared.admission.is_empty()
+}
+
+fn bind(path: &Path) -> io::Result<UnixListener> {
+    match std::fs::symlink_metadata(path) {
+        Ok(old) if old.file_type().is_socket() => std::fs::remove_file(path)?,
+        Ok(_) => return Err(io::Error::other("is there, and no socket")),
+        Err(_) => {}
+    }
+    let listener = UnixListener::bind(path)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
+    Ok(listener)
+}
+
+/// Receives the connections that are to be transferred while there is a successor; dropped, it returns the queue.
+struct OutgoingTransfers<'a> {
+    shared: &'a Shared,
+    receiver: Option<mpsc::UnboundedReceiver<OutgoingTransfer>>,
+}
+
+impl<'a> OutgoingTransfers<'a> {
+    fn new(shared: &'a Shared) -> Self {
+        OutgoingTransfers { shared, receiver: shared.transfers.receiver.borrow_mut().take() }
+    }
+
+    async fn next(&mut self) -> Option<OutgoingTransfer> {
+        self.receiver.as_mut()?.recv().await
+    }
+
+    fn is_empty(&self) -> bool {
+        self.receiver.as_ref().is_none_or(|receiver| receiver.is_empty())
+    }
+}
+
+impl Drop for OutgoingTransfers<'_> {
+    fn drop(&mut self) {
+        // There is no successor for those that wait: they are closed, so that their clients do not wait in vain.
+        while self.receiver.as_mut().is_some_and(|receiver| receiver.try_recv().is_ok()) {}
+        *self.shared.transfers.receiver.borrow_mut() = self.receiver.take();
+    }
+}
+
+/// One hand-over to one successor.
+struct HandOver<'a> {
+    shared: &'a Rc<Shared>,
+    state: &'a mut PredecessorProcess,
+    link: Link,
+    transfers: OutgoingTransfers<'a>,
+    report_interval: Interval,
+    /// The number of descriptors that the successor was sent last.
+    reported_descriptors: usize,
+}
+
+impl<'a> HandOver<'a> {
+    fn new(shared: &'a Rc<Shared>, state: &'a mut PredecessorProcess, link: Link) -> Self {
+        HandOver {
+            shared,
+            state,
+            link,
+            transfers: OutgoingTransfers::new(shared),
+            report_interval: tokio::time::interval(REPORT_INTERVAL),
+            reported_descriptors: 0,
+        }
+    }
+
+    /// Returns when the successor has gone or is given up.
+    async fn run(mut self) -> io::Result<()> {
+        let relay_name = self.shared.config.borrow().name.clone();
+        loop {
+            let message = match self.state.message_timeout_ms() {
+                Some(timeout_ms) => timeout(span(timeout_ms), self.link.next()).await??,
+                None => tokio::select! {
+                    message = self.link.next() => message?,
+                    Some(transfer) = self.transfers.next() => {
+                        self.send_transfer(transfer).await?;
+                        continue;
+                    }
+                    _ = self.report_interval.tick() => {
+                        self.handle_report_tick().await?;
+                        continue;
+                    }
+                },
+            };
+            match self.state.handle_message(&message, &relay_name) {
+                PredecessorAction::SendSnapshot => self.handle_hello(&message).await?,
+                PredecessorAction::StopAccepting => self.stop_accepting().await?,
+                PredecessorAction::GrantOwnership => self.grant_ownership().await?,
+                PredecessorAction::Refuse(reason) => {
+                    return refuse(&mut self.link, &reason.to_string()).await;
+                }
+            }
+        }
+    }
+
+    async fn send_transfer(&mut self, transfer: OutgoingTransfer) -> io::Result<()> {
+        let sockets = transfer.sockets.each_ref().map(AsFd::as_fd);
+        self.link.send_with_sockets(&transfer.message, &sockets).await
+    }
+
+    /// Reports to the successor and, after SIGTERM, transfers connections.
+    async fn handle_report_tick(&mut self) -> io::Result<()> {
+        self.send_affinity_changes().await?;
+        self.report_descriptors().await?;
+        if self.shared.is_terminated.get() {
+            self.shared.core(|relay, _| relay.transfer_connections(MAX_TRANSFERS_AT_A_TIME));
+        }
+        if self.transfers.is_empty() && is_finished(self.shared) {
+            info!("hand-over: nothing is left here, ending");
+            self.shared.finished.notify_one();
+        }
+        Ok(())
+    }
+
+    async fn report_descriptors(&mut self) -> io::Result<()> {
+        let descriptors = self.shared.admission.held();
+        if std::mem::replace(&mut self.reported_descriptors, descriptors) != descriptors {
+            self.link.send(&Message::DescriptorsInUse { descriptors: descriptors as u32 }).await?;
+        }
+        Ok(())
+    }
+
+    /// Agrees on a version and sends the snapshot, while this process serves on.
+    async fn handle_hello(&mut self, hello: &Message) -> io::Result<()> {
+        if self.shared.is_predecessor_running.get() {
+            return refuse(&mut self.link, "the process before has not ended").await;
+        }
+        let version = negotiate_version(hello, newest_version(self.shared));
+        let advertised = schema_version::word(self.shared).filter(|_| version > FIRST_PROTOCOL_VERSION);
+        if let Some((listened, advertisement)) = advertised {
+            self.link.send(&Message::VersionAgreement { version, listened, advertisement }).await?;
+        }
+        self.send_endpoint_list().await?;
+        self.send_learned_state().await?;
+        self.send_affinity().await?;
+        self.send_listening_sockets().await?;
+        self.link.send(&Message::SnapshotComplete).await
+    }
+
+    async fn send_endpoint_list(&mut self) -> io::Result<()> {
+        let discovery = self.shared.config.borrow().discovery.to_string();
+        let (revision, entries) = {
+            let list = self.shared.endpoint_list.borrow();
+            let (revision, entries) = list.held();
+            (revision, entries.map(Value::to_string).collect::<Vec<_>>())
+        };
+        if self.shared.relay.borrow().has_endpoint_list() {
+            for entries in entries.chunks(MAX_LIST_ENTRIES_PER_MESSAGE) {
+                let discovery = discovery.clone();
+                let entries = entries.to_vec();
+                self.link.send(&Message::EndpointList { discovery, revision, entries }).await?;
+            }
+        }
+        Ok(())
+    }
+
+    async fn send_learned_state(&mut self) -> io::Result<()> {
+        let exported = self.shared.relay.borrow().export_learned_state(self.shared.clock.now());
+        for learned in exported {
+            self.link.send(&Message::LearnedState(learned)).await?;
+        }
+        Ok(())
+    }
+
+    async fn send_affinity(&mut self) -> io::Result<()> {
+        self.shared.relay.borrow_mut().track_affinity_changes();
+        while let Some(records) = next_affinity_changes(self.shared) {
+            self.link.send(&Message::AffinityRecords(records)).await?;
+        }
+        Ok(())
+    }
+
+    async fn send_listening_sockets(&mut self) -> io::Result<()> {
+        let sockets = self.duplicate_listening_sockets()?;
+        let keys = sockets.iter().map(|inheritable| inheritable.key.clone()).collect();
+        let descriptors: Vec<_> = sockets.iter().map(|inheritable| inheritable.socket.as_fd()).collect();
+        self.link.send_with_sockets(&Message::ListeningSockets(keys), &descriptors).await
+    }
+
+    fn duplicate_listening_sockets(&self) -> io::Result<Vec<InheritableSocket>> {
+        let sockets = self.shared.inheritable_sockets.borrow();
+        let duplicates = sockets.iter().map(|inheritable| {
+            let socket = inheritable.socket.try_clone()?;
+            Ok(InheritableSocket { key: inheritable.key.clone(), socket })
+        });
+        duplicates.collect()
+    }
+
+    /// Stops accepting, and sends what has changed since the snapshot.
+    async fn stop_accepting(&mut self) -> io::Result<()> {
+        info!("hand-over: a new process takes the relay");
+        self.shared.accepting.send_replace(false);
+        self.send_affinity_changes().await?;
+        let now = self.shared.clock.now();
+        let standby = self.shared.relay.borrow().standby_elapsed(now);
+        let slow_start_pause = self.shared.relay.borrow().slow_start_pause(now);
+        let descriptors = self.shared.admission.held() as u32;
+        self.link.send(&Message::AcceptingStopped { descriptors, standby, slow_start_pause }).await
+    }
+
+    async fn grant_ownership(&mut self) -> io::Result<()> {
+        self.shared.core(|relay, now| relay.hand_over(now));
+        self.link.send(&Message::OwnershipGranted).await?;
+        info!("hand-over: done; this process finishes what it has");
+        Ok(())
+    }
+
+    /// Sends where clients were placed since. Groups are left out: sent twice, their load would count twice.
+    async fn send_affinity_changes(&mut self) -> io::Result<()> {
+        while let Some(mut records) = next_affinity_changes(self.shared) {
+            records.retain(|record| matches!(record, Record::Session { .. }));
+            if !records.is_empty() {
+                self.link.send(&Message::AffinityRecords(records)).await?;
+            }
+        }
+        Ok(())
+    }
+}
+
+/// Affinity that has changed since the last call; `None` once that is all.
+fn next_affinity_changes(shared: &Shared) -> Option<Vec<Record>> {
+    let now = shared.clock.now();
+    let changes = shared.relay.borrow_mut().take_affinity_changes(now, MAX_RECORDS_PER_MESSAGE);
+    Some(changes.updated).filter(|records| !records.is_empty())
+}
+
+/// Refuses a second successor. Its first message is read, since a close with unread bytes would destroy the reply.
+async fn turn_away(mut link: Link) {
+    let _ = timeout(SEND_TIMEOUT, link.next()).await;
+    let _ = refuse(&mut link, "another process is taking over").await;
+}
+
+/// Sends the reason of a refusal, and returns it as the error that ends the hand-over.
+async fn refuse(link: &mut Link, reason: &str) -> io::Result<()> {
+    link.send(&Message::Refused(reason.into())).await?;
+    Err(io::Error::other(format!("refused: {reason}")))
+}
--- /dev/null
+++ b/src/net/takeover/successor.rs
@@ -0,0 +1,273 @@
+//! The successor's side of a hand-over: receives the running process's state, takes over, and adopts its connections.
+
+use std::io;
+use std::os::fd::OwnedFd;
+use std::path::Path;
+use std::rc::Rc;
+
+use log::{info, warn};
+use sandgw_affinity::Record;
+use sandgw_cluster::drain_gossip::DiscoveryAnswer;
+use serde_json::Value;
+use tokio::net::{TcpStream, UnixStream};
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+use super::link::Link;
+use super::{SOCKET_NAME, newest_version};
+use crate::discovery::ListError;
+use crate::handover::{FIRST_PROTOCOL_VERSION, Message, SuccessorAction, SuccessorProcess, VERSION_MISMATCH};
+use crate::listener::TransferredProtocol;
+use crate::listener::line::LineProtocol;
+use crate::net::connection::{self, AdoptedConnection};
+use crate::net::shared::{InheritableSocket, Shared};
+use crate::net::{schema_version, span};
+use crate::policy::api::{ListKind, Millis};
+use crate::policy::learned_state::LearnedState;
+use crate::relay::TransferredConnection;
+
+/// How often the relay is requested where the running process breaks the link.
+const MAX_REQUESTS: u32 = 3;
+
+/// The running process, which has sent its state and still serves.
+pub struct Predecessor {
+    link: Link,
+    state: SuccessorProcess,
+}
+
+/// Why the relay was not had from the running process.
+pub enum TakeoverError {
+    /// The link broke.
+    LinkBroken(io::Error),
+    /// It was refused, or what was received can't be used.
+    Refused(io::Error),
+}
+
+fn refused(reason: impl ToString) -> TakeoverError {
+    TakeoverError::Refused(io::Error::other(format!("hand-over: {}", reason.to_string())))
+}
+
+/// A message of the running process, and what is to be done after it.
+struct Received {
+    message: Message,
+    action: SuccessorAction,
+}
+
+/// Discovery's list, as far as the running process has sent it.
+struct ReceivedList {
+    /// Its revision, where this process uses the same discovery.
+    revision: Option<u64>,
+    entries: Vec<Value>,
+}
+
+/// An established connection as a message describes it.
+struct ReceivedConnection {
+    connection: TransferredConnection,
+    protocol: TransferredProtocol,
+    from_client: Vec<u8>,
+    from_upstream: Vec<u8>,
+}
+
+impl Predecessor {
+    fn new(stream: UnixStream) -> Self {
+        Predecessor { link: Link::new(stream), state: SuccessorProcess::default() }
+    }
+
+    async fn next(&mut self) -> Result<Received, TakeoverError> {
+        let received = match self.state.message_timeout_ms() {
+            Some(timeout_ms) => timeout(span(timeout_ms), self.link.next()).await,
+            None => Ok(self.link.next().await),
+        };
+        let received = received.map_err(|_| refused("the running process does not answer"))?;
+        let message = received.map_err(TakeoverError::LinkBroken)?;
+        match self.state.handle_message(&message) {
+            SuccessorAction::Fail(reason) => Err(refused(reason)),
+            action => Ok(Received { message, action }),
+        }
+    }
+
+    async fn send(&mut self, message: &Message) -> Result<(), TakeoverError> {
+        self.link.send(message).await.map_err(TakeoverError::LinkBroken)
+    }
+}
+
+/// Requests the running process's state and sockets; `None` where no process runs.
+///
+/// # Errors
+/// The running process refuses, sends what can't be used, or breaks the link each time.
+pub async fn request_snapshot(
+    shared: &Rc<Shared>,
+    folder: &Path,
+    inherited: &mut Vec<InheritableSocket>,
+) -> io::Result<Option<Predecessor>> {
+    let mut version = newest_version(shared);
+    for _ in 0..MAX_REQUESTS {
+        let stream = match UnixStream::connect(folder.join(SOCKET_NAME)).await {
+            Ok(stream) => stream,
+            Err(e) => {
+                use io::ErrorKind::{ConnectionRefused, NotFound};
+                // There never was a process, or it has ended without removing its socket.
+                let is_absent = matches!(e.kind(), ConnectionRefused | NotFound);
+                return if is_absent { Ok(None) } else { Err(e) };
+            }
+        };
+        let mut predecessor = Predecessor::new(stream);
+        match receive_snapshot(shared, &mut predecessor, inherited, version).await {
+            Ok(()) => return Ok(Some(predecessor)),
+            // A process from before there were versions: requested again in the one that it speaks.
+            Err(TakeoverError::Refused(e))
+                if version > FIRST_PROTOCOL_VERSION && e.to_string().ends_with(VERSION_MISMATCH) =>
+            {
+                version = FIRST_PROTOCOL_VERSION
+            }
+            Err(TakeoverError::Refused(e)) => return Err(e),
+            Err(TakeoverError::LinkBroken(e)) => {
+                warn!("hand-over: the running process has broken off: {e}");
+            }
+        }
+    }
+    Err(io::Error::other("hand-over: the running process breaks off again and again"))
+}
+
+async fn receive_snapshot(
+    shared: &Rc<Shared>,
+    predecessor: &mut Predecessor,
+    inherited: &mut Vec<InheritableSocket>,
+    version: u32,
+) -> Result<(), TakeoverError> {
+    let relay_name = shared.config.borrow().name.clone();
+    predecessor.send(&Message::Hello { version, relay_name }).await?;
+    let mut list: Option<ReceivedList> = None;
+    loop {
+        let Received { message, action } = predecessor.next().await?;
+        match message {
+            Message::EndpointList { discovery, revision, entries } => {
+                let is_same_discovery = discovery == shared.config.borrow().discovery.to_string();
+                let parsed = entries.iter().map(|entry| serde_json::from_str(entry));
+                let parsed = parsed.collect::<Result<Vec<Value>, _>>().map_err(refused)?;
+                let revision = revision.filter(|_| is_same_discovery);
+                let list = list.get_or_insert(ReceivedList { revision, entries: Vec::new() });
+                list.entries.extend(parsed);
+            }
+            Message::VersionAgreement { version, listened, advertisement } => {
+                info!("hand-over: protocol version {version}");
+                schema_version::resume(shared, listened, &advertisement).map_err(refused)?;
+            }
+            Message::AffinityRecords(records) => restore_affinity(shared, records),
+            Message::ListeningSockets(keys) => {
+                let sockets = keys.into_iter().zip(predecessor.link.take_sockets());
+                inherited.extend(sockets.map(|(key, socket)| InheritableSocket { key, socket }));
+            }
+            // The list comes first: the state that was learned is of its endpoints.
+            Message::LearnedState(learned) => {
+                apply_list(shared, list.take()).map_err(refused)?;
+                shared.core(|relay, now| relay.import_learned_state(now, learned));
+            }
+            _ => {}
+        }
+        if action == SuccessorAction::RequestTakeover {
+            return apply_list(shared, list.take()).map_err(refused);
+        }
+    }
+}
+
+/// Takes the list as the running process has it. Discovery is not asked for it again.
+fn apply_list(shared: &Rc<Shared>, list: Option<ReceivedList>) -> Result<(), ListError> {
+    let Some(ReceivedList { revision, entries }) = list else { return Ok(()) };
+    let entries = shared.endpoint_list.borrow_mut().handed(revision, entries)?;
+    shared.core(|relay, now| match revision {
+        Some(revision) => {
+            let answer = DiscoveryAnswer { revision, requested_at: now, is_full: true };
+            relay.apply_discovery_answer(now, answer, entries)
+        }
+        None => relay.apply_list(now, ListKind::Full, entries),
+    });
+    shared.list_requested.notify_one();
+    Ok(())
+}
+
+fn restore_affinity(shared: &Rc<Shared>, records: Vec<Record>) {
+    shared.core(|relay, now| relay.restore_affinity(now, records.into_iter()));
+}
+
+/// Takes the relay over: when this returns, the running process has stopped accepting for good.
+///
+/// # Errors
+/// The link broke, or the running process refuses.
+pub async fn take_over(shared: &Rc<Shared>, predecessor: &mut Predecessor) -> Result<(), TakeoverError> {
+    predecessor.send(&Message::TakeoverRequest).await?;
+    loop {
+        let Received { message, action } = predecessor.next().await?;
+        match message {
+            Message::AffinityRecords(records) => restore_affinity(shared, records),
+            Message::AcceptingStopped { descriptors, standby, slow_start_pause } => {
+                shared.admission.set_others(descriptors as usize);
+                continue_pauses(shared, standby, slow_start_pause);
+            }
+            _ => {}
+        }
+        match action {
+            SuccessorAction::ClaimOwnership => predecessor.send(&Message::OwnershipClaim).await?,
+            SuccessorAction::Serve => return Ok(()),
+            _ => {}
+        }
+    }
+}
+
+/// Continues the running process's slow-start pause, and its standby that has lasted for `standby_elapsed`.
+fn continue_pauses(shared: &Rc<Shared>, standby_elapsed: Option<Millis>, slow_start_pause: Millis) {
+    shared.core(|relay, now| {
+        relay.import_learned_state(now, LearnedState::pause(slow_start_pause));
+        if let Some(elapsed) = standby_elapsed.filter(|elapsed| *elapsed >= 0.0) {
+            relay.enter_standby(now - elapsed);
+        }
+    });
+}
+
+/// Receives the connections and descriptor counts of the predecessor process until it has ended.
+pub async fn follow_predecessor(shared: Rc<Shared>, mut predecessor: Predecessor) {
+    info!("hand-over: this process serves");
+    shared.is_predecessor_running.set(true);
+    while let Ok(Received { message, .. }) = predecessor.next().await {
+        match message {
+            Message::DescriptorsInUse { descriptors } => shared.admission.set_others(descriptors as usize),
+            Message::AffinityRecords(records) => restore_affinity(&shared, records),
+            Message::Connection { connection, protocol, up, down } => {
+                let received = ReceivedConnection {
+                    connection: *connection,
+                    protocol: *protocol,
+                    from_client: up,
+                    from_upstream: down,
+                };
+                if let Err(e) = adopt(&shared, predecessor.link.take_sockets(), received) {
+                    warn!("hand-over: a connection is lost: {e}");
+                }
+            }
+            _ => {}
+        }
+    }
+    info!("hand-over: the process before has ended");
+    shared.admission.set_others(0);
+    shared.is_predecessor_running.set(false);
+}
+
+/// Continues an established connection of the predecessor process.
+fn adopt(shared: &Rc<Shared>, sockets: Vec<OwnedFd>, received: ReceivedConnection) -> io::Result<()> {
+    let mut sockets = sockets.into_iter();
+    let (Some(client), Some(upstream)) = (sockets.next(), sockets.next()) else {
+        return Err(io::Error::other("it came without its sockets"));
+    };
+    let client = TcpStream::from_std(client.into())?;
+    let upstream = TcpStream::from_std(upstream.into())?;
+    let now = shared.clock.now();
+    let adopted = AdoptedConnection {
+        connection: received.connection,
+        protocol: LineProtocol::adopt(shared.line_rules.clone(), now, received.protocol),
+        client,
+        upstream,
+        from_client: received.from_client,
+        from_upstream: received.from_upstream,
+    };
+    spawn_local(connection::adopt(shared.clone(), adopted, shared.admission.adopt()));
+    Ok(())
+}
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -506,7 +506,7 @@
     assert_eq!(at_second.line(), "second");
     at_second.send("to the second\r\n");
     assert_eq!(second.line(), "to the second");
-    assert!(new.log().contains("a flow is lost: it came without its sockets"), "{}", new.log());
+    assert!(new.log().contains("a connection is lost: it came without its sockets"), "{}", new.log());
     assert_eq!(new.status(), "done active, 1 standing");
 }
 
@@ -540,7 +540,7 @@
     let before = offered();
     let next = fleet.relay.beside();
     until("it serves", || next.log().contains("this process serves"));
-    assert!(next.log().contains("hand-over: in form 2"), "{}", next.log());
+    assert!(next.log().contains("hand-over: protocol version 2"), "{}", next.log());
     // It says so a moment before it can be asked itself: a path taken away until then would be taken back.
     until("it offers", || offered().is_some_and(|at| Some(at) != before));
     // A running process of before refuses all forms but its own.
