--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::admission::{Admission, Seat};
+use super::admission::{Admission, DescriptorPermit};
 
 /// Pause before the next accept when there is no descriptor for it, though they are counted: the process has fewer than
 /// its configuration says.
@@ -43,23 +43,23 @@
     admission: Rc<Admission>,
     mut accepting: watch::Receiver<bool>,
     listener: TcpListener,
-    serve: impl Fn(TcpStream, SocketAddr, Seat),
+    serve: impl Fn(TcpStream, SocketAddr, DescriptorPermit),
 ) {
     let mut last_shortage: Option<Instant> = None;
     loop {
         let Some(accepted) = while_accepting(&mut accepting, listener.accept()).await else { continue };
         match accepted {
-            Ok((client, from)) => serve(client, from, admission.seat().await),
+            Ok((client, from)) => serve(client, from, admission.acquire().await),
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
             Err(e) => {
-                // Logged once for each shortage, so that clients can't fill the log. A client accepted now and then, for
-                // which another made room, does not end the shortage.
+                // Logged once for each shortage, so that clients can't fill the log. A client accepted now and
+                // then, for which another made room, does not end the shortage.
                 let is_new =
                     last_shortage.replace(Instant::now()).is_none_or(|last| last.elapsed() > SHORTAGE_OVER);
                 if is_new {
                     warn!("accept: {e}");
                 }
-                admission.clear();
+                admission.evict_idle();
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/src/net/connection/adopt.rs
+++ b/src/net/connection/adopt.rs
@@ -8,7 +8,7 @@
 use super::{ClientConnection, Registration};
 use crate::listener::ClientProtocol;
 use crate::net::Shared;
-use crate::net::admission::Seat;
+use crate::net::admission::DescriptorPermit;
 use crate::relay::TransferredConnection;
 
 /// An established connection as the predecessor process has transferred it.
@@ -28,7 +28,11 @@
 }
 
 /// Forwards an adopted connection's bytes until it has ended.
-pub async fn adopt<F: ClientProtocol>(shared: Rc<Shared>, adopted: AdoptedConnection<F>, seat: Seat) {
+pub async fn adopt<F: ClientProtocol>(
+    shared: Rc<Shared>,
+    adopted: AdoptedConnection<F>,
+    permit: DescriptorPermit,
+) {
     let AdoptedConnection { connection, protocol, client, upstream, from_client, from_upstream } = adopted;
     let mut input = shared.pool.get();
     let mut first = shared.pool.get();
@@ -38,12 +42,13 @@
     let id = shared.relay.borrow_mut().adopt_connection(shared.clock.now(), connection);
     let (_registration, mut commands) = Registration::new(&shared, id);
     shared.settle();
-    let room = seat.room();
-    let mut connection = ClientConnection { shared, client, protocol, input, reply, seat, is_answered: true };
+    let eviction = permit.eviction();
+    let mut connection =
+        ClientConnection { shared, client, protocol, input, reply, permit, is_answered: true };
     let ended = tokio::select! {
         biased;
         // Once both sides have ended, it may have to make room while it waits for the client to close.
-        () = room.notified() => connection.make_room(),
+        () = eviction.notified() => connection.close_evicted(),
         ended = connection.run_tunnel(id, upstream, first, &mut commands) => ended,
     };
     if let Err(e) = ended {
--- a/src/net/connection/attempt.rs
+++ b/src/net/connection/attempt.rs
@@ -1,7 +1,7 @@
 //! Carries out the attempts that the core starts for a request, one at a time.
 //!
-//! Input: [`ConnectionCommand`]s. Output: an established upstream connection, a reply for the client, or the client's end;
-//! and each attempt's outcome to the core. Whether another attempt follows is the core's decision.
+//! Input: [`ConnectionCommand`]s. Output: an established upstream connection, a reply for the client, or the
+//! client's end; and each attempt's outcome to the core. Whether another attempt follows is the core's decision.
 
 use std::io;
 use std::net::SocketAddr;
@@ -171,7 +171,7 @@
 /// kept in the buffer.
 async fn client_gone(client: &TcpStream, input: &mut Pooled, speaks_early: bool) {
     loop {
-        if input.room() > 0 {
+        if input.spare_capacity() > 0 {
             if !matches!(read_more(client, input).await, Ok(read) if read > 0 && speaks_early) {
                 return;
             }
@@ -185,8 +185,8 @@
 
 /// Whether [`client_gone`] holds now, by a system call: the poller may not have reported the client's end yet.
 pub(super) fn has_client_gone(client: &TcpStream, input: &mut Pooled, speaks_early: bool) -> bool {
-    while input.room() > 0 {
-        match input.look(client) {
+    while input.spare_capacity() > 0 {
+        match input.fill_unpolled(client) {
             Ok(None) => return false,
             Ok(Some(read)) if read > 0 && speaks_early => {}
             Ok(_) | Err(_) => return true,
@@ -211,8 +211,8 @@
     }
 }
 
-/// Whether an attempt may still begin, now that it is connected: the list or the endpoint's state may have changed since
-/// the core decided. Nothing is awaited between this check and the first byte that is written.
+/// Whether an attempt may still begin, now that it is connected: the list or the endpoint's state may have changed
+/// since the core decided. Nothing is awaited between this check and the first byte that is written.
 fn may_begin(shared: &Shared, attempt: &Attempt, address: SocketAddr) -> Result<(), Outcome> {
     let now = shared.clock.now();
     let in_time = now < attempt.until.min(attempt.begin_by);
@@ -223,8 +223,8 @@
     if in_time && same_address && !began_draining { Ok(()) } else { Err(Outcome::NotSent) }
 }
 
-/// Sends the request to a connected endpoint and reads its answer, until `until` in Unix milliseconds. Dropped, it gives
-/// the attempt up.
+/// Sends the request to a connected endpoint and reads its answer, until `until` in Unix milliseconds. Dropped, it
+/// gives the attempt up.
 async fn exchange<F: ClientProtocol>(
     shared: &Rc<Shared>,
     protocol: &mut F,
@@ -253,7 +253,7 @@
                 Err(_) => return Ok(()),
             }
             match protocol.answer(&mut input, &mut output) {
-                Answer::More if input.room() == 0 => return Err(Outcome::Error),
+                Answer::More if input.spare_capacity() == 0 => return Err(Outcome::Error),
                 Answer::More => {}
                 Answer::Up => return Ok(()),
                 Answer::Ended(outcome) => return Err(outcome),
--- a/src/net/connection/close.rs
+++ b/src/net/connection/close.rs
@@ -1,7 +1,7 @@
 //! Closes a client's connection so that the client gets to read its last reply.
 //!
-//! A socket that is closed with unread bytes sends a reset, which may destroy a reply that the peer has not read yet. So
-//! both sides are read to their end, within limits of time and bytes.
+//! A socket that is closed with unread bytes sends a reset, which may destroy a reply that the peer has not read
+//! yet. So both sides are read to their end, within limits of time and bytes.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -28,14 +28,14 @@
 impl<F: ClientProtocol> ClientConnection<F> {
     /// Writes the last reply and closes gracefully.
     pub(super) async fn close(&mut self) -> io::Result<()> {
-        self.seat.answered();
+        self.permit.release_upstream();
         self.is_answered = true;
         close_gracefully(&self.client, &self.protocol, &mut self.input, &mut self.reply).await
     }
 
-    /// Writes the last reply and closes at once, since another connection waits for the descriptor. What has arrived by now
-    /// is read, so that the close is no reset.
-    pub(super) fn make_room(&mut self) -> io::Result<()> {
+    /// Writes the last reply and closes at once, since another connection waits for the descriptor. What has
+    /// arrived by now is read, so that the close is no reset.
+    pub(super) fn close_evicted(&mut self) -> io::Result<()> {
         self.reply.flush(&self.client)?;
         let client = SockRef::from(&self.client);
         client.shutdown(Shutdown::Write)?;
@@ -53,14 +53,14 @@
     /// latter is read to its end as well: a reset would destroy what the client has sent just before.
     pub(super) async fn close_with_upstream(&mut self, upstream: TcpStream) -> io::Result<()> {
         self.is_answered = true;
-        let ClientConnection { client, protocol, input, reply, seat, shared, .. } = self;
+        let ClientConnection { client, protocol, input, reply, permit, shared, .. } = self;
         let mut discarded = shared.pool.get();
         let close_upstream = async move {
             // It fails only where the endpoint has ended as well.
             let _ = SockRef::from(&upstream).shutdown(Shutdown::Write);
             drain(&upstream, &mut discarded, MAX_UPSTREAM_DRAIN_BYTES).await;
             drop(upstream);
-            seat.answered();
+            permit.release_upstream();
         };
         let (closed, ()) = tokio::join!(close_gracefully(client, protocol, input, reply), close_upstream);
         closed
@@ -96,8 +96,8 @@
     Ok(())
 }
 
-/// Reads and discards until the stream's end, for [`LINGER`] at the most. After `max_bytes` nothing more is read, and the
-/// time is waited out.
+/// Reads and discards until the stream's end, for [`LINGER`] at the most. After `max_bytes` nothing more is read,
+/// and the time is waited out.
 async fn drain(stream: &TcpStream, buffer: &mut Pooled, max_bytes: usize) {
     let read_to_end = async {
         let mut total = 0;
--- a/src/net/connection/handshake.rs
+++ b/src/net/connection/handshake.rs
@@ -1,7 +1,7 @@
 //! Reads a client until its request is known, and registers it with the core.
 //!
-//! Input: the client's bytes, and the protocol's handshake timeout in milliseconds. Output: the request, or a connection that
-//! is closed. Nothing is sent to an endpoint here.
+//! Input: the client's bytes, and the protocol's handshake timeout in milliseconds. Output: the request, or a
+//! connection that is closed. Nothing is sent to an endpoint here.
 
 use std::io;
 
@@ -24,12 +24,12 @@
 }
 
 impl<F: ClientProtocol> ClientConnection<F> {
-    /// Reads the client's request, and takes a descriptor for its upstream connection. Gives `None` where the connection
-    /// has ended before, and is closed.
+    /// Reads the client's request, and takes a descriptor for its upstream connection. Gives `None` where the
+    /// connection has ended before, and is closed.
     pub(super) async fn read_request(&mut self, accepted_at: Millis) -> io::Result<Option<IncomingRequest>> {
         let limit = self.shared.clock.at(accepted_at + self.protocol.patience());
         let Some(mut request) = self.handshake(limit).await? else { return Ok(None) };
-        if !self.seat.ask().await {
+        if !self.permit.acquire_upstream().await {
             self.reply_rejected();
             self.close().await?;
             return Ok(None);
@@ -40,7 +40,7 @@
             self.close().await?;
             return Ok(None);
         }
-        request.descriptors_short = self.seat.is_short();
+        request.descriptors_short = self.permit.is_short();
         Ok(Some(request))
     }
 
@@ -62,7 +62,7 @@
                 Arrive::More => written??,
             }
             if has_sent {
-                self.seat.heard(self.protocol.has_begun(&self.input));
+                self.permit.record_activity(self.protocol.has_begun(&self.input));
             }
             match self.read_handshake(limit).await {
                 HandshakeRead::More => has_sent = true,
@@ -82,7 +82,7 @@
             Ok(Ok(read)) if read > 0 => HandshakeRead::More,
             Ok(_) => HandshakeRead::Closed,
             // Bytes that arrived at the very limit are still parsed: the client is not answered unread.
-            Err(_) if matches!(self.input.look(&self.client), Ok(Some(read)) if read > 0) => {
+            Err(_) if matches!(self.input.fill_unpolled(&self.client), Ok(Some(read)) if read > 0) => {
                 HandshakeRead::More
             }
             Err(_) => HandshakeRead::TimedOut,
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -1,13 +1,13 @@
 //! Drives one client's connection and the upstream connection to its endpoint.
 //!
 //! A connection passes through these phases, a file each:
-//! - [`handshake`]: the client is read until its request is known to the core.
-//! - [`attempt`]: the attempts that the core starts are carried out, until one succeeds or a reply is due.
-//! - [`tunnel`]: bytes are forwarded both ways until both sides have ended, the client migrates, or the connection is
+//! - `handshake`: the client is read until its request is known to the core.
+//! - `attempt`: the attempts that the core starts are carried out, until one succeeds or a reply is due.
+//! - `tunnel`: bytes are forwarded both ways until both sides have ended, the client migrates, or the connection is
 //!   transferred to another process.
-//! - [`close`]: the last reply is written, and the client is read to its end.
+//! - `close`: the last reply is written, and the client is read to its end.
 //!
-//! [`adopt`] enters the tunnel with a connection that another process established. The core decides; these drivers
+//! `adopt` enters the tunnel with a connection that another process established. The core decides; these drivers
 //! read, write and wait. Nothing here borrows the core's state across an await.
 
 mod adopt;
@@ -28,28 +28,33 @@
 pub use self::adopt::{AdoptedConnection, adopt};
 use self::attempt::Placement;
 use super::Shared;
-use super::admission::Seat;
+use super::admission::DescriptorPermit;
 use super::pool::Pooled;
 use crate::listener::ClientProtocol;
 use crate::policy::api::{Millis, Outcome, RequestId};
 use crate::relay::{ConnectionCommand, LocalReply};
 
 /// Serves a client until its connection has ended, or has to make room for another.
-pub async fn serve<F: ClientProtocol>(shared: Rc<Shared>, client: TcpStream, protocol: F, seat: Seat) {
+pub async fn serve<F: ClientProtocol>(
+    shared: Rc<Shared>,
+    client: TcpStream,
+    protocol: F,
+    permit: DescriptorPermit,
+) {
     let accepted_at = shared.clock.now();
     let _ = client.set_nodelay(true);
     let input = shared.pool.get();
     let reply = shared.pool.get();
-    let room = seat.room();
+    let eviction = permit.eviction();
     let mut connection =
-        ClientConnection { shared, client, protocol, input, reply, seat, is_answered: false };
+        ClientConnection { shared, client, protocol, input, reply, permit, is_answered: false };
     let ended = tokio::select! {
         biased;
-        () = room.notified() => {
+        () = eviction.notified() => {
             if !connection.is_answered {
                 connection.reply_rejected();
             }
-            connection.make_room()
+            connection.close_evicted()
         }
         ended = connection.run(accepted_at) => ended,
     };
@@ -67,7 +72,7 @@
     input: Pooled,
     /// Bytes for the client.
     reply: Pooled,
-    seat: Seat,
+    permit: DescriptorPermit,
     /// The client has its final reply.
     is_answered: bool,
 }
@@ -109,8 +114,8 @@
     }
 }
 
-/// A connection's entry in the table that the core's commands are sent by. Dropped, however the driver ends, it takes the
-/// entry out and reports the end to the core.
+/// A connection's entry in the table that the core's commands are sent by. Dropped, however the driver ends, it
+/// takes the entry out and reports the end to the core.
 struct Registration {
     shared: Rc<Shared>,
     id: RequestId,
--- a/src/net/connection/pipe.rs
+++ b/src/net/connection/pipe.rs
@@ -18,13 +18,13 @@
     /// The end has been passed on to the receiver.
     pub is_shut: bool,
     /// The receiver takes nothing any more.
-    pub is_cut: bool,
+    pub is_discarding: bool,
 }
 
 impl Pipe {
     /// A direction whose first bytes have been read.
     pub fn with(buffer: Pooled) -> Self {
-        Pipe { buffer: Some(buffer), eof: false, is_shut: false, is_cut: false }
+        Pipe { buffer: Some(buffer), eof: false, is_shut: false, is_discarding: false }
     }
 
     /// The bytes that are not forwarded yet.
@@ -45,12 +45,14 @@
 
     /// Whether the sender is to be read.
     pub fn can_read(&self) -> bool {
-        !self.eof && !self.is_cut && self.buffer.as_ref().is_none_or(|buffer| buffer.room() > 0)
+        !self.eof
+            && !self.is_discarding
+            && self.buffer.as_ref().is_none_or(|buffer| buffer.spare_capacity() > 0)
     }
 
     /// Drops what the receiver no longer takes.
-    pub fn cut(&mut self) {
-        self.is_cut = true;
+    pub fn discard(&mut self) {
+        self.is_discarding = true;
         self.buffer = None;
     }
 
@@ -71,7 +73,7 @@
     /// The receiver's connection is broken.
     pub fn flush(&mut self, to: &TcpStream, withheld: usize) -> io::Result<()> {
         let Some(buffer) = &mut self.buffer else { return Ok(()) };
-        buffer.flush_but(to, withheld)?;
+        buffer.flush_except(to, withheld)?;
         if buffer.is_empty() {
             self.buffer = None;
         }
@@ -80,7 +82,7 @@
 
     /// Passes the sender's end on once all before it has been written; whether it did so now.
     pub fn shut_if_drained(&mut self, to: &TcpStream) -> bool {
-        let is_due = self.eof && !self.is_shut && !self.is_cut && self.len() == 0;
+        let is_due = self.eof && !self.is_shut && !self.is_discarding && self.len() == 0;
         if is_due {
             self.is_shut = true;
             // It fails only where the receiver has ended as well.
--- a/src/net/connection/response_timer.rs
+++ b/src/net/connection/response_timer.rs
@@ -2,8 +2,8 @@
 
 use crate::policy::api::Millis;
 
-/// An endpoint that has left a message unanswered for so long is silent: its client is asked to reconnect. A client has to
-/// be asked within 7 s of the silence, and clients send a message only every 2 s.
+/// An endpoint that has left a message unanswered for so long is silent: its client is asked to reconnect. A client
+/// has to be asked within 7 s of the silence, and clients send a message only every 2 s.
 pub const SILENCE_TIMEOUT_MS: Millis = 4500.0;
 /// How often the age of an unanswered message is reported as a round trip.
 const SLOW_REPORT_INTERVAL_MS: Millis = 1000.0;
--- a/src/net/connection/tunnel.rs
+++ b/src/net/connection/tunnel.rs
@@ -1,8 +1,8 @@
 //! Forwards an established connection's bytes both ways.
 //!
-//! Input: both streams, and the core's commands to migrate or transfer the connection. Output: bytes, round trips and the
-//! end of the upstream connection to the core. The tunnel ends once both sides have ended; once the client has been asked
-//! to reconnect; or once the connection is transferred to the successor process.
+//! Input: both streams, and the core's commands to migrate or transfer the connection. Output: bytes, round trips
+//! and the end of the upstream connection to the core. The tunnel ends once both sides have ended; once the client
+//! has been asked to reconnect; or once the connection is transferred to the successor process.
 
 use std::io;
 use std::ops::ControlFlow;
@@ -123,7 +123,7 @@
 
     /// Whether nothing is left to be forwarded to either side.
     fn is_exhausted(&self, withheld: usize) -> bool {
-        let client_gone = self.to_client.is_shut && self.to_upstream.is_cut;
+        let client_gone = self.to_client.is_shut && self.to_upstream.is_discarding;
         let is_drained = self.to_client.eof && self.to_client.len() <= withheld;
         client_gone || self.is_upstream_broken && is_drained && self.migration.is_none()
     }
@@ -187,7 +187,7 @@
     fn forward(&mut self, tunnel: &mut Tunnel) -> ControlFlow<TunnelEnd, ForwardPass> {
         let before = tunnel.lengths();
         if tunnel.to_upstream.flush(&tunnel.upstream, 0).is_err() {
-            tunnel.to_upstream.cut();
+            tunnel.to_upstream.discard();
             tunnel.is_upstream_broken |= !tunnel.to_client.eof;
         }
         let announced = self.protocol.announced();
@@ -226,8 +226,8 @@
         }
     }
 
-    /// How many bytes at the end of what the endpoint has sent the client does not get yet. While the client migrates, a
-    /// boundary between messages is not passed once there is one.
+    /// How many bytes at the end of what the endpoint has sent the client does not get yet. While the client
+    /// migrates, a boundary between messages is not passed once there is one.
     fn withheld_bytes(&self, tunnel: &Tunnel) -> usize {
         let is_migrating = tunnel.migration.is_some();
         let partial = self.protocol.partial();
@@ -264,8 +264,8 @@
         Ok(read > 0 || tunnel.to_upstream.eof)
     }
 
-    /// Reads what the endpoint has sent; whether there was anything. Where the endpoint has broken the connection, all that
-    /// it had sent before was read by then.
+    /// Reads what the endpoint has sent; whether there was anything. Where the endpoint has broken the connection,
+    /// all that it had sent before was read by then.
     fn read_upstream(&mut self, tunnel: &mut Tunnel) -> bool {
         let filled = tunnel.to_client.fill(&tunnel.upstream, &self.shared);
         if filled.is_err() {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,10 +1,14 @@
-//! Drives the watch on discovery's list.
+//! Drives the subscription to discovery's list: calls it whenever the load balancer requests the list.
+//!
+//! The answers go to the core; when a call follows a failed one is decided by `crate::discovery` and by the core.
+//! Each call has a connection of its own.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use log::{debug, warn};
 use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
 
 use super::http_call::fetch;
 use super::{Shared, span};
@@ -13,87 +17,148 @@
 use crate::policy::api::{Discovery, EndpointEntry, ListKind, Millis};
 use crate::relay::Relay;
 
-/// Least time between two watches that are followed by another call without the load balancer's pause. A service that answers
-/// calls and breaks every watch would be asked without end.
-const ANEW_EVERY: Millis = 3000.0;
+/// Shortest time between two subscriptions that broke and were renewed without the load balancer's pause. Otherwise a
+/// service that answers calls and breaks every subscription would be called without end.
+const MIN_RENEWAL_INTERVAL_MS: Millis = 3000.0;
 
-/// Watches whenever the load balancer asks for it, until a call fails; and at once where discovery has moved. Where lists are
-/// pushed the load balancer asks for nothing: an agent on this machine has what was sent to it, and is watched all the time.
+/// The entries of an answer.
+struct ListAnswer {
+    kind: ListKind,
+    entries: Vec<EndpointEntry>,
+}
+
+/// How a call has ended.
+enum CallEnd {
+    Answered(ListAnswer),
+    Failed(CallError),
+    /// Discovery is at another address: the call is given up, since it would go on for seconds at the old one.
+    AddressChanged,
+}
+
+/// What follows a call.
+#[derive(PartialEq)]
+enum NextStep {
+    CallAgain,
+    /// The load balancer decides when the next call is made.
+    WaitForRequest,
+}
+
+/// Calls whenever the load balancer requests the list, until a call fails; and at once where discovery has moved.
+/// Where lists are pushed the load balancer requests nothing: an agent on this machine has the list, and is called
+/// all the time.
 pub async fn watch(shared: Rc<Shared>) {
-    let pushed = || shared.config.borrow().settings.discovery == Discovery::Pushed;
-    if pushed() {
-        shared.list_requested.notify_one();
+    let mut subscription = Subscription::new(shared);
+    if subscription.is_pushed() {
+        subscription.shared.list_requested.notify_one();
     }
-    let mut anew = f64::NEG_INFINITY;
     loop {
-        let mut moved = tokio::select! {
-            () = shared.list_requested.notified() => false,
-            () = shared.discovery_moved.notified() => true,
+        subscription.is_address_new = tokio::select! {
+            () = subscription.shared.list_requested.notified() => false,
+            () = subscription.shared.discovery_address_changed.notified() => true,
         };
-        // The next call follows an answer at once: within 200 ms it continues the same watch.
-        loop {
-            let address = shared.config.borrow().discovery;
-            let request = shared.endpoint_list.borrow_mut().request();
-            let limit = span(shared.endpoint_list.borrow().timeout());
-            let asked = shared.clock.now();
-            let answer = tokio::select! {
-                biased;
-                // The watch that is out would go on for seconds, and tell of the old place only.
-                () = shared.discovery_moved.notified() => {
-                    moved = true;
-                    continue;
-                }
-                answer = tokio::time::timeout(limit, call(&shared, address, &request)) => answer,
-            };
-            match answer.unwrap_or(Err(CallError::Late)) {
-                Ok((kind, entries)) => {
-                    moved = false;
-                    let took = shared.clock.now() - asked;
-                    debug!("list: {kind:?}, {} entries after {took:.0} ms", entries.len());
-                    for e in &entries {
-                        debug!("list: {} {:?} size {} in {}", e.id.0, e.state, e.weight, e.zone.0);
-                    }
-                    shared.handle_list_update(kind, entries, asked);
-                }
-                Err(e) => {
-                    let took = shared.clock.now() - asked;
-                    warn!("discovery at {address}: {e}, after {took:.0} ms; {}", e.help());
-                    let going = shared.endpoint_list.borrow_mut().broken();
-                    if moved || pushed() {
-                        // What an agent has counts as told. After a move the load balancer may have backed off from the old
-                        // place for longer than there is time.
-                        tokio::time::sleep(span(RETRY_MS)).await;
-                        continue;
-                    }
-                    // One that fell silent has taken its time already.
-                    let (now, silent) = (shared.clock.now(), matches!(e, CallError::Late));
-                    if going && (silent || now - anew > ANEW_EVERY) {
-                        // The service may be well: what a silent or broken watch hides counts as told soon.
-                        anew = now;
-                        let relays = shared.config.borrow().settings.relay_count;
-                        let pause = span(shared.endpoint_list.borrow_mut().anew(relays, silent));
-                        shared.core(Relay::subscription_lost);
-                        tokio::select! {
-                            () = shared.discovery_moved.notified() => moved = true,
-                            () = tokio::time::sleep(pause) => {}
-                        }
-                        continue;
-                    }
-                    shared.core(|relay, now| relay.apply_list(now, ListKind::Failed, Vec::new()));
-                    break;
+        // The next call follows an answer at once: within 200 ms it continues the same subscription.
+        while subscription.call_once().await == NextStep::CallAgain {}
+    }
+}
+
+struct Subscription {
+    shared: Rc<Shared>,
+    /// Discovery is at another address, and has not answered there yet.
+    is_address_new: bool,
+    /// When a subscription was renewed last without the load balancer's pause.
+    last_renewal: Millis,
+}
+
+impl Subscription {
+    fn new(shared: Rc<Shared>) -> Self {
+        Subscription { shared, is_address_new: false, last_renewal: f64::NEG_INFINITY }
+    }
+
+    fn is_pushed(&self) -> bool {
+        self.shared.config.borrow().settings.discovery == Discovery::Pushed
+    }
+
+    /// Makes one call and takes its answer.
+    async fn call_once(&mut self) -> NextStep {
+        let address = self.shared.config.borrow().discovery;
+        let request = self.shared.endpoint_list.borrow_mut().request();
+        let limit = span(self.shared.endpoint_list.borrow().timeout());
+        let requested_at = self.shared.clock.now();
+        let ended = tokio::select! {
+            biased;
+            () = self.shared.discovery_address_changed.notified() => CallEnd::AddressChanged,
+            answer = timeout(limit, call(&self.shared, address, &request)) => {
+                match answer.unwrap_or(Err(CallError::Late)) {
+                    Ok(answer) => CallEnd::Answered(answer),
+                    Err(e) => CallEnd::Failed(e),
                 }
             }
+        };
+        match ended {
+            CallEnd::AddressChanged => {
+                self.is_address_new = true;
+                NextStep::CallAgain
+            }
+            CallEnd::Answered(answer) => {
+                self.is_address_new = false;
+                self.handle_answer(answer, requested_at);
+                NextStep::CallAgain
+            }
+            CallEnd::Failed(e) => {
+                let elapsed = self.shared.clock.now() - requested_at;
+                warn!("discovery at {address}: {e}, after {elapsed:.0} ms; {}", e.help());
+                self.handle_failure(&e).await
+            }
+        }
+    }
+
+    fn handle_answer(&self, answer: ListAnswer, requested_at: Millis) {
+        let ListAnswer { kind, entries } = answer;
+        let elapsed = self.shared.clock.now() - requested_at;
+        debug!("list: {kind:?}, {} entries after {elapsed:.0} ms", entries.len());
+        for entry in &entries {
+            debug!("list: {} {:?} size {} in {}", entry.id.0, entry.state, entry.weight, entry.zone.0);
+        }
+        self.shared.handle_list_update(kind, entries, requested_at);
+    }
+
+    async fn handle_failure(&mut self, error: &CallError) -> NextStep {
+        let was_subscribed = self.shared.endpoint_list.borrow_mut().broken();
+        if self.is_address_new || self.is_pushed() {
+            // An agent's list counts as known. After a move, the load balancer may have backed off from the old
+            // address for longer than there is time.
+            sleep(span(RETRY_MS)).await;
+            return NextStep::CallAgain;
+        }
+        // A call that has timed out has taken its time already.
+        let is_silent = matches!(error, CallError::Late);
+        let now = self.shared.clock.now();
+        if was_subscribed && (is_silent || now - self.last_renewal > MIN_RENEWAL_INTERVAL_MS) {
+            self.last_renewal = now;
+            self.renew(is_silent).await;
+            return NextStep::CallAgain;
+        }
+        self.shared.core(|relay, now| relay.apply_list(now, ListKind::Failed, Vec::new()));
+        NextStep::WaitForRequest
+    }
+
+    /// Begins a subscription anew after a pause. The service may be well: a change that a silent or broken
+    /// subscription hides has to be known soon.
+    async fn renew(&mut self, is_silent: bool) {
+        let relay_count = self.shared.config.borrow().settings.relay_count;
+        let pause = span(self.shared.endpoint_list.borrow_mut().anew(relay_count, is_silent));
+        self.shared.core(Relay::subscription_lost);
+        tokio::select! {
+            () = self.shared.discovery_address_changed.notified() => self.is_address_new = true,
+            () = sleep(pause) => {}
         }
     }
 }
 
-async fn call(
-    shared: &Rc<Shared>,
-    address: SocketAddr,
-    asked: &str,
-) -> Result<(ListKind, Vec<EndpointEntry>), CallError> {
-    // A connection for each call: a kept one that discovery has dropped would fail a call for nothing.
+async fn call(shared: &Shared, address: SocketAddr, path: &str) -> Result<ListAnswer, CallError> {
+    // A connection for each call: a reused one that discovery has dropped would fail a call needlessly.
     let stream = TcpStream::connect(address).await?;
-    let body = fetch(stream, &address.to_string(), asked).await?;
-    Ok(shared.endpoint_list.borrow_mut().answer(&body)?)
+    let body = fetch(stream, &address.to_string(), path).await?;
+    let (kind, entries) = shared.endpoint_list.borrow_mut().answer(&body)?;
+    Ok(ListAnswer { kind, entries })
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The drivers: sockets, timers and buffers round the core. They read, write and wait; they decide nothing.
 //!
-//! Everything runs on one thread. The core's state is one [`RefCell`](std::cell::RefCell), borrowed for the length of one
-//! call and never across an await.
+//! Everything runs on one thread. The core's state is one [`RefCell`](std::cell::RefCell), borrowed for the length
+//! of one call and never across an await.
 
 mod accept;
 mod admission;
--- a/src/net/operators.rs
+++ b/src/net/operators.rs
@@ -1,9 +1,12 @@
-//! Drives the operators' address: a few seats, one line in, one line out.
+//! Drives the operators' address: a few callers at a time, each with one line in and one line out.
+//!
+//! Operators are answered also when the process has no descriptor left: one is kept in reserve, and a caller that
+//! is least likely to send its call soon makes room for another.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::poll_fn;
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::Shutdown;
 use std::os::fd::{AsFd, OwnedFd};
 use std::rc::Rc;
@@ -18,19 +21,19 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::Shared;
 use super::accept::ACCEPT_PAUSE;
-use super::admission::CALLERS;
+use super::admission::MAX_OPERATOR_CALLERS;
+use super::{Shared, schema_version};
 use crate::relay::operator_calls::{self, CallParser, MAX_CALL_BYTES, OperatorCall, OperatorCallError};
 
-/// A caller that has not said what he wants by then is told so, and his seat is free again.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// How long a last word may take to reach a caller, and the caller to close after it.
+/// How long a caller may take to send its call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the reply may take to be written, and the caller to close after it.
 const LINGER: Duration = Duration::from_millis(500);
-/// Most that is read of a caller who has to make room.
-const LEFT_BYTES: usize = 16 * MAX_CALL_BYTES;
+/// Most bytes that are read of a caller that has to make room.
+const MAX_DRAIN_BYTES: usize = 16 * MAX_CALL_BYTES;
 
-/// How far a caller has come, in the order in which they make room.
+/// How far a caller has come, in the order in which callers make room.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Progress {
     Answered,
@@ -38,174 +41,218 @@
     Begun,
 }
 
-/// Callers, oldest first, with what tells them to make room.
-type Seats = RefCell<BTreeMap<u64, (Progress, Rc<Notify>)>>;
+/// A caller that is connected.
+struct Caller {
+    progress: Progress,
+    eviction: Rc<Notify>,
+}
+
+/// The callers that are connected, by the order in which they came.
+#[derive(Default)]
+struct Callers(RefCell<BTreeMap<u64, Caller>>);
+
+impl Callers {
+    fn insert(&self, id: u64) -> Rc<Notify> {
+        let eviction = Rc::new(Notify::new());
+        let caller = Caller { progress: Progress::Silent, eviction: eviction.clone() };
+        self.0.borrow_mut().insert(id, caller);
+        eviction
+    }
+
+    fn remove(&self, id: u64) {
+        self.0.borrow_mut().remove(&id);
+    }
+
+    fn set_progress(&self, id: u64, progress: Progress) {
+        self.0.borrow_mut().entry(id).and_modify(|caller| caller.progress = progress);
+    }
+
+    fn is_full(&self) -> bool {
+        self.0.borrow().len() >= MAX_OPERATOR_CALLERS
+    }
+
+    /// Evicts one: a caller that has its reply, or else the oldest that has sent nothing, or a part of a call.
+    fn evict(&self) {
+        let mut callers = self.0.borrow_mut();
+        let first = callers.iter().min_by_key(|(id, caller)| (caller.progress, **id)).map(|(id, _)| *id);
+        if let Some(caller) = first.and_then(|id| callers.remove(&id)) {
+            caller.eviction.notify_one();
+        }
+    }
+}
+
+/// A descriptor that is closed when the process has none left for a caller.
+#[derive(Default)]
+struct Reserve(RefCell<Option<OwnedFd>>);
+
+impl Reserve {
+    fn refill(&self, listener: &TcpListener) {
+        let mut descriptor = self.0.borrow_mut();
+        if descriptor.is_none() {
+            *descriptor = listener.as_fd().try_clone_to_owned().ok();
+        }
+    }
 
-/// A descriptor to let go of when the process has none left for a caller.
-type Reserve = RefCell<Option<OwnedFd>>;
+    /// Closes the descriptor; whether there was one.
+    fn close(&self) -> bool {
+        self.0.take().is_some()
+    }
 
-fn refill(reserve: &Reserve, listener: &TcpListener) {
-    let mut reserve = reserve.borrow_mut();
-    if reserve.is_none() {
-        *reserve = listener.as_fd().try_clone_to_owned().ok();
+    fn is_empty(&self) -> bool {
+        self.0.borrow().is_none()
     }
 }
 
 /// Answers for as long as the program runs.
 pub async fn answer(shared: Rc<Shared>, listener: TcpListener) {
-    let (seats, reserve, listener) =
-        (Rc::new(Seats::default()), Rc::new(Reserve::default()), Rc::new(listener));
-    let mut next = 0;
+    let callers = Rc::new(Callers::default());
+    let reserve = Rc::new(Reserve::default());
+    let listener = Rc::new(listener);
+    let mut next_id = 0;
     loop {
-        refill(&reserve, &listener);
-        let caller = match listener.accept().await {
-            Ok((caller, _)) => caller,
-            Err(e) => {
-                debug!("ops: {e}");
-                if reserve.take().is_none() {
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
-                    refill(&reserve, &listener);
-                    if reserve.borrow().is_none() {
-                        clear(&seats);
-                    }
-                    continue;
-                }
-                // The system says so even when nobody waits. Then it is kept before anybody else looks for one.
-                let waits = poll_fn(|context| Poll::Ready(listener.poll_accept(context))).await;
-                let Poll::Ready(Ok((caller, _))) = waits else { continue };
-                caller
-            }
-        };
-        if seats.borrow().len() >= CALLERS {
-            clear(&seats);
-            // He is gone before the next one is accepted.
+        let Some(stream) = accept_caller(&listener, &callers, &reserve).await else { continue };
+        if callers.is_full() {
+            callers.evict();
+            // The evicted caller is closed before the next one is accepted.
             tokio::task::yield_now().await;
         }
-        let room = Rc::new(Notify::new());
-        seats.borrow_mut().insert(next, (Progress::Silent, room.clone()));
-        let (shared, seats, id) = (shared.clone(), seats.clone(), next);
-        let (reserve, listener) = (reserve.clone(), listener.clone());
-        next += 1;
+        let id = next_id;
+        next_id += 1;
+        let eviction = callers.insert(id);
+        let shared = shared.clone();
+        let callers = callers.clone();
+        let reserve = reserve.clone();
+        let listener = listener.clone();
         spawn_local(async move {
-            serve(&shared, &seats, id, &room, caller).await;
-            seats.borrow_mut().remove(&id);
-            // What he gave back, before a client gets it.
-            refill(&reserve, &listener);
+            serve(&shared, &callers, id, &eviction, stream).await;
+            callers.remove(id);
+            // With the descriptor that was just closed, before a client gets it.
+            reserve.refill(&listener);
         });
     }
 }
 
-/// Tells one to make room: who has his answer, or else is here longest without a word, or with half a call.
-fn clear(seats: &Seats) {
-    let mut seats = seats.borrow_mut();
-    let first = seats.iter().min_by_key(|(id, (progress, _))| (*progress, **id)).map(|(id, _)| *id);
-    if let Some((_, room)) = first.and_then(|id| seats.remove(&id)) {
-        room.notify_one();
+/// Accepts a caller, with the reserve's descriptor if there is no other; `None` where that fails.
+async fn accept_caller(listener: &TcpListener, callers: &Callers, reserve: &Reserve) -> Option<TcpStream> {
+    reserve.refill(listener);
+    let error = match listener.accept().await {
+        Ok((stream, _)) => return Some(stream),
+        Err(e) => e,
+    };
+    debug!("ops: {error}");
+    if !reserve.close() {
+        tokio::time::sleep(ACCEPT_PAUSE).await;
+        reserve.refill(listener);
+        if reserve.is_empty() {
+            callers.evict();
+        }
+        return None;
     }
+    // The system reports a shortage even when no caller waits. Then the descriptor goes back to the reserve, before
+    // anybody else opens one.
+    let accepted = poll_fn(|context| Poll::Ready(listener.poll_accept(context))).await;
+    let Poll::Ready(Ok((stream, _))) = accepted else { return None };
+    Some(stream)
 }
 
-async fn serve(shared: &Rc<Shared>, seats: &Seats, id: u64, room: &Notify, mut stream: TcpStream) {
-    let mut caller = CallParser::default();
+async fn serve(shared: &Rc<Shared>, callers: &Callers, id: u64, eviction: &Notify, mut stream: TcpStream) {
+    let mut parser = CallParser::default();
     let call = tokio::select! {
         biased;
-        () = room.notified() => {
-            // It fails where he has not asked, or has gone.
-            let _ = make_room(shared, caller, &stream);
+        () = eviction.notified() => {
+            // It fails where the caller has sent no call, or has gone.
+            let _ = close_evicted(shared, parser, &stream);
             return;
         }
-        call = timeout(PATIENCE, heard(&mut caller, &mut stream, seats, id)) => call,
+        call = timeout(CALL_TIMEOUT, read_call(&mut parser, &mut stream, callers, id)) => call,
     };
     let call = match call {
         Ok(Some(call)) => call,
         Ok(None) => return,
         Err(_) => Err(OperatorCallError::Truncated),
     };
-    let answer = match call {
+    let reply = match call {
         Ok(OperatorCall::MaintenanceWindow(call)) => shared.window_call(call).await,
         Err(OperatorCallError::MaintenanceWindow(_)) if shared.maintenance.is_none() => {
             Err(OperatorCallError::Unknown)
         }
-        call => call.and_then(|call| carry_out(shared, call)),
-    };
-    let answer = operator_calls::reply_line(answer);
-    let last = async {
-        stream.write_all(answer.as_bytes()).await?;
-        stream.shutdown().await?;
-        // Closed with something unread, the answer could be lost on its way.
-        let mut rest = [0; MAX_CALL_BYTES];
-        while stream.read(&mut rest).await? > 0 {}
-        std::io::Result::Ok(())
+        call => call.and_then(|call| run_call(shared, call)),
     };
-    came_to(seats, id, Progress::Answered);
+    let reply = operator_calls::reply_line(reply);
+    callers.set_progress(id, Progress::Answered);
     tokio::select! {
         biased;
-        _ = timeout(LINGER, last) => {}
-        () = room.notified() => {}
+        _ = timeout(LINGER, write_reply(&mut stream, &reply)) => {}
+        () = eviction.notified() => {}
     }
 }
 
-/// Lets go of a caller at once. What he has asked by now is answered, though it was not read yet; who has not asked, or
-/// asks for what may have to be waited for, is told nothing.
-fn make_room(shared: &Rc<Shared>, mut caller: CallParser, stream: &TcpStream) -> std::io::Result<()> {
+/// Writes the reply and reads the caller to its end: a close with unread bytes could destroy the reply.
+async fn write_reply(stream: &mut TcpStream, reply: &str) -> io::Result<()> {
+    stream.write_all(reply.as_bytes()).await?;
+    stream.shutdown().await?;
+    let mut discarded = [0; MAX_CALL_BYTES];
+    while stream.read(&mut discarded).await? > 0 {}
+    Ok(())
+}
+
+/// Closes a caller at once. A call that has arrived by now is answered, though it was not read yet; a caller that
+/// has sent none, or one that may have to be waited for, gets no reply.
+fn close_evicted(shared: &Rc<Shared>, mut parser: CallParser, stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
-    let (mut call, mut read, mut buffer) = (None, 0, [0; MAX_CALL_BYTES]);
+    let mut buffer = [0; MAX_CALL_BYTES];
+    let mut call = None;
     while call.is_none() {
-        let n = (&*socket).read(&mut buffer)?;
-        call = caller.feed(&buffer[..n]);
+        let read = (&*socket).read(&mut buffer)?;
+        call = parser.feed(&buffer[..read]);
     }
-    let answer = match call {
+    let reply = match call {
         None
         | Some(Ok(OperatorCall::MaintenanceWindow(_)) | Err(OperatorCallError::MaintenanceWindow(_))) => {
             return Ok(());
         }
-        Some(call) => operator_calls::reply_line(call.and_then(|call| carry_out(shared, call))),
+        Some(call) => operator_calls::reply_line(call.and_then(|call| run_call(shared, call))),
     };
-    (&*socket).write_all(answer.as_bytes())?;
+    (&*socket).write_all(reply.as_bytes())?;
     socket.shutdown(Shutdown::Write)?;
-    // Closed with something unread, the answer could be lost on its way.
-    while read < LEFT_BYTES {
+    // A close with unread bytes could destroy the reply.
+    let mut total = 0;
+    while total < MAX_DRAIN_BYTES {
         match (&*socket).read(&mut buffer) {
-            Ok(n) if n > 0 => read += n,
+            Ok(read) if read > 0 => total += read,
             _ => break,
         }
     }
     Ok(())
 }
 
-fn came_to(seats: &Seats, id: u64, progress: Progress) {
-    seats.borrow_mut().entry(id).and_modify(|(at, _)| *at = progress);
-}
-
-/// Reads a call; nothing where the connection breaks.
-async fn heard(
-    caller: &mut CallParser,
+/// Reads a call; `None` where the connection breaks.
+async fn read_call(
+    parser: &mut CallParser,
     stream: &mut TcpStream,
-    seats: &Seats,
+    callers: &Callers,
     id: u64,
 ) -> Option<Result<OperatorCall, OperatorCallError>> {
     let mut buffer = [0; MAX_CALL_BYTES];
     loop {
-        let n = stream.read(&mut buffer).await.ok()?;
-        if let Some(call) = caller.feed(&buffer[..n]) {
+        let read = stream.read(&mut buffer).await.ok()?;
+        if let Some(call) = parser.feed(&buffer[..read]) {
             return Some(call);
         }
-        came_to(seats, id, Progress::Begun);
+        callers.set_progress(id, Progress::Begun);
     }
 }
 
-fn carry_out(shared: &Rc<Shared>, call: OperatorCall) -> Result<String, OperatorCallError> {
+/// Carries out a call that needs no waiting.
+fn run_call(shared: &Rc<Shared>, call: OperatorCall) -> Result<String, OperatorCallError> {
     if shared.relay.borrow().is_handed_over() {
         return Err(OperatorCallError::HandedOver);
     }
     match call {
-        OperatorCall::SchemaVersions => return super::schema_version::status(shared),
-        OperatorCall::Finalize => return super::schema_version::finalize(shared),
-        _ => {}
-    }
-    let ready = || *shared.accepting.borrow() && shared.relay.borrow().has_endpoint_list();
-    match call {
-        OperatorCall::Status if !ready() => return Err(OperatorCallError::NotReady),
-        // Answered where it may be waited for.
+        OperatorCall::SchemaVersions => return schema_version::status(shared),
+        OperatorCall::Finalize => return schema_version::finalize(shared),
+        OperatorCall::Status if !is_ready(shared) => return Err(OperatorCallError::NotReady),
+        // A call about maintenance windows is carried out where it may be waited for.
         OperatorCall::Status | OperatorCall::MaintenanceWindow(_) => {}
         OperatorCall::Standby => {
             warn!("operators: standby");
@@ -215,8 +262,11 @@
             info!("operators: active");
             shared.core(|relay, _| relay.activate());
         }
-        OperatorCall::SchemaVersions | OperatorCall::Finalize => {}
     }
     let relay = shared.relay.borrow();
     Ok(format!("{}, {} standing", relay.serving_mode(), relay.established_connections()))
 }
+
+fn is_ready(shared: &Shared) -> bool {
+    *shared.accepting.borrow() && shared.relay.borrow().has_endpoint_list()
+}
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,4 +1,4 @@
-//! Buffers of one size, used again.
+//! A pool of buffers of one size, and reading and writing sockets by them.
 
 use std::cell::RefCell;
 use std::io::{self, Read};
@@ -10,55 +10,65 @@
 use tokio::net::TcpStream;
 
 /// Size of a buffer: holds the longest line twice.
-pub const SIZE: usize = 8192;
-/// Most bytes that one look takes: mostly there are none.
-const LOOK: usize = 512;
-/// Most buffers kept for later.
-const KEPT: usize = 1024;
+pub const BUFFER_BYTES: usize = 8192;
+/// Most bytes that are read at once without the poller: mostly there are none.
+const UNPOLLED_READ_BYTES: usize = 512;
+/// Most free buffers that are kept for later.
+const MAX_FREE_BUFFERS: usize = 1024;
 
 /// Buffers that are not in use.
 #[derive(Default)]
-pub struct Pool(RefCell<Vec<BytesMut>>);
+pub struct Pool {
+    free: RefCell<Vec<BytesMut>>,
+}
 
 impl Pool {
     /// An empty buffer.
     pub fn get(self: &Rc<Self>) -> Pooled {
-        let bytes = self.0.borrow_mut().pop().unwrap_or_else(|| BytesMut::with_capacity(SIZE));
+        let free = self.free.borrow_mut().pop();
+        let bytes = free.unwrap_or_else(|| BytesMut::with_capacity(BUFFER_BYTES));
         Pooled { bytes, pool: self.clone() }
     }
 }
 
-/// A buffer that goes back to its pool.
+/// A buffer that goes back to its pool when dropped.
 pub struct Pooled {
     bytes: BytesMut,
     pool: Rc<Pool>,
 }
 
 impl Pooled {
-    /// How much more it may take from a socket.
-    pub fn room(&self) -> usize {
-        SIZE.saturating_sub(self.bytes.len())
+    /// How many more bytes it may take from a socket.
+    pub fn spare_capacity(&self) -> usize {
+        BUFFER_BYTES.saturating_sub(self.bytes.len())
     }
 
     /// Reads what a socket has; 0 at its end. Gives `None` where nothing is there to read.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn fill(&mut self, stream: &TcpStream) -> io::Result<Option<usize>> {
-        let room = self.room();
-        self.bytes.reserve(room);
-        match stream.try_read_buf(&mut (&mut self.bytes).limit(room)) {
-            Ok(n) => Ok(Some(n)),
+        let spare = self.spare_capacity();
+        self.bytes.reserve(spare);
+        match stream.try_read_buf(&mut (&mut self.bytes).limit(spare)) {
+            Ok(read) => Ok(Some(read)),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
             Err(e) => Err(e),
         }
     }
 
-    /// As [`Pooled::fill`], but asks the system itself: what the poller was told last may not have been heard yet.
-    pub fn look(&mut self, stream: &TcpStream) -> io::Result<Option<usize>> {
-        let mut bytes = [0; LOOK];
-        let room = self.room().min(LOOK);
-        match (&*SockRef::from(stream)).read(&mut bytes[..room]) {
-            Ok(n) => {
-                self.bytes.extend_from_slice(&bytes[..n]);
-                Ok(Some(n))
+    /// As [`Pooled::fill`], but by a system call whatever the poller has reported: its latest report may not have been
+    /// processed yet.
+    ///
+    /// # Errors
+    /// The connection is broken.
+    pub fn fill_unpolled(&mut self, stream: &TcpStream) -> io::Result<Option<usize>> {
+        let mut bytes = [0; UNPOLLED_READ_BYTES];
+        let max = self.spare_capacity().min(UNPOLLED_READ_BYTES);
+        match (&*SockRef::from(stream)).read(&mut bytes[..max]) {
+            Ok(read) => {
+                self.bytes.extend_from_slice(&bytes[..read]);
+                Ok(Some(read))
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
             Err(e) => Err(e),
@@ -66,15 +76,21 @@
     }
 
     /// Writes as much as a socket takes now.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
-        self.flush_but(stream, 0)
+        self.flush_except(stream, 0)
     }
 
-    /// The same, but keeps so many bytes at the end.
-    pub fn flush_but(&mut self, stream: &TcpStream, kept: usize) -> io::Result<()> {
-        while self.bytes.len() > kept {
-            match stream.try_write(&self.bytes[..self.bytes.len() - kept]) {
-                Ok(n) => self.bytes.advance(n),
+    /// Writes as much as a socket takes now, but for the last `withheld` bytes.
+    ///
+    /// # Errors
+    /// The connection is broken.
+    pub fn flush_except(&mut self, stream: &TcpStream, withheld: usize) -> io::Result<()> {
+        while self.bytes.len() > withheld {
+            match stream.try_write(&self.bytes[..self.bytes.len() - withheld]) {
+                Ok(written) => self.bytes.advance(written),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) => return Err(e),
             }
@@ -99,11 +115,11 @@
 
 impl Drop for Pooled {
     fn drop(&mut self) {
-        let mut free = self.pool.0.borrow_mut();
-        if free.len() < KEPT {
+        let mut free = self.pool.free.borrow_mut();
+        if free.len() < MAX_FREE_BUFFERS {
             let mut bytes = std::mem::take(&mut self.bytes);
             bytes.clear();
-            bytes.reserve(SIZE);
+            bytes.reserve(BUFFER_BYTES);
             free.push(bytes);
         }
     }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -69,7 +69,7 @@
     /// The load balancer requests the list.
     pub list_requested: Notify,
     /// Discovery is at another address.
-    pub discovery_moved: Notify,
+    pub discovery_address_changed: Notify,
     /// The socket for datagrams between relays.
     pub peers: OnceCell<UdpSocket>,
     /// Translates between peers' messages and datagrams, where the configuration turns schema versions on.
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -1,6 +1,7 @@
 //! Opens the sockets that clients, relays and managers reach this relay by.
 //!
-//! A socket is inherited from the predecessor process where it had one at the same address, passed by the platform, or bound.
+//! A socket is inherited from the predecessor process where it had one at the same address, passed by the platform,
+//! or bound.
 
 use std::cell::Ref;
 use std::io;
@@ -87,7 +88,7 @@
             None => listen(address),
         };
         let listener = listener.map_err(|e| with_setting(setting, e))?;
-        self.keep_for_successor(setting, address, listener.as_fd())?;
+        self.add_inheritable(setting, address, listener.as_fd())?;
         Ok(listener)
     }
 
@@ -97,7 +98,7 @@
             None => std::net::UdpSocket::bind(address).map_err(|e| with_setting(setting, e))?,
         };
         socket.set_nonblocking(true)?;
-        self.keep_for_successor(setting, address, socket.as_fd())?;
+        self.add_inheritable(setting, address, socket.as_fd())?;
         UdpSocket::from_std(socket)
     }
 
@@ -107,12 +108,7 @@
         Some(self.inherited.swap_remove(position).socket)
     }
 
-    fn keep_for_successor(
-        &self,
-        setting: &str,
-        address: SocketAddr,
-        socket: BorrowedFd<'_>,
-    ) -> io::Result<()> {
+    fn add_inheritable(&self, setting: &str, address: SocketAddr, socket: BorrowedFd<'_>) -> io::Result<()> {
         if self.config.handover.is_some() {
             let key = socket_key(setting, address);
             let socket = socket.try_clone_to_owned()?;
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,6 +1,7 @@
 //! Starts a relay: the store, the core, the hand-over from a predecessor process, the sockets, and then the drivers.
 //!
-//! Nothing is served before all sockets are open and the predecessor process, where there is one, has stopped accepting.
+//! Nothing is served before all sockets are open and the predecessor process, where there is one, has stopped
+//! accepting.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::io;
@@ -15,7 +16,7 @@
 use tokio::task::spawn_local;
 
 use super::accept::accept;
-use super::admission::{Admission, HANDOVER};
+use super::admission::{Admission, HANDOVER_DESCRIPTORS};
 use super::clock::Clock;
 use super::shared::{InheritableSocket, Shared, TransferQueue, line_names};
 use super::signals::Signals;
@@ -62,7 +63,8 @@
     // All addresses are taken before anything is served: a relay that lacks one does not start.
     let sockets = sockets::open(&shared, passed, inherited)?;
     if let Some(socket) = shared.peers.get() {
-        // Until it has been waited for once, the runtime does not know it as writable: the first datagram would be lost.
+        // Until it has been waited for once, the runtime does not know it as writable: the first datagram would be
+        // lost.
         socket.writable().await?;
     }
     load_configured_list(&shared, ConfiguredList { endpoint_list, entries });
@@ -96,7 +98,7 @@
         .map_err(|e| with_setting("state.folder", e))?;
     let finalized = stored.as_ref().map_or(SchemaVersion::FIRST, |stored| stored.finalized);
     let peer_channel = schema_version::post(&config, finalized, &clock)?;
-    let handover_descriptors = if config.handover.is_some() { HANDOVER } else { 0 };
+    let handover_descriptors = if config.handover.is_some() { HANDOVER_DESCRIPTORS } else { 0 };
     let mut relay = Relay::new(config.settings.clone(), config.classes.clone(), config.seed, clock.now());
     let store_writer =
         stored.map(|stored| affinity_store::restore(stored, &mut relay, clock.now())).transpose()?;
@@ -109,7 +111,7 @@
         endpoint_list: RefCell::default(),
         pool: Rc::default(),
         list_requested: Notify::new(),
-        discovery_moved: Notify::new(),
+        discovery_address_changed: Notify::new(),
         peers: OnceCell::new(),
         peer_channel,
         version_changed: Notify::new(),
@@ -200,11 +202,11 @@
     let admission = shared.admission.clone();
     let accepting = shared.accepting.subscribe();
     let shared = shared.clone();
-    spawn_local(accept(admission, accepting, listener, move |client, from, seat| {
+    spawn_local(accept(admission, accepting, listener, move |client, from, permit| {
         // Read for each connection: all of it but the address may have been reloaded.
         let Some(rtmp) = shared.config.borrow().rtmp.clone() else { return };
         let protocol = RtmpProtocol::new(rtmp.settings, from, rtmp.trusted.contains(&from.ip()));
-        spawn_local(connection::serve(shared.clone(), client, protocol, seat));
+        spawn_local(connection::serve(shared.clone(), client, protocol, permit));
     }));
     Ok(())
 }
@@ -214,10 +216,10 @@
     let admission = shared.admission.clone();
     let accepting = shared.accepting.subscribe();
     let shared = shared.clone();
-    spawn_local(accept(admission, accepting, listener, move |client, _, seat| {
+    spawn_local(accept(admission, accepting, listener, move |client, _, permit| {
         let first_line_limit = shared.config.borrow().limits.first_line;
         let protocol = LineProtocol::new(shared.line_rules.clone(), first_line_limit);
-        spawn_local(connection::serve(shared.clone(), client, protocol, seat));
+        spawn_local(connection::serve(shared.clone(), client, protocol, permit));
     }));
     Ok(())
 }
--- a/src/net/takeover/mod.rs
+++ b/src/net/takeover/mod.rs
@@ -1,10 +1,10 @@
 //! Drives the hand-over between two processes of a relay: a Unix socket in a folder that both know.
 //!
-//! - [`link`]: messages and descriptors over the socket.
-//! - [`successor`]: the process that starts, and takes the relay over.
-//! - [`predecessor`]: the process that runs, offers the relay, and finishes what it has.
+//! - `link`: messages and descriptors over the socket.
+//! - `successor`: the process that starts, and takes the relay over.
+//! - `predecessor`: the process that runs, offers the relay, and finishes what it has.
 //!
-//! What each side does next is decided by the state machines in [`crate::handover`].
+//! What each side does next is decided by the state machines in `crate::handover`.
 
 mod link;
 mod predecessor;
--- a/src/net/takeover/predecessor.rs
+++ b/src/net/takeover/predecessor.rs
@@ -90,7 +90,7 @@
         tokio::select! {
             ended = &mut hand_over => return ended,
             Ok((other, _)) = listener.accept() => {
-                spawn_local(turn_away(Link::new(other)));
+                spawn_local(refuse_second_successor(Link::new(other)));
             }
         }
     }
@@ -153,9 +153,10 @@
 struct HandOver<'a> {
     shared: &'a Rc<Shared>,
     state: &'a mut PredecessorProcess,
-    link: Link,
-    transfers: OutgoingTransfers<'a>,
     report_interval: Interval,
+    // Dropped before the link: waiting transfers are closed before the successor sees the end.
+    transfers: OutgoingTransfers<'a>,
+    link: Link,
     /// The number of descriptors that the successor was sent last.
     reported_descriptors: usize,
 }
@@ -165,9 +166,9 @@
         HandOver {
             shared,
             state,
-            link,
-            transfers: OutgoingTransfers::new(shared),
             report_interval: tokio::time::interval(REPORT_INTERVAL),
+            transfers: OutgoingTransfers::new(shared),
+            link,
             reported_descriptors: 0,
         }
     }
@@ -221,7 +222,7 @@
     }
 
     async fn report_descriptors(&mut self) -> io::Result<()> {
-        let descriptors = self.shared.admission.held();
+        let descriptors = self.shared.admission.descriptors_in_use();
         if std::mem::replace(&mut self.reported_descriptors, descriptors) != descriptors {
             self.link.send(&Message::DescriptorsInUse { descriptors: descriptors as u32 }).await?;
         }
@@ -302,7 +303,7 @@
         let now = self.shared.clock.now();
         let standby = self.shared.relay.borrow().standby_elapsed(now);
         let slow_start_pause = self.shared.relay.borrow().slow_start_pause(now);
-        let descriptors = self.shared.admission.held() as u32;
+        let descriptors = self.shared.admission.descriptors_in_use() as u32;
         self.link.send(&Message::AcceptingStopped { descriptors, standby, slow_start_pause }).await
     }
 
@@ -333,7 +334,7 @@
 }
 
 /// Refuses a second successor. Its first message is read, since a close with unread bytes would destroy the reply.
-async fn turn_away(mut link: Link) {
+async fn refuse_second_successor(mut link: Link) {
     let _ = timeout(SEND_TIMEOUT, link.next()).await;
     let _ = refuse(&mut link, "another process is taking over").await;
 }
--- a/src/net/takeover/successor.rs
+++ b/src/net/takeover/successor.rs
@@ -201,7 +201,7 @@
         match message {
             Message::AffinityRecords(records) => restore_affinity(shared, records),
             Message::AcceptingStopped { descriptors, standby, slow_start_pause } => {
-                shared.admission.set_others(descriptors as usize);
+                shared.admission.set_other_process(descriptors as usize);
                 continue_pauses(shared, standby, slow_start_pause);
             }
             _ => {}
@@ -230,7 +230,9 @@
     shared.is_predecessor_running.set(true);
     while let Ok(Received { message, .. }) = predecessor.next().await {
         match message {
-            Message::DescriptorsInUse { descriptors } => shared.admission.set_others(descriptors as usize),
+            Message::DescriptorsInUse { descriptors } => {
+                shared.admission.set_other_process(descriptors as usize)
+            }
             Message::AffinityRecords(records) => restore_affinity(&shared, records),
             Message::Connection { connection, protocol, up, down } => {
                 let received = ReceivedConnection {
@@ -247,7 +249,7 @@
         }
     }
     info!("hand-over: the process before has ended");
-    shared.admission.set_others(0);
+    shared.admission.set_other_process(0);
     shared.is_predecessor_running.set(false);
 }
 
