--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -111,7 +111,7 @@
 
 /// Writes behind for as long as the program runs.
 pub async fn write_behind(shared: Rc<Shared>) {
-    let Some(writer) = &shared.keeper else { return };
+    let Some(writer) = &shared.store_writer else { return };
     let Some(flush) = shared.config.borrow().state.as_ref().map(|state| state.flush) else { return };
     let max_age = shared.config.borrow().settings.affinity_limits.max_age;
     let mut interval = interval(span(flush));
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -50,12 +50,12 @@
 
 /// Reads a relay's datagram, and replies where it asks for an advertisement; `None` of what is no message.
 pub(super) fn decode(shared: &Shared, peer: u32, text: &str) -> Option<PeerMessage> {
-    let Some(channel) = &shared.post else { return peers::decode(text) };
+    let Some(channel) = &shared.peer_channel else { return peers::decode(text) };
     match receive(shared, channel, peer, text) {
         Ok(message) => message,
         Err(e @ SchemaVersionError::Finalized { .. }) => {
             // The cluster was finalized while this process ran, or it reached nobody at its start. It is logged once.
-            if !shared.left_behind.replace(true) {
+            if !shared.is_unreadable_version_logged.replace(true) {
                 error!("forms: relay {peer}: {e}; {}", e.help());
             }
             None
@@ -79,13 +79,13 @@
     let received = channel.borrow_mut().receive(now, peer, text, &mut out);
     send_all(shared, &out);
     if channel.borrow().negotiator.version(now) != version_before {
-        shared.forms.notify_one();
+        shared.version_changed.notify_one();
     }
     Ok(received?.text.as_deref().and_then(peers::decode))
 }
 
 fn send_all(shared: &Shared, datagrams: &[Datagram]) {
-    datagrams.iter().for_each(|datagram| shared.post_to(datagram.peer, &datagram.text));
+    datagrams.iter().for_each(|datagram| shared.send_text_to_peer(datagram.peer, &datagram.text));
 }
 
 /// Asks other relays what is finalized, before anything is served.
@@ -93,7 +93,7 @@
 /// # Errors
 /// Where the cluster is finalized at a version that this process does not support.
 pub async fn discover_finalized(shared: &Rc<Shared>) -> io::Result<()> {
-    let (Some(channel), Some(socket)) = (&shared.post, shared.peers.get()) else { return Ok(()) };
+    let (Some(channel), Some(socket)) = (&shared.peer_channel, shared.peers.get()) else { return Ok(()) };
     for wait in DISCOVERY_ROUNDS_MS {
         request_advertisements(shared, channel);
         let deadline = Instant::now() + span(wait);
@@ -107,7 +107,7 @@
     let request = channel.borrow().negotiator.advertisement(shared.clock.now()).encode() + "|?";
     let step = ((relay_count - 1) / MAX_DISCOVERY_PEERS).max(1);
     for n in 0..MAX_DISCOVERY_PEERS.min(relay_count - 1) {
-        shared.post_to((local_index + 1 + n * step) % relay_count, &request);
+        shared.send_text_to_peer((local_index + 1 + n * step) % relay_count, &request);
     }
 }
 
@@ -138,12 +138,12 @@
 
 /// Sends advertisements when they are due and moves the store with the cluster, for as long as the program runs.
 pub async fn run(shared: Rc<Shared>) {
-    let Some(channel) = &shared.post else { return };
+    let Some(channel) = &shared.peer_channel else { return };
     let mut applied = None;
     loop {
         let now = shared.clock.now();
         let mut out = Vec::new();
-        if *shared.gate.borrow() {
+        if *shared.accepting.borrow() {
             channel.borrow_mut().poll(now, &mut out);
         }
         send_all(&shared, &out);
@@ -151,7 +151,7 @@
         let wait = channel.borrow().next_poll_in_ms(now);
         tokio::select! {
             () = tokio::time::sleep(span(wait)) => {}
-            () = shared.forms.notified() => {}
+            () = shared.version_changed.notified() => {}
         }
     }
 }
@@ -194,7 +194,7 @@
             "forms: the tier writes form {version}, this process reads {supported}; finalized is {finalized}"
         );
     }
-    if let Some(writer) = shared.keeper.as_ref().filter(|_| is_settled)
+    if let Some(writer) = shared.store_writer.as_ref().filter(|_| is_settled)
         && !writer.migrate(version.number().into(), finalized.number().into())
     {
         // The writer's queue is full: ordered again at the next poll.
@@ -213,7 +213,7 @@
 /// What to hand to the next process of this relay; `None` where versions are off.
 pub(super) fn takeover_state(shared: &Shared) -> Option<TakeoverState> {
     let now = shared.clock.now();
-    let channel = shared.post.as_ref()?.borrow();
+    let channel = shared.peer_channel.as_ref()?.borrow();
     Some(TakeoverState {
         listening_ms: channel.negotiator.listening_ms(now),
         advertisement: channel.negotiator.advertisement(now).encode(),
@@ -225,7 +225,7 @@
 /// # Errors
 /// Where its advertisement can't be read, or names a finalized version that this process does not support.
 pub(super) fn resume(shared: &Shared, listening_ms: Millis, advertisement: &str) -> io::Result<()> {
-    let Some(channel) = &shared.post else { return Ok(()) };
+    let Some(channel) = &shared.peer_channel else { return Ok(()) };
     let head = VersionAdvertisement::decode(advertisement).map_err(refused)?;
     let now = shared.clock.now();
     channel.borrow_mut().negotiator.resume(now, listening_ms, &head.advertisement).map_err(refused)
@@ -236,7 +236,7 @@
 /// # Errors
 /// [`OperatorCallError::Unknown`] where versions are off.
 pub(super) fn status(shared: &Shared) -> Result<String, OperatorCallError> {
-    let channel = shared.post.as_ref().ok_or(OperatorCallError::Unknown)?;
+    let channel = shared.peer_channel.as_ref().ok_or(OperatorCallError::Unknown)?;
     Ok(crate::schema_status::status(&channel.borrow(), shared.clock.now()))
 }
 
@@ -245,10 +245,10 @@
 /// # Errors
 /// [`OperatorCallError::Unknown`] where versions are off, [`OperatorCallError::SchemaVersion`] while an older process may be alive.
 pub(super) fn finalize(shared: &Shared) -> Result<String, OperatorCallError> {
-    let channel = shared.post.as_ref().ok_or(OperatorCallError::Unknown)?;
+    let channel = shared.peer_channel.as_ref().ok_or(OperatorCallError::Unknown)?;
     let finalized = channel.borrow_mut().negotiator.finalize(shared.clock.now());
     let version = finalized.map_err(OperatorCallError::SchemaVersion)?;
     warn!("operators: finalize: nothing is written below form {version} any more");
-    shared.forms.notify_one();
+    shared.version_changed.notify_one();
     Ok(format!("finalized {version}"))
 }
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -123,7 +123,7 @@
         }
     }
     let log: Vec<String> = relays.iter().flatten().map(Relay::log).collect();
-    let logs_scarcity = log.iter().any(|log| log.contains("shares: places are short"));
+    let logs_scarcity = log.iter().any(|log| log.contains("quota: capacity is short"));
     assert_eq!(logs_scarcity, enforce, "refusals by share are logged, and there are none where it is off");
     ([0, 1].map(|m| served[m] as f64 / arrived[m] as f64), [open[0].len(), open[1].len()])
 }
