--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -1,7 +1,7 @@
-//! Over how many endpoints groups are spread when relays restart: with the affinity table lost, restored from the
-//! folder, or restored from the other relays. Simulates four relays' cores in virtual time with 14 endpoints, group
-//! sizes by Zipf and packet passthrough: a stopped relay's connections arrive at the others. Prints one row a
-//! scenario. `cargo bench --bench spread`
+//! Over how many endpoints groups are spread when relays restart: with the affinity table lost, restored
+//! from the folder, or restored from the other relays. Simulates four relays' cores in virtual time with 14
+//! endpoints, group sizes by Zipf and packet passthrough: a stopped relay's connections arrive at the
+//! others. Prints one row a scenario. `cargo bench --bench spread`
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -92,7 +92,8 @@
     /// Requests without an established connection, by relay and request.
     pending: HashMap<(usize, RequestId), PendingRequest>,
     connections: u64,
-    /// Connections placed since the first restart, and those that brought their group to an endpoint without it.
+    /// Connections placed since the first restart, and those that brought their group to an endpoint
+    /// without it.
     placed: u64,
     copies: u64,
     rejected: u64,
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,5 +1,5 @@
-//! A service to try the relay with: a discovery service that lists two endpoints, and these endpoints, which accept
-//! every connection and echo each line. Run it with `cargo run --example toy_server`.
+//! A service to try the relay with: a discovery service that lists two endpoints, and these endpoints,
+//! which accept every connection and echo each line. Run it with `cargo run --example toy_server`.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -208,10 +208,11 @@
 impl Start {
     fn read(platform: &Source, faults: &mut Vec<ConfigError>) -> Start {
         let mut top = Reader::new(&platform.file, &platform.value, "", faults);
-        let (endpoint_list, known) = EndpointList::known(&platform.value["known"]).unwrap_or_else(|error| {
-            top.fault("known", Fault::Known(Box::new(error)));
-            (EndpointList::default(), Vec::new())
-        });
+        let (endpoint_list, known) =
+            EndpointList::from_cached(&platform.value["known"]).unwrap_or_else(|error| {
+                top.fault("known", Fault::Known(Box::new(error)));
+                (EndpointList::default(), Vec::new())
+            });
         Start { known, endpoint_list, seed: top.seed() }
     }
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The list of endpoints as discovery gives it, and what is asked of discovery.
 //!
-//! Nothing here knows a socket: a driver asks for [`EndpointList::request`] and hands the body of what
-//! comes back to [`EndpointList::answer`]. When to ask is decided by `sandgw_cluster::poll_scheduler`.
+//! Nothing here knows a socket: a driver asks for [`EndpointList::next_request`] and hands the body of what
+//! comes back to [`EndpointList::apply_answer`]. When to ask is decided by `sandgw_cluster::poll_scheduler`.
 
 mod entry;
 mod errors;
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// What is wrong with that list; nothing of it has been taken.
-    pub fn known(known: &Value) -> Result<(Self, Vec<EndpointEntry>), ListError> {
+    pub fn from_cached(known: &Value) -> Result<(Self, Vec<EndpointEntry>), ListError> {
         let mut list = EndpointList::default();
         if known.is_null() {
             return Ok((list, Vec::new()));
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// What is wrong with that list; nothing of it has been taken.
-    pub fn handed(
+    pub fn import(
         &mut self,
         revision: Option<u64>,
         members: Vec<Value>,
@@ -89,12 +89,12 @@
     }
 
     /// The list's version, where it is known to be this discovery service's, and its entries.
-    pub fn held(&self) -> (Option<u64>, impl Iterator<Item = &Value>) {
+    pub fn contents(&self) -> (Option<u64>, impl Iterator<Item = &Value>) {
         (self.revision, self.members.values())
     }
 
     /// Another service is asked from now on: versions are each service's own.
-    pub fn moved(&mut self) {
+    pub fn service_replaced(&mut self) {
         self.revision = None;
         self.unconfirmed = false;
         // What the old one still answers is not of the list that is asked for now.
@@ -113,14 +113,14 @@
 
     /// The call that is out has failed. Changes are asked for without a wait next, which shows at once
     /// whether there is a service; whether a watch was broken by it that had been going on.
-    pub fn broken(&mut self) -> bool {
+    pub fn poll_failed(&mut self) -> bool {
         self.asked = None;
         !std::mem::replace(&mut self.unconfirmed, self.revision.is_some()) && self.revision.is_some()
     }
 
     /// In how long to ask anew after a watch has fallen silent, or was broken otherwise, in a tier of so
     /// many relays.
-    pub fn anew(&mut self, relays: u32, silent: bool) -> Millis {
+    pub fn renewal_delay(&mut self, relays: u32, silent: bool) -> Millis {
         let draw = self.draw();
         if silent {
             poll_scheduler::delay_after_silent_watch(relays, draw)
@@ -146,7 +146,7 @@
     }
 
     /// What to ask for: the whole list, then the watch for what is newer.
-    pub fn request(&mut self) -> String {
+    pub fn next_request(&mut self) -> String {
         self.asked = Some(self.revision);
         let going = self.revision.is_some() && !self.unconfirmed;
         self.wait = if going { self.draw_wait() } else { 0.0 };
@@ -161,7 +161,7 @@
     /// # Errors
     ///
     /// What is wrong with the answer; nothing of it has been taken, and the list held stays in force.
-    pub fn answer(&mut self, body: &[u8]) -> Result<(ListKind, Vec<EndpointEntry>), ListError> {
+    pub fn apply_answer(&mut self, body: &[u8]) -> Result<(ListKind, Vec<EndpointEntry>), ListError> {
         let after = self.asked.take().ok_or(ListError::Moved)?;
         let value: Value = serde_json::from_slice(body).map_err(ListError::NotJson)?;
         if value["complete"] == false {
--- a/src/help/mod.rs
+++ b/src/help/mod.rs
@@ -1,8 +1,9 @@
 //! What an operator can do about an error.
 //!
 //! Owns two texts for each error: the part of its message that never varies, by which it is found in
-//! `docs/operators/errors.md`, and the advice listed there. An error's message says what happened and with which
-//! value; the caller that prints it adds file, key or peer, and the advice. Nothing here decides anything.
+//! `docs/operators/errors.md`, and the advice listed there. An error's message says what happened and with
+//! which value; the caller that prints it adds file, key or peer, and the advice. Nothing here decides
+//! anything.
 
 use std::fmt;
 
@@ -15,8 +16,8 @@
     pub help: &'static str,
 }
 
-/// An error with advice. Implemented by the `help!` macro, so that an error that gains a variant does not build until
-/// the variant has its texts.
+/// An error with advice. Implemented by the `help!` macro, so that an error that gains a variant does not
+/// build until the variant has its texts.
 pub trait Help {
     /// The texts of all variants.
     const ALL: &'static [HelpEntry];
@@ -48,8 +49,8 @@
     }
 }
 
-/// Implements [`Help`]: each variant with its stable text and its advice; variants that contain an error with advice
-/// of its own are listed after `of`.
+/// Implements [`Help`]: each variant with its stable text and its advice; variants that contain an error
+/// with advice of its own are listed after `of`.
 macro_rules! help {
     ($error:ident { $($variant:ident: $text:literal => $help:literal,)* } $(of $($nested:ident),*)?) => {
         impl crate::help::Help for $error {
--- a/src/help/tests.rs
+++ b/src/help/tests.rs
@@ -31,8 +31,8 @@
 fn list(answers: &[&str]) -> ListError {
     let mut list = EndpointList::default();
     let results = answers.iter().map(|body| {
-        list.request();
-        list.answer(body.as_bytes())
+        list.next_request();
+        list.apply_answer(body.as_bytes())
     });
     results.last().expect("an answer").expect_err("a faulty list")
 }
@@ -45,7 +45,7 @@
 fn each_fault_of_a_list_has_its_advice() {
     let held = r#"{"revision":5,"complete":true,"members":[]}"#;
     let changes = r#"{"revision":4,"complete":false,"members":[]}"#;
-    let unasked = EndpointList::default().answer(b"{}").expect_err("an answer that nobody asked for");
+    let unasked = EndpointList::default().apply_answer(b"{}").expect_err("an answer that nobody asked for");
     assert_all_documented(&[
         list(&["<html>"]),
         list(&["{}"]),
--- a/src/listener/line/mod.rs
+++ b/src/listener/line/mod.rs
@@ -1,8 +1,8 @@
 //! The platform's line protocol: one text line a message, from client and endpoint.
 //!
-//! Owns what the settings say of lines, the ids of the open connections, and the state of each of them. It reads
-//! `OPEN` and `PING` of clients and the endpoint's answers, writes the attempt's `OPEN` with the time that is left,
-//! and observes the lines of established connections. Times are milliseconds.
+//! Owns what the settings say of lines, the ids of the open connections, and the state of each of them. It
+//! reads `OPEN` and `PING` of clients and the endpoint's answers, writes the attempt's `OPEN` with the time
+//! that is left, and observes the lines of established connections. Times are milliseconds.
 
 mod open_line;
 
@@ -33,8 +33,8 @@
 pub struct LineNames {
     /// Whether `g` names a group, whose connections share work, or else the client.
     pub groups: bool,
-    /// Classes, each with the time until which new connections may name it, where it was dropped. Connections that
-    /// arrive mid-flow may name any: they began when it was in force.
+    /// Classes, each with the time until which new connections may name it, where it was dropped.
+    /// Connections that arrive mid-flow may name any: they began when it was in force.
     pub classes: Vec<AcceptedClass>,
     /// Tenants; any is accepted where there are none.
     pub tenants: Vec<String>,
@@ -77,8 +77,8 @@
             || mid_flow && contains(&self.previous_tenants.borrow())
     }
 
-    /// Registers an open connection; false where its id is open already. A mid-flow arrival whose packets took
-    /// another path before may still be open here: it replaces the one of the same id and key.
+    /// Registers an open connection; false where its id is open already. A mid-flow arrival whose packets
+    /// took another path before may still be open here: it replaces the one of the same id and key.
     fn register(&self, id: &str, key: &str, mid_flow: bool) -> bool {
         let mut open = self.open.borrow_mut();
         if open.get(id).is_some_and(|other| !mid_flow || other != key) {
@@ -137,9 +137,10 @@
         protocol
     }
 
-    /// Parses `OPEN ID KEY name=value,...` and registers the connection; `None` where the line is malformed, names an
-    /// unknown class or tenant, or an id that is open already. Such a request is not forwarded: an endpoint would
-    /// refuse it or close on it, which says nothing of the endpoint, and the load balancer would retry it elsewhere.
+    /// Parses `OPEN ID KEY name=value,...` and registers the connection; `None` where the line is
+    /// malformed, names an unknown class or tenant, or an id that is open already. Such a request is not
+    /// forwarded: an endpoint would refuse it or close on it, which says nothing of the endpoint, and the
+    /// load balancer would retry it elsewhere.
     fn open(&mut self, now: Millis, line: &str) -> Option<IncomingRequest> {
         let open = OpenLine::parse(line)?;
         let groups = self.rules.names.borrow().groups;
--- a/src/listener/line/open_line.rs
+++ b/src/listener/line/open_line.rs
@@ -1,7 +1,7 @@
 //! The line by which a client asks for a connection: `OPEN ID KEY name=value,...`.
 //!
-//! Takes the line without its end and the time in milliseconds, and returns the request that it describes. Whether
-//! class, tenant and id are acceptable is for the caller to check.
+//! Takes the line without its end and the time in milliseconds, and returns the request that it describes.
+//! Whether class, tenant and id are acceptable is for the caller to check.
 
 use std::sync::Arc;
 
@@ -33,7 +33,8 @@
         (complete && printable).then_some(OpenLine { id, key, options })
     }
 
-    /// The request that the options describe; `None` where one is malformed or repeated, or the deadline is missing.
+    /// The request that the options describe; `None` where one is malformed or repeated, or the deadline is
+    /// missing.
     pub(super) fn request(&self, now: Millis, groups: bool) -> Option<IncomingRequest> {
         let mut request = IncomingRequest {
             client: text_key(self.key),
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -1,8 +1,9 @@
 //! The protocols that clients speak: each is a state machine that is fed bytes and does no I/O.
 //!
-//! A protocol owns what it has parsed of one client and of the endpoint's answer to it. It is given the bytes read
-//! from both sides and the time in milliseconds, and returns what to do next and the bytes to write. It never
-//! touches a socket, a timer or the load balancer: a driver in [`crate::net`] does that, alike for all protocols.
+//! A protocol owns what it has parsed of one client and of the endpoint's answer to it. It is given the
+//! bytes read from both sides and the time in milliseconds, and returns what to do next and the bytes to
+//! write. It never touches a socket, a timer or the load balancer: a driver in [`crate::net`] does that,
+//! alike for all protocols.
 
 pub mod line;
 pub mod rtmp;
@@ -64,8 +65,8 @@
     /// How long a client may take, from accept, until its request is complete.
     fn handshake_timeout(&self) -> Millis;
 
-    /// Reads bytes of a client whose request is not complete yet, and consumes those that it understands. A health
-    /// check is answered by the serving mode.
+    /// Reads bytes of a client whose request is not complete yet, and consumes those that it understands. A
+    /// health check is answered by the serving mode.
     fn read_request(
         &mut self,
         now: Millis,
@@ -90,8 +91,8 @@
     /// Whether the endpoint has the whole request, and so may act on it, once `out` is written.
     fn request_complete(&self) -> bool;
 
-    /// Reads bytes of the endpoint until the connection is established or the attempt has ended. What is left in
-    /// `input` of an established connection goes to the client.
+    /// Reads bytes of the endpoint until the connection is established or the attempt has ended. What is
+    /// left in `input` of an established connection goes to the client.
     fn read_answer(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> AttemptAnswer;
 
     /// After how long without a byte from an endpoint that has the whole request the connection counts as
@@ -111,16 +112,17 @@
     /// Observes bytes that the client of an established connection has sent.
     fn observe_client_bytes(&mut self, now: Millis, bytes: &[u8]);
 
-    /// Observes bytes that the endpoint of an established connection has sent; returns a round-trip time when they
-    /// complete one.
+    /// Observes bytes that the endpoint of an established connection has sent; returns a round-trip time
+    /// when they complete one.
     fn observe_endpoint_bytes(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis>;
 
-    /// Bytes of the endpoint since the last message boundary, at which the relay may insert a message of its own;
-    /// `None` where boundaries are not known.
+    /// Bytes of the endpoint since the last message boundary, at which the relay may insert a message of
+    /// its own; `None` where boundaries are not known.
     fn bytes_since_boundary(&self) -> Option<usize>;
 
-    /// How many of the endpoint's last bytes are an incomplete message that should wait for its rest: the relay may
-    /// insert a message before them, and an endpoint that breaks off leaves no partial message at the client.
+    /// How many of the endpoint's last bytes are an incomplete message that should wait for its rest: the
+    /// relay may insert a message before them, and an endpoint that breaks off leaves no partial message at
+    /// the client.
     fn incomplete_tail(&self) -> usize {
         0
     }
@@ -128,8 +130,8 @@
     /// Since when a message of the client is without an answer.
     fn unanswered_since(&self) -> Option<Millis>;
 
-    /// How long an endpoint may leave bytes unacknowledged, for protocols without a message that shows that it has
-    /// vanished.
+    /// How long an endpoint may leave bytes unacknowledged, for protocols without a message that shows that
+    /// it has vanished.
     fn unacknowledged_timeout(&self) -> Option<Duration> {
         None
     }
--- a/src/listener/rtmp/chunks.rs
+++ b/src/listener/rtmp/chunks.rs
@@ -1,9 +1,9 @@
-//! RTMP's chunk stream (Adobe's specification, section 5.3): a reader that follows the chunks of a stream without
-//! changing it, and a writer for the relay's own messages.
+//! RTMP's chunk stream (Adobe's specification, section 5.3): a reader that follows the chunks of a stream
+//! without changing it, and a writer for the relay's own messages.
 //!
-//! The library's reader has one payload buffer for all chunk streams, so it misreads interleaved messages, and it
-//! does not report where a chunk ends. Both matter here: the relay may insert a message only between two chunks, and
-//! on a chunk stream that is not in the middle of a message.
+//! The library's reader has one payload buffer for all chunk streams, so it misreads interleaved messages,
+//! and it does not report where a chunk ends. Both matter here: the relay may insert a message only between
+//! two chunks, and on a chunk stream that is not in the middle of a message.
 
 use std::collections::BTreeMap;
 
--- a/src/listener/rtmp/command.rs
+++ b/src/listener/rtmp/command.rs
@@ -1,4 +1,5 @@
-//! RTMP's commands in AMF0: a name, a transaction and values, of which information objects are read and written.
+//! RTMP's commands in AMF0: a name, a transaction and values, of which information objects are read and
+//! written.
 
 use std::collections::HashMap;
 
--- a/src/listener/rtmp/handshake.rs
+++ b/src/listener/rtmp/handshake.rs
@@ -5,10 +5,12 @@
 
 use super::chunks::Malformed;
 
-/// Bytes of the relay's first handshake packets (version and first block). Its second block follows the client's.
+/// Bytes of the relay's first handshake packets (version and first block). Its second block follows the
+/// client's.
 pub const HANDSHAKE_P0_P1_BYTES: usize = 1537;
 
-/// Feeds a handshake and writes its reply; returns whether it is complete. What follows it is left in the input.
+/// Feeds a handshake and writes its reply; returns whether it is complete. What follows it is left in the
+/// input.
 ///
 /// # Errors
 ///
--- a/src/listener/rtmp/mod.rs
+++ b/src/listener/rtmp/mod.rs
@@ -1,11 +1,11 @@
 //! RTMP, for tenants' encoders and players.
 //!
-//! A connection is placed at its `connect` command. The path of its `app` is the group's key: the video and its
-//! language track. The connection's own key is `flow` in the query that may follow, which proxy and endpoint can
-//! see as well, else the client's address. The relay completes the handshake with both sides and forwards the
-//! client's `connect` and the endpoint's reply unchanged; from then on all bytes pass unchanged. It follows the chunks
-//! that the endpoint sends, so that it can ask the client to reconnect between two of them. Times are milliseconds
-//! where they are numbers. It does no I/O.
+//! A connection is placed at its `connect` command. The path of its `app` is the group's key: the video and
+//! its language track. The connection's own key is `flow` in the query that may follow, which proxy and
+//! endpoint can see as well, else the client's address. The relay completes the handshake with both sides
+//! and forwards the client's `connect` and the endpoint's reply unchanged; from then on all bytes pass
+//! unchanged. It follows the chunks that the endpoint sends, so that it can ask the client to reconnect
+//! between two of them. Times are milliseconds where they are numbers. It does no I/O.
 
 mod chunks;
 mod command;
@@ -37,15 +37,16 @@
 const MAX_CONNECT_BYTES: usize = 4096;
 /// How long before the client gives up the reply to an incomplete request is sent.
 const REPLY_MARGIN_MS: Millis = 250.0;
-/// After how long without a reset a mid-stream connection counts as established: there is no reply to wait for, and
-/// an endpoint that does not have the connection resets it at once.
+/// After how long without a reset a mid-stream connection counts as established: there is no reply to wait
+/// for, and an endpoint that does not have the connection resets it at once.
 const MID_STREAM_ESTABLISHED_AFTER: Duration = Duration::from_millis(100);
-/// How long an endpoint may leave bytes unacknowledged before it counts as vanished. RTMP has no message that is
-/// answered at once, so only TCP shows it.
+/// How long an endpoint may leave bytes unacknowledged before it counts as vanished. RTMP has no message
+/// that is answered at once, so only TCP shows it.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
 /// Transaction of a client's `connect`, as the specification fixes it.
 const FIRST_TRANSACTION: f64 = 1.0;
-/// How much of an incomplete chunk waits for its end: the chunk size that most endpoints set, with the longest header.
+/// How much of an incomplete chunk waits for its end: the chunk size that most endpoints set, with the
+/// longest header.
 const MAX_INCOMPLETE_CHUNK_BYTES: usize = 4096 + 18;
 
 /// What the listener's settings say of every connection.
@@ -207,7 +208,8 @@
         Ok(self.request(now, connection, group))
     }
 
-    /// Reads the endpoint's packets of the handshake and writes `connect` after it. `None` where it is complete.
+    /// Reads the endpoint's packets of the handshake and writes `connect` after it. `None` where it is
+    /// complete.
     fn read_endpoint_handshake(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Option<AttemptAnswer> {
         let Some(AttemptStage::Handshake(handshake)) = &mut self.attempt else { return None };
         match advance_handshake(handshake, input, out) {
@@ -281,7 +283,8 @@
             return proxy::write_mid_stream(out, keys);
         }
         let mut handshake = Box::new(Handshake::new(PeerType::Client));
-        // It can't fail on a new handshake; if it did, the endpoint would answer nothing to an empty first packet.
+        // It can't fail on a new handshake; if it did, the endpoint would answer nothing to an empty first
+        // packet.
         out.extend_from_slice(&handshake.generate_outbound_p0_and_p1().unwrap_or_default());
         self.attempt = Some(AttemptStage::Handshake(handshake));
         self.endpoint_reader = Ok(Reader::default());
@@ -322,7 +325,8 @@
     }
 
     fn write_local_reply(&mut self, response: LocalReply, reply: &mut BytesMut) {
-        // Before the end of the handshake a client could not tell a reply from it: the connection is only closed.
+        // Before the end of the handshake a client could not tell a reply from it: the connection is only
+        // closed.
         if !self.handshake_written || self.closes_by_reset() {
             return;
         }
--- a/src/listener/rtmp/proxy.rs
+++ b/src/listener/rtmp/proxy.rs
@@ -1,7 +1,7 @@
 //! Headers of the PROXY protocol, version 2, which a trusted proxy sends before a client's bytes.
 //!
-//! A header names the client and, for a connection that arrives mid-stream, the keys by which its endpoint is found.
-//! Reads headers from a buffer and writes the one for an endpoint; does no I/O.
+//! A header names the client and, for a connection that arrives mid-stream, the keys by which its endpoint
+//! is found. Reads headers from a buffer and writes the one for an endpoint; does no I/O.
 
 use std::net::{IpAddr, SocketAddr};
 
--- a/src/listener/tests.rs
+++ b/src/listener/tests.rs
@@ -55,7 +55,8 @@
     }
 }
 
-/// The first line decides, whatever stands behind it; all of the endpoint's bytes from `UP` on are the client's.
+/// The first line decides, whatever stands behind it; all of the endpoint's bytes from `UP` on are the
+/// client's.
 #[test]
 fn a_second_answer_behind_the_first_changes_nothing() {
     for second in ["UP 2\r\n", "BUSY\r\n", "ERR\r\n", "BYE\r\n", "half"] {
@@ -84,8 +85,8 @@
     assert_eq!(read_all(&[&over]).0, error, "in one read");
 }
 
-/// A line without its end waits, so that the relay may insert a message before it; one that is too long is passed on
-/// as it comes.
+/// A line without its end waits, so that the relay may insert a message before it; one that is too long is
+/// passed on as it comes.
 #[test]
 fn half_a_line_is_held_and_an_endless_one_is_not() {
     let mut protocol = protocol();
--- a/src/main.rs
+++ b/src/main.rs
@@ -220,8 +220,8 @@
     Ok(())
 }
 
-/// Exports to a new file and returns the number of lines. The file gets its name only once it is complete, so that a
-/// partial export is never mistaken for a whole one.
+/// Exports to a new file and returns the number of lines. The file gets its name only once it is complete,
+/// so that a partial export is never mistaken for a whole one.
 fn export_to_file(folder: &Path, path: &Path) -> Result<u64, ConfigError> {
     let part = path.with_extension("part");
     let file = std::fs::File::create_new(&part).map_err(|e| folder_error(&part, e))?;
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -11,8 +11,8 @@
 
 use super::admission::{Admission, DescriptorPermit};
 
-/// Pause before the next accept when there is no descriptor for it, though they are counted: the process has fewer than
-/// its configuration says.
+/// Pause before the next accept when there is no descriptor for it, though they are counted: the process
+/// has fewer than its configuration says.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// A shortage of descriptors is over when there has been none for so long.
 const SHORTAGE_OVER: Duration = Duration::from_secs(5);
@@ -52,8 +52,8 @@
             Ok((client, from)) => serve(client, from, admission.acquire().await),
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
             Err(e) => {
-                // Logged once for each shortage, so that clients can't fill the log. A client accepted now and
-                // then, for which another made room, does not end the shortage.
+                // Logged once for each shortage, so that clients can't fill the log. A client accepted now
+                // and then, for which another made room, does not end the shortage.
                 let is_new =
                     last_shortage.replace(Instant::now()).is_none_or(|last| last.elapsed() > SHORTAGE_OVER);
                 if is_new {
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -1,10 +1,10 @@
 //! Admits connections by descriptors: every connection's are counted before they are opened.
 //!
-//! A client that has not sent its request holds one descriptor, an admitted connection two: the client's and the
-//! endpoint's. Since anybody can connect without sending anything, clients without a request get only what is left.
-//! When nothing is, the one that is least likely to send its request soon is evicted: recent progress counts, not
-//! age. A descriptor is opened only once that of the evicted client is closed, however many need one at the same
-//! time.
+//! A client that has not sent its request holds one descriptor, an admitted connection two: the client's
+//! and the endpoint's. Since anybody can connect without sending anything, clients without a request get
+//! only what is left. When nothing is, the one that is least likely to send its request soon is evicted:
+//! recent progress counts, not age. A descriptor is opened only once that of the evicted client is closed,
+//! however many need one at the same time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,23 +13,26 @@
 use tokio::sync::Notify;
 use tokio::time::{Duration, Instant};
 
-/// Descriptors of the program itself: standard streams (3), poller, waker and signals (4), listeners (2), datagrams
-/// (2), discovery's call, a file that is read, one accepted client for each listener (2), the operators' address
-/// with a reserve (2) and its callers ([`MAX_OPERATOR_CALLERS`]), and some for what is being closed.
+/// Descriptors of the program itself: standard streams (3), poller, waker and signals (4), listeners (2),
+/// datagrams (2), discovery's call, a file that is read, one accepted client for each listener (2), the
+/// operators' address with a reserve (2) and its callers ([`MAX_OPERATOR_CALLERS`]), and some for what is
+/// being closed.
 const PROCESS_DESCRIPTORS: usize = 32;
-/// Clients that are accepted however many descriptors another process of this relay holds. Without them nobody
-/// could even be rejected.
+/// Clients that are accepted however many descriptors another process of this relay holds. Without them
+/// nobody could even be rejected.
 const MIN_CLIENTS: usize = 8;
-/// What a process that can hand over holds besides: the socket that it is found by, a link to the other process, the
-/// sockets that are handed over (4), and some in transfer.
+/// What a process that can hand over holds besides: the socket that it is found by, a link to the other
+/// process, the sockets that are handed over (4), and some in transfer.
 pub const HANDOVER_DESCRIPTORS: usize = 8;
 /// Most callers of the operators' address at a time.
 pub const MAX_OPERATOR_CALLERS: usize = 8;
-/// One part in so many is never given to admitted connections: a new client has to be read before it can be rejected.
+/// One part in so many is never given to admitted connections: a new client has to be read before it can be
+/// rejected.
 const HANDSHAKE_RESERVE_DIVISOR: usize = 8;
 /// Descriptors are short when less than one part in so many is left for connections.
 const SHORTAGE_DIVISOR: usize = 8;
-/// A client that has connected or sent bytes within this time has most likely the rest of its request on its way.
+/// A client that has connected or sent bytes within this time has most likely the rest of its request on
+/// its way.
 const RECENT_ACTIVITY: Duration = Duration::from_millis(100);
 
 /// How far a client has come with its request.
@@ -54,8 +57,8 @@
         Progress { has_begun, last_activity: Instant::now() }
     }
 
-    /// First those that have sent nothing, then those that are stalled, each by how long they have been inactive;
-    /// recent ones come last.
+    /// First those that have sent nothing, then those that are stalled, each by how long they have been
+    /// inactive; recent ones come last.
     fn eviction_order(&self, now: Instant) -> EvictionOrder {
         EvictionOrder {
             is_recent: !self.has_begun && now - self.last_activity < RECENT_ACTIVITY,
@@ -163,7 +166,8 @@
         permit
     }
 
-    /// A permit for a connection that another process of this relay has transferred, with its two descriptors.
+    /// A permit for a connection that another process of this relay has transferred, with its two
+    /// descriptors.
     pub fn adopt(self: &Rc<Self>) -> DescriptorPermit {
         self.other_process.set(self.other_process.get().saturating_sub(2));
         self.used.set(self.used.get() + 2);
@@ -222,8 +226,8 @@
 }
 
 impl DescriptorPermit {
-    /// What is notified when this connection is to be closed for another. It never is while it has an upstream
-    /// descriptor.
+    /// What is notified when this connection is to be closed for another. It never is while it has an
+    /// upstream descriptor.
     pub fn eviction(&self) -> Rc<Notify> {
         self.eviction.clone()
     }
@@ -234,7 +238,8 @@
         idle.entry(self.id).and_modify(|client| client.progress = Progress::now(has_begun));
     }
 
-    /// Requests a descriptor for the connection's endpoint; whether it gets one, which is free once this returns.
+    /// Requests a descriptor for the connection's endpoint; whether it gets one, which is free once this
+    /// returns.
     pub async fn acquire_upstream(&self) -> bool {
         let admission = &self.admission;
         let max_connections = admission.max_connections();
--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -1,4 +1,5 @@
-//! Drives the durable store of clients and groups: opens and reads it before anything is served, then writes behind.
+//! Drives the durable store of clients and groups: opens and reads it before anything is served, then
+//! writes behind.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -29,12 +30,12 @@
     pub finalized: SchemaVersion,
 }
 
-/// Opens the store. A damaged file is set aside, and a disk that fails is retried later: the relay starts without
-/// what they hold.
+/// Opens the store. A damaged file is set aside, and a disk that fails is retried later: the relay starts
+/// without what they hold.
 ///
 /// # Errors
-/// Where the operator has to act: the folder can't be used or is in use, or the file is of a newer version, or
-/// finalized at a version over `newest_allowed`. The file is left as it is.
+/// Where the operator has to act: the folder can't be used or is in use, or the file is of a newer version,
+/// or finalized at a version over `newest_allowed`. The file is left as it is.
 pub fn open(folder: &Path, newest_allowed: SchemaVersion) -> io::Result<OpenedFolder> {
     let opened = |store, finalized| OpenedFolder { folder: folder.to_owned(), store, finalized };
     match open_store(folder, newest_allowed) {
@@ -132,8 +133,8 @@
     }
 }
 
-/// Hands all changes to the writer. A batch that its queue has no room for is kept in `unsent` for the next time, and
-/// later changes stay in the tables meanwhile.
+/// Hands all changes to the writer. A batch that its queue has no room for is kept in `unsent` for the next
+/// time, and later changes stay in the tables meanwhile.
 async fn write_changes(shared: &Shared, writer: &Writer, unsent: &mut Option<Changes>, now: Millis) {
     loop {
         let batch = unsent
--- a/src/net/connection/attempt.rs
+++ b/src/net/connection/attempt.rs
@@ -1,7 +1,8 @@
 //! Carries out the attempts that the core starts for a request, one at a time.
 //!
-//! Input: [`ConnectionCommand`]s. Output: an established upstream connection, a reply for the client, or the
-//! client's end; and each attempt's outcome to the core. Whether another attempt follows is the core's decision.
+//! Input: [`ConnectionCommand`]s. Output: an established upstream connection, a reply for the client, or
+//! the client's end; and each attempt's outcome to the core. Whether another attempt follows is the core's
+//! decision.
 
 use std::io;
 use std::net::SocketAddr;
@@ -167,8 +168,8 @@
     }
 }
 
-/// Waits until a client that waits for its reply ends the connection, or sends before it may. What it may send early is
-/// kept in the buffer.
+/// Waits until a client that waits for its reply ends the connection, or sends before it may. What it may
+/// send early is kept in the buffer.
 async fn client_gone(client: &TcpStream, input: &mut Pooled, speaks_early: bool) {
     loop {
         if input.spare_capacity() > 0 {
@@ -183,7 +184,8 @@
     }
 }
 
-/// Whether [`client_gone`] holds now, by a system call: the poller may not have reported the client's end yet.
+/// Whether [`client_gone`] holds now, by a system call: the poller may not have reported the client's end
+/// yet.
 pub(super) fn has_client_gone(client: &TcpStream, input: &mut Pooled, speaks_early: bool) -> bool {
     while input.spare_capacity() > 0 {
         match input.fill_unpolled(client) {
@@ -211,20 +213,21 @@
     }
 }
 
-/// Whether an attempt may still begin, now that it is connected: the list or the endpoint's state may have changed
-/// since the core decided. Nothing is awaited between this check and the first byte that is written.
+/// Whether an attempt may still begin, now that it is connected: the list or the endpoint's state may have
+/// changed since the core decided. Nothing is awaited between this check and the first byte that is
+/// written.
 fn may_begin(shared: &Shared, attempt: &Attempt, address: SocketAddr) -> Result<(), Outcome> {
     let now = shared.clock.now();
     let in_time = now < attempt.until.min(attempt.begin_by);
     let same_address = shared.endpoint_list.borrow().address(&attempt.endpoint) == Some(address);
-    // An endpoint that has begun to drain since takes nothing new. One that was draining already gets back the
-    // connections that it had.
+    // An endpoint that has begun to drain since takes nothing new. One that was draining already gets back
+    // the connections that it had.
     let began_draining = attempt.was_ready && !shared.relay.borrow().is_ready(&attempt.endpoint);
     if in_time && same_address && !began_draining { Ok(()) } else { Err(Outcome::NotSent) }
 }
 
-/// Sends the request to a connected endpoint and reads its answer, until `until` in Unix milliseconds. Dropped, it
-/// gives the attempt up.
+/// Sends the request to a connected endpoint and reads its answer, until `until` in Unix milliseconds.
+/// Dropped, it gives the attempt up.
 async fn exchange<F: ClientProtocol>(
     shared: &Rc<Shared>,
     protocol: &mut F,
--- a/src/net/connection/close.rs
+++ b/src/net/connection/close.rs
@@ -1,7 +1,7 @@
 //! Closes a client's connection so that the client gets to read its last reply.
 //!
-//! A socket that is closed with unread bytes sends a reset, which may destroy a reply that the peer has not read
-//! yet. So both sides are read to their end, within limits of time and bytes.
+//! A socket that is closed with unread bytes sends a reset, which may destroy a reply that the peer has not
+//! read yet. So both sides are read to their end, within limits of time and bytes.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -18,7 +18,8 @@
 
 /// How long the last reply may take to be written, and the client to close after it.
 const LINGER: Duration = Duration::from_millis(500);
-/// Most bytes that are read of a client after its last reply. One that sends without reading is closed all the same.
+/// Most bytes that are read of a client after its last reply. One that sends without reading is closed all
+/// the same.
 const MAX_CLIENT_DRAIN_BYTES: usize = 64 * 1024;
 /// Most bytes that are read of an endpoint whose connection is closed.
 const MAX_UPSTREAM_DRAIN_BYTES: usize = 1024 * 1024;
@@ -49,8 +50,9 @@
         Ok(())
     }
 
-    /// Closes a connection whose last reply is written to the buffer, and its upstream connection at the same time. The
-    /// latter is read to its end as well: a reset would destroy what the client has sent just before.
+    /// Closes a connection whose last reply is written to the buffer, and its upstream connection at the
+    /// same time. The latter is read to its end as well: a reset would destroy what the client has sent
+    /// just before.
     pub(super) async fn close_with_upstream(&mut self, upstream: TcpStream) -> io::Result<()> {
         self.is_answered = true;
         let ClientConnection { client, protocol, input, reply, permit, shared, .. } = self;
@@ -72,8 +74,8 @@
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-/// Writes the reply, ends the sending, and discards what the client sends until its end. A protocol may ask for a reset
-/// instead.
+/// Writes the reply, ends the sending, and discards what the client sends until its end. A protocol may ask
+/// for a reset instead.
 async fn close_gracefully<F: ClientProtocol>(
     client: &TcpStream,
     protocol: &F,
@@ -96,8 +98,8 @@
     Ok(())
 }
 
-/// Reads and discards until the stream's end, for [`LINGER`] at the most. After `max_bytes` nothing more is read,
-/// and the time is waited out.
+/// Reads and discards until the stream's end, for [`LINGER`] at the most. After `max_bytes` nothing more is
+/// read, and the time is waited out.
 async fn drain(stream: &TcpStream, buffer: &mut Pooled, max_bytes: usize) {
     let read_to_end = async {
         let mut total = 0;
--- a/src/net/connection/handshake.rs
+++ b/src/net/connection/handshake.rs
@@ -34,7 +34,8 @@
             self.close().await?;
             return Ok(None);
         }
-        // The client's end may have arrived with its request, before either was read: no endpoint is asked then.
+        // The client's end may have arrived with its request, before either was read: no endpoint is asked
+        // then.
         if has_client_gone(&self.client, &mut self.input, self.protocol.accepts_early_data()) {
             self.protocol.write_local_reply(LocalReply::Failed, &mut self.reply);
             self.close().await?;
@@ -109,8 +110,5 @@
     let text = |key: &Option<Key>| key.as_ref().map_or("-".into(), |key| key.0.clone());
     let client = text(&request.client);
     let group = text(&request.group);
-    format!(
-        "client {client}, group {group}, mid-flow {}, returned {}",
-        request.mid_flow, request.returned
-    )
+    format!("client {client}, group {group}, mid-flow {}, returned {}", request.mid_flow, request.returned)
 }
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -3,12 +3,12 @@
 //! A connection passes through these phases, a file each:
 //! - `handshake`: the client is read until its request is known to the core.
 //! - `attempt`: the attempts that the core starts are carried out, until one succeeds or a reply is due.
-//! - `tunnel`: bytes are forwarded both ways until both sides have ended, the client migrates, or the connection is
-//!   transferred to another process.
+//! - `tunnel`: bytes are forwarded both ways until both sides have ended, the client migrates, or the
+//!   connection is transferred to another process.
 //! - `close`: the last reply is written, and the client is read to its end.
 //!
-//! `adopt` enters the tunnel with a connection that another process established. The core decides; these drivers
-//! read, write and wait. Nothing here borrows the core's state across an await.
+//! `adopt` enters the tunnel with a connection that another process established. The core decides; these
+//! drivers read, write and wait. Nothing here borrows the core's state across an await.
 
 mod adopt;
 mod attempt;
@@ -114,8 +114,8 @@
     }
 }
 
-/// A connection's entry in the table that the core's commands are sent by. Dropped, however the driver ends, it
-/// takes the entry out and reports the end to the core.
+/// A connection's entry in the table that the core's commands are sent by. Dropped, however the driver
+/// ends, it takes the entry out and reports the end to the core.
 struct Registration {
     shared: Rc<Shared>,
     id: RequestId,
--- a/src/net/connection/pipe.rs
+++ b/src/net/connection/pipe.rs
@@ -9,8 +9,8 @@
 use crate::net::Shared;
 use crate::net::pool::Pooled;
 
-/// One direction of a tunnel. It holds a buffer only while it has bytes, and reads no more while the receiver is slower
-/// than the sender.
+/// One direction of a tunnel. It holds a buffer only while it has bytes, and reads no more while the
+/// receiver is slower than the sender.
 pub struct Pipe {
     buffer: Option<Pooled>,
     /// The sender has ended.
--- a/src/net/connection/response_timer.rs
+++ b/src/net/connection/response_timer.rs
@@ -2,8 +2,8 @@
 
 use crate::policy::api::Millis;
 
-/// An endpoint that has left a message unanswered for so long is silent: its client is asked to reconnect. A client
-/// has to be asked within 7 s of the silence, and clients send a message only every 2 s.
+/// An endpoint that has left a message unanswered for so long is silent: its client is asked to reconnect.
+/// A client has to be asked within 7 s of the silence, and clients send a message only every 2 s.
 pub const SILENCE_TIMEOUT_MS: Millis = 4500.0;
 /// How often the age of an unanswered message is reported as a round trip.
 const SLOW_REPORT_INTERVAL_MS: Millis = 1000.0;
@@ -26,7 +26,8 @@
         Some(self.next_report)
     }
 
-    /// Whether a report is due; if so, the next one is scheduled, and one for the moment of [`SILENCE_TIMEOUT_MS`].
+    /// Whether a report is due; if so, the next one is scheduled, and one for the moment of
+    /// [`SILENCE_TIMEOUT_MS`].
     pub fn is_due(&mut self, now: Millis) -> bool {
         let is_due = now >= self.next_report;
         if is_due {
--- a/src/net/connection/tunnel.rs
+++ b/src/net/connection/tunnel.rs
@@ -1,8 +1,9 @@
 //! Forwards an established connection's bytes both ways.
 //!
-//! Input: both streams, and the core's commands to migrate or transfer the connection. Output: bytes, round trips
-//! and the end of the upstream connection to the core. The tunnel ends once both sides have ended; once the client
-//! has been asked to reconnect; or once the connection is transferred to the successor process.
+//! Input: both streams, and the core's commands to migrate or transfer the connection. Output: bytes, round
+//! trips and the end of the upstream connection to the core. The tunnel ends once both sides have ended;
+//! once the client has been asked to reconnect; or once the connection is transferred to the successor
+//! process.
 
 use std::io;
 use std::ops::ControlFlow;
@@ -26,7 +27,8 @@
 use crate::policy::api::{Millis, Outcome, RequestId};
 use crate::relay::ConnectionCommand;
 
-/// How long one side may go on after the other has ended, without taking any of the bytes that are left for it.
+/// How long one side may go on after the other has ended, without taking any of the bytes that are left for
+/// it.
 const HALF_OPEN_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a client that migrates is kept for the end of a message that the endpoint has begun.
 const MESSAGE_BOUNDARY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -42,7 +44,8 @@
     /// When a connection of which one side has ended is closed.
     half_open_deadline: Option<Instant>,
     migration: Option<Migration>,
-    /// The upstream connection was reset. What the endpoint had sent before is still to be read and forwarded.
+    /// The upstream connection was reset. What the endpoint had sent before is still to be read and
+    /// forwarded.
     is_upstream_broken: bool,
     /// The core knows how the upstream connection has ended.
     is_end_reported: bool,
@@ -128,8 +131,8 @@
         client_gone || self.is_upstream_broken && is_drained && self.migration.is_none()
     }
 
-    /// Starts the time that one side may go on for after the other's end, and starts it anew whenever the side that is
-    /// left takes some of its bytes.
+    /// Starts the time that one side may go on for after the other's end, and starts it anew whenever the
+    /// side that is left takes some of its bytes.
     fn update_half_open_deadline(&mut self, before: &BufferedLengths, has_shut: bool, is_one_sided: bool) {
         let upstream_takes = self.to_upstream.eof && self.to_upstream.len() < before.to_upstream;
         let upstream_ended = self.to_client.eof || self.is_upstream_broken;
@@ -142,7 +145,8 @@
 }
 
 impl<F: ClientProtocol> ClientConnection<F> {
-    /// Forwards everything, both ways, until the connection has ended. `first` is what the endpoint has sent already.
+    /// Forwards everything, both ways, until the connection has ended. `first` is what the endpoint has
+    /// sent already.
     pub(super) async fn run_tunnel(
         &mut self,
         id: RequestId,
@@ -264,8 +268,8 @@
         Ok(read > 0 || tunnel.to_upstream.eof)
     }
 
-    /// Reads what the endpoint has sent; whether there was anything. Where the endpoint has broken the connection,
-    /// all that it had sent before was read by then.
+    /// Reads what the endpoint has sent; whether there was anything. Where the endpoint has broken the
+    /// connection, all that it had sent before was read by then.
     fn read_upstream(&mut self, tunnel: &mut Tunnel) -> bool {
         let filled = tunnel.to_client.fill(&tunnel.upstream, &self.shared);
         if filled.is_err() {
@@ -374,7 +378,8 @@
         }
     }
 
-    /// Sends the connection to the successor process, with duplicates of its descriptors; whether that was possible.
+    /// Sends the connection to the successor process, with duplicates of its descriptors; whether that was
+    /// possible.
     fn transfer(&self, tunnel: &Tunnel) -> bool {
         let connection = self.shared.relay.borrow().transfer_connection(tunnel.id);
         let protocol = self.protocol.export(self.shared.clock.now());
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,7 +1,7 @@
 //! Drives the subscription to discovery's list: calls it whenever the load balancer requests the list.
 //!
-//! The answers go to the core; when a call follows a failed one is decided by `crate::discovery` and by the core.
-//! Each call has a connection of its own.
+//! The answers go to the core; when a call follows a failed one is decided by `crate::discovery` and by the
+//! core. Each call has a connection of its own.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,8 +17,8 @@
 use crate::policy::api::{Discovery, EndpointEntry, ListKind, Millis};
 use crate::relay::Relay;
 
-/// Shortest time between two subscriptions that broke and were renewed without the load balancer's pause. Otherwise a
-/// service that answers calls and breaks every subscription would be called without end.
+/// Shortest time between two subscriptions that broke and were renewed without the load balancer's pause.
+/// Otherwise a service that answers calls and breaks every subscription would be called without end.
 const MIN_RENEWAL_INTERVAL_MS: Millis = 3000.0;
 
 /// The entries of an answer.
@@ -31,7 +31,8 @@
 enum CallEnd {
     Answered(ListAnswer),
     Failed(CallError),
-    /// Discovery is at another address: the call is given up, since it would go on for seconds at the old one.
+    /// Discovery is at another address: the call is given up, since it would go on for seconds at the old
+    /// one.
     AddressChanged,
 }
 
@@ -43,9 +44,9 @@
     WaitForRequest,
 }
 
-/// Calls whenever the load balancer requests the list, until a call fails; and at once where discovery has moved.
-/// Where lists are pushed the load balancer requests nothing: an agent on this machine has the list, and is called
-/// all the time.
+/// Calls whenever the load balancer requests the list, until a call fails; and at once where discovery has
+/// moved. Where lists are pushed the load balancer requests nothing: an agent on this machine has the list,
+/// and is called all the time.
 pub async fn watch(shared: Rc<Shared>) {
     let mut subscription = Subscription::new(shared);
     if subscription.is_pushed() {
@@ -81,7 +82,7 @@
     /// Makes one call and takes its answer.
     async fn call_once(&mut self) -> NextStep {
         let address = self.shared.config.borrow().discovery;
-        let request = self.shared.endpoint_list.borrow_mut().request();
+        let request = self.shared.endpoint_list.borrow_mut().next_request();
         let limit = span(self.shared.endpoint_list.borrow().timeout());
         let requested_at = self.shared.clock.now();
         let ended = tokio::select! {
@@ -123,10 +124,10 @@
     }
 
     async fn handle_failure(&mut self, error: &CallError) -> NextStep {
-        let was_subscribed = self.shared.endpoint_list.borrow_mut().broken();
+        let was_subscribed = self.shared.endpoint_list.borrow_mut().poll_failed();
         if self.is_address_new || self.is_pushed() {
-            // An agent's list counts as known. After a move, the load balancer may have backed off from the old
-            // address for longer than there is time.
+            // An agent's list counts as known. After a move, the load balancer may have backed off from the
+            // old address for longer than there is time.
             sleep(span(RETRY_MS)).await;
             return NextStep::CallAgain;
         }
@@ -146,7 +147,7 @@
     /// subscription hides has to be known soon.
     async fn renew(&mut self, is_silent: bool) {
         let relay_count = self.shared.config.borrow().settings.relay_count;
-        let pause = span(self.shared.endpoint_list.borrow_mut().anew(relay_count, is_silent));
+        let pause = span(self.shared.endpoint_list.borrow_mut().renewal_delay(relay_count, is_silent));
         self.shared.core(Relay::subscription_lost);
         tokio::select! {
             () = self.shared.discovery_address_changed.notified() => self.is_address_new = true,
@@ -159,6 +160,6 @@
     // A connection for each call: a reused one that discovery has dropped would fail a call needlessly.
     let stream = TcpStream::connect(address).await?;
     let body = fetch(stream, &address.to_string(), path).await?;
-    let (kind, entries) = shared.endpoint_list.borrow_mut().answer(&body)?;
+    let (kind, entries) = shared.endpoint_list.borrow_mut().apply_answer(&body)?;
     Ok(ListAnswer { kind, entries })
 }
--- a/src/net/http_call.rs
+++ b/src/net/http_call.rs
@@ -1,7 +1,8 @@
 //! One call of discovery: HTTP/1.1 by hyper, over any stream of bytes and on the caller's task.
 //!
-//! Given a connection that is open and a path, it gives the body of the response, whole and of bounded length, or says
-//! why there is none. It opens no connection, keeps none, and starts no task; time limits are the caller's.
+//! Given a connection that is open and a path, it gives the body of the response, whole and of bounded
+//! length, or says why there is none. It opens no connection, keeps none, and starts no task; time limits
+//! are the caller's.
 
 use std::error::Error;
 use std::io;
@@ -20,7 +21,8 @@
 /// Makes one call over a new connection; the body of the response, once it is whole.
 ///
 /// # Errors
-/// Why there is no such body: the connection broke, or what was received is cut, too long, or no good response.
+/// Why there is no such body: the connection broke, or what was received is cut, too long, or no good
+/// response.
 pub(crate) async fn fetch(
     stream: impl AsyncRead + AsyncWrite + Unpin,
     host: &str,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The drivers: sockets, timers and buffers round the core. They read, write and wait; they decide nothing.
 //!
-//! Everything runs on one thread. The core's state is one [`RefCell`](std::cell::RefCell), borrowed for the length
-//! of one call and never across an await.
+//! Everything runs on one thread. The core's state is one [`RefCell`](std::cell::RefCell), borrowed for the
+//! length of one call and never across an await.
 
 mod accept;
 mod admission;
@@ -43,8 +43,8 @@
     LocalSet::new().block_on(&runtime, startup::serve(config, passed, load))
 }
 
-/// Whether a socket could not be had or connected for want of something here: descriptors, memory, ports. It is
-/// no fault of the other side, and nothing was sent.
+/// Whether a socket could not be had or connected for want of something here: descriptors, memory, ports.
+/// It is no fault of the other side, and nothing was sent.
 fn local_shortage(e: &io::Error) -> bool {
     use libc::{EADDRNOTAVAIL, EAGAIN, EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC};
     matches!(e.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM | EADDRNOTAVAIL | EAGAIN | ENOSPC))
--- a/src/net/operators.rs
+++ b/src/net/operators.rs
@@ -1,7 +1,7 @@
 //! Drives the operators' address: a few callers at a time, each with one line in and one line out.
 //!
-//! Operators are answered also when the process has no descriptor left: one is kept in reserve, and a caller that
-//! is least likely to send its call soon makes room for another.
+//! Operators are answered also when the process has no descriptor left: one is kept in reserve, and a
+//! caller that is least likely to send its call soon makes room for another.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -71,7 +71,8 @@
         self.0.borrow().len() >= MAX_OPERATOR_CALLERS
     }
 
-    /// Evicts one: a caller that has its reply, or else the oldest that has sent nothing, or a part of a call.
+    /// Evicts one: a caller that has its reply, or else the oldest that has sent nothing, or a part of a
+    /// call.
     fn evict(&self) {
         let mut callers = self.0.borrow_mut();
         let first = callers.iter().min_by_key(|(id, caller)| (caller.progress, **id)).map(|(id, _)| *id);
@@ -148,8 +149,8 @@
         }
         return None;
     }
-    // The system reports a shortage even when no caller waits. Then the descriptor goes back to the reserve, before
-    // anybody else opens one.
+    // The system reports a shortage even when no caller waits. Then the descriptor goes back to the
+    // reserve, before anybody else opens one.
     let accepted = poll_fn(|context| Poll::Ready(listener.poll_accept(context))).await;
     let Poll::Ready(Ok((stream, _))) = accepted else { return None };
     Some(stream)
@@ -196,8 +197,8 @@
     Ok(())
 }
 
-/// Closes a caller at once. A call that has arrived by now is answered, though it was not read yet; a caller that
-/// has sent none, or one that may have to be waited for, gets no reply.
+/// Closes a caller at once. A call that has arrived by now is answered, though it was not read yet; a
+/// caller that has sent none, or one that may have to be waited for, gets no reply.
 fn close_evicted(shared: &Rc<Shared>, mut parser: CallParser, stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let mut buffer = [0; MAX_CALL_BYTES];
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// As [`Pooled::fill`], but by a system call whatever the poller has reported: its latest report may not have been
-    /// processed yet.
+    /// As [`Pooled::fill`], but by a system call whatever the poller has reported: its latest report may
+    /// not have been processed yet.
     ///
     /// # Errors
     /// The connection is broken.
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -1,5 +1,5 @@
-//! Drives the versions of shared state: sends advertisements when they are due, moves the store's file to the cluster's
-//! version, and answers the operators' calls. The decisions are in `sandgw-schema-version`.
+//! Drives the versions of shared state: sends advertisements when they are due, moves the store's file to
+//! the cluster's version, and answers the operators' calls. The decisions are in `sandgw-schema-version`.
 
 use std::cell::RefCell;
 use std::io;
@@ -54,7 +54,8 @@
     match receive(shared, channel, peer, text) {
         Ok(message) => message,
         Err(e @ SchemaVersionError::Finalized { .. }) => {
-            // The cluster was finalized while this process ran, or it reached nobody at its start. It is logged once.
+            // The cluster was finalized while this process ran, or it reached nobody at its start. It is
+            // logged once.
             if !shared.is_unreadable_version_logged.replace(true) {
                 error!("forms: relay {peer}: {e}; {}", e.help());
             }
@@ -136,7 +137,8 @@
     Ok(())
 }
 
-/// Sends advertisements when they are due and moves the store with the cluster, for as long as the program runs.
+/// Sends advertisements when they are due and moves the store with the cluster, for as long as the program
+/// runs.
 pub async fn run(shared: Rc<Shared>) {
     let Some(channel) = &shared.peer_channel else { return };
     let mut applied = None;
@@ -243,7 +245,8 @@
 /// Handles the operators' call `finalize`: ends the possibility to go back.
 ///
 /// # Errors
-/// [`OperatorCallError::Unknown`] where versions are off, [`OperatorCallError::SchemaVersion`] while an older process may be alive.
+/// [`OperatorCallError::Unknown`] where versions are off, [`OperatorCallError::SchemaVersion`] while an
+/// older process may be alive.
 pub(super) fn finalize(shared: &Shared) -> Result<String, OperatorCallError> {
     let channel = shared.peer_channel.as_ref().ok_or(OperatorCallError::Unknown)?;
     let finalized = channel.borrow_mut().negotiator.finalize(shared.clock.now());
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -32,8 +32,8 @@
         Ok(Signals { hangup, terminate, file_too_large })
     }
 
-    /// Starts the tasks that handle SIGTERM and SIGHUP; `load` reads the configuration. SIGXFSZ needs none: it is
-    /// enough that what is returned is kept.
+    /// Starts the tasks that handle SIGTERM and SIGHUP; `load` reads the configuration. SIGXFSZ needs none:
+    /// it is enough that what is returned is kept.
     pub fn handle(
         self,
         shared: &Rc<Shared>,
@@ -46,8 +46,8 @@
 }
 
 /// Goes on serving after SIGTERM: the platform kills the program once its clients have had their time, and
-/// connections that are still established are served until then. A process that has handed over ends once it has
-/// none.
+/// connections that are still established are served until then. A process that has handed over ends once
+/// it has none.
 async fn handle_terminate(shared: Rc<Shared>, mut signal: Signal) {
     while signal.recv().await.is_some() {
         shared.is_terminated.set(true);
@@ -84,7 +84,7 @@
         warn!("SIGHUP: changed, but taken at the next start only: {}", needs_restart.join(", "));
     }
     if old_discovery != discovery {
-        shared.endpoint_list.borrow_mut().moved();
+        shared.endpoint_list.borrow_mut().service_replaced();
         shared.core(Relay::discovery_changed);
         shared.discovery_address_changed.notify_one();
     }
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -1,7 +1,7 @@
 //! Opens the sockets that clients, relays and managers reach this relay by.
 //!
-//! A socket is inherited from the predecessor process where it had one at the same address, passed by the platform,
-//! or bound.
+//! A socket is inherited from the predecessor process where it had one at the same address, passed by the
+//! platform, or bound.
 
 use std::cell::Ref;
 use std::io;
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,4 +1,5 @@
-//! Starts a relay: the store, the core, the hand-over from a predecessor process, the sockets, and then the drivers.
+//! Starts a relay: the store, the core, the hand-over from a predecessor process, the sockets, and then the
+//! drivers.
 //!
 //! Nothing is served before all sockets are open and the predecessor process, where there is one, has stopped
 //! accepting.
@@ -63,8 +64,8 @@
     // All addresses are taken before anything is served: a relay that lacks one does not start.
     let sockets = sockets::open(&shared, passed, inherited)?;
     if let Some(socket) = shared.peers.get() {
-        // Until it has been waited for once, the runtime does not know it as writable: the first datagram would be
-        // lost.
+        // Until it has been waited for once, the runtime does not know it as writable: the first datagram
+        // would be lost.
         socket.writable().await?;
     }
     load_configured_list(&shared, ConfiguredList { endpoint_list, entries });
--- a/src/net/takeover/link.rs
+++ b/src/net/takeover/link.rs
@@ -35,8 +35,8 @@
     /// How many bytes were read.
     total_read: u64,
     pending_sockets: VecDeque<PendingSocket>,
-    /// Those that belong to the latest message. They may be fewer than it names: the system drops one that it has no
-    /// room for.
+    /// Those that belong to the latest message. They may be fewer than it names: the system drops one that
+    /// it has no room for.
     message_sockets: Vec<OwnedFd>,
 }
 
--- a/src/net/takeover/predecessor.rs
+++ b/src/net/takeover/predecessor.rs
@@ -121,7 +121,8 @@
     Ok(listener)
 }
 
-/// Receives the connections that are to be transferred while there is a successor; dropped, it returns the queue.
+/// Receives the connections that are to be transferred while there is a successor; dropped, it returns the
+/// queue.
 struct OutgoingTransfers<'a> {
     shared: &'a Shared,
     receiver: Option<mpsc::UnboundedReceiver<OutgoingTransfer>>,
@@ -143,7 +144,8 @@
 
 impl Drop for OutgoingTransfers<'_> {
     fn drop(&mut self) {
-        // There is no successor for those that wait: they are closed, so that their clients do not wait in vain.
+        // There is no successor for those that wait: they are closed, so that their clients do not wait in
+        // vain.
         while self.receiver.as_mut().is_some_and(|receiver| receiver.try_recv().is_ok()) {}
         *self.shared.transfers.receiver.borrow_mut() = self.receiver.take();
     }
@@ -251,7 +253,7 @@
         let discovery = self.shared.config.borrow().discovery.to_string();
         let (revision, entries) = {
             let list = self.shared.endpoint_list.borrow();
-            let (revision, entries) = list.held();
+            let (revision, entries) = list.contents();
             (revision, entries.map(Value::to_string).collect::<Vec<_>>())
         };
         if self.shared.relay.borrow().has_endpoint_list() {
@@ -334,7 +336,8 @@
     Some(changes.updated).filter(|records| !records.is_empty())
 }
 
-/// Refuses a second successor. Its first message is read, since a close with unread bytes would destroy the reply.
+/// Refuses a second successor. Its first message is read, since a close with unread bytes would destroy the
+/// reply.
 async fn refuse_second_successor(mut link: Link) {
     let _ = timeout(SEND_TIMEOUT, link.next()).await;
     let _ = refuse(&mut link, "another process is taking over").await;
--- a/src/net/takeover/successor.rs
+++ b/src/net/takeover/successor.rs
@@ -1,4 +1,5 @@
-//! The successor's side of a hand-over: receives the running process's state, takes over, and adopts its connections.
+//! The successor's side of a hand-over: receives the running process's state, takes over, and adopts its
+//! connections.
 
 use std::io;
 use std::os::fd::OwnedFd;
@@ -174,7 +175,7 @@
 /// Takes the list as the running process has it. Discovery is not asked for it again.
 fn apply_list(shared: &Rc<Shared>, list: Option<ReceivedList>) -> Result<(), ListError> {
     let Some(ReceivedList { revision, entries }) = list else { return Ok(()) };
-    let entries = shared.endpoint_list.borrow_mut().handed(revision, entries)?;
+    let entries = shared.endpoint_list.borrow_mut().import(revision, entries)?;
     shared.core(|relay, now| match revision {
         Some(revision) => {
             let answer = DiscoveryAnswer { revision, requested_at: now, is_full: true };
--- a/src/properties/endpoint_list.rs
+++ b/src/properties/endpoint_list.rs
@@ -12,7 +12,7 @@
 
 /// What an endpoint list has: its revision and entries, and where endpoints are.
 fn contents(list: &EndpointList) -> (String, Vec<Option<SocketAddr>>) {
-    let (revision, entries) = list.held();
+    let (revision, entries) = list.contents();
     let entries: Vec<_> = entries.collect();
     (format!("{revision:?} {entries:?}"), (0..9).map(|i| list.address(&endpoint(i))).collect())
 }
@@ -29,8 +29,8 @@
     list: &mut EndpointList,
     body: &str,
 ) -> Result<(ListKind, Vec<EndpointEntry>), ListError> {
-    list.request();
-    list.answer(body.as_bytes())
+    list.next_request();
+    list.apply_answer(body.as_bytes())
 }
 
 /// Answers that are wrong or end early anywhere: none of them changes anything, and the next good one is
@@ -76,21 +76,21 @@
 #[test]
 fn the_first_call_goes_on_from_the_list_as_last_held_unless_the_service_lies_behind() {
     let known = serde_json::from_str(&answer_body(50, true, &[entry_json(1, "Ready", "")])).expect("a list");
-    let start = || EndpointList::known(&known).expect("a list as last held").0;
+    let start = || EndpointList::from_cached(&known).expect("a list as last held").0;
     let mut list = start();
-    assert!(list.request().contains("?after=50&wait_ms=0"));
+    assert!(list.next_request().contains("?after=50&wait_ms=0"));
     let (kind, entries) =
-        list.answer(answer_body(52, false, &[entry_json(2, "Ready", "")]).as_bytes()).unwrap();
+        list.apply_answer(answer_body(52, false, &[entry_json(2, "Ready", "")]).as_bytes()).unwrap();
     assert_eq!((kind, entries.len()), (ListKind::Delta, 1));
     assert!(list.address(&endpoint(1)).is_some() && list.address(&endpoint(2)).is_some());
-    let next = list.request();
+    let next = list.next_request();
     assert!(next.contains("?after=52&wait_ms=") && !next.contains("wait_ms=0"));
 
     let mut list = start();
-    list.request();
-    assert!(list.answer(answer_body(3, false, &[]).as_bytes()).is_err());
-    assert!(!list.request().contains("after"));
-    assert!(list.answer(answer_body(3, true, &[entry_json(2, "Ready", "")]).as_bytes()).is_ok());
+    list.next_request();
+    assert!(list.apply_answer(answer_body(3, false, &[]).as_bytes()).is_err());
+    assert!(!list.next_request().contains("after"));
+    assert!(list.apply_answer(answer_body(3, true, &[entry_json(2, "Ready", "")]).as_bytes()).is_ok());
     assert!(list.address(&endpoint(1)).is_none());
 }
 
@@ -104,14 +104,14 @@
         let mut list = EndpointList::default();
         list.reseed(seed);
         assert!(request_and_answer(&mut list, &answer_body(3, true, &[entry_json(1, "Ready", "")])).is_ok());
-        assert!(!list.request().contains("wait_ms=0"));
+        assert!(!list.next_request().contains("wait_ms=0"));
         let silent = list.timeout();
-        assert!(list.broken(), "a watch that had been going on is broken");
-        let again = silent + list.anew(300, true);
-        assert!(list.request().ends_with("wait_ms=0") && list.timeout() <= 2_500.0);
+        assert!(list.poll_failed(), "a watch that had been going on is broken");
+        let again = silent + list.renewal_delay(300, true);
+        assert!(list.next_request().ends_with("wait_ms=0") && list.timeout() <= 2_500.0);
         latest = latest.max(again);
         noticed.insert((again / 100.0) as u64);
-        assert!(!list.broken(), "what had not begun to go on has not fallen silent");
+        assert!(!list.poll_failed(), "what had not begun to go on has not fallen silent");
     }
     assert!(latest <= 5_000.0, "{latest}: a second before it counts as told, and the grace after it");
     assert!(noticed.len() >= 20, "in step: {noticed:?}");
@@ -124,14 +124,14 @@
     let mut list = EndpointList::default();
     assert!(request_and_answer(&mut list, &answer_body(3, false, &[entry_json(1, "Ready", "")])).is_err());
     assert!(request_and_answer(&mut list, &answer_body(90, true, &[entry_json(1, "Ready", "")])).is_ok());
-    list.request();
-    list.moved();
-    assert!(list.answer(answer_body(91, true, &[]).as_bytes()).is_err());
-    assert!(!list.request().contains("after"), "the new place is asked for its whole list");
-    assert!(list.answer(answer_body(5, true, &[entry_json(2, "Ready", "")]).as_bytes()).is_ok());
+    list.next_request();
+    list.service_replaced();
+    assert!(list.apply_answer(answer_body(91, true, &[]).as_bytes()).is_err());
+    assert!(!list.next_request().contains("after"), "the new place is asked for its whole list");
+    assert!(list.apply_answer(answer_body(5, true, &[entry_json(2, "Ready", "")]).as_bytes()).is_ok());
     // Back in its versions: what was missed is not known, and the whole list is asked for.
     assert!(request_and_answer(&mut list, &answer_body(4, false, &[entry_json(2, "Ready", "")])).is_err());
-    assert!(!list.request().contains("after"));
+    assert!(!list.next_request().contains("after"));
 }
 
 /// Every deploy left the addresses of endpoints that had gone.
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -1,7 +1,7 @@
 //! A read-only SNMP agent (version 2c, RFC 3416) for `mibs/SANDGW-MIB.txt`.
 //!
-//! Builds the objects of the MIB from the relay's counters, and answers one datagram with another. It does no I/O and
-//! changes nothing: a request to set is refused.
+//! Builds the objects of the MIB from the relay's counters, and answers one datagram with another. It does
+//! no I/O and changes nothing: a request to set is refused.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -86,8 +86,8 @@
     }
 }
 
-/// A row of the table of endpoints (3). Its index is the endpoint's id, as length and bytes (SMIv2), so the id needs
-/// no column.
+/// A row of the table of endpoints (3). Its index is the endpoint's id, as length and bytes (SMIv2), so the
+/// id needs no column.
 fn put_endpoint(view: &mut View, row: &EndpointStatus) {
     let id = row.id.0.as_bytes();
     let length = std::iter::once(id.len() as u32);
