--- a/crates/quota/src/cluster_position.rs
+++ b/crates/quota/src/cluster_position.rs
@@ -1,6 +1,6 @@
 //! A relay's position in its cluster, and how the cluster exchanges reports.
 
-/// Up to this number of relays each reports to all others; beyond it, to a collector.
+/// Up to this number of relays, each relay reports to all others; in a larger cluster, to a collector.
 pub const FULL_MESH_RELAYS: u32 = 8;
 
 /// A relay's position in its cluster.
@@ -8,7 +8,7 @@
 pub struct ClusterPosition {
     /// The relay's index, from 0.
     pub local_index: u32,
-    /// The number of relays.
+    /// The number of relays in the cluster.
     pub relay_count: u32,
     /// Whether relays may send each other messages.
     pub peer_messages: bool,
@@ -20,7 +20,7 @@
         self.relay_count <= FULL_MESH_RELAYS
     }
 
-    /// Whether a relay is another one of this cluster.
+    /// Whether `peer` is another relay of this cluster.
     pub(crate) fn is_other_relay(self, peer: u32) -> bool {
         peer < self.relay_count && peer != self.local_index
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -2,16 +2,17 @@
 //! rejected first where capacity is scarce.
 //!
 //! - [`tenants`] names the tenants and their quotas.
-//! - [`usage_gossip`] is what relays report to each other, in datagrams of at most 256 bytes.
-//! - [`usage_table`] adds this relay's own counts, which are exact, to what the others report, whose age is
-//!   known.
-//! - [`usage_view`] is the estimate of a tenant's usage, with bounds.
+//! - [`usage_gossip`] defines the reports that relays send each other, in datagrams of at most 256 bytes.
+//! - [`usage_table`] combines this relay's own counts, which are exact, with the reports of the other relays,
+//!   whose age is known.
+//! - [`usage_view`] estimates a tenant's usage, with bounds.
 //! - [`policy`] decides which connections are rejected.
-//! - `grant_client` and `grant_ledger`: near a tenant's limit a relay has its connections granted by one
-//!   coordinator, since each relay's own guess at the others' part of a burst would be wrong.
-//! - [`QuotaManager`] ties them together for the relay.
+//! - `grant_client` and `grant_ledger`: near a tenant's limit one coordinator grants connections to the
+//!   relays, since each relay's own guess at the others' part of a burst would be wrong.
+//! - [`QuotaManager`] combines these modules for the relay.
 //!
-//! The crate does no I/O; time is an argument, in milliseconds. It never closes an established connection. `docs/shares.md` compares the designs that were considered.
+//! The crate does no I/O; time is an argument, in milliseconds. The crate never closes an established
+//! connection. `docs/shares.md` compares the designs that were considered.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/quota/src/manager.rs
+++ b/crates/quota/src/manager.rs
@@ -1,41 +1,42 @@
-//! The quota of a relay's connections: the usage table and the policy over it.
+//! Applies tenants' quotas to a relay's connections, with the usage table and the admission policy.
 //!
 //! Inputs: connections' events, scarcity signals, peers' reports, and the time in milliseconds. Outputs: a
-//! verdict for each new connection, at once or a moment later, and reports to peers.
+//! verdict on each new connection, at once or a moment later, and reports to peers.
 
 use sandgw_units::Millis;
 
 use crate::cluster_position::ClusterPosition;
-use crate::grant_client::{GrantClient, Settled, Ticket};
+use crate::grant_client::{GrantClient, GrantOutcome, Ticket};
 use crate::policy::{Assessment, QuotaPolicy, RejectReason, ScarcitySignals, Verdict};
 use crate::tenants::Tenants;
 use crate::usage_gossip::{GrantRow, MAX_ROWS, UsageReport};
 use crate::usage_table::{OutgoingReport, StoredUsage, UsageTable};
 use crate::usage_view::UsageView;
 
-/// Returning clients may exceed a tenant's connection limit by this fraction of it, and by one connection
-/// at least.
+/// Returning clients may exceed a tenant's connection limit by this fraction of the limit, and by at least
+/// one connection.
 const RETURNING_TOLERANCE: f64 = 0.05;
 
-/// Once this fraction of a tenant's limit or less is left, the coordinator is told soon of connections that end.
+/// When this fraction of a tenant's limit or less is left, the coordinator is promptly notified of
+/// connections that end.
 const NEAR_LIMIT_FRACTION: f64 = 0.25;
-/// Connections that end together are told together.
-const PROMPT_GATHER_MS: Millis = 20.0;
+/// A prompt report is delayed by this time, so that it includes connections that end together.
+const PROMPT_REPORT_DELAY_MS: Millis = 20.0;
 /// The least time between two prompt reports.
-const PROMPT_INTERVAL_MS: Millis = 500.0;
+const MIN_PROMPT_REPORT_INTERVAL_MS: Millis = 500.0;
 
 /// A new connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
     /// The name of its tenant.
     pub tenant: &'a str,
-    /// Its client was counted before.
+    /// Whether the client was counted before.
     pub is_returning: bool,
-    /// How long it can wait for a decision, in milliseconds.
+    /// How long the connection can wait for a decision, in milliseconds.
     pub patience: Millis,
 }
 
-/// A connection that waited, and what was decided about it.
+/// A connection that waited, and the decision on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decided {
     /// The connection.
@@ -47,16 +48,16 @@
 /// Connections rejected so far, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Rejections {
-    /// As [`RejectReason::OverQuota`] says.
+    /// Connections rejected for [`RejectReason::OverQuota`].
     pub over_quota: u64,
-    /// As [`RejectReason::OverPart`] says.
+    /// Connections rejected for [`RejectReason::OverPart`].
     pub over_part: u64,
-    /// As [`RejectReason::NotGranted`] says.
+    /// Connections rejected for [`RejectReason::NotGranted`].
     pub not_granted: u64,
 }
 
 impl Rejections {
-    /// All of them.
+    /// The number of rejected connections, whatever the reason.
     pub fn total(self) -> u64 {
         self.over_quota + self.over_part + self.not_granted
     }
@@ -84,7 +85,7 @@
 /// let free = ScarcitySignals::default();
 /// let arrival = Arrival { tenant: "acme", is_returning: false, patience: 400.0 };
 /// assert_eq!(quotas.admit(10.0, arrival, full), Verdict::Admit);
-/// assert_eq!(quotas.admit(20.0, arrival, full), Verdict::Reject(RejectReason::OverQuota), "it has one");
+/// assert_eq!(quotas.admit(20.0, arrival, full), Verdict::Reject(RejectReason::OverQuota), "at the limit");
 /// assert_eq!(quotas.admit(9000.0, arrival, free), Verdict::Admit, "capacity is not scarce");
 /// ```
 pub struct QuotaManager {
@@ -92,15 +93,15 @@
     policy: QuotaPolicy,
     grants: GrantClient,
     decided: Vec<Decided>,
-    /// When the coordinator is told of connections that have ended.
+    /// When the coordinator is to be notified of connections that have ended.
     prompt_report_at: Option<Millis>,
     last_prompt_report: Millis,
     rejections: Rejections,
 }
 
 impl QuotaManager {
-    /// For a relay that starts now. A later start must have a later time: it is the relay's incarnation
-    /// number.
+    /// Creates the manager of a relay that starts now. The time is the relay's incarnation number: a later
+    /// start must have a later time.
     pub fn new(tenants: Tenants, position: ClusterPosition, now: Millis) -> Self {
         let policy = QuotaPolicy::new(tenants.len(), now);
         QuotaManager {
@@ -114,9 +115,9 @@
         }
     }
 
-    /// Decides about a new connection. An admitted one counts as pending until
-    /// [`QuotaManager::established`] or [`QuotaManager::closed`]; one that waits is decided by
-    /// [`QuotaManager::take_decided`].
+    /// Decides about a new connection. An admitted connection counts as pending until
+    /// [`QuotaManager::established`] or [`QuotaManager::closed`] is called; [`QuotaManager::take_decided`]
+    /// returns the decision on a connection that waits.
     pub fn admit(&mut self, now: Millis, arrival: Arrival<'_>, signals: ScarcitySignals) -> Verdict {
         self.policy.observe_signals(now, signals);
         self.policy.observe_scarcity_elsewhere(now, self.usage.is_scarce_elsewhere(now));
@@ -126,19 +127,19 @@
         }
         let mut view = self.usage.view(now, index);
         if arrival.is_returning {
-            // The relay that the client comes from may still count it.
+            // The relay that the client was connected to may still count the client.
             view.limit += (view.limit * RETURNING_TOLERANCE).max(1.0);
         }
         match self.policy.assess(now, index, &view) {
             Assessment::Admit => self.admitted(index),
             Assessment::Reject(reason) => self.rejected(reason),
-            // It was counted: admitting it adds nothing to what the cluster has.
+            // The client was counted before: admitting it adds nothing to the cluster's usage.
             Assessment::NeedsGrant if arrival.is_returning => self.admitted(index),
             Assessment::NeedsGrant => self.decide_by_grant(now, index, &view, arrival.patience),
         }
     }
 
-    /// Decides about a connection that is within its tenant's quota by all that is known here.
+    /// Decides about a connection that is within its tenant's quota as far as this relay knows.
     fn decide_by_grant(&mut self, now: Millis, index: usize, view: &UsageView, patience: Millis) -> Verdict {
         if self.usage.is_coordinator(now) {
             return self.decide_as_coordinator(now, index, view);
@@ -150,7 +151,7 @@
         if self.grants.is_refused(now, index) {
             return self.rejected(RejectReason::OverQuota);
         }
-        Verdict::Wait(self.grants.wait(now, index, patience))
+        Verdict::Wait(self.grants.enqueue(now, index, patience))
     }
 
     fn admitted(&mut self, index: usize) -> Verdict {
@@ -164,13 +165,13 @@
         Verdict::Reject(reason)
     }
 
-    /// What was decided since the last call about connections that waited.
+    /// Returns the decisions made since the last call on connections that waited.
     pub fn take_decided(&mut self) -> Vec<Decided> {
         std::mem::take(&mut self.decided)
     }
 
-    /// Adds the requests for grants that are due to `out`, and decides about connections that can't wait any
-    /// longer; returns in how many milliseconds to call again, if that is needed.
+    /// Adds the requests for grants that are due to `out`, and decides about connections that cannot wait any
+    /// longer. Returns in how many milliseconds to call again, if that is needed.
     pub fn poll_grants(&mut self, now: Millis, out: &mut Vec<OutgoingReport>) -> Option<Millis> {
         for (index, ticket) in self.grants.take_expired(now) {
             let view = self.usage.view(now, index);
@@ -178,7 +179,7 @@
             self.decided.push(Decided { ticket, verdict });
         }
         if self.usage.is_coordinator(now) {
-            self.settle_as_coordinator(now);
+            self.decide_waiting_as_coordinator(now);
         }
         self.send_prompt_report(now, out);
         self.send_grant_request(now, out);
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Decides about the connections that wait, where this relay has become the coordinator meanwhile.
-    fn settle_as_coordinator(&mut self, now: Millis) {
+    /// Decides about the waiting connections when this relay has become the coordinator in the meantime.
+    fn decide_waiting_as_coordinator(&mut self, now: Millis) {
         for (index, ticket) in self.grants.take_all() {
             let view = self.usage.view(now, index);
             let verdict = self.decide_as_coordinator(now, index, &view);
@@ -212,23 +213,24 @@
         if !self.usage.can_grant(now) {
             return self.decide_without_grant(now, index, view);
         }
-        let is_free = self.usage.free(now, index) >= 1.0;
+        let is_free = self.usage.free_connections(now, index) >= 1.0;
         if is_free { self.admitted(index) } else { self.rejected(RejectReason::OverQuota) }
     }
 
-    /// No coordinator has answered: admits an even part of what is left.
+    /// Decides about a connection when no coordinator has answered or can grant: this relay admits an equal
+    /// part of the remaining connections.
     fn decide_without_grant(&mut self, now: Millis, index: usize, view: &UsageView) -> Verdict {
-        let is_within = self.policy.take_even_part(now, index, view);
+        let is_within = self.policy.take_equal_part(now, index, view);
         if is_within { self.admitted(index) } else { self.rejected(RejectReason::NotGranted) }
     }
 
     fn send_grant_request(&mut self, now: Millis, out: &mut Vec<OutgoingReport>) {
-        let mut due = self.grants.due(now);
+        let mut due = self.grants.due_requests(now);
         due.truncate(MAX_ROWS);
         let Some(peer) = self.usage.coordinator(now).filter(|_| !due.is_empty()) else { return };
         let (sequence, report) = self.usage.grant_request(&due);
         for (index, _) in due {
-            self.grants.sent(now, index, sequence, self.usage.open(index));
+            self.grants.record_sent(now, index, sequence, self.usage.open(index));
         }
         out.push(OutgoingReport { peer, report });
     }
@@ -237,30 +239,31 @@
         for row in rows.iter().take(MAX_ROWS) {
             let Some(index) = self.usage.index_of_tag(row.tenant) else { continue };
             let open = self.usage.open(index);
-            let settled = self.grants.receive(now, index, sequence, f64::from(row.ceiling), open);
-            self.settle(index, settled);
+            let outcome = self.grants.handle_grant(now, index, sequence, f64::from(row.ceiling), open);
+            self.apply_grant_outcome(index, outcome);
         }
     }
 
-    fn settle(&mut self, index: usize, settled: Settled) {
-        for ticket in settled.admitted {
+    fn apply_grant_outcome(&mut self, index: usize, outcome: GrantOutcome) {
+        for ticket in outcome.admitted {
             let verdict = self.admitted(index);
             self.decided.push(Decided { ticket, verdict });
         }
-        for ticket in settled.rejected {
+        for ticket in outcome.rejected {
             let verdict = self.rejected(RejectReason::OverQuota);
             self.decided.push(Decided { ticket, verdict });
         }
     }
 
-    /// Counts a connection without a decision: it is established already, at another relay or at an endpoint.
+    /// Counts a connection without a decision, because it is already established at another relay or at an
+    /// endpoint.
     pub fn adopt(&mut self, tenant: &str) {
         if let Some(index) = self.usage.index_of(tenant) {
             self.usage.add_pending(index);
         }
     }
 
-    /// A counted connection is established.
+    /// Records that a counted connection is established.
     pub fn established(&mut self, tenant: &str) {
         self.policy.record_endpoint_accept();
         if let Some(index) = self.usage.index_of(tenant) {
@@ -268,29 +271,30 @@
         }
     }
 
-    /// A counted connection has ended, established or not.
+    /// Records that a counted connection has ended, whether it was established or not.
     pub fn closed(&mut self, now: Millis, tenant: &str, was_established: bool) {
         let Some(index) = self.usage.index_of(tenant) else { return };
         self.usage.close(index, was_established);
         let view = self.usage.view(now, index);
         let is_near_limit = view.limit - view.connections <= NEAR_LIMIT_FRACTION * view.limit;
         if is_near_limit && self.policy.is_scarce(now) {
-            let at = (now + PROMPT_GATHER_MS).max(self.last_prompt_report + PROMPT_INTERVAL_MS);
+            let at =
+                (now + PROMPT_REPORT_DELAY_MS).max(self.last_prompt_report + MIN_PROMPT_REPORT_INTERVAL_MS);
             self.prompt_report_at.get_or_insert(at);
         }
     }
 
-    /// An endpoint has rejected a connection.
+    /// Records that an endpoint has rejected a connection.
     pub fn endpoint_rejected(&mut self, now: Millis) {
         self.policy.record_endpoint_reject(now);
     }
 
-    /// A connection was rejected for lack of capacity, without an attempt.
+    /// Records that a connection was rejected for lack of capacity, without an attempt.
     pub fn rejected_without_attempt(&mut self, now: Millis) {
         self.policy.record_scarcity(now);
     }
 
-    /// Handles another relay's report; what is to be sent in reply is added to `out`.
+    /// Handles another relay's report, and adds the reports to send in reply to `out`.
     pub fn handle_report(
         &mut self,
         now: Millis,
@@ -311,7 +315,7 @@
         self.usage.poll(now, out)
     }
 
-    /// Whether capacity is scarce.
+    /// Whether capacity is scarce, or was until recently.
     pub fn is_scarce(&self, now: Millis) -> bool {
         self.policy.is_scarce(now)
     }
@@ -321,17 +325,17 @@
         self.rejections
     }
 
-    /// What a tenant uses of the cluster; `None` of one without a name here.
+    /// A tenant's usage over the cluster; `None` for a tenant that the settings do not name.
     pub fn view(&self, now: Millis, tenant: &str) -> Option<UsageView> {
         Some(self.usage.view(now, self.usage.index_of(tenant)?))
     }
 
-    /// What is worth storing over a restart.
+    /// The other relays' usage, to be stored over a restart.
     pub fn snapshot(&self, now: Millis) -> StoredUsage {
         self.usage.snapshot(now)
     }
 
-    /// Applies what was stored `age_ms` ago.
+    /// Restores the usage that was stored `age_ms` ago.
     pub fn restore(&mut self, now: Millis, age_ms: Millis, stored: StoredUsage) {
         self.usage.restore(now, age_ms, stored);
     }
--- a/crates/quota/src/rate.rs
+++ b/crates/quota/src/rate.rs
@@ -1,14 +1,14 @@
-//! Arrivals a second over an exponentially decaying window.
+//! The rate of arrivals, averaged with exponential decay.
 
 use sandgw_units::Millis;
 
-/// Time constant of the decay: after it an arrival weighs 1/e of what it did.
+/// Time constant of the decay: after this time an arrival has 1/e of its initial weight.
 pub const DECAY_TIME_MS: Millis = 10_000.0;
 const MS_PER_S: Millis = 1000.0;
-/// Standard deviations of the sampling error that are allowed for: 19 of 20 cases.
+/// Standard deviations of the sampling error that are allowed for: 19 of 20 measurements lie within them.
 const SAMPLING_ERROR_SIGMAS: f64 = 2.0;
 
-/// A rate of arrivals.
+/// A rate of arrivals, measured with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ArrivalRate {
     /// Arrivals, each weighted by its age at `updated_at`.
@@ -23,7 +23,7 @@
         self.updated_at = now;
     }
 
-    /// Arrivals a second.
+    /// The rate, in arrivals per second.
     ///
     /// ```
     /// let mut rate = sandgw_quota::rate::ArrivalRate::default();
@@ -39,7 +39,7 @@
     }
 }
 
-/// How far a measured rate may be off its true value by chance.
+/// How far a measured rate may differ from the true rate by chance, in arrivals per second.
 pub fn sampling_error(per_s: f64) -> f64 {
     SAMPLING_ERROR_SIGMAS * (per_s.max(0.0) / (2.0 * DECAY_TIME_MS / MS_PER_S)).sqrt()
 }
--- a/crates/quota/src/report_schedule.rs
+++ b/crates/quota/src/report_schedule.rs
@@ -1,56 +1,58 @@
 //! Decides when this relay reports, and to which relays.
 //!
 //! [`ReportSchedule`] owns the timers and the choice of the collector. Inputs: the time in milliseconds,
-//! collectors' replies, and how many relays report here. Output: the receivers of each round of reports. It
-//! sends nothing itself.
+//! collectors' replies, and how many relays report to this one. Output: the receivers of each round of
+//! reports. The schedule sends nothing itself.
 //!
-//! In a small cluster each relay reports to all others. In a larger one it reports to the current
-//! collector, the first of an order that is the same at all relays, and gets an aggregate in reply. After
-//! [`MAX_UNANSWERED_REPORTS`] without a reply the next one becomes current. Earlier ones are probed in
-//! turn, and one that replies with about as much as the current one knows becomes current again, so that
-//! all relays end up with the same collector.
+//! In a small cluster each relay reports to all others. In a larger one it reports to the current collector
+//! and gets an aggregate in reply. At the start that is the first collector of an order that is the same at
+//! all relays. After [`MAX_UNANSWERED_REPORTS`] without a reply the next collector in the order becomes
+//! current. Earlier collectors are probed in turn, and one whose reply covers about as many relays as the
+//! current aggregate becomes current again, so that all relays end up with the same collector.
 
 use sandgw_units::Millis;
 
 use crate::aggregate::{AggregateSource, SIMILAR_COVERAGE_RATIO};
 use crate::cluster_position::ClusterPosition;
 
-/// Interval between reports where each relay reports to all.
+/// Interval between reports in a full mesh, where each relay reports to all others.
 pub(crate) const FULL_MESH_INTERVAL_MS: Millis = 600.0;
 /// Interval between reports to a collector.
 pub(crate) const COLLECTOR_INTERVAL_MS: Millis = 1000.0;
-/// Interval between reports while a reply is missing.
+/// Interval between reports while a collector's reply is missing.
 const RETRY_INTERVAL_MS: Millis = 250.0;
-/// Reports without a reply before the next collector becomes current.
+/// Number of reports without a reply after which the next collector becomes current.
 const MAX_UNANSWERED_REPORTS: u32 = 6;
-/// Reports without a reply, of any collector, before they are sent at the ordinary interval.
+/// Number of reports without a reply from any collector after which they are sent at the ordinary interval.
 const BACKOFF_AFTER_REPORTS: u32 = 60;
-/// An earlier collector becomes current again once it includes this ratio of what the aggregate here is
-/// worth.
+/// An earlier collector becomes current again once its aggregate includes this ratio of the effective
+/// coverage of the aggregate that is known here.
 const FAILBACK_COVERAGE_RATIO: f64 = 0.9;
-/// An earlier collector that replied counts as recovering for this time: it is probed at each report.
+/// An earlier collector that has replied counts as recovering for this time, in which it is probed with each
+/// report.
 const RECOVERY_MS: Millis = 2.0 * COLLECTOR_INTERVAL_MS;
-/// Distance of neighbours in the collector order, per mille of the cluster: the golden ratio spreads them
-/// evenly.
+/// Distance between neighbours in the collector order, per mille of the cluster: the golden ratio spreads the
+/// collectors evenly.
 const COLLECTOR_STRIDE_PER_MILLE: u64 = 618;
 
-/// The receivers of a report, and when the next one is due.
+/// The receivers of a report, and when the next report is due.
 pub(crate) struct ReportRound {
     pub receivers: Vec<u32>,
     pub next_in_ms: Millis,
 }
 
-/// The process that replied last, and the most relays that it has included.
+/// The collector's process that replied last, and the greatest number of relays that its replies have
+/// included.
 #[derive(Clone, Copy, Debug)]
 struct Responder {
     source: AggregateSource,
     max_reporters: f64,
 }
 
-/// An earlier collector in the order that is probed.
+/// The probes of collectors that are earlier in the order than the current one.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
-    /// Its rank in the collector order.
+    /// Rank of the probed collector in the collector order.
     rank: u32,
     sent_at: Millis,
     /// When an earlier collector last replied.
@@ -64,17 +66,17 @@
     last_sent_at: Millis,
     /// Rank of the current collector in the collector order.
     current_rank: u32,
-    /// Reports to the current collector since its last reply.
+    /// Number of reports to the current collector since its last reply.
     unanswered: u32,
-    /// Reports since the last reply of any collector.
+    /// Number of reports since the last reply of any collector.
     unanswered_by_any: u32,
     last_responder: Option<Responder>,
     probe: Probe,
 }
 
 impl ReportSchedule {
-    /// A schedule whose first report is within one retry interval, at a phase that differs from relay to
-    /// relay.
+    /// Creates a schedule whose first report is due within one retry interval, at a phase that differs from
+    /// relay to relay.
     pub fn new(position: ClusterPosition, now: Millis) -> Self {
         let phase = f64::from(position.local_index) / f64::from(position.relay_count.max(1));
         ReportSchedule {
@@ -89,23 +91,23 @@
         }
     }
 
-    /// In how many milliseconds the next report is due; `None` where it is due now.
+    /// In how many milliseconds the next report is due; `None` if it is due now.
     pub fn remaining_ms(&self, now: Millis) -> Option<Millis> {
         (now < self.next_at).then(|| (self.next_at - now).max(1.0))
     }
 
-    /// The interval between a relay's reports.
+    /// The ordinary interval between a relay's reports.
     pub fn interval_ms(&self) -> Millis {
         if self.position.is_full_mesh() { FULL_MESH_INTERVAL_MS } else { COLLECTOR_INTERVAL_MS }
     }
 
-    /// Whether this relay sums up the others' reports by itself.
+    /// Whether this relay sums up the other relays' reports itself.
     pub fn is_collector(&self) -> bool {
         self.position.is_full_mesh() || self.collector(self.current_rank) == self.position.local_index
     }
 
-    /// The relay that grants connections: the current collector; in a full mesh the first of the collectors'
-    /// order that is alive.
+    /// The relay that grants connections: the current collector, or in a full mesh the first relay in the
+    /// collector order that is alive.
     pub fn coordinator(&self, is_alive: impl Fn(u32) -> bool) -> u32 {
         if !self.position.is_full_mesh() {
             return self.collector(self.current_rank);
@@ -115,8 +117,8 @@
         order.find(is_present).unwrap_or(self.position.local_index)
     }
 
-    /// The collector of a rank. The order is the same at all relays, and neighbours in it are far apart, so
-    /// that each side of a partition has one of the first few.
+    /// The collector of a rank. The order is the same at all relays. The indexes of neighbours in the order
+    /// are far apart, so that each side of a partition has one of the first few collectors.
     fn collector(&self, rank: u32) -> u32 {
         let relay_count = u64::from(self.position.relay_count.max(1));
         let min_stride = relay_count * COLLECTOR_STRIDE_PER_MILLE / 1000;
@@ -125,7 +127,8 @@
         (u64::from(rank) * stride % relay_count) as u32
     }
 
-    /// The receivers of a report that is sent now; `reporters` is the number of relays that report here.
+    /// The receivers of a report that is sent now; `reporters` is the number of relays that report to this
+    /// one.
     pub fn next_round(&mut self, now: Millis, reporters: usize) -> ReportRound {
         let round = if self.position.is_full_mesh() {
             self.full_mesh_round()
@@ -166,7 +169,8 @@
         ReportRound { receivers, next_in_ms }
     }
 
-    /// The earlier collector that is probed now: in turn, or the same one while it is recovering.
+    /// The earlier collector that is probed now, if any. A collector that is recovering is probed again;
+    /// otherwise the earlier collectors take turns.
     fn probe_earlier_collector(&mut self, now: Millis, is_recovering: bool) -> Option<u32> {
         let is_due = is_recovering || now - self.probe.sent_at >= COLLECTOR_INTERVAL_MS;
         if self.current_rank == 0 || !is_due {
@@ -178,8 +182,8 @@
         self.other_collector(self.probe.rank)
     }
 
-    /// Whether the relays that report here are about all. A collector that has just become one knows less
-    /// than the next one may.
+    /// Whether nearly all relays report to this one. A relay that has just become the collector may receive
+    /// fewer reports than the next collector in the order does.
     pub fn covers_cluster(&self, reporters: usize) -> bool {
         reporters as f64 + 1.0 >= SIMILAR_COVERAGE_RATIO * f64::from(self.position.relay_count)
     }
@@ -190,22 +194,22 @@
         (collector != self.position.local_index).then_some(collector)
     }
 
-    /// Handles a collector's reply with usage of so many relays; `known_worth` is the worth of the
-    /// aggregate that is known here. Returns whether the sender is a collector that this relay may have
-    /// reported to.
+    /// Handles a collector's reply that includes the usage of `reporters` relays; `known_coverage` is the
+    /// effective coverage of the aggregate that is known here. Returns whether the sender is a collector that
+    /// this relay may have reported to.
     pub fn handle_reply(
         &mut self,
         now: Millis,
         source: AggregateSource,
         reporters: f64,
-        known_worth: Option<f64>,
+        known_coverage: Option<f64>,
     ) -> bool {
-        // A relay that collects itself may have reported to the next one.
+        // A relay that is the current collector itself may have reported to the next one in the order.
         let Some(rank) = (0..=self.current_rank + 1).find(|rank| self.collector(*rank) == source.peer) else {
             return false;
         };
         let is_failback = rank < self.current_rank
-            && known_worth.is_none_or(|worth| reporters + 1.0 >= FAILBACK_COVERAGE_RATIO * worth);
+            && known_coverage.is_none_or(|coverage| reporters + 1.0 >= FAILBACK_COVERAGE_RATIO * coverage);
         if rank == self.current_rank || is_failback {
             self.current_rank = rank;
             self.unanswered = 0;
@@ -220,7 +224,8 @@
         true
     }
 
-    /// Puts the next report off after a reply. A collector whose coverage still grows is asked sooner.
+    /// Postpones the next report after a reply. A collector whose coverage still grows gets the next report
+    /// sooner.
     fn reschedule(&mut self, now: Millis, source: AggregateSource, reporters: f64, is_earlier: bool) {
         let known = self.last_responder.filter(|responder| responder.source == source);
         let known_reporters = known.map_or(0.0, |responder| responder.max_reporters);
--- a/crates/quota/src/tenants.rs
+++ b/crates/quota/src/tenants.rs
@@ -1,7 +1,8 @@
 //! Tenants and their quotas, as the settings name them.
 //!
-//! [`Tenants`] owns their order and their tags: two bytes by which relays name them to each other. Relays
-//! with the same names compute the same tags, whatever the order in their settings.
+//! [`Tenants`] owns the order of the tenants and their tags. A tag is two bytes that identify a tenant in
+//! messages between relays. Relays whose settings have the same names compute the same tags, whatever the
+//! order of the names.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,47 +12,48 @@
 
 use crate::usage_gossip::SCARCITY_TAG;
 
-/// Most tenants: with more, a datagram a second would take too long to report on all of them.
+/// Maximum number of tenants: with more, one datagram per second would take too long to report on all of
+/// them.
 pub const MAX_TENANTS: usize = 200;
 
-/// A tenant's short name between relays.
+/// Identifies a tenant in messages between relays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantTag(pub [u8; 2]);
 
-/// A tenant and its quota of the whole cluster.
+/// A tenant and its quota over the whole cluster.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The tenant's name.
     pub name: String,
-    /// Open connections over all relays that are within its quota; `None` for no limit.
+    /// Quota of open connections over all relays; `None` for no limit.
     pub connections: Option<f64>,
-    /// Arrivals a second over all relays that are within its quota; `None` for no limit.
+    /// Quota of arrivals per second over all relays; `None` for no limit.
     pub per_s: Option<f64>,
 }
 
-/// What is wrong with the tenants of the settings.
+/// Why the tenants of the settings are invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TenantsError {
-    /// Two have the same name.
+    /// Two tenants have the same name.
     #[error("member {0:?} is named twice")]
     DuplicateName(String),
-    /// There are more than [`MAX_TENANTS`].
+    /// There are more than [`MAX_TENANTS`] tenants.
     #[error("{0} members are named, and shares are counted for {MAX_TENANTS} at the most")]
     TooMany(usize),
-    /// The one at this index has no name.
+    /// The tenant at this index has no name.
     #[error("member {0} has no name")]
     MissingName(usize),
 }
 
 impl TenantsError {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
             TenantsError::DuplicateName(_) => {
-                "give each member one entry under realms, with all of its share"
+                "give each tenant one entry under realms that states its whole quota"
             }
-            TenantsError::TooMany(_) => "leave [shares] out, or name small members' shares as one member's",
-            TenantsError::MissingName(_) => "give the entry a name, as clients state it in their first line",
+            TenantsError::TooMany(_) => "leave [shares] out, or combine small tenants' quotas in one entry",
+            TenantsError::MissingName(_) => "give the entry the name that clients state in their first line",
         }
     }
 }
@@ -70,10 +72,11 @@
 }
 
 impl Tenants {
-    /// Checks the tenants and gives them their tags.
+    /// Checks the tenants and assigns their tags.
     ///
     /// # Errors
-    /// Where a name is missing or duplicate, or there are too many.
+    /// Returns an error if a name is missing or used twice, or if there are more than [`MAX_TENANTS`]
+    /// tenants.
     pub fn new(tenants: Vec<Tenant>) -> Result<Self, TenantsError> {
         if tenants.len() > MAX_TENANTS {
             return Err(TenantsError::TooMany(tenants.len()));
@@ -98,7 +101,7 @@
         self.tenants.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no tenants.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
@@ -113,13 +116,14 @@
         self.tenants.get(index).map(|tagged| &tagged.tenant)
     }
 
-    /// Tags by index.
+    /// The tenants' tags, in the order of their indexes.
     pub fn tags(&self) -> impl Iterator<Item = TenantTag> {
         self.tenants.iter().map(|tagged| tagged.tag)
     }
 }
 
-/// Tags by index. Names are taken in alphabetical order, so that all relays resolve a collision alike.
+/// Assigns a tag to each tenant, in the order of their indexes. Names are processed in alphabetical order, so
+/// that all relays resolve a collision of tags alike.
 fn unique_tags(index_by_name: &BTreeMap<String, usize>) -> Vec<TenantTag> {
     let mut taken = BTreeSet::from([SCARCITY_TAG]);
     let mut tags = vec![TenantTag::default(); index_by_name.len()];
--- a/crates/quota/src/usage_table.rs
+++ b/crates/quota/src/usage_table.rs
@@ -1,13 +1,13 @@
-//! What each tenant uses of the cluster, from local counts and other relays' reports.
+//! Each tenant's usage of the cluster, from local counts and other relays' reports.
 //!
-//! [`UsageTable`] owns this relay's counts, which are exact, and what others have reported. Inputs:
+//! [`UsageTable`] owns this relay's counts, which are exact, and the other relays' reports. Inputs:
 //! connections' events, reports and the time in milliseconds. Outputs: reports to send and, for a tenant, a
 //! [`UsageView`].
 //!
 //! In a small cluster each relay reports to all others. In a larger one each reports to a collector, which
-//! replies with the sums of all relays but the receiver. The receiver adds its own counts as they are then,
-//! so none of its own connections is counted twice or late. A connection that continues at another relay is
-//! counted there only.
+//! replies with the sums over all relays except the receiver. The receiver adds its own current counts, so
+//! that none of its own connections is counted twice or late. A connection that continues at another relay is
+//! counted at that relay only.
 
 use sandgw_units::Millis;
 use serde::{Deserialize, Serialize};
@@ -20,11 +20,11 @@
 use crate::report_schedule::ReportSchedule;
 use crate::tenants::{TenantTag, Tenants};
 use crate::usage_gossip::{
-    GrantRequestRow, GrantRow, MAX_ROWS, SCARCITY_TAG, Usage, UsageReport, UsageRow, limited,
+    GrantRequestRow, GrantRow, MAX_ROWS, SCARCITY_TAG, Usage, UsageReport, UsageRow, to_row_value,
 };
 use crate::usage_view::{RemoteUsage, UsageView};
 
-/// More reporters than a cluster can have; a stored number from here on is invalid.
+/// More reporters than a cluster can have: a stored number of reporters that is not below this is invalid.
 const REPORTERS_END: f64 = 65_536.0;
 
 /// A report to be sent.
@@ -32,11 +32,11 @@
 pub struct OutgoingReport {
     /// The receiving relay.
     pub peer: u32,
-    /// Its content.
+    /// The report itself.
     pub report: UsageReport,
 }
 
-/// This relay's usage by one tenant.
+/// One tenant's usage at this relay.
 #[derive(Clone, Copy, Debug, Default)]
 struct LocalUsage {
     established: u32,
@@ -45,18 +45,20 @@
 }
 
 impl LocalUsage {
-    /// Open connections, pending ones included: what was admitted counts at other relays too.
+    /// The open connections and the arrival rate. Pending connections are included, so that admitted
+    /// connections count at the other relays too.
     fn open(&self, now: Millis) -> Usage {
         Usage { connections: f64::from(self.established + self.pending), per_s: self.arrivals.per_s(now) }
     }
 }
 
-/// The other relays' usage as it is stored over a restart. It counts by its age like any aggregate.
+/// The other relays' usage as it is stored over a restart. Its age reduces its coverage, as with any
+/// aggregate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredUsage {
-    /// How old it was when it was stored.
+    /// How old the usage was when it was stored, in milliseconds.
     pub age_ms: Millis,
-    /// Number of relays that are included.
+    /// Number of relays whose usage is included.
     pub reporters: f64,
     /// Sums by tenant.
     pub rows: Vec<UsageRow>,
@@ -67,24 +69,26 @@
     tenants: Tenants,
     tags: Vec<TenantTag>,
     position: ClusterPosition,
-    /// Incarnation of this relay, and sequence number of its last report.
+    /// This relay's incarnation, and the sequence number of its last report.
     last_report: ReportId,
-    /// By tenant index.
+    /// This relay's own usage, by tenant index.
     local: Vec<LocalUsage>,
     peer_reports: PeerReports,
     aggregate: Option<Aggregate>,
     schedule: ReportSchedule,
-    /// What this relay has granted as the coordinator.
+    /// Connections that this relay has granted as the coordinator.
     grants: GrantLedger,
-    /// Whether this relay finds endpoints short of capacity; `None` until it has once.
+    /// Whether this relay finds endpoints short of capacity; `None` until this relay or a relay that reports
+    /// to it has done so once.
     local_scarcity: Option<bool>,
-    /// Since when the others report to this relay, if they do: in a full mesh since its start, else since it
-    /// is the collector.
+    /// Since when the other relays report to this one, if they do: in a full mesh since this relay started,
+    /// otherwise since it became the collector.
     collecting_since: Option<Millis>,
 }
 
 impl UsageTable {
-    /// An empty table. The time is this relay's incarnation number: a later start must have a later time.
+    /// Creates an empty table. The time is this relay's incarnation number: a later start must have a later
+    /// time.
     pub fn new(tenants: Tenants, position: ClusterPosition, now: Millis) -> Self {
         UsageTable {
             tags: tenants.tags().collect(),
@@ -136,14 +140,14 @@
         }
     }
 
-    /// What the tenant at this index uses.
+    /// The usage of the tenant at this index.
     pub fn view(&self, now: Millis, index: usize) -> UsageView {
         let local = self.local.get(index).copied().unwrap_or_default();
         let tag = self.tags.get(index).copied().unwrap_or_default();
         UsageView::estimate(local.open(now), self.remote(now, tag), self.tenants.get(index), self.position)
     }
 
-    /// Whether this relay finds endpoints short of capacity, for its next reports.
+    /// Sets whether this relay finds endpoints short of capacity, for its next reports.
     pub(crate) fn set_local_scarcity(&mut self, is_scarce: bool) {
         if is_scarce || self.local_scarcity.is_some() {
             self.local_scarcity = Some(is_scarce);
@@ -155,8 +159,8 @@
         self.remote(now, SCARCITY_TAG).usage.connections > 0.0
     }
 
-    /// The row that says whether relays find endpoints short of capacity, of which `others` do; none while none
-    /// has.
+    /// The row with the number of relays that find endpoints short of capacity: `others`, and this relay if
+    /// it does. There is no row until endpoints have been found short of capacity once.
     fn scarcity_row(&self, others: f64) -> Option<UsageRow> {
         let is_scarce = self.local_scarcity?;
         let connections = others + f64::from(u8::from(is_scarce));
@@ -178,45 +182,47 @@
         self.coordinator(now) == Some(self.position.local_index)
     }
 
-    /// Whether this relay knows enough to grant anything as the coordinator: nearly all relays report to it, or
-    /// those that do not have been silent for so long that they count no longer.
+    /// Whether this relay knows enough to grant connections as the coordinator: nearly all relays report to
+    /// it, or the others have been silent for so long that they no longer count.
     pub(crate) fn can_grant(&self, now: Millis) -> bool {
         let has_waited = self.collecting_since.is_some_and(|since| now - since >= PEER_TIMEOUT_MS);
         self.is_coordinator(now) && (has_waited || self.schedule.covers_cluster(self.peer_reports.len()))
     }
 
     /// How many connections of the tenant this relay may still admit by itself as the coordinator.
-    pub(crate) fn free(&self, now: Millis, index: usize) -> f64 {
+    pub(crate) fn free_connections(&self, now: Millis, index: usize) -> f64 {
         let Some(tag) = self.tags.get(index) else { return f64::INFINITY };
         let view = self.view(now, index);
         let reported = |peer| self.peer_reports.usage_of(peer, *tag).connections;
         view.remaining() - self.grants.unreported(now, *tag, None, reported)
     }
 
-    /// A report of local usage, for the coordinator.
+    /// A report of local usage, for the coordinator; `None` if there is no coordinator or this
+    /// relay is the coordinator.
     pub(crate) fn prompt_report(&mut self, now: Millis) -> Option<OutgoingReport> {
         let peer = self.coordinator(now).filter(|_| !self.is_coordinator(now))?;
         Some(OutgoingReport { peer, report: self.local_report(now) })
     }
 
-    /// A request for what these tenants want, by their indexes; the request's number.
+    /// Creates a request for grants, from each tenant's index and number of wanted connections. Returns the
+    /// request's sequence number and the request.
     pub(crate) fn grant_request(&mut self, wanted: &[(usize, usize)]) -> (u32, UsageReport) {
         let ReportId { incarnation, sequence } = self.next_report_id();
         let row = |(index, wanted): &(usize, usize)| GrantRequestRow {
             tenant: self.tags.get(*index).copied().unwrap_or_default(),
-            open: limited(self.open(*index)),
-            wanted: limited(*wanted as f64),
+            open: to_row_value(self.open(*index)),
+            wanted: to_row_value(*wanted as f64),
         };
         let rows = wanted.iter().take(MAX_ROWS).map(row).collect();
         (sequence, UsageReport::GrantRequest { incarnation, sequence, rows })
     }
 
-    /// The index of a tag.
+    /// The index of the tenant with this tag.
     pub(crate) fn index_of_tag(&self, tag: TenantTag) -> Option<usize> {
         self.tags.iter().position(|known| *known == tag)
     }
 
-    /// Answers another relay's request, if this relay is the coordinator.
+    /// Answers another relay's request, if this relay can grant connections as the coordinator.
     fn handle_grant_request(
         &mut self,
         now: Millis,
@@ -237,18 +243,19 @@
         let demand = GrantDemand { tenant: tag, open: f64::from(row.open), wanted: f64::from(row.wanted) };
         let reported = |peer| self.peer_reports.usage_of(peer, tag).connections;
         let unreported = self.grants.unreported(now, tag, Some(peer), reported);
-        let free = view.remaining() + reported(peer) - demand.open - unreported;
-        let ceiling = self.grants.grant(now, peer, demand, free);
-        Some(GrantRow { tenant: tag, ceiling: limited(ceiling) })
+        let free_connections = view.remaining() + reported(peer) - demand.open - unreported;
+        let ceiling = self.grants.grant(now, peer, demand, free_connections);
+        Some(GrantRow { tenant: tag, ceiling: to_row_value(ceiling) })
     }
 
-    /// What the other relays use: by their own reports, or by an aggregate while that includes more relays.
+    /// The other relays' usage. It is taken from an aggregate, unless there is none or this relay is a
+    /// collector and the reports that it receives cover as many relays.
     fn remote(&self, now: Millis, tag: TenantTag) -> RemoteUsage {
         let coverage = self.peer_reports.coverage(now);
         let reporters = coverage.reporters;
         let is_collector = self.schedule.is_collector();
         let is_usable = |aggregate: &&Aggregate| {
-            (!is_collector || aggregate.worth(now) > reporters + 1.0)
+            (!is_collector || aggregate.effective_coverage(now) > reporters + 1.0)
                 && now - aggregate.received_at <= AGGREGATE_TTL_MS
         };
         if let Some(aggregate) = self.aggregate.as_ref().filter(is_usable) {
@@ -259,7 +266,8 @@
                 overdue: 0.0,
             };
         }
-        // Sums include silent relays until the next poll; without any reporter nothing counts from now on.
+        // The sums include silent relays until the next poll removes them. Without any relay that has
+        // reported recently, the sums do not count.
         let usage = if reporters > 0.0 { self.peer_reports.sum(tag) } else { Usage::default() };
         let overdue = self.peer_reports.overdue(now, tag, self.schedule.interval_ms());
         RemoteUsage { usage, age_ms: coverage.mean_age_ms, reporters, overdue }
@@ -289,7 +297,7 @@
         self.last_report
     }
 
-    /// The report of local usage, with as many rows as a datagram holds.
+    /// Creates a report of local usage, with as many rows as a datagram holds.
     fn local_report(&mut self, now: Millis) -> UsageReport {
         let ReportId { incarnation, sequence } = self.next_report_id();
         let rows = self.local.iter().zip(&self.tags);
@@ -298,7 +306,7 @@
         UsageReport::Local { incarnation, sequence, rows: page(sequence, rows) }
     }
 
-    /// Handles another relay's report; what is to be sent in reply is added to `out`.
+    /// Handles another relay's report, and adds the reports to send in reply to `out`.
     pub fn handle_report(
         &mut self,
         now: Millis,
@@ -324,7 +332,7 @@
                 let id = ReportId { incarnation, sequence };
                 out.extend(self.handle_grant_request(now, peer, id, rows));
             }
-            // Taken by the manager, which has the connections that wait.
+            // The manager handles grants, since it has the connections that wait for them.
             UsageReport::Grant { .. } => {}
         }
     }
@@ -340,17 +348,18 @@
         let has_restarted = self.peer_reports.is_new_incarnation(peer, id.incarnation);
         self.peer_reports.merge(now, peer, id, rows);
         if self.peer_reports.sum(SCARCITY_TAG).connections > 0.0 {
-            // From now on its own reports say so, and when that has ended.
+            // From now on this relay's reports include the scarcity row, so that they also say when the
+            // scarcity has ended.
             self.local_scarcity.get_or_insert(false);
         }
         if !self.position.is_full_mesh() {
             return Some(OutgoingReport { peer, report: self.aggregate_report(now, peer) });
         }
-        // A relay that has just started gets a report at once.
+        // A relay that has just started gets a report of this relay at once.
         has_restarted.then(|| OutgoingReport { peer, report: self.local_report(now) })
     }
 
-    /// The sums of all relays but the receiver, with local usage as it is now.
+    /// Creates a report of the sums over all relays except the receiver, with current local usage.
     fn aggregate_report(&mut self, now: Millis, receiver: u32) -> UsageReport {
         let ReportId { incarnation, sequence } = self.next_report_id();
         let received = self.peer_reports.get(receiver);
@@ -362,8 +371,8 @@
             let per_s = sum.per_s - excluded.per_s + local.per_s;
             UsageRow::new(*tag, Usage { connections, per_s })
         });
-        // Paged by the receiver's own sequence, so that successive replies to one relay carry successive
-        // pages.
+        // The receiver's sequence number selects the page, so that successive replies to one relay carry
+        // successive pages.
         let excluded =
             received.and_then(|report| report.rows.get(&SCARCITY_TAG)).copied().unwrap_or_default();
         let scarce_elsewhere = self.peer_reports.sum(SCARCITY_TAG).connections - excluded.connections;
@@ -377,14 +386,15 @@
 
     fn handle_aggregate(&mut self, mut new: Aggregate) {
         let now = new.received_at;
-        let known_worth = self.aggregate.as_ref().map(|known| known.worth(now));
-        if !self.schedule.handle_reply(now, new.source, new.reporters, known_worth) {
+        let known_coverage = self.aggregate.as_ref().map(|known| known.effective_coverage(now));
+        if !self.schedule.handle_reply(now, new.source, new.reporters, known_coverage) {
             return;
         }
         if self.aggregate.as_ref().is_some_and(|known| !known.is_superseded_by(&new)) {
             return;
         }
-        // Tenants on other pages keep the sums of the same collector; another collector's are dropped.
+        // Tenants on other pages keep their sums if those are from the same collector. The sums of another
+        // collector are dropped.
         if let Some(known) = self.aggregate.take().filter(|known| known.source == new.source) {
             let mut rows = known.rows;
             rows.append(&mut new.rows);
@@ -394,7 +404,7 @@
         self.aggregate = Some(new);
     }
 
-    /// What is worth storing over a restart.
+    /// The other relays' usage, to be stored over a restart.
     pub fn snapshot(&self, now: Millis) -> StoredUsage {
         let remote: Vec<RemoteUsage> = self.tags.iter().map(|tag| self.remote(now, *tag)).collect();
         let first = remote.first().copied().unwrap_or_default();
@@ -402,7 +412,8 @@
         StoredUsage { age_ms: first.age_ms, reporters: first.reporters, rows: rows.collect() }
     }
 
-    /// Applies what was stored `age_ms` ago. It counts like an aggregate of that age, until one is received.
+    /// Restores the usage that was stored `age_ms` ago. The restored usage counts like an aggregate of its
+    /// age until an aggregate is received.
     pub fn restore(&mut self, now: Millis, age_ms: Millis, stored: StoredUsage) {
         let is_valid =
             age_ms >= 0.0 && stored.age_ms >= 0.0 && (0.0..REPORTERS_END).contains(&stored.reporters);
@@ -419,7 +430,7 @@
     }
 }
 
-/// One page of the rows, as many as a datagram holds; successive numbers give successive pages.
+/// One page of the rows, with as many rows as a datagram holds. Successive numbers give successive pages.
 fn page(number: u32, mut rows: Vec<UsageRow>) -> Vec<UsageRow> {
     if rows.len() > MAX_ROWS {
         let page_count = rows.len().div_ceil(MAX_ROWS);
--- a/crates/quota/src/usage_view.rs
+++ b/crates/quota/src/usage_view.rs
@@ -1,7 +1,6 @@
-//! Estimates a tenant's usage of the whole cluster, with bounds, from local counts and what other relays
-//! report.
+//! Estimates a tenant's usage of the whole cluster, with bounds, from local counts and other relays' reports.
 //!
-//! Pure arithmetic: it owns no state and reads no clock.
+//! This module is pure arithmetic: it owns no state and reads no clock.
 
 use sandgw_units::Millis;
 
@@ -11,72 +10,73 @@
 use crate::usage_gossip::Usage;
 
 const MS_PER_S: Millis = 1000.0;
-/// A part of the cluster over this fraction has the whole quota: two parts of a partition can't both be
-/// that large.
+/// A part of the cluster that is larger than this fraction may use the whole quota: two parts of a partition
+/// cannot both be that large.
 const MAJORITY: f64 = 0.5;
-/// Least connection limit of a relay, however little it knows of the others.
+/// Lowest connection limit of a relay, however few other relays report to it.
 const MIN_LIMIT: f64 = 1.0;
-/// Standard deviations allowed for in changes since the others reported.
+/// Standard deviations allowed for in the changes since the other relays reported.
 const CHANGE_SIGMAS: f64 = 2.0;
 /// Standard deviations allowed for in the usage of relays that have not reported.
 const UNREPORTED_SIGMAS: f64 = 3.0;
-/// In collector mode a connection is known to all relays after so many report intervals in the mean.
+/// In a cluster with a collector, the mean number of report intervals until all relays know of a connection.
 const COLLECTOR_PROPAGATION_INTERVALS: f64 = 1.5;
 
-/// What a tenant uses, as far as this relay knows.
+/// A tenant's usage, as far as this relay knows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageView {
     /// Open connections of this relay, pending ones included.
     pub local: f64,
-    /// Open connections of the cluster: local ones, and others as reported.
+    /// Open connections of the cluster: this relay's, and the other relays' as reported.
     pub connections: f64,
-    /// Of those, connections that may have ended with their relay: its report is overdue.
+    /// Of `connections`, those that may have ended with their relay, whose report is overdue.
     pub overdue: f64,
-    /// `connections` with the expected growth since the others reported; it is compared to the limit.
+    /// `connections` with the expected growth since the other relays reported. Admission without a grant
+    /// compares this number to the limit.
     pub expected: f64,
     /// Lower bound of the true number of connections.
     pub min: f64,
     /// Upper bound of the true number of connections.
     pub max: f64,
-    /// Connection limit for the part of the cluster that reports; infinite where there is none.
+    /// Connection limit for the part of the cluster that reports; infinite if the tenant has no limit.
     pub limit: f64,
-    /// Whether that is less than the whole quota: too few relays report.
+    /// Whether `limit` is less than the whole quota, because too few relays report.
     pub is_limit_partial: bool,
-    /// Arrivals a second at this relay.
+    /// Arrivals per second at this relay.
     pub local_per_s: f64,
-    /// Arrivals a second at the cluster.
+    /// Arrivals per second in the whole cluster.
     pub per_s: f64,
-    /// Limit of arrivals a second for the part of the cluster that reports.
+    /// Limit of arrivals per second for the part of the cluster that reports; `None` for no limit.
     pub per_s_limit: Option<f64>,
-    /// Number of other relays that are included.
+    /// Number of other relays whose usage is included.
     pub reporters: f64,
-    /// How old the others' reports are in the mean, in milliseconds.
+    /// Mean age of the other relays' reports, in milliseconds.
     pub age_ms: Millis,
-    /// Number of relays of the cluster.
+    /// Number of relays in the cluster.
     pub relay_count: f64,
-    /// Time until all other relays know of a new connection here.
+    /// Time until all other relays know of a new connection of this relay, in milliseconds.
     pub propagation_ms: Millis,
 }
 
-/// What the other relays use together.
+/// A tenant's usage summed over the other relays.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct RemoteUsage {
     pub usage: Usage,
-    /// How old it is in the mean.
+    /// Mean age of the reports, in milliseconds.
     pub age_ms: Millis,
-    /// Number of relays that it includes.
+    /// Number of relays whose usage is included.
     pub reporters: f64,
-    /// Of its connections, those that may have ended with their relay.
+    /// Of the connections in `usage`, those that may have ended with their relay, whose report is overdue.
     pub overdue: f64,
 }
 
 impl UsageView {
-    /// Connections that are left of the limit.
+    /// Connections that the limit still allows; overdue connections are not counted.
     pub(crate) fn remaining(&self) -> f64 {
         self.limit - self.connections + self.overdue
     }
 
-    /// The estimate for one tenant; without a tenant there are no limits.
+    /// Estimates the usage of one tenant; without a tenant there are no limits.
     pub(crate) fn estimate(
         local: Usage,
         remote: RemoteUsage,
@@ -111,19 +111,21 @@
     }
 }
 
-/// The fraction of a quota that this relay and those it has reports of may use together.
+/// The fraction of a quota that this relay and the relays whose usage it knows may use together.
 fn quota_fraction(reporters: f64, relay_count: f64) -> f64 {
     let fraction = (reporters + 1.0) / relay_count;
     if fraction > MAJORITY { 1.0 } else { fraction }
 }
 
-/// How much the others' connections may have changed since. Sums were reported one interval earlier still.
+/// How much the other relays' connections may have changed since their reports. The reports in a collector's
+/// sums are older by up to one interval, which is added to the age.
 fn max_change(per_s: f64, age_ms: Millis) -> f64 {
     let change = per_s * (age_ms + COLLECTOR_INTERVAL_MS) / MS_PER_S;
     change + CHANGE_SIGMAS * change.sqrt()
 }
 
-/// Connections that relays without a report may have: each the mean of the others or its part of the limit.
+/// Upper bound of the connections of relays without a report. Each is assumed to have the mean of the other
+/// relays or an equal part of the limit, whichever is greater.
 fn max_unreported(connections: f64, reporters: f64, relay_count: f64, limit: f64) -> f64 {
     let mean = connections / (reporters + 1.0);
     let limit_per_relay = if limit.is_finite() { limit / relay_count } else { 0.0 };
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A cluster in memory: relays with their usage tables, datagrams that are delayed, lost, duplicated and
-//! partitioned, and clients that arrive, leave and return at another relay when theirs is killed. Virtual
-//! time, seeded random numbers.
+//! An in-memory cluster: relays with their usage tables, datagrams that are delayed, lost, duplicated or cut
+//! off by a partition, and clients that arrive, leave, and return to another relay when their relay is
+//! killed. Time is virtual and random numbers are seeded.
 
 #![allow(dead_code)]
 
@@ -15,43 +15,44 @@
 use sandgw_quota::usage_view::UsageView;
 use sandgw_quota::{Arrival, ClusterPosition, Decided, QuotaManager, Ticket};
 
-/// Least step of the clock.
-pub const STEP: f64 = 20.0;
+/// Step of the virtual clock, in milliseconds.
+pub const STEP_MS: f64 = 20.0;
 
-/// Names that the tests use.
+/// The name of the tenant with this index.
 pub fn tenant_name(i: usize) -> String {
     format!("member-{i}")
 }
 
 /// How long a client can wait for a decision, in milliseconds.
-const PATIENCE_MS: f64 = 400.0;
+const MAX_WAIT_MS: f64 = 400.0;
 
-/// What became of a client that arrived.
+/// The outcome of a client's arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opening {
+pub enum Outcome {
     Admitted,
     Rejected(RejectReason),
-    /// It is decided later: see [`Cluster::settled`].
+    /// The relay decides later: see [`Cluster::decided`].
     Waiting,
 }
 
-/// A client that waited, once it is decided.
+/// A client that waited, once its relay has decided about it.
 #[derive(Clone, Copy, Debug)]
-pub struct SettledOpening {
+pub struct DecidedArrival {
     pub tenant: usize,
-    /// When it arrived.
-    pub since: f64,
+    /// When the client arrived.
+    pub arrived_at: f64,
     pub is_admitted: bool,
 }
 
 pub struct Relay {
     pub quotas: Option<QuotaManager>,
-    next: f64,
-    /// When its requests for grants are looked at.
-    next_grants: f64,
-    /// Clients that wait, with their tenant and when they arrived.
+    /// When `poll` is called next.
+    next_poll_at: f64,
+    /// When `poll_grants` is called next.
+    next_grant_poll_at: f64,
+    /// Clients that wait for a decision: their tenant, and when they arrived.
     waiting: BTreeMap<Ticket, (usize, f64)>,
-    /// Side of the cut that it is on.
+    /// Side of the partition that the relay is on.
     pub side: u32,
     /// Established connections, by tenant.
     pub established: Vec<u32>,
@@ -67,11 +68,11 @@
     pub rng: StdRng,
     tenants: Vec<Tenant>,
     in_flight: BTreeMap<(u64, u64), (u32, u32, String)>,
-    number: u64,
-    /// Clients on their way to another relay: when they arrive, and of which tenant.
+    last_datagram_id: u64,
+    /// Clients that reconnect to another relay: when they arrive, and their tenant.
     returning: Vec<(f64, usize)>,
-    /// Clients that waited and are decided.
-    pub settled: Vec<SettledOpening>,
+    /// Clients that waited, and the decisions about them.
+    pub decided: Vec<DecidedArrival>,
 }
 
 impl Cluster {
@@ -87,14 +88,21 @@
             rng: StdRng::seed_from_u64(seed),
             tenants,
             in_flight: BTreeMap::new(),
-            number: 0,
+            last_datagram_id: 0,
             returning: Vec::new(),
-            settled: Vec::new(),
+            decided: Vec::new(),
         };
         for local_index in 0..relays {
             let (quotas, established) = (Some(cluster.quotas(local_index, relays)), vec![0; tenant_count]);
-            let (next, next_grants, waiting) = (0.0, f64::INFINITY, BTreeMap::new());
-            cluster.relays.push(Relay { quotas, next, next_grants, waiting, side: 0, established });
+            let (next_poll_at, next_grant_poll_at, waiting) = (0.0, f64::INFINITY, BTreeMap::new());
+            cluster.relays.push(Relay {
+                quotas,
+                next_poll_at,
+                next_grant_poll_at,
+                waiting,
+                side: 0,
+                established,
+            });
         }
         cluster
     }
@@ -111,28 +119,29 @@
     fn send(&mut self, from: u32, reports: Vec<OutgoingReport>) {
         for OutgoingReport { peer: to, report } in reports {
             self.sent += 1;
-            let text = report.encode().expect("a datagram fits");
+            let text = report.encode().expect("a report fits into a datagram");
             assert!(text.len() <= MAX_BYTES);
             let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplication);
             let cut = self.relays[from as usize].side != self.relays[to as usize].side;
             for _ in 0..copies {
                 let delay_ms = 1.0 + self.rng.random::<f64>() * self.max_delay_ms;
-                self.number += 1;
+                self.last_datagram_id += 1;
                 if !cut && self.rng.random::<f64>() >= self.loss {
                     let at = ((self.now + delay_ms) * 1000.0) as u64;
-                    self.in_flight.insert((at, self.number), (from, to, text.clone()));
+                    self.in_flight.insert((at, self.last_datagram_id), (from, to, text.clone()));
                 }
             }
         }
     }
 
-    /// Lets time pass, in small steps.
-    pub fn run(&mut self, span: f64, mut each: impl FnMut(&mut Cluster)) {
-        let end = self.now + span;
+    /// Advances the clock by `duration_ms` milliseconds in small steps, and calls `after_step` after each
+    /// step.
+    pub fn run(&mut self, duration_ms: f64, mut after_step: impl FnMut(&mut Cluster)) {
+        let end = self.now + duration_ms;
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_MS;
             self.step();
-            each(self);
+            after_step(self);
         }
     }
 
@@ -141,21 +150,21 @@
         while let Some(first) = self.in_flight.first_entry().filter(|e| e.key().0 <= now) {
             let (from, to, text) = first.remove();
             let mut out = Vec::new();
-            let report = UsageReport::decode(&text).expect("it reads");
+            let report = UsageReport::decode(&text).expect("a sent report can be decoded");
             if let Some(quotas) = &mut self.relays[to as usize].quotas {
                 quotas.handle_report(self.now, from, report, &mut out);
             }
             self.send(to, out);
-            self.settle(to as usize);
+            self.take_decisions(to as usize);
         }
         for local_index in 0..self.relays.len() {
             let relay = &mut self.relays[local_index];
-            if let Some(quotas) = relay.quotas.as_mut().filter(|_| relay.next <= self.now) {
+            if let Some(quotas) = relay.quotas.as_mut().filter(|_| relay.next_poll_at <= self.now) {
                 let mut out = Vec::new();
-                relay.next = self.now + quotas.poll(self.now, &mut out);
+                relay.next_poll_at = self.now + quotas.poll(self.now, &mut out);
                 self.send(local_index as u32, out);
             }
-            if self.relays[local_index].next_grants <= self.now {
+            if self.relays[local_index].next_grant_poll_at <= self.now {
                 self.poll_grants(local_index);
             }
         }
@@ -165,142 +174,149 @@
         returned.into_iter().for_each(|(_, tenant)| self.open(tenant, true, ScarcitySignals::default()));
     }
 
-    /// A client arrives at some relay that is up.
+    /// A client arrives at a random relay that runs.
     pub fn open(&mut self, tenant: usize, is_returning: bool, signals: ScarcitySignals) {
         let up: Vec<usize> = (0..self.relays.len()).filter(|i| self.relays[*i].quotas.is_some()).collect();
         let at = up[self.rng.random_range(0..up.len())];
         self.open_at(at, tenant, is_returning, signals);
     }
 
-    /// What becomes of a client that arrives at this relay.
+    /// A client arrives at this relay; returns the outcome.
     pub fn open_at(
         &mut self,
         at: usize,
         tenant: usize,
         is_returning: bool,
         signals: ScarcitySignals,
-    ) -> Opening {
+    ) -> Outcome {
         let (now, relay) = (self.now, &mut self.relays[at]);
-        let Some(quotas) = &mut relay.quotas else { return Opening::Rejected(RejectReason::NotGranted) };
+        let Some(quotas) = &mut relay.quotas else { return Outcome::Rejected(RejectReason::NotGranted) };
         let name = tenant_name(tenant);
-        let arrival = Arrival { tenant: &name, is_returning, patience: PATIENCE_MS };
+        let arrival = Arrival { tenant: &name, is_returning, patience: MAX_WAIT_MS };
         match quotas.admit(now, arrival, signals) {
             Verdict::Admit => {
                 quotas.established(&name);
                 relay.established[tenant] += 1;
-                Opening::Admitted
+                Outcome::Admitted
             }
-            Verdict::Reject(reason) => Opening::Rejected(reason),
+            Verdict::Reject(reason) => Outcome::Rejected(reason),
             Verdict::Wait(ticket) => {
                 relay.waiting.insert(ticket, (tenant, now));
-                relay.next_grants = now;
-                Opening::Waiting
+                relay.next_grant_poll_at = now;
+                Outcome::Waiting
             }
         }
     }
 
-    /// Lets a relay request grants, and decide about clients that can't wait.
+    /// Lets a relay request grants, and decide about clients that cannot wait any longer.
     fn poll_grants(&mut self, at: usize) {
         let Some(quotas) = &mut self.relays[at].quotas else { return };
         let mut out = Vec::new();
-        let next = quotas.poll_grants(self.now, &mut out);
-        self.relays[at].next_grants = next.map_or(f64::INFINITY, |after| self.now + after);
+        let next_in_ms = quotas.poll_grants(self.now, &mut out);
+        self.relays[at].next_grant_poll_at = next_in_ms.map_or(f64::INFINITY, |delay_ms| self.now + delay_ms);
         self.send(at as u32, out);
-        self.settle(at);
+        self.take_decisions(at);
     }
 
-    /// Takes what a relay has decided about clients that waited.
-    fn settle(&mut self, at: usize) {
+    /// Takes a relay's decisions about clients that waited.
+    fn take_decisions(&mut self, at: usize) {
         let relay = &mut self.relays[at];
         let Some(quotas) = &mut relay.quotas else { return };
         for Decided { ticket, verdict } in quotas.take_decided() {
-            let Some((tenant, since)) = relay.waiting.remove(&ticket) else { continue };
+            let Some((tenant, arrived_at)) = relay.waiting.remove(&ticket) else { continue };
             let is_admitted = verdict == Verdict::Admit;
             if is_admitted {
                 quotas.established(&tenant_name(tenant));
                 relay.established[tenant] += 1;
             }
-            self.settled.push(SettledOpening { tenant, since, is_admitted });
+            self.decided.push(DecidedArrival { tenant, arrived_at, is_admitted });
         }
     }
 
-    /// One of a tenant's connections ends somewhere.
+    /// One of a tenant's connections ends, at a random relay that has any.
     pub fn close(&mut self, tenant: usize) {
         let start = self.rng.random_range(0..self.relays.len());
-        let n = self.relays.len();
-        let at = (0..n).map(|i| (start + i) % n).find(|i| self.relays[*i].established[tenant] > 0);
+        let relay_count = self.relays.len();
+        let at = (0..relay_count)
+            .map(|i| (start + i) % relay_count)
+            .find(|i| self.relays[*i].established[tenant] > 0);
         if let Some(relay) = at.map(|at| &mut self.relays[at]) {
             relay.established[tenant] -= 1;
             let now = self.now;
             relay.quotas.iter_mut().for_each(|s| s.closed(now, &tenant_name(tenant), true));
-            relay.next_grants = now;
+            relay.next_grant_poll_at = now;
         }
     }
 
-    /// Kills a relay; its clients return elsewhere within half a second.
+    /// Kills a relay; its clients return to other relays within half a second.
     pub fn kill(&mut self, at: usize) {
         self.relays[at].quotas = None;
         self.relays[at].waiting.clear();
-        for (tenant, n) in std::mem::take(&mut self.relays[at].established).into_iter().enumerate() {
+        for (tenant, connections) in std::mem::take(&mut self.relays[at].established).into_iter().enumerate()
+        {
             self.relays[at].established.push(0);
-            let back = (0..n).map(|_| (self.now + 100.0 + self.rng.random::<f64>() * 400.0, tenant));
-            self.returning.extend(back.collect::<Vec<_>>());
+            let returning =
+                (0..connections).map(|_| (self.now + 100.0 + self.rng.random::<f64>() * 400.0, tenant));
+            self.returning.extend(returning.collect::<Vec<_>>());
         }
     }
 
-    /// It starts anew, from nothing.
+    /// Starts a relay without any state.
     pub fn start(&mut self, at: usize) {
         self.relays[at].quotas = Some(self.quotas(at as u32, self.relays.len() as u32));
-        self.relays[at].next = self.now;
+        self.relays[at].next_poll_at = self.now;
     }
 
-    /// Connections of a tenant that stand, with those on their way to another relay.
-    pub fn truth(&self, tenant: usize) -> f64 {
+    /// The true number of a tenant's connections: those established, and those of clients that reconnect to
+    /// another relay.
+    pub fn true_connections(&self, tenant: usize) -> f64 {
         let established: u32 = self.relays.iter().map(|r| r.established[tenant]).sum();
         f64::from(established) + self.returning.iter().filter(|(_, k)| *k == tenant).count() as f64
     }
 
+    /// The view of a tenant's usage at each relay that runs, with the relay's index.
     pub fn views(&self, tenant: usize) -> impl Iterator<Item = (usize, UsageView)> {
         let view = move |s: &QuotaManager| s.view(self.now, &tenant_name(tenant));
         self.relays.iter().enumerate().filter_map(move |(i, r)| Some((i, r.quotas.as_ref().and_then(view)?)))
     }
 }
 
-/// How long each relay's count has been off by more than a tolerance, at the longest; how far counts were
-/// off at the most and in the mean; how many lay within their bounds.
+/// Errors of the relays' counts of a tenant's connections: the longest time for which a relay's error was
+/// above a tolerance, the greatest and the mean error, and the fraction of counts whose bounds held.
 #[derive(Debug, Default)]
 pub struct ErrorStats {
-    since: BTreeMap<usize, f64>,
+    above_tolerance_since: BTreeMap<usize, f64>,
     pub longest_ms: f64,
     pub max: f64,
-    sum: f64,
-    n: f64,
-    within: f64,
+    error_sum: f64,
+    observations: f64,
+    within_bounds: f64,
 }
 
 impl ErrorStats {
     pub fn observe(&mut self, cluster: &Cluster, tenant: usize, tolerance: f64) {
-        let truth = cluster.truth(tenant);
+        let true_connections = cluster.true_connections(tenant);
         for (i, view) in cluster.views(tenant) {
-            let off = (view.connections - truth).abs() / truth.max(1.0);
-            self.max = self.max.max(off);
-            (self.sum, self.n) = (self.sum + off, self.n + 1.0);
-            self.within += f64::from(u8::from(view.min <= truth + 0.5 && truth <= view.max + 0.5));
-            if off > tolerance {
-                let since = *self.since.entry(i).or_insert(cluster.now);
-                self.longest_ms = self.longest_ms.max(cluster.now - since);
+            let relative_error = (view.connections - true_connections).abs() / true_connections.max(1.0);
+            self.max = self.max.max(relative_error);
+            (self.error_sum, self.observations) = (self.error_sum + relative_error, self.observations + 1.0);
+            self.within_bounds +=
+                f64::from(u8::from(view.min <= true_connections + 0.5 && true_connections <= view.max + 0.5));
+            if relative_error > tolerance {
+                let above_tolerance_since = *self.above_tolerance_since.entry(i).or_insert(cluster.now);
+                self.longest_ms = self.longest_ms.max(cluster.now - above_tolerance_since);
             } else {
-                self.since.remove(&i);
+                self.above_tolerance_since.remove(&i);
             }
         }
-        self.since.retain(|i, _| cluster.relays[*i].quotas.is_some());
+        self.above_tolerance_since.retain(|i, _| cluster.relays[*i].quotas.is_some());
     }
 
     pub fn mean(&self) -> f64 {
-        self.sum / self.n.max(1.0)
+        self.error_sum / self.observations.max(1.0)
     }
 
-    pub fn within(&self) -> f64 {
-        self.within / self.n.max(1.0)
+    pub fn fraction_within_bounds(&self) -> f64 {
+        self.within_bounds / self.observations.max(1.0)
     }
 }
