--- a/crates/cluster/src/drain_gossip/departures.rs
+++ b/crates/cluster/src/drain_gossip/departures.rs
@@ -1,4 +1,5 @@
-//! The endpoints that drain or were removed lately, as one relay knows them from its lists and from reports.
+//! The endpoints that began to drain or were removed recently, as one relay knows them from its own lists and
+//! from other relays' reports.
 
 use std::collections::BTreeMap;
 
@@ -7,27 +8,27 @@
 use super::DiscoveryAnswer;
 use crate::Millis;
 
-/// How long a departure is named to relays that query.
+/// How long a departure is reported to relays that query this one.
 const DEPARTURE_TTL_MS: Millis = 60_000.0;
-/// Departures that are stored at most.
+/// The largest number of departures that are stored.
 const MAX_DEPARTURES: usize = 256;
 
-/// From where a departure is known.
+/// How this relay learned of a departure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// From this relay's list.
+    /// From this relay's own list.
     List,
-    /// From another relay's report only.
+    /// Only from another relay's report.
     Report,
-    /// A report that this relay's list has superseded: the endpoint has not left, as far as is known. It is
-    /// remembered so that the same report is not applied again.
+    /// From a report that this relay's list has superseded: as far as this relay knows, the endpoint has not
+    /// left. The entry is kept so that the same report is not applied again.
     Superseded,
 }
 
-/// An endpoint that has left, or was reported to have left.
+/// An endpoint's departure: the endpoint drains or was removed, or another relay reported so.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Departure {
-    /// The revision of the list that names it, or that the report names.
+    /// The revision of the list that shows the departure, or the revision given in the report.
     revision: u64,
     learned_at: Millis,
     source: Source,
@@ -38,8 +39,8 @@
         Departure { revision, learned_at, source }
     }
 
-    /// Whether an answer of discovery supersedes a report of this departure.
-    fn is_settled_by(&self, answer: DiscoveryAnswer) -> bool {
+    /// Whether an answer from discovery supersedes a report of this departure.
+    fn is_superseded_by(&self, answer: DiscoveryAnswer) -> bool {
         answer.revision >= self.revision || answer.requested_at >= self.learned_at || answer.is_full
     }
 
@@ -60,12 +61,12 @@
         self.departures.get(&endpoint).is_some_and(|departure| departure.source == Source::Report)
     }
 
-    /// Whether an endpoint's departure was learned as of this revision or a later one.
+    /// Whether an endpoint's departure is known as of this revision or a later one.
     pub fn is_known(&self, endpoint: EndpointHash, revision: u64) -> bool {
         self.departures.get(&endpoint).is_some_and(|departure| departure.revision >= revision)
     }
 
-    /// Records a departure; whether there was room for it.
+    /// Records a departure, and returns whether there was room for it.
     pub fn insert(&mut self, endpoint: EndpointHash, departure: Departure) -> bool {
         let has_room = self.departures.len() < MAX_DEPARTURES || self.departures.contains_key(&endpoint);
         if has_room {
@@ -74,7 +75,7 @@
         has_room
     }
 
-    /// The list names these endpoints as ready.
+    /// Supersedes the departures of endpoints that the list shows as ready.
     pub fn mark_ready(&mut self, endpoints: &[EndpointHash]) {
         for endpoint in endpoints {
             if let Some(departure) = self.departures.get_mut(endpoint) {
@@ -83,32 +84,32 @@
         }
     }
 
-    /// Supersedes the reports that an answer of discovery settles; gives their endpoints.
-    pub fn settle_reports(&mut self, answer: DiscoveryAnswer) -> Vec<EndpointHash> {
-        let mut settled = Vec::new();
+    /// Marks the reports that an answer from discovery supersedes, and returns their endpoints.
+    pub fn supersede_reports(&mut self, answer: DiscoveryAnswer) -> Vec<EndpointHash> {
+        let mut superseded = Vec::new();
         for (endpoint, departure) in &mut self.departures {
-            if departure.source == Source::Report && departure.is_settled_by(answer) {
+            if departure.source == Source::Report && departure.is_superseded_by(answer) {
                 departure.source = Source::Superseded;
-                settled.push(*endpoint);
+                superseded.push(*endpoint);
             }
         }
-        settled
+        superseded
     }
 
-    /// Drops all but reported departures.
+    /// Removes all departures except those known only from a report.
     pub fn retain_reported(&mut self) {
         self.departures.retain(|_, departure| departure.source == Source::Report);
     }
 
-    /// Drops what is expired. Reports stay until they are settled.
+    /// Removes expired departures. Reported departures stay until an answer supersedes them.
     pub fn remove_expired(&mut self, now: Millis) {
         self.departures
             .retain(|_, departure| departure.source == Source::Report || !departure.is_expired(now));
     }
 
-    /// Departures after a revision, by the revision that they are to be reported with. What the list
-    /// names holds as of `list_revision`, its present one.
-    pub fn since(
+    /// Returns the departures after `since_revision`, grouped by the revision to report them with. A
+    /// departure that the list shows is valid as of `list_revision`, the list's present revision.
+    pub fn after_revision(
         &self,
         now: Millis,
         since_revision: u64,
@@ -120,8 +121,8 @@
             if !has_left || departure.revision <= since_revision || departure.is_expired(now) {
                 continue;
             }
-            let of_list = list_revision.filter(|_| departure.source == Source::List);
-            by_revision.entry(of_list.unwrap_or(departure.revision)).or_default().push(*endpoint);
+            let revision_of_list = list_revision.filter(|_| departure.source == Source::List);
+            by_revision.entry(revision_of_list.unwrap_or(departure.revision)).or_default().push(*endpoint);
         }
         by_revision
     }
--- a/crates/cluster/src/drain_gossip/mod.rs
+++ b/crates/cluster/src/drain_gossip/mod.rs
@@ -1,23 +1,25 @@
-//! How a relay of a large cluster learns which endpoints drain or are removed while discovery can't answer
-//! it in time.
+//! Tells the relays of a large cluster which endpoints drain or are removed while discovery cannot answer
+//! them in time.
 //!
-//! Owns the endpoints that left lately, as far as this relay knows them, and the relays that queried it.
-//! Inputs are this relay's lists and other relays' messages, with the time in milliseconds; outputs are
-//! messages to send, and which endpoints are to be treated as draining or no longer. It sends nothing and
-//! knows no address.
+//! [`DrainGossip`] holds the endpoints that left recently, as far as this relay knows them, and the relays
+//! that queried it. Its inputs are this relay's lists and other relays' messages, with the time in
+//! milliseconds; its outputs are messages to send, and the endpoints to treat as draining or no longer as
+//! draining. It sends nothing itself and knows no network address.
 //!
-//! Discovery takes polls in turn: after an outage, hundreds can't all be answered within the 6 s after
-//! which a change has to be known. To stop sending to an endpoint because of another relay's report is
-//! always allowed, to start never is; so only departures are gossiped. A relay whose list came by a new
-//! poll sends a few others what has left since its list before, and a relay that learns something from such
-//! a report passes it on once: reports multiply as long as most relays do not know. A relay whose poll is
-//! still pending knows that too: it queries one other from time to time, which sends it reports for some
-//! seconds. What arrives on watches that go on is gossiped to nobody else: all receive it there.
+//! Discovery handles polls one at a time: after an outage it cannot answer hundreds of polls within the 6 s
+//! after which a change has to be known. A relay may always stop sending to an endpoint because of another
+//! relay's report, but never start because of one; so only departures are gossiped. A relay whose list came
+//! from a new poll sends a few other relays the endpoints that have left since its previous list. A relay
+//! that learns of a departure from such a report passes the report on once, so reports multiply as long as
+//! most relays do not know of the departure. A relay whose poll is still pending knows that it may miss
+//! changes: it queries one other relay from time to time, which then sends it reports for some seconds. A
+//! change that arrives on a continuing subscription is gossiped only to relays that have queried: all others
+//! receive it on their own subscriptions.
 //!
-//! A report counts until this relay's own list supersedes it: until an answer of the report's revision or a
-//! later one, or to a poll that was sent after the report came in. So a report of another service, with
-//! revisions of its own, does no lasting harm, and is not applied twice. `docs/cold-start.md` describes the
-//! alternatives that were weighed.
+//! A report counts until this relay's own list supersedes it: until an answer with the report's revision or a
+//! later one, or an answer to a poll that was sent after the report came in. A report that is based on
+//! another discovery service, with revisions of its own, therefore does no lasting harm and is not applied
+//! twice. `docs/cold-start.md` describes the alternatives that were considered.
 
 mod departures;
 
@@ -29,46 +31,47 @@
 use crate::{ClusterPosition, Millis};
 use departures::{Departure, DepartureTable, Source};
 
-/// Relays that a new report is sent to.
+/// How many relays a new report is sent to.
 const REPORT_FANOUT: usize = 4;
-/// Relays that are queried at first while a poll is pending; later one at a time.
+/// How many relays the first query while a poll is pending goes to; each later query goes to one relay.
 const FIRST_QUERY_FANOUT: u32 = 3;
-/// Mean delay of the first query; it is jittered by a half.
+/// Mean delay of the first query; the jitter is up to half of this in both directions.
 const FIRST_QUERY_DELAY_MS: Millis = 400.0;
 /// Interval between further queries.
 const QUERY_INTERVAL_MS: Millis = 2000.0;
 /// How long a relay that has queried is sent new reports.
-const SUBSCRIPTION_TTL_MS: Millis = 8000.0;
-/// Relays that are remembered as having queried.
-const MAX_SUBSCRIBERS: usize = 16;
+const QUERIER_TTL_MS: Millis = 8000.0;
+/// The largest number of relays that are remembered as having queried.
+const MAX_QUERIERS: usize = 16;
 
-/// An answer of discovery.
+/// An answer from discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryAnswer {
     /// The revision of the list as of this answer.
     pub revision: u64,
-    /// When the poll was sent that it answers, in milliseconds.
+    /// When the poll that discovery answers was sent, in milliseconds.
     pub requested_at: Millis,
-    /// It is the full list, not changes to it.
+    /// Whether the answer is the full list rather than changes to it.
     pub is_full: bool,
 }
 
-/// What an answer of discovery says of endpoints that this relay knows.
+/// What an answer from discovery says about endpoints that this relay knows.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange<'a> {
-    /// Endpoints that drain or are removed, and were ready in the list before or are reported as draining.
+    /// Endpoints that drain or are removed, and that were ready in the previous list or are reported as
+    /// draining.
     pub departed: &'a [EndpointHash],
-    /// Endpoints that it names as ready.
+    /// Endpoints that the answer shows as ready.
     pub ready: &'a [EndpointHash],
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Subscriber {
+struct Querier {
     queried_at: Millis,
     peer: u32,
 }
 
-/// One relay's part in the exchange.
+/// One relay's state of the drain gossip: the departures that it knows, and the relays that queried it.
 ///
 /// ```
 /// use sandgw_affinity::codec::{ClusterMessage, EndpointHash};
@@ -81,19 +84,20 @@
 /// let full = DiscoveryAnswer { revision: 40, requested_at: 0.0, is_full: true };
 /// gossip.apply_answer(0.0, position, full, nothing, &mut out);
 /// let report = || ClusterMessage::Draining { revision: 41, endpoints: vec![s1] };
-/// assert_eq!(gossip.receive(10.0, position, 3, report(), |_| true, &mut out), [s1], "it is to be drained");
-/// assert_eq!(out.len(), 4, "and some others are notified");
+/// assert_eq!(gossip.receive(10.0, position, 3, report(), |_| true, &mut out), [s1], "to be drained");
+/// assert_eq!(out.len(), 4, "some other relays are notified");
 /// let changes = DiscoveryAnswer { revision: 41, requested_at: 5.0, is_full: false };
-/// assert_eq!(gossip.apply_answer(20.0, position, changes, nothing, &mut out), [s1], "its own list knows better");
-/// assert!(gossip.receive(30.0, position, 4, report(), |_| true, &mut out).is_empty(), "a report counts once");
+/// assert_eq!(gossip.apply_answer(20.0, position, changes, nothing, &mut out), [s1], "superseded");
+/// assert!(gossip.receive(30.0, position, 4, report(), |_| true, &mut out).is_empty(), "it counts once");
 /// ```
 #[derive(Debug, Default)]
 pub struct DrainGossip {
-    /// The revision of this relay's list; none before the first, or where another service is polled.
+    /// The revision of this relay's list; `None` before the first list, and once another discovery service is
+    /// polled.
     revision: Option<u64>,
     departures: DepartureTable,
-    subscribers: Vec<Subscriber>,
-    /// When another relay is queried next, while a poll is pending.
+    queriers: Vec<Querier>,
+    /// When the next query to another relay is due, while a poll is pending.
     next_query_at: Option<Millis>,
     has_queried: bool,
     timer: OneShotTimer,
@@ -101,12 +105,12 @@
 }
 
 impl DrainGossip {
-    /// Nothing is known. `seed` is the relay's own.
+    /// Creates a state without departures. `seed` is the relay's own.
     pub fn new(seed: u64) -> Self {
         DrainGossip { random: SeededRandom::new(seed), ..DrainGossip::default() }
     }
 
-    /// The cached list has this revision, if that is known.
+    /// Sets the revision of the cached list, if it is known.
     pub fn set_revision(&mut self, revision: Option<u64>) {
         self.revision = revision;
     }
@@ -116,8 +120,8 @@
         self.departures.is_reported(endpoint)
     }
 
-    /// The first poll is pending, one has failed, or a watch was broken off: no change arrives until
-    /// another poll is answered.
+    /// Starts to query other relays: the first poll is pending, a poll has failed, or a subscription has
+    /// broken, and no change arrives until another poll is answered.
     pub fn discovery_failed(&mut self, now: Millis, position: ClusterPosition) {
         if position.is_large() && self.next_query_at.is_none() {
             let jitter = 0.5 + self.random.next_fraction();
@@ -126,15 +130,16 @@
         }
     }
 
-    /// Another service is polled from now on: each service has revisions of its own.
+    /// Records that another discovery service is polled from now on: each service has revisions of its own.
     pub fn discovery_replaced(&mut self, now: Millis, position: ClusterPosition) {
         self.revision = None;
-        // Reported endpoints are settled by the first answer.
+        // The first answer of the new service supersedes the reports.
         self.departures.retain_reported();
         self.discovery_failed(now, position);
     }
 
-    /// Discovery has answered. Gives the endpoints that are no longer treated as draining and have not left.
+    /// Applies an answer from discovery. Returns the endpoints that are no longer treated as draining and
+    /// have not left.
     pub fn apply_answer(
         &mut self,
         now: Millis,
@@ -156,16 +161,17 @@
             let departure = Departure::new(answer.revision, now, Source::List);
             self.departures.insert(*endpoint, departure);
         }
-        let restored = self.departures.settle_reports(answer);
-        // What arrives on a watch that goes on, all others receive too, except relays that have queried.
+        let restored = self.departures.supersede_reports(answer);
+        // All other relays receive a change on their own continuing subscriptions, except those that have
+        // queried.
         let was_pending = self.next_query_at.take().is_some();
         let fanout = if was_pending { REPORT_FANOUT } else { 0 };
         self.send_report(now, position, answer.revision, &unreported, fanout, out);
         restored
     }
 
-    /// Applies another relay's report, or answers its query. `is_ready` says whether this relay's list has
-    /// an endpoint as ready. Gives the endpoints that are to be treated as draining from now on.
+    /// Applies another relay's report, or answers its query. `is_ready` returns whether this relay's list
+    /// shows an endpoint as ready. Returns the endpoints that are to be treated as draining from now on.
     pub fn receive(
         &mut self,
         now: Millis,
@@ -184,7 +190,7 @@
                 self.apply_report(now, position, revision, candidates, out)
             }
             ClusterMessage::DrainQuery(since_revision) => {
-                self.subscribe(now, peer);
+                self.record_querier(now, peer);
                 self.answer_query(now, peer, since_revision, out);
                 Vec::new()
             }
@@ -192,7 +198,7 @@
         }
     }
 
-    /// Queries other relays where that is due.
+    /// Queries other relays, if a query is due.
     pub fn on_timer(&mut self, now: Millis, position: ClusterPosition, out: &mut Outbox) {
         if !position.is_large() {
             self.next_query_at = None;
@@ -203,7 +209,8 @@
         self.next_query_at = Some(now + QUERY_INTERVAL_MS);
         let fanout = if self.has_queried { 1 } else { FIRST_QUERY_FANOUT };
         self.has_queried = true;
-        // The revision of the list itself: a report may have named only some of the departures.
+        // The query names the revision of the list itself: a report may have named only some of the
+        // departures.
         let query = ClusterMessage::DrainQuery(self.revision.unwrap_or(0));
         for _ in 0..fanout {
             let peer = self.random_peer(position);
@@ -211,7 +218,8 @@
         }
     }
 
-    /// In how long to call [`DrainGossip::on_timer`], unless that was requested before.
+    /// Returns the delay until [`DrainGossip::on_timer`] is to be called; `None` if no query is pending or
+    /// the call was requested before.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
         self.timer.arm(now, self.next_query_at?, 0.0)
     }
@@ -232,21 +240,21 @@
         endpoints.retain(|endpoint| !self.departures.is_known(*endpoint, revision));
         endpoints.sort_unstable();
         endpoints.dedup();
-        // A report that can't be recorded could not be settled later: it is not applied.
+        // A report that cannot be recorded could not be superseded later, so it is not applied.
         let departure = Departure::new(revision, now, Source::Report);
         endpoints.retain(|endpoint| self.departures.insert(*endpoint, departure));
         self.send_report(now, position, revision, &endpoints, REPORT_FANOUT, out);
         endpoints
     }
 
-    fn subscribe(&mut self, now: Millis, peer: u32) {
-        self.subscribers.retain(|subscriber| subscriber.peer != peer);
-        self.subscribers.truncate(MAX_SUBSCRIBERS - 1);
-        self.subscribers.insert(0, Subscriber { queried_at: now, peer });
+    fn record_querier(&mut self, now: Millis, peer: u32) {
+        self.queriers.retain(|querier| querier.peer != peer);
+        self.queriers.truncate(MAX_QUERIERS - 1);
+        self.queriers.insert(0, Querier { queried_at: now, peer });
     }
 
     fn answer_query(&self, now: Millis, peer: u32, since_revision: u64, out: &mut Outbox) {
-        for (revision, endpoints) in self.departures.since(now, since_revision, self.revision) {
+        for (revision, endpoints) in self.departures.after_revision(now, since_revision, self.revision) {
             push_reports(peer, revision, &endpoints, out);
         }
     }
@@ -264,8 +272,8 @@
         if !position.is_large() || endpoints.is_empty() {
             return;
         }
-        self.subscribers.retain(|subscriber| now - subscriber.queried_at < SUBSCRIPTION_TTL_MS);
-        let mut peers: Vec<u32> = self.subscribers.iter().map(|subscriber| subscriber.peer).collect();
+        self.queriers.retain(|querier| now - querier.queried_at < QUERIER_TTL_MS);
+        let mut peers: Vec<u32> = self.queriers.iter().map(|querier| querier.peer).collect();
         while peers.len() < fanout {
             peers.push(self.random_peer(position));
         }
@@ -274,14 +282,14 @@
         }
     }
 
-    /// Any other relay.
+    /// Returns the index of a random other relay.
     fn random_peer(&mut self, position: ClusterPosition) -> u32 {
-        let drawn = (self.random.next_fraction() * f64::from(position.relay_count - 1)) as u32;
-        if drawn >= position.local_index { drawn + 1 } else { drawn }
+        let index = (self.random.next_fraction() * f64::from(position.relay_count - 1)) as u32;
+        if index >= position.local_index { index + 1 } else { index }
     }
 }
 
-/// A report of any number of endpoints, cut into messages that fit a datagram each.
+/// Sends a report of any number of endpoints, split into messages that fit one datagram each.
 fn push_reports(peer: u32, revision: u64, endpoints: &[EndpointHash], out: &mut Outbox) {
     for chunk in endpoints.chunks(DRAINING_PER_MESSAGE) {
         let report = ClusterMessage::Draining { revision, endpoints: chunk.to_vec() };
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,14 +1,17 @@
-//! What the relays of a cluster exchange beside their affinity tables, at a cost for each connection that
-//! does not grow with the number of relays.
+//! Protocols by which the relays of a cluster share state other than their affinity tables. Their cost per
+//! connection does not grow with the number of relays.
 //!
-//! [`location_gossip`] replicates where clients' connections are placed; [`load_aggregation`] sums the load
-//! of each endpoint over all relays, and [`rebalance`] finds the endpoints that carry too much of it;
-//! [`concurrency_limit`] bounds the set-ups that a relay has in flight while something shared is slow, and
-//! [`overload_gossip`] warns other relays of that; [`poll_scheduler`] says when a relay polls discovery for
-//! the list, and [`drain_gossip`] passes changes of it on to relays that discovery can't answer in time.
+//! [`location_gossip`] replicates the locations of clients. [`load_aggregation`] sums the load of each
+//! endpoint over all relays, and [`rebalance`] finds the endpoints that carry too much of it.
+//! [`concurrency_limit`] bounds the set-ups of connections that a relay has in flight while a dependency
+//! shared by all endpoints is slow, and [`overload_gossip`] warns other relays of such a fault.
+//! [`poll_scheduler`] decides when a relay polls discovery for the endpoint list, [`list_lease`] for how long
+//! a relay may use that list, and [`drain_gossip`] passes changes of the list on to relays that discovery
+//! cannot answer in time.
 //!
-//! Nothing here does I/O: time is an argument, messages are returned. Which endpoint a connection goes to
-//! is decided by the load balancer. `docs/tier.md` describes the alternatives that were weighed.
+//! Nothing in this crate does I/O: time is an argument, and messages to send are returned. The load balancer
+//! decides which endpoint a connection goes to. `docs/tier.md` describes the alternatives that were
+//! considered.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/cluster/src/list_lease.rs
+++ b/crates/cluster/src/list_lease.rs
@@ -1,23 +1,24 @@
-//! For how long a relay may place connections by its list of endpoints without another answer of discovery.
+//! How long a relay may place connections by its endpoint list without another answer from discovery.
 //!
-//! Owns the end of that time. Inputs are the time in milliseconds and how polls ended; output is until when
-//! the list may be used. A change counts as known to every relay [`LIST_LEASE_MS`] after discovery had it
-//! and could be reached, whether or not it has arrived. So each answer vouches for the list for as long, and
-//! a list whose lease has ended may name endpoints that have left. The list with which a process starts is
-//! of unknown age: nothing vouches for it.
+//! [`ListLease`] holds the time at which this permission ends. Its inputs are the time in milliseconds and
+//! the outcome of polls. A change of the list counts as known to every relay [`LIST_LEASE_MS`] after
+//! discovery had the change and could be reached, whether or not the change has arrived. Each answer
+//! therefore confirms the list for that long, and a list whose lease has expired may name endpoints that have
+//! left. The list that a process starts with is of unknown age, so it has no lease.
 
 use crate::Millis;
 
-/// How long after a change each relay is taken to know of it, and so how long an answer vouches for the list.
+/// How long after a change every relay is assumed to know it, and therefore how long an answer confirms the
+/// list.
 pub const LIST_LEASE_MS: Millis = 6000.0;
 
-/// Until when one relay's list of endpoints may be used.
+/// The time until which one relay may use its endpoint list.
 ///
 /// ```
 /// use sandgw_cluster::list_lease::ListLease;
 ///
 /// let mut lease = ListLease::default();
-/// assert!(!lease.is_valid(0.0), "nothing vouches for the list of a process that starts");
+/// assert!(!lease.is_valid(0.0), "the list of a process that starts has no lease");
 /// lease.renew(100.0);
 /// assert!(lease.is_valid(6100.0) && !lease.is_valid(6101.0));
 /// ```
@@ -27,13 +28,13 @@
 }
 
 impl ListLease {
-    /// Discovery has answered, or could not be reached: no change that it has made since counts as known
-    /// before the lease ends.
+    /// Renews the lease after discovery has answered or could not be reached: a change that discovery makes
+    /// from now on does not count as known before the lease expires.
     pub fn renew(&mut self, now: Millis) {
         self.expires_at = Some(now + LIST_LEASE_MS);
     }
 
-    /// When the lease ends, or has ended; `None` where there never was one.
+    /// When the lease expires or expired; `None` if it was never renewed.
     pub fn expires_at(&self) -> Option<Millis> {
         self.expires_at
     }
--- a/crates/cluster/src/load_aggregation/mod.rs
+++ b/crates/cluster/src/load_aggregation/mod.rs
@@ -1,15 +1,17 @@
-//! The load of each endpoint over all relays of the cluster, summed from what each relay reports.
+//! Aggregates the load of each endpoint over all relays of the cluster from the relays' load reports.
 //!
-//! Owns this relay's reporting schedule and, where it is the collector, the reports of the others. Inputs
-//! are its load by endpoint and other relays' messages, with the time in milliseconds; outputs are messages
-//! to send and the cluster's load once it is known anew. It decides nothing about connections.
+//! [`LoadAggregation`] holds this relay's reporting schedule and, if this relay is the collector, the reports
+//! of the other relays. Its inputs are this relay's load by endpoint and other relays' messages, with the
+//! time in milliseconds; its outputs are messages to send and each newly received load of the cluster. It
+//! decides nothing about connections.
 //!
-//! In a cluster of hundreds a relay carries a dozen connections and knows nothing of the load of most
-//! endpoints. Each reports its load to one relay, the collector, which answers with the sums of the
-//! endpoints that carry most for their weight. Both are one datagram. A relay reports when connections have
-//! arrived since, and now and then anyway; more often at first, when all is new. Any relay can collect: a
-//! relay without an answer tries the next index, and a collector that has just started has a part of the
-//! cluster, which gives the same proportions with more noise.
+//! In a cluster of hundreds, each relay carries a dozen connections and does not know the load of most
+//! endpoints. Each relay reports its load to one relay, the collector, which answers with the sums of the
+//! endpoints that carry most relative to their weight. The report and the answer are one datagram each. A
+//! relay reports when connections have arrived since its last report, and otherwise at a longer interval; its
+//! first intervals are shorter, while all loads are new. Any relay can be the collector: a relay that gets no
+//! answer tries the next index, and a collector that has just started has the reports of a part of the
+//! cluster, which give the same proportions with more noise.
 
 mod reports;
 
@@ -22,12 +24,13 @@
 use crate::{ClusterPosition, Millis};
 use reports::ReportTable;
 
-/// An endpoint's short tag: two bytes of a hash of its name. Two endpoints of the same tag are taken for one.
+/// An endpoint's short tag: two bytes of a hash of its name. Two endpoints with the same tag are treated as
+/// one.
 pub type Tag = [u8; 2];
 
 /// The shortest interval between two reports.
 const FIRST_REPORT_INTERVAL_MS: Millis = 400.0;
-/// By what factor each interval is longer than the one before.
+/// Factor by which each interval exceeds the previous one.
 const REPORT_INTERVAL_GROWTH: f64 = 1.5;
 /// The longest interval while connections arrive.
 const MAX_REPORT_INTERVAL_MS: Millis = 1500.0;
@@ -40,12 +43,12 @@
 /// Timers are never shorter than this.
 const MIN_TIMER_MS: Millis = 1.0;
 
-/// What the cluster carries, by endpoint.
+/// The load of the cluster by endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterLoad {
-    /// Load of all endpoints, in mean connections, at the relays that it is summed over.
+    /// Load of all endpoints, in mean connections, over the relays whose reports the collector has.
     pub total: f64,
-    /// Tags of endpoints and their load, of those that carry most for their weight.
+    /// Load by endpoint tag, of the endpoints that carry most relative to their weight.
     pub loads: BTreeMap<Tag, f64>,
 }
 
@@ -58,31 +61,33 @@
 /// use sandgw_cluster::load_aggregation::LoadAggregation;
 ///
 /// let (mut collector, mut reporter) = (LoadAggregation::default(), LoadAggregation::default());
-/// let (one, position) = ([1, 0], ClusterPosition { local_index: 5, relay_count: 20 });
+/// let (endpoint, position) = ([1, 0], ClusterPosition { local_index: 5, relay_count: 20 });
 /// assert!(LoadAggregation::is_needed(20) && !LoadAggregation::is_needed(4));
 ///
 /// // A connection has arrived at relay 5, which reports its load to relay 0 in one datagram.
 /// let mut out = Outbox::new();
 /// reporter.record_connection();
-/// reporter.report(1000.0, position, || vec![(one, 12.0)], &mut out);
+/// reporter.report(1000.0, position, || vec![(endpoint, 12.0)], &mut out);
 /// let sent = out.pop().expect("a report");
 /// let (0, ClusterMessage::LoadReport(rows)) = (sent.peer, sent.message) else { panic!("no report") };
 ///
 /// // Relay 0 answers with the sums; endpoints' weights are looked up by their tags.
 /// collector.handle_report(1010.0, 5, 20, rows, |_| 1.0, &mut out);
 /// let sent = out.pop().expect("an answer");
-/// let (5, ClusterMessage::ClusterLoads { total, rows }) = (sent.peer, sent.message) else { panic!("no answer") };
+/// let (5, ClusterMessage::ClusterLoads { total, rows }) = (sent.peer, sent.message) else {
+///     panic!("no answer")
+/// };
 /// reporter.handle_cluster_loads(0, total, &rows);
 /// let load = reporter.take_cluster_load().expect("the sums");
-/// assert_eq!((load.total, load.loads[&one]), (12.0, 12.0));
-/// assert!(reporter.take_cluster_load().is_none(), "nothing new since");
-/// assert!(reporter.timer(1010.0).is_some(), "and it reports again");
+/// assert_eq!((load.total, load.loads[&endpoint]), (12.0, 12.0));
+/// assert!(reporter.take_cluster_load().is_none(), "nothing new has arrived");
+/// assert!(reporter.timer(1010.0).is_some(), "the next report is scheduled");
 /// ```
 #[derive(Default)]
 pub struct LoadAggregation {
-    /// What other relays have reported to this one.
+    /// The reports of which this relay is the collector.
     reports: ReportTable,
-    /// Index of the collector, reports to it without an answer, and all reports.
+    /// Index of the relay to which this relay reports.
     collector: u32,
     unanswered_reports: u32,
     total_reports: u32,
@@ -94,23 +99,23 @@
 }
 
 impl LoadAggregation {
-    /// Whether a cluster of so many relays aggregates its load: a full mesh has no need to.
+    /// Whether a cluster of `relay_count` relays needs to aggregate its load: a full mesh does not.
     pub fn is_needed(relay_count: u32) -> bool {
         ClusterPosition { local_index: 0, relay_count }.is_large()
     }
 
-    /// A connection has arrived at this relay.
+    /// Records that a connection has arrived at this relay.
     pub fn record_connection(&mut self) {
         self.connections_since_report = self.connections_since_report.saturating_add(1);
     }
 
-    /// In how long to call [`LoadAggregation::report`], unless that was requested before. An arriving
-    /// connection may bring it forward.
+    /// Returns the delay until [`LoadAggregation::report`] is to be called; `None` before the first report,
+    /// or if the call was requested before. An arriving connection may bring the next report forward.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
         self.timer.arm(now, self.next_report_at()?, MIN_TIMER_MS)
     }
 
-    /// Reports this relay's load by endpoint tags, where that is due.
+    /// Reports this relay's load by endpoint tags, if a report is due.
     pub fn report(
         &mut self,
         now: Millis,
@@ -133,7 +138,7 @@
         }
     }
 
-    /// Takes another relay's report and answers it. `weight` gives an endpoint's weight by its tag.
+    /// Records another relay's report and answers it. `weight` returns an endpoint's weight by its tag.
     pub fn handle_report(
         &mut self,
         now: Millis,
@@ -153,7 +158,7 @@
         out.push(OutgoingMessage::new(peer, answer));
     }
 
-    /// Takes the collector's answer.
+    /// Records the cluster's load from the collector's answer.
     pub fn handle_cluster_loads(&mut self, peer: u32, total: u32, rows: &[(Tag, u16)]) {
         if peer != self.collector {
             return;
@@ -163,7 +168,7 @@
         self.cluster_load = Some(ClusterLoad { total: f64::from(total), loads });
     }
 
-    /// The cluster's load, if it came in since the last call.
+    /// Returns the cluster's load, if a new one arrived since the last call.
     pub fn take_cluster_load(&mut self) -> Option<ClusterLoad> {
         self.cluster_load.take()
     }
@@ -193,7 +198,7 @@
         self.total_reports += 1;
     }
 
-    /// Fails over to the next collector, and from time to time back to the first.
+    /// Fails over to the next collector after unanswered reports, and periodically back to the first.
     fn select_collector(&mut self, relay_count: u32) {
         if self.unanswered_reports >= MAX_UNANSWERED_REPORTS {
             self.collector = (self.collector + 1) % relay_count;
--- a/crates/cluster/src/load_aggregation/reports.rs
+++ b/crates/cluster/src/load_aggregation/reports.rs
@@ -1,4 +1,4 @@
-//! The reports that a collector has, and their sums by endpoint.
+//! The load reports that a collector has received, and their sums by endpoint.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,9 +8,9 @@
 use super::{ClusterLoad, Tag};
 use crate::Millis;
 
-/// How long a report counts.
+/// How long a report counts after it was received.
 const REPORT_TTL_MS: Millis = 15_000.0;
-/// Sums below this are rounding errors of subtracted reports.
+/// Sums up to this value are rounding errors left by subtracted reports.
 const MIN_SUM: f64 = 0.5;
 
 struct Report {
@@ -18,7 +18,7 @@
     rows: Vec<(Tag, u8)>,
 }
 
-/// The latest report of each relay, and the sums over all.
+/// The latest report of each relay, and the sums over all relays.
 #[derive(Default)]
 pub(super) struct ReportTable {
     reports: BTreeMap<u32, Report>,
@@ -26,7 +26,7 @@
 }
 
 impl ReportTable {
-    /// Replaces a relay's report, and drops those of others that are expired.
+    /// Replaces a relay's report, and removes expired reports of other relays.
     pub fn insert(&mut self, now: Millis, peer: u32, rows: Vec<(Tag, u8)>) {
         let expired: Vec<u32> = self
             .reports
@@ -44,7 +44,8 @@
         self.reports.insert(peer, Report { received_at: now, rows });
     }
 
-    /// The sums of the endpoints that carry most for their weight, as many as a datagram holds.
+    /// Returns the sums of the endpoints that carry most relative to their weight, as many as a datagram
+    /// holds.
     pub fn heaviest(&self, weight: impl Fn(Tag) -> f64) -> ClusterLoad {
         let mut rows: Vec<(Tag, f64)> = self.sums.iter().map(|(tag, load)| (*tag, *load)).collect();
         let total = rows.iter().map(|(_, load)| load).sum();
--- a/crates/cluster/src/location_gossip.rs
+++ b/crates/cluster/src/location_gossip.rs
@@ -1,14 +1,16 @@
-//! Replication of clients' locations: which relays are sent them, and which are queried on a miss.
+//! Replicates the locations of clients: decides which relays are sent a location, and which relays are
+//! queried for an unknown one.
 //!
-//! Owns the updates that are to be sent and the queries in flight. Inputs are placements, queries and the
-//! affinity tables, with the time in milliseconds; outputs are messages to send and when to look again. The
-//! locations themselves are in [`Affinity`].
+//! [`LocationGossip`] holds the updates to be sent and the queries in flight. Its inputs are placements,
+//! queries and the affinity tables, with the time in milliseconds; its outputs are messages to send and when
+//! to look a location up again. The locations themselves are stored in [`Affinity`].
 //!
-//! In a small cluster every relay is sent every update, and a connection that arrives mid-stream is found
-//! without a query. In a large one that would cost a datagram a relay for each connection. There every
-//! client has a few replicas, the same by every relay's computation: they are sent its location, and a
-//! relay that meets the client mid-stream and does not know it queries them. The cost is a fixed number of
-//! datagrams a connection, whatever the number of relays.
+//! In a small cluster every relay is sent every update, and the location of a connection that arrives
+//! mid-flow is found without a query. In a large cluster that would cost one datagram per relay for each
+//! connection. There, every client has a few location replicas, which every relay computes alike. The
+//! replicas are sent the client's location, and a relay that meets the client mid-flow without knowing its
+//! location queries them. The cost per connection is a fixed number of datagrams, whatever the number of
+//! relays.
 
 use std::collections::BTreeMap;
 
@@ -20,15 +22,16 @@
 
 use crate::ClusterPosition;
 
-/// Replicas of a client's location in a large cluster: one may be down or the datagram lost, both seldom are.
+/// Number of location replicas of a client in a large cluster: one replica may be down or its datagram lost,
+/// but seldom both.
 pub const LOCATION_REPLICAS: u32 = 2;
-/// How long updates are batched before they are sent. A relay that is killed loses that much.
+/// How long updates are batched before they are sent. A relay that is killed loses the updates of that time.
 const UPDATE_BATCH_MS: Millis = 500.0;
-/// How long a replica's answer is waited for: four times the longest way of a datagram.
+/// How long a relay waits for a replica's answer: four times the longest transit time of a datagram.
 const QUERY_TIMEOUT_MS: Millis = 160.0;
-/// How often a location is looked up while its query is in flight.
+/// How often a location is looked up in the local tables while its query is in flight.
 const LOOKUP_INTERVAL_MS: Millis = 16.0;
-/// Queries in flight at most; a connection beyond them does without.
+/// The largest number of queries in flight; a connection beyond it is placed without a query.
 const MAX_QUERIES: usize = 1024;
 
 #[derive(Clone, Copy)]
@@ -37,7 +40,7 @@
     attempts: u32,
 }
 
-/// Updates to be sent, and queries in flight.
+/// The location updates to be sent, and the location queries in flight.
 ///
 /// ```
 /// use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
@@ -57,7 +60,7 @@
 ///     affinity
 /// };
 ///
-/// // A relay that is no replica of it meets the client mid-stream: it queries both, and is to look again soon.
+/// // A relay that is not a replica meets the client mid-flow: it queries both replicas, then looks again.
 /// let is_replica = |relay: u32| location_replicas(client, relays).any(|replica| replica == relay);
 /// let local_index = (0..relays).find(|relay| !is_replica(*relay)).expect("another");
 /// let (mut gossip, affinity, mut out) = (LocationGossip::default(), relay(local_index), Outbox::new());
@@ -75,7 +78,8 @@
 /// ```
 #[derive(Default)]
 pub struct LocationGossip {
-    /// Clients placed here whose location was not sent yet, and since when the oldest of them waits.
+    /// Clients placed by this relay whose location was not sent yet; `pending_since` is when the oldest of
+    /// them was queued.
     pending_updates: Vec<u64>,
     pending_since: Millis,
     queries: BTreeMap<u64, PendingQuery>,
@@ -83,7 +87,7 @@
 }
 
 impl LocationGossip {
-    /// A client's new location is to be sent.
+    /// Queues a client's new location to be sent.
     ///
     /// ```
     /// # use sandgw_affinity::outbox::Outbox;
@@ -101,7 +105,7 @@
     /// gossip.queue_update(1000.0, client);
     /// let after = gossip.timer(1000.0).expect("a batch is due");
     /// gossip.on_timer(&affinity, 1000.0 + after, &mut out);
-    /// assert_eq!(out.len(), 3, "one for each of the others in a small cluster");
+    /// assert_eq!(out.len(), 3, "one for each peer in a small cluster");
     /// ```
     pub fn queue_update(&mut self, now: Millis, client: u64) {
         if self.pending_updates.is_empty() {
@@ -110,7 +114,7 @@
         self.pending_updates.push(client);
     }
 
-    /// Sends the batch of updates that is due.
+    /// Sends the batch of updates, if it is due.
     pub fn on_timer(&mut self, affinity: &Affinity, now: Millis, out: &mut Outbox) {
         self.timer.acknowledge(now);
         if self.pending_updates.is_empty() || now - self.pending_since < UPDATE_BATCH_MS {
@@ -129,7 +133,8 @@
         }
     }
 
-    /// In how long to call [`LocationGossip::on_timer`], unless that was requested before.
+    /// Returns the delay until [`LocationGossip::on_timer`] is to be called; `None` if no update is pending
+    /// or the call was requested before.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
         if self.pending_updates.is_empty() {
             return None;
@@ -137,9 +142,9 @@
         self.timer.arm(now, self.pending_since + UPDATE_BATCH_MS, UPDATE_BATCH_MS)
     }
 
-    /// A client has arrived mid-stream: in how long to look again for its location, which its replicas are
-    /// queried for. Nothing where it is known, where no other relay would know it, or where the query has
-    /// timed out.
+    /// Queries the replicas for the location of a client that has arrived mid-flow, and returns the delay
+    /// until the next lookup. Returns `None` if the location is known, if no other relay would know it, if
+    /// the query has timed out, or if too many queries are in flight.
     pub fn query(
         &mut self,
         affinity: &Affinity,
@@ -153,7 +158,7 @@
             return None;
         }
         let query = self.pending_query(now, client)?;
-        // The query or its answer may be lost: it is sent again halfway to the timeout.
+        // The query or its answer may be lost, so the query is sent again halfway to the timeout.
         if now - query.started_at >= f64::from(query.attempts) * QUERY_TIMEOUT_MS / 2.0 {
             self.queries.insert(client, PendingQuery { attempts: query.attempts + 1, ..query });
             send_query(position, client, out);
@@ -161,7 +166,8 @@
         Some(LOOKUP_INTERVAL_MS)
     }
 
-    /// Answers a query for clients as far as their locations are known; of others nothing is sent.
+    /// Answers a peer's query with the locations that are known; nothing is sent for clients whose location
+    /// is unknown.
     pub fn handle_query(&self, affinity: &Affinity, peer: u32, clients: &[Client], out: &mut Outbox) {
         if peer < affinity.position().relay_count {
             let keys: Vec<u64> = clients.iter().map(|client| client.key()).collect();
@@ -169,7 +175,8 @@
         }
     }
 
-    /// The query for a client, a new one if there is none; nothing if it has timed out or there are too many.
+    /// Returns the query for a client, or a new query if there is none; `None` if the query has timed out or
+    /// too many queries are in flight.
     fn pending_query(&mut self, now: Millis, client: u64) -> Option<PendingQuery> {
         if let Some(query) = self.queries.get(&client).copied() {
             if now - query.started_at < QUERY_TIMEOUT_MS {
@@ -196,8 +203,8 @@
     out.extend(updates.into_iter().map(|update| OutgoingMessage::new(peer, update)));
 }
 
-/// The relays that a client's location is sent to: all of a small cluster, else the replicas that its key
-/// determines.
+/// Returns the relays that a client's location is sent to: all relays of a small cluster, otherwise the
+/// replicas that the client's key determines.
 ///
 /// ```
 /// use sandgw_cluster::location_gossip::location_replicas;
@@ -209,8 +216,8 @@
     let is_large = ClusterPosition { local_index: 0, relay_count }.is_large();
     let first = (xxh3_64_with_seed(&client.to_le_bytes(), 0) % u64::from(relay_count.max(1))) as u32;
     // Replicas lie half a cluster apart: relays with adjacent indices are often restarted together.
-    let nth = move |n: u32| {
+    let nth_replica = move |n: u32| {
         if is_large { (first + n * (relay_count / LOCATION_REPLICAS)) % relay_count } else { n }
     };
-    (0..if is_large { LOCATION_REPLICAS } else { relay_count }).map(nth)
+    (0..if is_large { LOCATION_REPLICAS } else { relay_count }).map(nth_replica)
 }
--- a/crates/cluster/src/overload_gossip.rs
+++ b/crates/cluster/src/overload_gossip.rs
@@ -1,16 +1,17 @@
-//! How the relays of a large cluster learn that set-ups are late at all endpoints before each has observed
+//! Warns the relays of a large cluster that set-ups are late at all endpoints before each relay has observed
 //! it itself.
 //!
-//! Owns the notices that came in lately and when this relay last sent one. Inputs are its late set-ups and
-//! other relays' notices, with the time in milliseconds; outputs are notices to send and whether the fault
-//! is common to all endpoints. It decides nothing about set-ups: that is [`crate::concurrency_limit`].
+//! [`OverloadGossip`] holds the notices that were received recently and the time at which this relay last
+//! sent one. Its inputs are the late set-ups of this relay and the notices of other relays, with the time in
+//! milliseconds; its outputs are notices to send and whether the fault is common to all endpoints. It decides
+//! nothing about set-ups: that is the task of [`crate::concurrency_limit`].
 //!
-//! A thousand clients that arrive within two seconds are a handful for each of three hundred relays: all
-//! their set-ups are in flight before any relay has observed three late ones. A relay that observes one
-//! notifies a few others, drawn at random, and names the endpoint. Notices reach everybody soon when
-//! hundreds of relays send them, and hardly anybody while one endpoint is slow, so no relay needs to know
-//! how many there are in all: notices of several endpoints within a second mean a fault that they share. A
-//! notice is five bytes.
+//! When a thousand clients arrive within two seconds, each of three hundred relays receives only a handful:
+//! all their set-ups are in flight before any relay has observed three late ones. A relay that observes one
+//! late set-up therefore notifies a few random peers and names the endpoint. Notices soon reach every relay
+//! when hundreds of relays send them, and hardly any relay while one endpoint is slow, so no relay needs to
+//! know the total number of notices: notices about several endpoints within a second mean a fault that these
+//! endpoints share. A notice is five bytes long.
 
 use sandgw_affinity::codec::ClusterMessage;
 use sandgw_affinity::outbox::{Outbox, OutgoingMessage};
@@ -19,15 +20,15 @@
 use crate::load_aggregation::Tag;
 use crate::{ClusterPosition, Millis};
 
-/// Relays that are notified of a late set-up.
+/// How many relays are drawn at random to be notified of a late set-up.
 const NOTICE_FANOUT: u64 = 4;
-/// A relay sends no further notices for this long after one.
+/// The shortest time between two rounds of notices from one relay.
 const NOTICE_INTERVAL_MS: Millis = 250.0;
-/// Notices of this many endpoints within [`NOTICE_TTL_MS`] mean a common fault.
+/// Notices about this many endpoints within [`NOTICE_TTL_MS`] mean a fault common to all endpoints.
 const COMMON_FAULT_ENDPOINTS: usize = 3;
-/// How long a notice counts.
+/// How long a notice counts after it was received.
 const NOTICE_TTL_MS: Millis = 1000.0;
-/// Notices that are stored at most.
+/// The largest number of notices that are stored.
 const MAX_STORED_NOTICES: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
@@ -36,15 +37,17 @@
     endpoint: Tag,
 }
 
-/// One relay's part in the exchange.
+/// One relay's state of the overload gossip: the notices that it received, and when it last sent one.
 ///
 /// ```
 /// use sandgw_cluster::overload_gossip::OverloadGossip;
 ///
 /// let mut gossip = OverloadGossip::new(7);
-/// assert!(!gossip.receive_notice(0.0, [1, 1]) && !gossip.receive_notice(10.0, [1, 1]), "one endpoint may be slow");
-/// assert!(!gossip.receive_notice(20.0, [2, 2]) && gossip.receive_notice(30.0, [3, 3]), "three share a fault");
-/// assert!(!gossip.receive_notice(5_000.0, [4, 4]), "which is over by now");
+/// // Notices about a single endpoint: that endpoint may be slow.
+/// assert!(!gossip.receive_notice(0.0, [1, 1]) && !gossip.receive_notice(10.0, [1, 1]));
+/// // Notices about three endpoints within a second: the fault is common to all endpoints.
+/// assert!(!gossip.receive_notice(20.0, [2, 2]) && gossip.receive_notice(30.0, [3, 3]));
+/// assert!(!gossip.receive_notice(5_000.0, [4, 4]), "the earlier notices have expired");
 /// ```
 #[derive(Clone, Debug)]
 pub struct OverloadGossip {
@@ -54,7 +57,7 @@
 }
 
 impl OverloadGossip {
-    /// No notice was sent or received yet. `seed` is the relay's own.
+    /// Creates a state in which no notice was sent or received yet. `seed` is the relay's own.
     pub fn new(seed: u64) -> Self {
         OverloadGossip {
             notices: Vec::new(),
@@ -63,7 +66,7 @@
         }
     }
 
-    /// A set-up of this relay's was late at an endpoint: notifies some other relays.
+    /// Records that a set-up of this relay was late at `endpoint`, and notifies some other relays.
     pub fn report_late_setup(
         &mut self,
         now: Millis,
@@ -83,7 +86,8 @@
         }
     }
 
-    /// A set-up of another relay's was late at an endpoint; whether the fault is common to all endpoints.
+    /// Records another relay's notice of a late set-up at `endpoint`, and returns whether the fault is common
+    /// to all endpoints.
     pub fn receive_notice(&mut self, now: Millis, endpoint: Tag) -> bool {
         self.notices
             .retain(|notice| now - notice.received_at <= NOTICE_TTL_MS && notice.endpoint != endpoint);
--- a/crates/cluster/src/poll_scheduler/mod.rs
+++ b/crates/cluster/src/poll_scheduler/mod.rs
@@ -1,16 +1,16 @@
-//! When a relay polls discovery for the list, so that a cluster of hundreds is answered at all.
+//! Schedules a relay's polls of discovery so that discovery can answer all relays of a cluster of hundreds.
 //!
-//! Owns one relay's next poll and its copy of the cluster's poll rate. Inputs are the time, how polls ended
-//! and the rate that other relays announce, all times in milliseconds; outputs are when to poll, and
-//! announcements to send. It never polls itself.
+//! [`PollScheduler`] holds one relay's next poll and its copy of the cluster's poll rate. Its inputs are the
+//! time, the outcome of polls and the rate that other relays announce, all times in milliseconds; its outputs
+//! are when to poll, and announcements to send. It never polls itself.
 //!
-//! Discovery takes the polls of all relays in turn, and one that it turns away or that waits too long has
-//! cost it as much as one that it answers. Hundreds of polls at once, retried a moment after they failed,
-//! keep it busy with polls of which none succeeds. A watch that goes on costs next to nothing: only its
-//! start has to be spread. A relay knows how many relays there are, but neither what discovery bears nor
-//! how many are polling. So the cluster shares one rate, adapted like a congestion window (`shared_rate`),
-//! and every relay moves its pending poll to it. `docs/cold-start.md` describes the alternatives that were
-//! weighed.
+//! Discovery handles the polls of all relays one at a time, and a poll that it turns away or that waits too
+//! long costs as much of its time as a poll that it answers. Hundreds of simultaneous polls, retried shortly
+//! after they failed, keep discovery busy with polls of which none succeeds. A continuing subscription costs
+//! almost nothing: only its start has to be spread over time. A relay knows how many relays there are, but
+//! neither how many polls discovery can answer nor how many relays are polling. The cluster therefore shares
+//! one rate, adapted like a congestion window (`shared_rate`), and every relay moves its pending poll
+//! according to that rate. `docs/cold-start.md` describes the alternatives that were considered.
 
 mod shared_rate;
 
@@ -23,45 +23,47 @@
 use shared_rate::{PollObservation, SharedRate};
 
 /// The longest backoff of one relay after failures. A change must reach a relay within 6 s after discovery
-/// had it and could be reached: a poll that was out when discovery came back may last for another 2.5 s,
-/// then comes this backoff, and the answer takes its time too.
+/// had the change and could be reached. Within this time, a poll that was in flight when discovery came back
+/// may last for another 2.5 s, then comes this backoff, and then the answer takes its time too.
 const MAX_BACKOFF_MS: Millis = 2000.0;
-/// The longest time over which a cluster spreads its polls after watches have fallen silent. Silence is
-/// noticed seconds late.
-const MAX_SILENT_WATCH_SPREAD_MS: Millis = 1500.0;
-/// The same for watches that were reset or turned away, which shows at once.
-const MAX_BROKEN_WATCH_SPREAD_MS: Millis = 3500.0;
+/// The longest time over which a cluster spreads its polls after subscriptions have fallen silent. The time
+/// is short because silence is noticed seconds late.
+const MAX_SILENT_SUBSCRIPTION_SPREAD_MS: Millis = 1500.0;
+/// The longest time over which a cluster spreads its polls after subscriptions were reset or turned away,
+/// which relays notice at once.
+const MAX_BROKEN_SUBSCRIPTION_SPREAD_MS: Millis = 3500.0;
 /// Time that each relay adds to the spread.
 const SPREAD_PER_RELAY_MS: Millis = 20.0;
-/// A poll that was turned away faster than this was refused: the service is down, not slow.
+/// A poll that fails sooner than this was refused: the service is down, not slow.
 const REFUSED_WITHIN_MS: Millis = 100.0;
 
-/// In how long to poll anew after a watch has fallen silent: what it has missed has to be known soon, so
-/// this is far less than a backoff after a failure. `draw` is a fresh random number from 0 to 1.
+/// Returns the delay until the next poll after a subscription has fallen silent. The changes that were missed
+/// have to be known soon, so the delay is far shorter than a backoff after a failure. `draw` is a fresh
+/// random number from 0 to 1.
 ///
 /// ```
 /// use sandgw_cluster::poll_scheduler::delay_after_silent_watch;
 ///
-/// assert_eq!(delay_after_silent_watch(4, 0.9), 0.0, "a handful polls at once");
+/// assert_eq!(delay_after_silent_watch(4, 0.9), 0.0, "a small cluster polls at once");
 /// assert!(delay_after_silent_watch(300, 0.1) < delay_after_silent_watch(300, 0.9));
 /// assert!(delay_after_silent_watch(300, 1.0) <= 1500.0);
 /// ```
 pub fn delay_after_silent_watch(relay_count: u32, draw: f64) -> Millis {
-    spread_delay(relay_count, draw, MAX_SILENT_WATCH_SPREAD_MS)
+    spread_delay(relay_count, draw, MAX_SILENT_SUBSCRIPTION_SPREAD_MS)
 }
 
-/// In how long to poll anew after a watch that had been going on was reset, cut or turned away. Only if
-/// that poll fails too, discovery is taken for down or overloaded. `draw` as in
+/// Returns the delay until the next poll after an established subscription was reset, cut or turned away.
+/// Only if that poll fails too is discovery considered down or overloaded. `draw` is as in
 /// [`delay_after_silent_watch`].
 ///
 /// ```
 /// use sandgw_cluster::poll_scheduler::delay_after_broken_watch;
 ///
-/// assert_eq!(delay_after_broken_watch(4, 0.9), 0.0, "a handful polls at once");
+/// assert_eq!(delay_after_broken_watch(4, 0.9), 0.0, "a small cluster polls at once");
 /// assert!(delay_after_broken_watch(100, 1.0) <= 2000.0 && delay_after_broken_watch(300, 1.0) <= 3500.0);
 /// ```
 pub fn delay_after_broken_watch(relay_count: u32, draw: f64) -> Millis {
-    spread_delay(relay_count, draw, MAX_BROKEN_WATCH_SPREAD_MS)
+    spread_delay(relay_count, draw, MAX_BROKEN_SUBSCRIPTION_SPREAD_MS)
 }
 
 fn spread_delay(relay_count: u32, draw: f64, max_spread: Millis) -> Millis {
@@ -73,18 +75,18 @@
     }
 }
 
-/// What a relay's polling depends on.
+/// The settings of a relay's polling.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollSettings {
-    /// The relay's place among those that poll the same service.
+    /// The relay's position among the relays that poll the same service.
     pub position: ClusterPosition,
     /// The backoff after a first failure, in milliseconds.
     pub first_backoff: Millis,
-    /// How long the list may go without a poll, in milliseconds.
+    /// The longest time that the list may go without a poll, in milliseconds.
     pub max_interval: Millis,
 }
 
-/// One relay's polls of discovery.
+/// The schedule of one relay's polls of discovery.
 ///
 /// ```
 /// use sandgw_cluster::ClusterPosition;
@@ -95,17 +97,17 @@
 /// let (mut scheduler, mut out) = (PollScheduler::new(7), Vec::new());
 /// scheduler.start(0.0, &settings);
 /// let at = scheduler.timer(0.0).expect("the first poll is due");
-/// assert!(scheduler.take_due(at) && !scheduler.take_due(at), "it is made once");
+/// assert!(scheduler.take_due(at) && !scheduler.take_due(at), "the poll is made once");
 /// scheduler.record_answer(at + 900.0, &settings, &mut out);
-/// assert_eq!(out.len(), 299, "it took long: a longer interval is announced to all");
+/// assert_eq!(out.len(), 299, "a slow poll: a longer interval is announced to all");
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollScheduler {
     consecutive_failures: i32,
-    /// When to poll next. `None`: not started; or a poll is in flight; or discovery has answered and the
-    /// subscription goes on.
+    /// When to poll next. `None` before the start, while a poll is in flight, and while a subscription
+    /// continues after an answer.
     next_poll_at: Option<Millis>,
-    /// When the poll that is in flight was sent.
+    /// When the poll in flight was sent.
     in_flight_since: Option<Millis>,
     started_at: Millis,
     rate: SharedRate,
@@ -114,7 +116,7 @@
 }
 
 impl PollScheduler {
-    /// Nothing is known of the service. `seed` is the relay's own.
+    /// Creates a scheduler that knows nothing about the service. `seed` is the relay's own.
     pub fn new(seed: u64) -> Self {
         PollScheduler { random: SeededRandom::new(seed), ..PollScheduler::default() }
     }
@@ -127,24 +129,21 @@
         self.next_poll_at = Some(now + delay);
     }
 
-    /// The same for a relay that takes no clients before its first poll has ended.
+    /// Schedules the first poll of a relay that takes no clients before that poll has ended.
     pub fn start_soon(&mut self, now: Millis, settings: &PollSettings) {
         let draw = self.random.next_fraction();
         self.started_at = now;
         self.next_poll_at = Some(now + delay_after_silent_watch(settings.position.relay_count, draw));
     }
 
-    /// A poll has failed, or a watch was broken off: schedules the next one. The backoff is jittered, so
-    /// that relays that were turned away together do not come back together.
+    /// Records that a poll has failed or a subscription has broken, and schedules the next poll. The backoff
+    /// is jittered, so that relays that were turned away together do not retry together.
     pub fn record_failure(&mut self, now: Millis, settings: &PollSettings, out: &mut Outbox) {
         let backoff = self.next_backoff(settings);
         if let Some(sent_at) = self.in_flight_since.take() {
             let refused = now - sent_at < REFUSED_WITHIN_MS;
-            let duration = if refused {
-                shared_rate::REFUSED_COUNTS_AS_MS
-            } else {
-                shared_rate::TURNED_AWAY_COUNTS_AS_MS
-            };
+            let duration =
+                if refused { shared_rate::REFUSED_DURATION_MS } else { shared_rate::TURNED_AWAY_DURATION_MS };
             self.observe(now, sent_at, duration, settings, out);
         }
         let round = self.poll_round(now, settings);
@@ -156,7 +155,7 @@
         self.next_poll_at = Some(now + delay);
     }
 
-    /// Discovery has answered.
+    /// Records that discovery has answered.
     pub fn record_answer(&mut self, now: Millis, settings: &PollSettings, out: &mut Outbox) {
         self.consecutive_failures = 0;
         self.next_poll_at = None;
@@ -165,8 +164,8 @@
         }
     }
 
-    /// Another relay announces the interval between the cluster's polls, and how long the poll took that it
-    /// is derived from.
+    /// Applies another relay's announcement of the interval between the cluster's polls. `poll_duration` is
+    /// the duration of the poll from which the interval is derived.
     pub fn receive_poll_rate(
         &mut self,
         now: Millis,
@@ -178,7 +177,7 @@
         self.adopt(now, interval, poll_duration, settings);
     }
 
-    /// Whether the next poll is due; it is then in flight.
+    /// Returns whether the next poll is due; if so, the poll is in flight from then on.
     pub fn take_due(&mut self, now: Millis) -> bool {
         let due = self.next_poll_at.take_if(|at| *at <= now).is_some();
         if due {
@@ -187,12 +186,13 @@
         due
     }
 
-    /// In how long to call [`PollScheduler::take_due`], unless that was requested before.
+    /// Returns the delay until [`PollScheduler::take_due`] is to be called; `None` if no poll is scheduled or
+    /// the call was requested before.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
         self.timer.arm(now, self.next_poll_at?, 0.0)
     }
 
-    /// Exponential backoff with full jitter on top.
+    /// Returns the next backoff: exponential, plus a random part of up to its own length.
     fn next_backoff(&mut self, settings: &PollSettings) -> Millis {
         let exponential = settings.first_backoff * 2_f64.powi(self.consecutive_failures);
         let jitter = 1.0 + self.random.next_fraction();
@@ -205,7 +205,8 @@
         self.rate.interval(now, settings) * f64::from(settings.position.relay_count)
     }
 
-    /// Adapts the cluster's rate to how long a poll took, and announces it to all others.
+    /// Adapts the cluster's rate to the duration of a poll, and announces the rate to all other relays if it
+    /// changes or has to be announced again.
     fn observe(
         &mut self,
         now: Millis,
@@ -225,7 +226,7 @@
         out.extend(peers.map(|peer| OutgoingMessage::new(peer, announcement.clone())));
     }
 
-    /// Moves the pending poll to another rate.
+    /// Adopts a rate, and moves the pending poll accordingly.
     fn adopt(&mut self, now: Millis, interval: Millis, poll_duration: Millis, settings: &PollSettings) {
         let factor = self.rate.adopt(now, interval, poll_duration, settings);
         if let Some(next) = self.next_poll_at.as_mut().filter(|next| **next > now) {
--- a/crates/cluster/src/poll_scheduler/shared_rate.rs
+++ b/crates/cluster/src/poll_scheduler/shared_rate.rs
@@ -1,48 +1,50 @@
 //! The rate at which all relays of a cluster together poll discovery, adapted like a congestion window.
 //!
-//! A relay whose poll was slow, or was turned away, lowers the rate; one whose poll met no queue raises it.
-//! Only a poll that was sent since the latest change counts, since an older one shows the effect of the
-//! rate before. Every change is announced to all relays.
+//! A relay whose poll was slow or was turned away lowers the rate; a relay whose poll met no queue raises it.
+//! Only a poll that was sent since the latest change counts, since an older poll shows the effect of the
+//! previous rate. Every change is announced to all relays.
 
 use super::PollSettings;
 use crate::Millis;
 
-/// The shortest interval between two polls of the cluster, and the one while nothing is known of the
-/// service.
+/// The shortest interval between two polls of the cluster, which also applies while nothing is known about
+/// the service.
 const SHORTEST_INTERVAL_MS: Millis = 70.0;
-/// The longest interval, however slow the service is. At this interval the load on a service that never
-/// answers is bounded, whatever the size of the cluster.
+/// The longest interval between two polls of the cluster, however slow the service is. This interval bounds
+/// the load on a service that never answers, whatever the size of the cluster.
 const MAX_INTERVAL_MS: Millis = 150.0;
-/// A poll that took at least this long has met a queue that is to shrink. Well below the 2 s after which
-/// discovery fails a poll: what is in flight by then is still answered.
+/// A poll that took at least this long has met a queue that has to shrink. The value is well below the 2 s
+/// after which discovery fails a poll, so that the polls in flight by then are still answered.
 const SLOW_POLL_MS: Millis = 200.0;
 /// A poll that took less than this has met no queue.
 const QUICK_POLL_MS: Millis = 100.0;
-/// What a poll counts as having taken that was turned away after a wait: as long as discovery lets one wait.
-pub(super) const TURNED_AWAY_COUNTS_AS_MS: Millis = 2000.0;
-/// What a poll counts as having taken that was refused at once. The service is down, not slow, and once it is
-/// back the rate may rise at once.
-pub(super) const REFUSED_COUNTS_AS_MS: Millis = 60_000.0;
-/// Factor of the interval when a poll was slow.
+/// The duration assumed for a poll that was turned away after a wait: the longest time that discovery lets a
+/// poll wait.
+pub(super) const TURNED_AWAY_DURATION_MS: Millis = 2000.0;
+/// The duration assumed for a poll that was refused at once. The service is down, not slow, and the rate may
+/// rise at once when the service is back.
+pub(super) const REFUSED_DURATION_MS: Millis = 60_000.0;
+/// Factor applied to the interval after a slow poll.
 const SLOW_FACTOR: f64 = 1.8;
-/// The largest factor when the first slow poll shows how fast the queue grows.
+/// The largest factor applied to the interval when the first slow poll shows how fast the queue grows.
 const MAX_GROWTH_FACTOR: f64 = 8.0;
-/// Factor of the interval when a poll was turned away.
+/// Factor applied to the interval after a poll was turned away.
 const TURNED_AWAY_FACTOR: f64 = 2.5;
-/// Factor of the interval when a poll met no queue.
+/// Factor applied to the interval after a poll met no queue.
 const QUICK_FACTOR: f64 = 0.6;
-/// Factor of the interval when a poll met no queue after the service was down.
+/// Factor applied to the interval after a poll met no queue for the first time since the service was down.
 const RECOVERED_FACTOR: f64 = 0.25;
-/// A slow poll that took less than this fraction of the one before shows that the queue is shrinking already.
+/// A slow poll that took less than this fraction of the previous poll shows that the queue is already
+/// shrinking.
 const SHRINKING_QUEUE_FRACTION: f64 = 0.95;
-/// How long a rate stays before it rises: each change costs a datagram to every relay.
+/// How long a rate stays before it may rise: each change costs a datagram to every relay.
 const MIN_TIME_BEFORE_SPEEDUP_MS: Millis = 300.0;
-/// How often an unchanged rate is announced again, since datagrams are lost.
+/// How often an unchanged rate is announced again, since datagrams may be lost.
 const MAX_REPEATED_ANNOUNCEMENTS: u32 = 3;
-/// How long a rate counts without a further change.
+/// How long a rate applies without a further change.
 const RATE_TTL_MS: Millis = 30_000.0;
 
-/// How one poll went.
+/// When one poll was sent and how long it took.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollObservation {
     pub sent_at: Millis,
@@ -61,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SharedRate {
     agreed: Option<AgreedInterval>,
-    /// How long the poll took that the interval is derived from.
+    /// The duration of the poll from which the interval is derived.
     poll_duration: Millis,
     /// How often the same interval was adopted again.
     repeats: u32,
@@ -77,8 +79,9 @@
         }
     }
 
-    /// The interval to adopt after another relay's announcement. A relay that has missed an announcement
-    /// may announce too short an interval: a queue is never a reason to poll more often.
+    /// Returns the interval to adopt after another relay's announcement. A relay that has missed an
+    /// announcement may announce an interval that is too short. If the announcing relay's poll met a queue,
+    /// the known interval is therefore not shortened: a queue is never a reason to poll more often.
     pub fn merge_announced(
         &self,
         now: Millis,
@@ -87,12 +90,12 @@
         settings: &PollSettings,
     ) -> Millis {
         let interval = interval.clamp(shortest_interval(settings), MAX_INTERVAL_MS);
-        let known = if poll_duration >= SLOW_POLL_MS { self.interval(now, settings) } else { 0.0 };
-        interval.max(known)
+        let min_interval = if poll_duration >= SLOW_POLL_MS { self.interval(now, settings) } else { 0.0 };
+        interval.max(min_interval)
     }
 
-    /// The interval to adopt and announce after a poll of this relay, if it changes or has to be announced
-    /// again.
+    /// Returns the interval to adopt and announce after a poll of this relay; `None` if it neither changes
+    /// nor has to be announced again.
     pub fn adapt(
         &self,
         now: Millis,
@@ -103,13 +106,14 @@
             return None;
         }
         let factor = self.factor(now, observation);
-        let before = self.interval(now, settings);
-        let interval = (before * factor).clamp(shortest_interval(settings), MAX_INTERVAL_MS);
-        let repeat = self.agreed.is_some() && factor < 1.0 && self.repeats < MAX_REPEATED_ANNOUNCEMENTS;
-        (interval != before || repeat).then_some(interval)
+        let previous = self.interval(now, settings);
+        let interval = (previous * factor).clamp(shortest_interval(settings), MAX_INTERVAL_MS);
+        let announces_again =
+            self.agreed.is_some() && factor < 1.0 && self.repeats < MAX_REPEATED_ANNOUNCEMENTS;
+        (interval != previous || announces_again).then_some(interval)
     }
 
-    /// Takes an interval and gives the factor by which it differs from the one before.
+    /// Adopts an interval, and returns the factor by which it differs from the previous one.
     pub fn adopt(
         &mut self,
         now: Millis,
@@ -128,14 +132,14 @@
         self.agreed.map_or(f64::NEG_INFINITY, |agreed| agreed.changed_at)
     }
 
-    /// By how much the interval changes after a poll.
+    /// Returns the factor by which the interval changes after a poll.
     fn factor(&self, now: Millis, observation: PollObservation) -> f64 {
         let duration = observation.duration;
-        if duration >= TURNED_AWAY_COUNTS_AS_MS {
+        if duration >= TURNED_AWAY_DURATION_MS {
             TURNED_AWAY_FACTOR
         } else if duration >= SLOW_POLL_MS {
             self.slow_factor(observation)
-        } else if duration < QUICK_POLL_MS && self.poll_duration >= REFUSED_COUNTS_AS_MS {
+        } else if duration < QUICK_POLL_MS && self.poll_duration >= REFUSED_DURATION_MS {
             RECOVERED_FACTOR
         } else if duration < QUICK_POLL_MS && now - self.changed_at() > MIN_TIME_BEFORE_SPEEDUP_MS {
             QUICK_FACTOR
@@ -146,8 +150,8 @@
 
     fn slow_factor(&self, observation: PollObservation) -> f64 {
         if self.agreed.is_none() {
-            // The growth of a queue since all relays began to poll shows at once how many more poll than
-            // are answered.
+            // The growth of the queue since the relays began to poll shows at once by how much polls exceed
+            // answers.
             let polling_for = (observation.sent_at - observation.polling_since).max(1.0);
             (observation.duration / polling_for).clamp(SLOW_FACTOR, MAX_GROWTH_FACTOR)
         } else if observation.duration > self.poll_duration * SHRINKING_QUEUE_FRACTION {
@@ -158,8 +162,8 @@
     }
 }
 
-/// The shortest interval: lower than the constant where a round of all relays would otherwise exceed
-/// `max_interval`.
+/// Returns the shortest interval: less than `SHORTEST_INTERVAL_MS` if a round of all relays would otherwise
+/// exceed `max_interval`.
 fn shortest_interval(settings: &PollSettings) -> Millis {
     SHORTEST_INTERVAL_MS.min(settings.max_interval / f64::from(settings.position.relay_count))
 }
--- a/crates/cluster/tests/drain_gossip.rs
+++ b/crates/cluster/tests/drain_gossip.rs
@@ -1,23 +1,29 @@
-//! When each relay learns of each change of the list, by an answer or by another relay's report, whatever
-//! the fault of discovery was.
+//! Tests when each relay learns of each change of the list, by an answer or by another relay's report, after
+//! any fault of discovery.
 
 mod drain_simulation;
 
-use drain_simulation::{DEADLINE_MS, FAULT_AT_MS, Fault, Plan, play};
+use drain_simulation::{DEADLINE_MS, FAULT_AT_MS, Fault, Scenario, simulate};
 
-/// Changes in the outage, as it ends and after it.
+/// The times of the changes: during the outage, as it ends and after it.
 fn changes(fault: Fault) -> Vec<f64> {
-    let back = fault.ends_at();
-    let mut all =
-        vec![FAULT_AT_MS + 100.0, back - 50.0, back + 10.0, back + 500.0, back + 1500.0, back + 3000.0];
+    let available_at = fault.ends_at();
+    let mut all = vec![
+        FAULT_AT_MS + 100.0,
+        available_at - 50.0,
+        available_at + 10.0,
+        available_at + 500.0,
+        available_at + 1500.0,
+        available_at + 3000.0,
+    ];
     all.sort_by(f64::total_cmp);
     all
 }
 
-/// What five seeds of one number of relays gave.
+/// The results of five seeds for one number of relays.
 struct Summary {
     relays: u32,
-    /// Relays that were late, over all seeds.
+    /// Late relays, summed over all seeds.
     late: usize,
     /// The longest delay.
     latest: f64,
@@ -28,17 +34,17 @@
     for relays in [1, 4, 8, 30, 100, 300] {
         let (mut late, mut latest) = (0, 0.0_f64);
         for seed in 0..5 {
-            let outcome = play(Plan { relays, fault, cost, loss, gossips, seed }, &changes(fault));
+            let outcome = simulate(Scenario { relays, fault, cost, loss, gossips, seed }, &changes(fault));
             let median = outcome.delays[outcome.delays.len() / 2];
             let max = outcome.delays[outcome.delays.len() - 1];
-            let each = |n: usize| n as f64 / f64::from(relays);
+            let per_relay = |n: usize| n as f64 / f64::from(relays);
             eprintln!(
-                "{fault:?}, {relays} relays, {cost} ms, {loss} lost, gossip {gossips}, seed {seed}: {} late, median \
-                {median:.0}, latest {max:.0}, {:.1} polls, {:.1} messages, {:.0} bytes a relay",
+                "{fault:?}, {relays} relays, {cost} ms a poll, {loss} lost, gossip {gossips}, seed {seed}: {} late, \
+                median {median:.0}, longest delay {max:.0}, {:.1} polls, {:.1} messages, {:.0} bytes a relay",
                 outcome.late,
-                each(outcome.polls),
-                each(outcome.messages),
-                each(outcome.bytes),
+                per_relay(outcome.polls),
+                per_relay(outcome.messages),
+                per_relay(outcome.bytes),
             );
             late += outcome.late;
             latest = latest.max(max);
@@ -48,24 +54,32 @@
     all
 }
 
-const FAULTS: [Fault; 5] =
-    [Fault::Refuses(8000.0), Fault::Silent(8000.0), Fault::Resets, Fault::WatchesSilent, Fault::Restarts];
+const FAULTS: [Fault; 5] = [
+    Fault::Refuses(8000.0),
+    Fault::Silent(8000.0),
+    Fault::Resets,
+    Fault::SubscriptionsSilent,
+    Fault::Restarts,
+];
 
 #[test]
-fn every_relay_is_told_in_time_whatever_the_fault_was() {
+fn every_relay_learns_of_each_change_in_time_after_any_fault() {
     for fault in FAULTS {
         for Summary { relays, late, latest } in summaries(fault, 50.0, 0.1, true) {
-            assert_eq!(late, 0, "{fault:?}: {late} of five times {relays} relays, the latest after {latest}");
+            assert_eq!(
+                late, 0,
+                "{fault:?}: {late} of five times {relays} relays late, longest delay {latest} ms"
+            );
         }
     }
 }
 
 #[test]
-fn hardly_any_is_told_late_by_a_service_of_half_the_rate_and_with_a_fifth_of_all_words_lost() {
+fn few_relays_learn_late_at_half_the_service_rate_and_a_fifth_of_datagrams_lost() {
     for fault in FAULTS {
         for cost in [50.0, 100.0] {
             for Summary { relays, late, latest } in summaries(fault, cost, 0.2, true) {
-                // Of five times as many: up to 8 relays poll so soon that gossip doesn't matter.
+                // `late` is summed over five seeds. Up to 8 relays poll so soon that gossip does not matter.
                 let max_late = if relays > 8 { relays / 50 } else { 0 };
                 assert!(
                     late <= max_late as usize,
@@ -73,7 +87,7 @@
                 );
                 assert!(
                     latest < 2.5 * DEADLINE_MS,
-                    "{fault:?}, {cost} ms, {relays} relays: the latest after {latest}"
+                    "{fault:?}, {cost} ms, {relays} relays: longest delay {latest} ms"
                 );
             }
         }
@@ -81,12 +95,13 @@
 }
 
 #[test]
-fn without_words_most_of_hundreds_are_told_late() {
-    // What the ones above guard against, and what is left where relays may not send each other reports.
+fn without_gossip_most_of_hundreds_of_relays_learn_late() {
+    // The failure that the tests above guard against, and that remains where relays may not send each other
+    // reports.
     for fault in FAULTS {
         for Summary { relays, late, latest } in summaries(fault, 50.0, 0.1, false) {
             eprintln!(
-                "{fault:?}: without gossip {late} of five times {relays} relays late, the latest after {latest}"
+                "{fault:?}: without gossip {late} of five times {relays} relays late, longest delay {latest} ms"
             );
             assert!(relays > 8 || late == 0, "{fault:?}: {late} of five times {relays} relays late");
             assert!(relays < 300 || late > 300, "{fault:?}: {late} of five times {relays} relays late");
--- a/crates/cluster/tests/drain_simulation/mod.rs
+++ b/crates/cluster/tests/drain_simulation/mod.rs
@@ -1,4 +1,5 @@
-//! Many relays, one discovery service that takes polls in turn, and a fault, in virtual time.
+//! Simulates many relays, one discovery service that handles polls one at a time, and a fault, in virtual
+//! time.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -14,57 +15,58 @@
 
 /// The simulation's time step.
 const STEP_MS: f64 = 5.0;
-/// The time that a datagram takes.
+/// The transit time of a datagram.
 const DATAGRAM_DELAY_MS: f64 = 20.0;
-/// A poll that has waited so long is turned away, and costs its turn all the same.
+/// The service turns a poll away once it has waited this long; the poll takes up service time all the same.
 const SERVICE_TIMEOUT_MS: f64 = 2000.0;
-/// A relay waits for an answer no longer than this.
+/// How long a relay waits for an answer.
 const RELAY_TIMEOUT_MS: f64 = 2500.0;
-/// A watch that has fallen silent is noticed after this long at most.
+/// The longest time after which a relay notices that its subscription has fallen silent.
 const MAX_SILENCE_MS: f64 = 3500.0;
-/// How long before an answer its watch was begun.
-const WATCH_AGE_MS: f64 = 1000.0;
-/// When the fault begins, and how long is simulated.
+/// How long before an answer its subscription began.
+const SUBSCRIPTION_AGE_MS: f64 = 1000.0;
+/// When the fault begins; `END_MS` is when the simulation ends.
 pub const FAULT_AT_MS: f64 = 2000.0;
 const END_MS: f64 = 60_000.0;
-/// A relay that learns of a change later than this after it could have is late.
+/// A relay is late if it learns of a change later than this after the change was available.
 pub const DEADLINE_MS: f64 = 6000.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// For so long each poll is refused at once.
+    /// The service refuses each poll at once for this many milliseconds.
     Refuses(f64),
-    /// For so long polls are accepted and never answered.
+    /// The service accepts polls but never answers them for this many milliseconds.
     Silent(f64),
-    /// All watches are reset, and all is well.
+    /// All subscriptions are reset, and the service works.
     Resets,
-    /// All watches fall silent, and all is well.
-    WatchesSilent,
-    /// Seven in ten relays are killed and start again together, with the list from before.
+    /// All subscriptions fall silent, and the service works.
+    SubscriptionsSilent,
+    /// Seven in ten relays are killed and restart together, with the list from before.
     Restarts,
 }
 
 impl Fault {
-    /// When the service is back.
+    /// When the service is available again.
     pub fn ends_at(self) -> f64 {
-        FAULT_AT_MS + if let Fault::Refuses(long) | Fault::Silent(long) = self { long } else { 0.0 }
+        FAULT_AT_MS
+            + if let Fault::Refuses(duration) | Fault::Silent(duration) = self { duration } else { 0.0 }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub relays: u32,
     pub fault: Fault,
-    /// What a poll costs the service that takes it, in milliseconds.
+    /// The time that the service spends on each poll that it takes, in milliseconds.
     pub cost: f64,
     /// The fraction of datagrams that is lost.
     pub loss: f64,
-    /// Whether relays may send each other which endpoints leave.
+    /// Whether relays gossip which endpoints leave.
     pub gossips: bool,
     pub seed: u64,
 }
 
-impl Plan {
+impl Scenario {
     fn settings(&self, local_index: u32) -> PollSettings {
         PollSettings {
             position: ClusterPosition { local_index, relay_count: self.relays },
@@ -84,7 +86,7 @@
         Relay {
             scheduler: PollScheduler::new(seed),
             gossip,
-            stage: Stage::Watching { silence_noticed_at: None },
+            poll_state: PollState::Subscribed { silence_noticed_at: None },
             revision: 0,
             avoided: BTreeSet::new(),
             learned_at: vec![None; changes],
@@ -93,41 +95,41 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
-    /// The next poll is the scheduler's.
+enum PollState {
+    /// The scheduler decides when the relay polls next.
     Scheduled,
-    /// A poll is made then, without the scheduler's backoff.
+    /// The relay polls at this time, without the scheduler's backoff.
     Delayed(f64),
-    /// A poll is in flight since then; nobody will answer it where it is lost.
+    /// A poll has been in flight from `since` on; if `lost` is set, nobody will answer it.
     Polling { since: f64, lost: bool },
-    /// A watch goes on; it has fallen silent where that is to be noticed then.
-    Watching { silence_noticed_at: Option<f64> },
+    /// The subscription continues; if it has fallen silent, the relay notices at `silence_noticed_at`.
+    Subscribed { silence_noticed_at: Option<f64> },
 }
 
 struct Relay {
     scheduler: PollScheduler,
     gossip: DrainGossip,
-    stage: Stage,
+    poll_state: PollState,
     revision: u64,
-    /// Endpoints that it sends nothing to.
+    /// Endpoints that the relay sends nothing to.
     avoided: BTreeSet<EndpointHash>,
-    /// When it learned of each change.
+    /// When the relay learned of each change.
     learned_at: Vec<Option<f64>>,
 }
 
 impl Relay {
-    fn poll_failed(&mut self, now: f64, plan: &Plan, local_index: u32, out: &mut Outbox) {
-        self.stage = Stage::Scheduled;
-        self.scheduler.record_failure(now, &plan.settings(local_index), out);
-        self.gossip.discovery_failed(now, plan.gossip_position(local_index));
+    fn poll_failed(&mut self, now: f64, scenario: &Scenario, local_index: u32, out: &mut Outbox) {
+        self.poll_state = PollState::Scheduled;
+        self.scheduler.record_failure(now, &scenario.settings(local_index), out);
+        self.gossip.discovery_failed(now, scenario.gossip_position(local_index));
     }
 }
 
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// How long after a change could have been had each relay learned of it, the latest last.
+    /// How long after each change was available each relay learned of it, in ascending order.
     pub delays: Vec<f64>,
-    /// Relays that were late for some change.
+    /// Relays that were late for at least one change.
     pub late: usize,
     pub messages: usize,
     pub bytes: usize,
@@ -150,14 +152,14 @@
 }
 
 impl Network {
-    fn send(&mut self, now: f64, from: u32, out: &mut Outbox, dice: &mut StdRng) {
+    fn send(&mut self, now: f64, from: u32, out: &mut Outbox, rng: &mut StdRng) {
         for OutgoingMessage { peer, message } in out.drain(..) {
-            assert_ne!(peer, from, "it sends to itself");
+            assert_ne!(peer, from, "a relay sends to itself");
             if matches!(message, ClusterMessage::Draining { .. } | ClusterMessage::DrainQuery(_)) {
                 self.messages += 1;
-                self.bytes += message.encode().expect("it fits").len();
+                self.bytes += message.encode().expect("the message fits a datagram").len();
             }
-            if !dice.random_bool(self.loss) {
+            if !rng.random_bool(self.loss) {
                 let arrives_at = now + DATAGRAM_DELAY_MS;
                 self.in_flight.push_back(Datagram { arrives_at, from, to: peer, message });
             }
@@ -170,7 +172,7 @@
     }
 }
 
-/// A poll at the service, or its answer: whose, and when it was sent.
+/// A poll that waits for the service or is being answered: which relay sent it, and when.
 #[derive(Clone, Copy)]
 struct Poll {
     relay: u32,
@@ -178,12 +180,12 @@
 }
 
 struct Simulation<'a> {
-    plan: Plan,
+    scenario: Scenario,
     /// When each change happens.
     changes: &'a [f64],
-    dice: StdRng,
+    rng: StdRng,
     relays: Vec<Relay>,
-    /// Polls that wait for the service, and for how long it is busy.
+    /// Polls that wait for the service; `busy_ms` is how long the service is still busy.
     queue: VecDeque<Poll>,
     busy_ms: f64,
     network: Network,
@@ -194,17 +196,17 @@
     has_fault_begun: bool,
 }
 
-/// Plays a fault. Each change is one endpoint that leaves; the list's revision counts them.
-pub fn play(plan: Plan, changes: &[f64]) -> Outcome {
-    let relay = |local_index| plan.relay(local_index, 0, changes.len());
+/// Simulates a fault. With each change one endpoint leaves; the list's revision counts the changes.
+pub fn simulate(scenario: Scenario, changes: &[f64]) -> Outcome {
+    let relay = |local_index| scenario.relay(local_index, 0, changes.len());
     let mut simulation = Simulation {
-        plan,
+        scenario,
         changes,
-        dice: StdRng::seed_from_u64(plan.seed),
-        relays: (0..plan.relays).map(relay).collect(),
+        rng: StdRng::seed_from_u64(scenario.seed),
+        relays: (0..scenario.relays).map(relay).collect(),
         queue: VecDeque::new(),
         busy_ms: 0.0,
-        network: Network { loss: plan.loss, ..Network::default() },
+        network: Network { loss: scenario.loss, ..Network::default() },
         outcome: Outcome::default(),
         now: 0.0,
         revision: 0,
@@ -228,7 +230,7 @@
             self.begin_fault();
         }
         let mut answered = Vec::new();
-        for local_index in 0..self.plan.relays {
+        for local_index in 0..self.scenario.relays {
             self.run_relay(local_index, &mut answered);
         }
         self.run_service(&mut answered);
@@ -241,33 +243,33 @@
     }
 
     fn is_down(&self) -> bool {
-        self.now >= FAULT_AT_MS && self.now < self.plan.fault.ends_at()
+        self.now >= FAULT_AT_MS && self.now < self.scenario.fault.ends_at()
     }
 
     fn send(&mut self, from: u32, out: &mut Outbox) {
-        self.network.send(self.now, from, out, &mut self.dice);
+        self.network.send(self.now, from, out, &mut self.rng);
     }
 
     fn begin_fault(&mut self) {
-        let (plan, now) = (self.plan, self.now);
+        let (scenario, now) = (self.scenario, self.now);
         self.queue.clear();
-        for local_index in 0..plan.relays {
+        for local_index in 0..scenario.relays {
             let relay = &mut self.relays[local_index as usize];
-            match plan.fault {
+            match scenario.fault {
                 Fault::Refuses(_) | Fault::Resets => {
-                    let delay = delay_after_broken_watch(plan.relays, self.dice.random());
-                    relay.stage = Stage::Delayed(now + delay);
-                    relay.gossip.discovery_failed(now, plan.gossip_position(local_index));
+                    let delay = delay_after_broken_watch(scenario.relays, self.rng.random());
+                    relay.poll_state = PollState::Delayed(now + delay);
+                    relay.gossip.discovery_failed(now, scenario.gossip_position(local_index));
                 }
-                Fault::Silent(_) | Fault::WatchesSilent => {
-                    let noticed_at = now + MAX_SILENCE_MS * self.dice.random_range(0.6..1.0);
-                    relay.stage = Stage::Watching { silence_noticed_at: Some(noticed_at) };
+                Fault::Silent(_) | Fault::SubscriptionsSilent => {
+                    let noticed_at = now + MAX_SILENCE_MS * self.rng.random_range(0.6..1.0);
+                    relay.poll_state = PollState::Subscribed { silence_noticed_at: Some(noticed_at) };
                 }
-                Fault::Restarts if self.dice.random_bool(0.7) => {
-                    *relay = plan.relay(local_index, 1, self.changes.len());
-                    relay.stage = Stage::Scheduled;
-                    relay.scheduler.start(now, &plan.settings(local_index));
-                    relay.gossip.discovery_failed(now, plan.gossip_position(local_index));
+                Fault::Restarts if self.rng.random_bool(0.7) => {
+                    *relay = scenario.relay(local_index, 1, self.changes.len());
+                    relay.poll_state = PollState::Scheduled;
+                    relay.scheduler.start(now, &scenario.settings(local_index));
+                    relay.gossip.discovery_failed(now, scenario.gossip_position(local_index));
                 }
                 Fault::Restarts => {}
             }
@@ -275,31 +277,31 @@
     }
 
     fn run_relay(&mut self, local_index: u32, answered: &mut Vec<Poll>) {
-        let (plan, now) = (self.plan, self.now);
-        let has_news = !self.is_down() && self.relays[local_index as usize].revision < self.revision;
+        let (scenario, now) = (self.scenario, self.now);
+        let has_changes = !self.is_down() && self.relays[local_index as usize].revision < self.revision;
         let relay = &mut self.relays[local_index as usize];
         let mut out = Vec::new();
-        relay.gossip.on_timer(now, plan.gossip_position(local_index), &mut out);
-        let polls = match relay.stage {
-            Stage::Delayed(at) => at <= now,
-            Stage::Scheduled => relay.scheduler.take_due(now),
-            Stage::Polling { since, .. } => {
+        relay.gossip.on_timer(now, scenario.gossip_position(local_index), &mut out);
+        let polls = match relay.poll_state {
+            PollState::Delayed(at) => at <= now,
+            PollState::Scheduled => relay.scheduler.take_due(now),
+            PollState::Polling { since, .. } => {
                 if now - since > RELAY_TIMEOUT_MS {
-                    relay.poll_failed(now, &plan, local_index, &mut out);
+                    relay.poll_failed(now, &scenario, local_index, &mut out);
                 }
                 false
             }
-            Stage::Watching { silence_noticed_at: Some(at) } if at <= now => {
-                let delay = delay_after_silent_watch(plan.relays, self.dice.random());
-                relay.stage = Stage::Delayed(now + delay);
-                relay.gossip.discovery_failed(now, plan.gossip_position(local_index));
+            PollState::Subscribed { silence_noticed_at: Some(at) } if at <= now => {
+                let delay = delay_after_silent_watch(scenario.relays, self.rng.random());
+                relay.poll_state = PollState::Delayed(now + delay);
+                relay.gossip.discovery_failed(now, scenario.gossip_position(local_index));
                 false
             }
-            Stage::Watching { silence_noticed_at: None } if has_news => {
-                answered.push(Poll { relay: local_index, sent_at: now - WATCH_AGE_MS });
+            PollState::Subscribed { silence_noticed_at: None } if has_changes => {
+                answered.push(Poll { relay: local_index, sent_at: now - SUBSCRIPTION_AGE_MS });
                 false
             }
-            Stage::Watching { .. } => false,
+            PollState::Subscribed { .. } => false,
         };
         if polls {
             self.poll(local_index, &mut out);
@@ -308,35 +310,35 @@
     }
 
     fn poll(&mut self, local_index: u32, out: &mut Outbox) {
-        let (plan, now) = (self.plan, self.now);
+        let (scenario, now) = (self.scenario, self.now);
         let is_down = self.is_down();
         self.outcome.polls += 1;
         let relay = &mut self.relays[local_index as usize];
-        match plan.fault {
-            Fault::Refuses(_) if is_down => relay.poll_failed(now, &plan, local_index, out),
-            Fault::Silent(_) if is_down => relay.stage = Stage::Polling { since: now, lost: true },
+        match scenario.fault {
+            Fault::Refuses(_) if is_down => relay.poll_failed(now, &scenario, local_index, out),
+            Fault::Silent(_) if is_down => relay.poll_state = PollState::Polling { since: now, lost: true },
             _ => {
-                relay.stage = Stage::Polling { since: now, lost: false };
+                relay.poll_state = PollState::Polling { since: now, lost: false };
                 self.queue.push_back(Poll { relay: local_index, sent_at: now });
             }
         }
     }
 
     fn run_service(&mut self, answered: &mut Vec<Poll>) {
-        let (plan, now) = (self.plan, self.now);
+        let (scenario, now) = (self.scenario, self.now);
         self.busy_ms = (self.busy_ms - STEP_MS).max(-STEP_MS);
         while self.busy_ms <= 0.0
             && let Some(poll) = self.queue.pop_front()
         {
-            // A poll whose relay has given up costs its turn all the same.
-            self.busy_ms += plan.cost;
+            // A poll whose relay has given up takes up service time all the same.
+            self.busy_ms += scenario.cost;
             let relay = &mut self.relays[poll.relay as usize];
-            if relay.stage != (Stage::Polling { since: poll.sent_at, lost: false }) {
+            if relay.poll_state != (PollState::Polling { since: poll.sent_at, lost: false }) {
                 continue;
             }
             if now - poll.sent_at > SERVICE_TIMEOUT_MS {
                 let mut out = Vec::new();
-                relay.poll_failed(now, &plan, poll.relay, &mut out);
+                relay.poll_failed(now, &scenario, poll.relay, &mut out);
                 self.send(poll.relay, &mut out);
             } else {
                 answered.push(poll);
@@ -345,17 +347,21 @@
     }
 
     fn deliver_answer(&mut self, poll: Poll) {
-        let (plan, now, revision) = (self.plan, self.now, self.revision);
+        let (scenario, now, revision) = (self.scenario, self.now, self.revision);
         let relay = &mut self.relays[poll.relay as usize];
         let mut out = Vec::new();
         let departed: Vec<_> = (relay.revision..revision).map(endpoint).collect();
-        relay.stage = Stage::Watching { silence_noticed_at: None };
-        relay.scheduler.record_answer(now, &plan.settings(poll.relay), &mut out);
+        relay.poll_state = PollState::Subscribed { silence_noticed_at: None };
+        relay.scheduler.record_answer(now, &scenario.settings(poll.relay), &mut out);
         let answer = DiscoveryAnswer { revision, requested_at: poll.sent_at, is_full: false };
         let change = ListChange { departed: &departed, ready: &[] };
-        let position = plan.gossip_position(poll.relay);
+        let position = scenario.gossip_position(poll.relay);
         let restored = relay.gossip.apply_answer(now, position, answer, change, &mut out);
-        assert!(restored.is_empty(), "relay {} takes back what has left: {restored:?}", poll.relay);
+        assert!(
+            restored.is_empty(),
+            "relay {} treats departed endpoints as ready again: {restored:?}",
+            poll.relay
+        );
         relay.revision = revision;
         relay.avoided.extend(departed);
         for learned_at in &mut relay.learned_at[..revision as usize] {
@@ -365,23 +371,24 @@
     }
 
     fn deliver_datagram(&mut self, datagram: Datagram) {
-        let (plan, now) = (self.plan, self.now);
+        let (scenario, now) = (self.scenario, self.now);
         let Datagram { from, to, message, .. } = datagram;
         let relay = &mut self.relays[to as usize];
         if let ClusterMessage::PollRate { interval_ms, call_duration_ms } = message {
-            let (interval, call_duration) = (f64::from(interval_ms), f64::from(call_duration_ms));
-            relay.scheduler.receive_poll_rate(now, interval, call_duration, &plan.settings(to));
+            let (interval, poll_duration) = (f64::from(interval_ms), f64::from(call_duration_ms));
+            relay.scheduler.receive_poll_rate(now, interval, poll_duration, &scenario.settings(to));
             return;
         }
         let mut out = Vec::new();
         let avoided = &relay.avoided;
         let is_ready = |endpoint| !avoided.contains(&endpoint);
-        let position = plan.gossip_position(to);
+        let position = scenario.gossip_position(to);
         let reported = relay.gossip.receive(now, position, from, message, is_ready, &mut out);
         for reported in &reported {
             let is_reported = |n: &usize| endpoint(*n as u64) == *reported;
-            let change = (0..self.changes.len()).find(is_reported).expect("one that left");
-            assert!(self.changes[change] <= now, "a report of what has not happened");
+            let change =
+                (0..self.changes.len()).find(is_reported).expect("the report names an endpoint that leaves");
+            assert!(self.changes[change] <= now, "a report precedes its change");
             relay.learned_at[change].get_or_insert(now);
         }
         relay.avoided.extend(reported);
@@ -390,7 +397,7 @@
 
     fn into_outcome(self) -> Outcome {
         let mut outcome = self.outcome;
-        let available_at = self.plan.fault.ends_at();
+        let available_at = self.scenario.fault.ends_at();
         for relay in &self.relays {
             let changes = relay.learned_at.iter().zip(self.changes);
             let delays: Vec<f64> = changes
--- a/crates/cluster/tests/poll_scheduler.rs
+++ b/crates/cluster/tests/poll_scheduler.rs
@@ -1,5 +1,5 @@
-//! Many relays and one discovery service that takes polls in turn: how many have a list, how soon, and what
-//! it costs.
+//! Simulates many relays and one discovery service that handles polls one at a time: how many relays get a
+//! list, how soon, and at what cost.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,41 +10,41 @@
 use sandgw_cluster::ClusterPosition;
 use sandgw_cluster::poll_scheduler::{PollScheduler, PollSettings, delay_after_silent_watch};
 
-/// A poll that has waited so long fails, and costs its turn all the same.
+/// The service fails a poll that has waited this long; the poll takes up service time all the same.
 const SERVICE_TIMEOUT_MS: f64 = 2000.0;
-/// One in so many datagrams is lost.
+/// The fraction of datagrams that is lost.
 const LOSS: f64 = 0.1;
-/// The time that a datagram takes.
+/// The transit time of a datagram.
 const DATAGRAM_DELAY_MS: f64 = 10.0;
 /// How long is simulated.
 const END_MS: u32 = 60_000;
 
-/// What a service is like.
+/// The properties of the simulated service.
 #[derive(Clone, Copy)]
 struct Service {
-    /// Milliseconds that a poll takes it.
+    /// The time that the service spends on a poll, in milliseconds.
     cost: f64,
-    /// Until when it is down and each poll fails at once.
-    down: f64,
+    /// Until when the service is down and each poll fails at once.
+    down_until: f64,
 }
 
 /// Relays that start together; all others start within the first second.
 #[derive(Clone, Copy)]
 struct LateStart {
-    /// How many.
+    /// How many relays start together.
     relays: u32,
-    /// When.
+    /// When they start.
     at: f64,
 }
 
 const NO_LATE_START: LateStart = LateStart { relays: 0, at: 0.0 };
 
-/// An announcement of the poll rate on its way.
+/// An announcement of the poll rate in transit.
 struct Announcement {
     arrives_at: f64,
     peer: u32,
     interval: f64,
-    call_duration: f64,
+    poll_duration: f64,
 }
 
 /// A poll that waits for the service.
@@ -64,8 +64,8 @@
 }
 
 impl Outcome {
-    /// When the last relay was answered.
-    fn all_by(&self, relays: u32) -> f64 {
+    /// When the last relay was answered; infinity if some relay was not.
+    fn all_answered_at(&self, relays: u32) -> f64 {
         if self.answered_at.len() == relays as usize {
             self.answered_at[self.answered_at.len() - 1]
         } else {
@@ -85,20 +85,20 @@
     service: Service,
     /// Whether the relays announce the poll rate to each other.
     announces: bool,
-    dice: StdRng,
+    rng: StdRng,
     relays: Vec<Relay>,
-    /// Polls that wait for the service, and for how long it is busy.
+    /// Polls that wait for the service; `busy_ms` is how long the service is still busy.
     queue: VecDeque<Poll>,
     busy_ms: f64,
     datagrams: VecDeque<Announcement>,
     outcome: Outcome,
 }
 
-fn play(relays: u32, late_start: LateStart, service: Service, announces: bool, seed: u64) -> Outcome {
-    let mut dice = StdRng::seed_from_u64(seed);
+fn simulate(relays: u32, late_start: LateStart, service: Service, announces: bool, seed: u64) -> Outcome {
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut relay = |local_index| {
         let is_late = local_index < late_start.relays;
-        let starts_at = if is_late { late_start.at } else { dice.random_range(0.0..1000.0) };
+        let starts_at = if is_late { late_start.at } else { rng.random_range(0.0..1000.0) };
         let scheduler = PollScheduler::new(seed * 1000 + u64::from(local_index));
         Relay { scheduler, starts_at: Some(starts_at), answered_at: None }
     };
@@ -107,7 +107,7 @@
         seed,
         service,
         announces,
-        dice,
+        rng,
         relays,
         queue: VecDeque::new(),
         busy_ms: 0.0,
@@ -133,10 +133,10 @@
         while self.datagrams.front().is_some_and(|datagram| datagram.arrives_at <= now)
             && let Some(arrived) = self.datagrams.pop_front()
         {
-            let Announcement { peer, interval, call_duration, .. } = arrived;
+            let Announcement { peer, interval, poll_duration, .. } = arrived;
             let settings = self.settings(peer);
             let scheduler = &mut self.relays[peer as usize].scheduler;
-            scheduler.receive_poll_rate(now, interval, call_duration, &settings);
+            scheduler.receive_poll_rate(now, interval, poll_duration, &settings);
         }
     }
 
@@ -157,7 +157,7 @@
         }
         self.outcome.polls += 1;
         *self.outcome.polls_by_second.entry(now as u64 / 1000).or_default() += 1;
-        if now < self.service.down {
+        if now < self.service.down_until {
             self.outcome.failed += 1;
             relay.scheduler.record_failure(now, &settings, out);
         } else {
@@ -189,12 +189,12 @@
                 panic!("{sent:?}")
             };
             self.outcome.announcements += 1;
-            if !self.dice.random_bool(LOSS) {
+            if !self.rng.random_bool(LOSS) {
                 self.datagrams.push_back(Announcement {
                     arrives_at: now + DATAGRAM_DELAY_MS,
                     peer: sent.peer,
                     interval: f64::from(interval_ms),
-                    call_duration: f64::from(call_duration_ms),
+                    poll_duration: f64::from(call_duration_ms),
                 });
             }
         }
@@ -214,72 +214,92 @@
 }
 
 #[test]
-fn hundreds_that_start_together_all_get_their_list_whatever_the_service_bears() {
+fn hundreds_of_relays_that_start_together_all_get_their_list() {
     for (relays, cost) in [(100, 50.0), (250, 30.0), (250, 50.0), (250, 100.0), (312, 20.0)] {
         for seed in 0..5 {
-            let outcome = play(relays, NO_LATE_START, Service { cost, down: 0.0 }, true, seed);
-            let (all, least) = (outcome.all_by(relays), f64::from(relays) * cost + 1000.0);
+            let outcome = simulate(relays, NO_LATE_START, Service { cost, down_until: 0.0 }, true, seed);
+            let (all, minimum) = (outcome.all_answered_at(relays), f64::from(relays) * cost + 1000.0);
             let failed = outcome.failed as f64 / outcome.polls as f64;
             eprintln!(
-                "{relays} at {cost} ms, seed {seed}: all after {:.2} of the least, {failed:.3} failed, \
+                "{relays} at {cost} ms, seed {seed}: all after {:.2} of the minimum, {failed:.3} failed, \
                 {:.1} datagrams a relay",
-                all / least,
+                all / minimum,
                 outcome.announcements as f64 / f64::from(relays)
             );
-            // Half of what the aims are for may take longer, but does not collapse.
-            let (late, lost) = if cost > 50.0 { (2.2, 0.5) } else { (1.3, 0.1) };
-            assert!(all < late * least.max(6000.0), "{relays} at {cost} ms, seed {seed}: {all} of {least}");
-            assert!(failed < lost, "{relays} at {cost} ms, seed {seed}: {failed} failed");
+            // A service of half the rate that the objectives assume may take longer, but must not collapse.
+            let (max_delay_factor, max_failed) = if cost > 50.0 { (2.2, 0.5) } else { (1.3, 0.1) };
+            assert!(
+                all < max_delay_factor * minimum.max(6000.0),
+                "{relays} at {cost} ms, seed {seed}: all after {all} ms, minimum {minimum} ms"
+            );
+            assert!(
+                failed < max_failed,
+                "{relays} at {cost} ms, seed {seed}: fraction {failed} of polls failed"
+            );
         }
     }
 }
 
 #[test]
-fn without_a_word_between_them_the_same_relays_keep_the_service_busy_for_nothing() {
-    // What the one above guards against; with calls that cost nothing once given up it would prove nothing.
-    let outcome = play(250, NO_LATE_START, Service { cost: 100.0, down: 0.0 }, false, 1);
-    assert!(outcome.failed * 3 > outcome.polls, "{} of {} failed", outcome.failed, outcome.polls);
+fn without_announcements_over_a_third_of_the_polls_fail() {
+    // The failure that the test above guards against. It shows only because polls that were given up take up
+    // service time all the same.
+    let outcome = simulate(250, NO_LATE_START, Service { cost: 100.0, down_until: 0.0 }, false, 1);
+    assert!(outcome.failed * 3 > outcome.polls, "{} of {} polls failed", outcome.failed, outcome.polls);
 }
 
 #[test]
-fn a_service_that_is_down_is_asked_at_a_rate_that_does_not_grow_with_the_tier_and_found_again_soon() {
+fn a_service_that_is_down_is_polled_at_a_bounded_rate_and_found_again_soon() {
     for relays in [100, 312] {
         for seed in 0..5 {
-            let service = Service { cost: 30.0, down: 8_000.0 };
-            let outcome = play(relays, NO_LATE_START, service, true, seed);
-            let politely =
+            let service = Service { cost: 30.0, down_until: 8_000.0 };
+            let outcome = simulate(relays, NO_LATE_START, service, true, seed);
+            let max_polls_per_second =
                 (3..8).map(|second| outcome.polls_by_second.get(&second).copied().unwrap_or(0)).max();
             eprintln!(
-                "{relays}, seed {seed}: {politely:?} a second at most, first {}, all {}",
+                "{relays}, seed {seed}: {max_polls_per_second:?} polls a second at most, first answer at {}, \
+                last answer at {}",
                 outcome.answered_at[0],
-                outcome.all_by(relays)
+                outcome.all_answered_at(relays)
+            );
+            assert!(
+                max_polls_per_second < Some(20),
+                "{relays}, seed {seed}: {max_polls_per_second:?} polls a second"
             );
-            assert!(politely < Some(20), "{relays}, seed {seed}: {politely:?} calls a second");
             assert!(
                 outcome.answered_at[0] < 9_500.0,
-                "{relays}, seed {seed}: first at {}",
+                "{relays}, seed {seed}: first answer at {}",
                 outcome.answered_at[0]
             );
-            let least = 8_000.0 + 30.0 * f64::from(relays);
-            assert!(outcome.all_by(relays) < 8_000.0 + 3.5 * (least - 8_000.0), "{}", outcome.all_by(relays));
+            let minimum = 8_000.0 + 30.0 * f64::from(relays);
+            assert!(
+                outcome.all_answered_at(relays) < 8_000.0 + 3.5 * (minimum - 8_000.0),
+                "{}",
+                outcome.all_answered_at(relays)
+            );
         }
     }
 }
 
 #[test]
-fn seven_in_ten_that_start_again_together_have_their_list_within_seconds() {
+fn seven_in_ten_relays_that_restart_together_get_their_list_within_seconds() {
     for seed in 0..5 {
-        let outcome =
-            play(250, LateStart { relays: 175, at: 13_000.0 }, Service { cost: 50.0, down: 0.0 }, true, seed);
-        let all = outcome.all_by(250) - 13_000.0;
-        eprintln!("seed {seed}: {all}, {} of {} failed", outcome.failed, outcome.polls);
-        assert!(all < 1.5 * 175.0 * 50.0, "seed {seed}: after {all}");
-        assert!(outcome.failed * 10 < outcome.polls, "{} of {}", outcome.failed, outcome.polls);
+        let outcome = simulate(
+            250,
+            LateStart { relays: 175, at: 13_000.0 },
+            Service { cost: 50.0, down_until: 0.0 },
+            true,
+            seed,
+        );
+        let all = outcome.all_answered_at(250) - 13_000.0;
+        eprintln!("seed {seed}: all after {all} ms, {} of {} polls failed", outcome.failed, outcome.polls);
+        assert!(all < 1.5 * 175.0 * 50.0, "seed {seed}: all after {all} ms");
+        assert!(outcome.failed * 10 < outcome.polls, "{} of {} polls failed", outcome.failed, outcome.polls);
     }
 }
 
 #[test]
-fn one_that_starts_alone_waits_no_longer_than_before() {
+fn a_relay_that_starts_alone_polls_within_the_longest_interval() {
     for seed in 0..20 {
         let settings = settings(3, 312);
         let mut scheduler = PollScheduler::new(seed);
@@ -289,7 +309,7 @@
 }
 
 #[test]
-fn few_relays_ask_at_once_and_soon_again() {
+fn a_small_cluster_polls_at_once_and_retries_soon() {
     let (settings, mut out) = (settings(1, 4), Vec::new());
     let mut scheduler = PollScheduler::new(1);
     scheduler.start(0.0, &settings);
@@ -297,19 +317,19 @@
     let mut now = 0.0;
     for failures in 0..8 {
         scheduler.record_failure(now, &settings, &mut out);
-        let after = scheduler.timer(now).expect("it asks again");
-        let least = (200.0 * 2_f64.powi(failures)).min(1_000.0);
-        assert!(after >= least && after <= 2.0 * least + 0.1, "{failures}: {after}");
+        let after = scheduler.timer(now).expect("a retry is scheduled");
+        let minimum = (200.0 * 2_f64.powi(failures)).min(1_000.0);
+        assert!(after >= minimum && after <= 2.0 * minimum + 0.1, "{failures}: {after}");
         now += after;
         assert!(scheduler.take_due(now) && !scheduler.take_due(now + 10_000.0));
     }
-    assert!(out.is_empty(), "a handful announces nothing");
+    assert!(out.is_empty(), "a small cluster announces nothing");
     assert_eq!(delay_after_silent_watch(4, 0.9), 0.0);
 }
 
 /// Guards against relays that serve nobody for seconds after they have started.
 #[test]
-fn relays_that_serve_nobody_before_their_first_poll_make_it_soon() {
+fn relays_that_take_no_clients_before_their_first_poll_poll_soon() {
     for seed in 0..300 {
         let mut scheduler = PollScheduler::new(u64::from(seed));
         scheduler.start_soon(1000.0, &settings(seed, 300));
--- a/crates/datagram/src/base36.rs
+++ b/crates/datagram/src/base36.rs
@@ -1,11 +1,13 @@
-//! Numbers in the digits 0 to 9 and a to z. Small letters only: a number has one way to be written.
+//! Numbers in the digits 0 to 9 and a to z. Only lower-case letters are used, so each number has exactly one
+//! encoding.
 
 /// The base of the digits.
 pub const BASE: u32 = 36;
-/// Numbers from here on are not read: sums of a few that are never overflow, whatever came.
-const LIMIT: u64 = 1 << 56;
+/// Numbers from this value on are rejected, so that sums of a few decoded numbers never overflow, whatever
+/// was received.
+const DECODE_LIMIT: u64 = 1 << 56;
 
-/// Writes a number.
+/// Encodes a number.
 ///
 /// ```
 /// use sandgw_datagram::base36::{decode, encode};
@@ -25,19 +27,20 @@
     }
 }
 
-/// Reads what [`encode`] wrote; `None` of what is empty, has another character in it, or is 2^56 and more.
+/// Decodes what [`encode`] wrote; `None` if the text is empty or contains another character, or the number is
+/// 2^56 or more.
 pub fn decode(text: &str) -> Option<u64> {
     let is_plain = !text.is_empty() && text.chars().all(|c| digit_value(c).is_some());
     let number = is_plain.then(|| u64::from_str_radix(text, BASE).ok()).flatten()?;
-    (number < LIMIT).then_some(number)
+    (number < DECODE_LIMIT).then_some(number)
 }
 
-/// One digit of a number below [`BASE`]; `0` for a greater one.
+/// Returns the digit for a number below [`BASE`]; `0` for a greater number.
 pub fn digit(number: u32) -> char {
     char::from_digit(number, BASE).unwrap_or('0')
 }
 
-/// The number of one digit; `None` of what is no digit, or a capital letter.
+/// Returns the value of a digit; `None` if the character is not a digit, or is a capital letter.
 pub fn digit_value(digit: char) -> Option<u32> {
     digit.to_digit(BASE).filter(|_| !digit.is_ascii_uppercase())
 }
--- a/crates/datagram/src/lib.rs
+++ b/crates/datagram/src/lib.rs
@@ -1,9 +1,9 @@
-//! What all text datagrams between relays have in common.
+//! The common format of all text datagrams between relays.
 //!
-//! A datagram is at most [`MAX_BYTES`] of plain text; its first character or word says of which kind and
-//! version it is. Whatever is too long, malformed or of another kind reads as no datagram at all: it may
-//! come from a relay of another version, and is no fault of this one. [`binary`] is for bodies in binary,
-//! [`base36`] for numbers in plain digits.
+//! A datagram is at most [`MAX_BYTES`] of plain text; its first character or word gives its kind and version.
+//! Text that is too long, malformed or of another kind decodes to `None`: it may come from a relay of another
+//! version and is not a fault of this relay. [`binary`] encodes binary bodies, [`base36`] encodes numbers as
+//! plain digits.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -11,5 +11,5 @@
 pub mod base36;
 pub mod binary;
 
-/// Most bytes of a datagram.
+/// The largest size of a datagram, in bytes.
 pub const MAX_BYTES: usize = 256;
--- a/crates/datagram/tests/hostile_input.rs
+++ b/crates/datagram/tests/hostile_input.rs
@@ -1,9 +1,9 @@
-//! What is no datagram reads as none.
+//! Text that is not a valid datagram decodes to `None`.
 
 use sandgw_datagram::{MAX_BYTES, base36, binary};
 
 #[test]
-fn text_cut_at_any_byte_or_with_more_behind_it_reads_as_none() {
+fn truncated_or_extended_text_is_rejected() {
     let value = (70_000_u32, vec![1_u8, 2, 3]);
     let text = binary::encode('x', &value).unwrap();
     for end in 0..text.len() {
@@ -14,13 +14,13 @@
 }
 
 #[test]
-fn what_would_be_too_long_is_not_written_and_not_read() {
+fn oversized_datagrams_are_neither_encoded_nor_decoded() {
     assert!(binary::encode('x', &vec![0_u8; MAX_BYTES]).is_none());
     assert!(binary::decode::<Vec<u8>>('x', &format!("x{}", "A".repeat(MAX_BYTES))).is_none());
 }
 
 #[test]
-fn numbers_have_one_way_to_be_written() {
+fn each_number_has_exactly_one_base36_encoding() {
     for number in [0, 1, 35, 36, 1_790_000_000_000, (1 << 56) - 1] {
         assert_eq!(base36::decode(&base36::encode(number)), Some(number));
     }
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -9,5 +9,5 @@
 /// Milliseconds, as a point on the caller's clock (of arbitrary origin) or as a span.
 pub type Millis = f64;
 
-/// Whole milliseconds since the Unix epoch, or a span of them, where states are compared and hashed.
+/// Whole milliseconds since the Unix epoch, or a span of them, used where states are compared and hashed.
 pub type WholeMillis = u64;
--- a/crates/units/src/random.rs
+++ b/crates/units/src/random.rs
@@ -12,9 +12,9 @@
 /// ```
 /// use sandgw_units::random::SeededRandom;
 ///
-/// let (mut one, mut other) = (SeededRandom::new(7), SeededRandom::new(7));
-/// assert_eq!(one.next_u64(), other.next_u64());
-/// assert!((0.0..1.0).contains(&one.next_fraction()));
+/// let (mut first, mut second) = (SeededRandom::new(7), SeededRandom::new(7));
+/// assert_eq!(first.next_u64(), second.next_u64());
+/// assert!((0.0..1.0).contains(&first.next_fraction()));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SeededRandom {
@@ -22,30 +22,30 @@
 }
 
 impl SeededRandom {
-    /// A source that starts from `seed`.
+    /// Creates a source that starts from `seed`.
     pub fn new(seed: u64) -> Self {
         SeededRandom { state: seed }
     }
 
-    /// The next number.
+    /// Returns the next number.
     pub fn next_u64(&mut self) -> u64 {
         self.state = xxh3_64_with_seed(&[], self.state);
         self.state
     }
 
-    /// The next number, which depends on the time as well: sources with the same seed diverge.
+    /// Returns the next number, which depends on the time as well: sources with the same seed diverge.
     pub fn next_u64_at(&mut self, now: Millis) -> u64 {
         self.state = hash_of_time(now, self.state);
         self.state
     }
 
-    /// The next number from 0 up to, but not including, 1.
+    /// Returns the next number from 0 up to, but not including, 1.
     pub fn next_fraction(&mut self) -> f64 {
         unit_fraction(self.next_u64())
     }
 }
 
-/// A hash of a point in time.
+/// Returns a hash of a point in time.
 pub fn hash_of_time(now: Millis, seed: u64) -> u64 {
     xxh3_64_with_seed(&now.to_bits().to_le_bytes(), seed)
 }
--- a/crates/units/src/timer.rs
+++ b/crates/units/src/timer.rs
@@ -1,9 +1,9 @@
-//! Timers of parts that do no I/O: each asks its driver for a wake-up and does not ask for the same one
-//! twice.
+//! Timers for components that do no I/O: each timer requests a wake-up from its driver, and does not request
+//! the same wake-up twice.
 //!
-//! Both types take the time and the next deadline in milliseconds and give the delay after which the driver
-//! is to call, or nothing where a wake-up that is early enough is already pending. They never cancel a
-//! wake-up; a call that comes too early is harmless.
+//! Both types take the time and the next deadline in milliseconds. They return the delay after which the
+//! driver is to call, or `None` if an early enough wake-up is already pending. They never cancel a wake-up; a
+//! call that comes too early is harmless.
 
 use crate::Millis;
 
@@ -17,7 +17,8 @@
 }
 
 impl OneShotTimer {
-    /// The delay to arm for `deadline`, at least `min_delay`; nothing if an early enough wake-up is pending.
+    /// Returns the delay of the wake-up for `deadline`, at least `min_delay`; `None` if an early enough
+    /// wake-up is pending.
     pub fn arm(&mut self, now: Millis, deadline: Millis, min_delay: Millis) -> Option<Millis> {
         let expired = self.armed_for <= now;
         let earlier = deadline + COALESCE_MS < self.armed_for;
@@ -36,15 +37,15 @@
 }
 
 impl AcknowledgedTimer {
-    /// The driver has called: a wake-up that is due by now is no longer pending.
+    /// Records that the driver has called: a wake-up that is due by now is no longer pending.
     pub fn acknowledge(&mut self, now: Millis) {
         if self.armed_for.is_some_and(|at| now + COALESCE_MS >= at) {
             self.armed_for = None;
         }
     }
 
-    /// The delay to arm for `deadline`; nothing if an early enough wake-up is pending. One that is overdue by
-    /// `lost_after` counts as lost.
+    /// Returns the delay of the wake-up for `deadline`; `None` if an early enough wake-up is pending. A
+    /// pending wake-up that is overdue by more than `lost_after` counts as lost.
     pub fn arm(&mut self, now: Millis, deadline: Millis, lost_after: Millis) -> Option<Millis> {
         let pending = self.armed_for.is_some_and(|at| at <= deadline + COALESCE_MS && at >= now - lost_after);
         if pending {
--- a/crates/units/tests/random.rs
+++ b/crates/units/tests/random.rs
@@ -1,10 +1,10 @@
-//! Random numbers are part of recorded behaviour: a seed gives the same ones for ever.
+//! Random numbers are part of recorded behaviour: a seed must always give the same numbers.
 
 use sandgw_units::random::{SeededRandom, hash_of_time, unit_fraction};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 #[test]
-fn numbers_are_a_chain_of_hashes_of_nothing() {
+fn numbers_are_a_chain_of_hashes_of_empty_input() {
     let mut random = SeededRandom::new(7);
     let mut state = 7;
     for _ in 0..100 {
