--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -1,9 +1,10 @@
-//! The relay's part of the cluster's state: the tables of clients and groups, and what is exchanged of
-//! them, of loads and of polls with the other relays.
+//! This relay's part of the cluster state: its tables of clients and groups, and its exchange of those
+//! tables, of loads and of poll rates with the other relays.
 //!
-//! Inputs are placements, lists, other relays' messages and stored records, with the time in milliseconds;
-//! outputs are messages and timers (by [`ClusterState::flush`]), locations, sizes and loads. It is
-//! bookkeeping only: what follows from it is decided by the load balancer.
+//! Inputs: placements, endpoint lists, messages from other relays and stored records, each with the time in
+//! milliseconds. Outputs: messages and timers (through [`ClusterState::flush`]), client locations, group
+//! sizes and loads. This module only keeps records; the load balancer makes the decisions that follow from
+//! them.
 
 use std::collections::BTreeMap;
 
@@ -22,12 +23,12 @@
 use super::group_sample::GroupSample;
 use super::hashing::{endpoint_tag, key_hash, slot_of_hash};
 
-/// Groups whose learned sizes are taken over: those beyond them are small.
+/// Only the largest groups' learned sizes are taken over, at most this many; the groups after them are small.
 const MAX_LEARNED_GROUPS: usize = 512;
-/// The list may go without a poll for this fraction of its maximum age.
+/// The longest interval between polls is the maximum age of the endpoint list divided by this.
 const MAX_POLL_INTERVAL_DIVISOR: f64 = 2.0;
 
-/// What this relay knows of the cluster, and its part in every exchange with the other relays.
+/// What this relay knows about the cluster, and its side of every exchange with the other relays.
 pub(crate) struct ClusterState {
     affinity: Affinity,
     replication: Replication,
@@ -36,14 +37,15 @@
     poll_scheduler: PollScheduler,
     overload_gossip: OverloadGossip,
     poll_settings: PollSettings,
-    /// Whether the list has to be polled.
+    /// Whether this relay polls discovery for the endpoint list.
     polls_discovery: bool,
-    /// Whether clients' locations matter.
+    /// Whether packets pass through. Only then are the locations of clients recorded.
     packet_passthrough: bool,
     /// Whether the relays may send each other messages.
     peer_messages: bool,
-    /// Nothing is placed before the first poll has ended.
+    /// Whether no request is placed before the first poll has ended.
     serves_after_first_poll: bool,
+    /// Whether stored records were restored since group sizes were last taken.
     has_restored_sizes: bool,
     outbox: Outbox,
 }
@@ -55,7 +57,7 @@
 }
 
 impl ClusterState {
-    /// Empty tables.
+    /// Creates empty tables.
     pub fn new(settings: &Settings, seed: u64, now: Millis) -> Self {
         let limits = Limits { position: position(settings), ..settings.affinity_limits };
         ClusterState {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Takes new settings; the size of the tables stays as it was.
+    /// Applies new settings. The size of the tables doesn't change.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.packet_passthrough = settings.packet_passthrough;
         self.peer_messages = settings.peer_messages;
@@ -84,8 +86,8 @@
         self.affinity.set_position(position(settings));
     }
 
-    /// Takes a list or changes to it. With the cached list, which is the first, the other relays' tables
-    /// are requested.
+    /// Applies an endpoint list or changes to it. The cached list is the first one: with it, this relay
+    /// requests the other relays' tables.
     pub fn apply_list(&mut self, now: Millis, kind: ListKind, entries: &[EndpointEntry]) {
         let is_full = matches!(kind, ListKind::Full | ListKind::Cached);
         self.affinity.apply_list(now, is_full, entries.iter().map(listed_endpoint));
@@ -107,42 +109,43 @@
         }
     }
 
-    /// Nothing is placed before the first poll has ended: it is made soon.
+    /// Notes that no request is placed before the first poll has ended, so that this poll is made soon.
     pub fn serve_after_first_poll(&mut self) {
         self.serves_after_first_poll = true;
     }
 
-    /// A poll of the list has failed, or its watch broke off.
+    /// Handles a failed poll of the endpoint list, or a watch that broke off.
     pub fn list_poll_failed(&mut self, now: Millis) {
         self.poll_scheduler.record_failure(now, &self.poll_settings, &mut self.outbox);
     }
 
-    /// A set-up was late at an endpoint.
+    /// Notifies other relays that a connection set-up at this endpoint was late.
     pub fn report_late_setup(&mut self, now: Millis, endpoint: &EndpointId) {
         let tag = endpoint_tag(&endpoint.0);
         let position = self.poll_settings.position;
         self.overload_gossip.report_late_setup(now, tag, position, &mut self.outbox);
     }
 
-    /// Another relay's set-up was late; whether that is common to all endpoints.
+    /// Takes another relay's notice of a late set-up. Returns whether late set-ups are common to all
+    /// endpoints.
     pub fn receive_overload_notice(&mut self, now: Millis, endpoint: Tag) -> bool {
         self.overload_gossip.receive_notice(now, endpoint)
     }
 
-    /// A connection is established. Its location is sent to the other relays.
+    /// Records an established connection, and sends the location of its client to the other relays.
     pub fn record_established(&mut self, now: Millis, request: &Request, load: f64, endpoint: &EndpointId) {
         let is_new = self.record_location(now, request, load, endpoint);
-        // The location of a connection that arrived mid-flow is sent even if it is known here: its replicas
-        // may have restarted since.
+        // The location of a connection that arrived mid-flow is sent even if this relay knows it already: the
+        // relays that hold replicas of it may have restarted since.
         let is_mid_flow = self.packet_passthrough && request.mid_flow;
         if (is_new || is_mid_flow) && self.peer_messages {
             self.location_gossip.queue_update(now, Affinity::client_key(&request.client_key()));
         }
     }
 
-    /// A connection is established, since before the start or as of now; whether its client's location is
-    /// new. Locations from before the start are sent in answer to queries only: all at once they would be
-    /// many messages.
+    /// Records a connection that has just been established, or that was established before this relay
+    /// started. Returns whether the location of its client is new. Locations from before the start are sent
+    /// in answer to queries only: sending all of them at once would take many messages.
     pub fn record_location(
         &mut self,
         now: Millis,
@@ -161,14 +164,14 @@
         self.affinity.record_session(now, client, &endpoint.0)
     }
 
-    /// The ready endpoint that holds a client's connection, if that is known.
+    /// The ready endpoint that holds this client's connection, if it is known.
     pub fn sticky_endpoint(&self, request: &Request) -> Option<EndpointId> {
         let client = Affinity::client_key(&request.client_key());
         self.affinity.session(client).map(EndpointId)
     }
 
-    /// In how long to look again for the holder of a connection that arrives mid-flow, if other relays are
-    /// queried.
+    /// Queries other relays for the endpoint of a connection that arrives mid-flow. Returns in how many
+    /// milliseconds to look again; `None` if no other relay is queried.
     pub fn query_location(&mut self, now: Millis, request: &Request) -> Option<Millis> {
         if !self.peer_messages {
             return None;
@@ -177,7 +180,7 @@
         self.location_gossip.query(&self.affinity, now, client, &mut self.outbox)
     }
 
-    /// Takes another relay's message.
+    /// Handles a message from another relay.
     pub fn receive(&mut self, now: Millis, peer: u32, message: ClusterMessage) {
         match message {
             ClusterMessage::LocationQuery(clients) => {
@@ -197,29 +200,29 @@
         }
     }
 
-    /// Takes another relay's load report, and answers it with the cluster's load.
+    /// Handles another relay's load report and answers it with the load of the cluster.
     pub fn receive_load_report(
         &mut self,
         now: Millis,
         peer: u32,
         rows: Vec<(Tag, u8)>,
-        sizes: &BTreeMap<Tag, f64>,
+        weights: &BTreeMap<Tag, f64>,
     ) {
         if !self.aggregates_load() {
             return;
         }
         let relay_count = self.affinity.position().relay_count;
-        let weight = |tag| sizes.get(&tag).copied().unwrap_or_default();
+        let weight = |tag| weights.get(&tag).copied().unwrap_or_default();
         self.load_aggregation.handle_report(now, peer, relay_count, rows, weight, &mut self.outbox);
     }
 
-    /// A connection has arrived; this relay's load may be reported.
+    /// Counts an arrived request, which may make a report of this relay's load due.
     pub fn count_request(&mut self) {
         self.load_aggregation.record_connection();
     }
 
-    /// Reports this relay's load by endpoint where that is due; gives the cluster's load, once it is known
-    /// anew.
+    /// Reports this relay's load by endpoint if a report is due. Returns the load of the cluster if a new
+    /// value has arrived since the last call.
     pub fn take_cluster_load(
         &mut self,
         now: Millis,
@@ -233,13 +236,13 @@
         self.load_aggregation.take_cluster_load()
     }
 
-    /// A timer of [`ClusterState::flush`] is due.
+    /// Handles a timer that [`ClusterState::flush`] has set.
     pub fn on_timer(&mut self, now: Millis) {
         self.replication.on_timer(&self.affinity, now, &mut self.outbox);
         self.location_gossip.on_timer(&self.affinity, now, &mut self.outbox);
     }
 
-    /// Messages to be sent, a poll that is due, and the timers for the next call.
+    /// Appends the messages to be sent, a subscription if a poll is due, and the timers for the next call.
     pub fn flush(&mut self, now: Millis, token: u64, out: &mut Actions) {
         if self.poll_scheduler.take_due(now) {
             out.push(Action::Subscribe);
@@ -258,8 +261,8 @@
         out.extend(timers.map(|after| Action::SetTimer { after, token }));
     }
 
-    /// The groups' sizes by slot, once after other relays or a store have reported them: as a sample of as
-    /// many arrivals as they rest on, at most `max_arrivals`.
+    /// The groups' sizes by slot. Returned once each time other relays or a store have reported sizes, as a
+    /// sample that counts for as many arrivals as the sizes rest on, but at most `max_arrivals`.
     pub fn take_learned_sizes(&mut self, now: Millis, max_arrivals: f64) -> Option<GroupSample> {
         let has_learned = std::mem::take(&mut self.has_restored_sizes) || self.replication.take_learned();
         if !has_learned {
@@ -275,25 +278,25 @@
         (total > 0.0).then_some(sample)
     }
 
-    /// The load of the cluster as other relays or a store have reported it, and how much to trust it over
-    /// this relay's own count, from 0 to 1.
-    pub fn fleet_load(&self, now: Millis) -> (f64, f64) {
+    /// The load of the cluster that other relays or a store have reported, and the confidence in it relative
+    /// to this relay's own count, from 0 to 1.
+    pub fn reported_cluster_load(&self, now: Millis) -> (f64, f64) {
         let estimate = self.affinity.estimated_load(now);
         (estimate.load, estimate.confidence)
     }
 
-    /// From now on changes are tracked for [`ClusterState::take_changes`], of which all that is known is
-    /// the first.
+    /// Starts tracking changes for [`ClusterState::take_changes`]. The first changes are all records that are
+    /// known now.
     pub fn track_changes(&mut self) {
         self.affinity.track_changes();
     }
 
-    /// Changes since the last call, at most `max_entries` entries.
+    /// Takes the changes since the last call, at most `max_entries` of them.
     pub fn take_changes(&mut self, now: Millis, max_entries: usize) -> Changes {
         self.affinity.take_changes(now, max_entries)
     }
 
-    /// Takes stored entries.
+    /// Restores stored records.
     pub fn restore(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> RestoreSummary {
         self.has_restored_sizes = true;
         self.affinity.restore(now, records)
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -1,7 +1,8 @@
-//! What is known of endpoints: the list's entries, this relay's own load there, and what was learned of them.
+//! What this relay knows about endpoints: the list's entries, this relay's own load at each endpoint, and
+//! what the relay has learned about it.
 //!
-//! Bookkeeping only. Decisions that read it: `selection`, `group_assignment`, `slow_start`, `drain`,
-//! `rebalance`.
+//! This module only keeps records. The decisions that read them are in `selection`, `group_assignment`,
+//! `slow_start`, `drain` and `rebalance`.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,76 +14,76 @@
 use super::load_limit::LoadLimit;
 use super::outlier::Ejection;
 
-/// Where the list gives no usable weight.
+/// Weight of an endpoint for which the list gives no usable weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// A slow endpoint outvotes this many healthy ones, so over a third have to be slow for all to count as
-/// slow.
+/// A slow endpoint outvotes this many healthy ones, so all endpoints count as slow once over a third of them
+/// are.
 const SLOW_ENDPOINT_VOTES: i32 = 2;
 
-/// The quickest set-up at an endpoint within a span: several set-ups at once wait for each other, so the
-/// quickest tells the endpoint's own time.
+/// The quickest connection set-up at an endpoint within a span. Set-ups that run at the same time wait for
+/// each other, so the quickest one shows the endpoint's own set-up time best.
 #[derive(Clone, Copy)]
 pub(crate) struct QuickestSetup {
     /// When the span began.
-    pub since: Millis,
-    /// The quickest set-up since then.
+    pub span_started_at: Millis,
+    /// Duration of the quickest set-up since then, in ms.
     pub elapsed: Millis,
 }
 
 impl Default for QuickestSetup {
     fn default() -> Self {
-        QuickestSetup { since: f64::NEG_INFINITY, elapsed: 0.0 }
+        QuickestSetup { span_started_at: f64::NEG_INFINITY, elapsed: 0.0 }
     }
 }
 
 impl QuickestSetup {
-    /// Counts a set-up; a new span begins where the present one is longer than `span`.
+    /// Records a set-up. A new span begins if the present one is longer than `span`.
     pub fn record(&mut self, now: Millis, elapsed: Millis, span: Millis) {
-        if now - self.since > span {
-            *self = QuickestSetup { since: now, elapsed };
+        if now - self.span_started_at > span {
+            *self = QuickestSetup { span_started_at: now, elapsed };
         } else {
             self.elapsed = self.elapsed.min(elapsed);
         }
     }
 }
 
-/// One endpoint.
+/// One endpoint, as this relay knows it.
 pub(crate) struct Endpoint {
-    /// Its state in the list.
+    /// State of the endpoint in the list.
     pub state: EndpointState,
-    /// What stands for it in load reports between relays.
+    /// Short tag that identifies the endpoint in load reports between relays.
     pub tag: Tag,
-    /// Its listed size, in the list's unit.
+    /// Listed weight, in the list's unit.
     pub weight: f64,
-    /// When its process started, as listed or inferred; 0 when long past.
+    /// When the endpoint's process started, as listed or as inferred here; 0 if that is long past.
     pub started: Millis,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: Zone,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: u64,
-    /// Own requests that are placed here: attempts that are out, and established connections.
+    /// This relay's requests that are placed at the endpoint: attempts in flight and established connections.
     pub placed: BTreeSet<RequestId>,
-    /// Their load, in mean connections.
+    /// Load of the placed requests, in mean connections.
     pub load: f64,
-    /// When an attempt was last sent here.
+    /// When this relay last sent an attempt to the endpoint.
     pub last_attempt_at: Millis,
-    /// Load of all relays here, as last reported, with own placements since; what has ended since still
-    /// counts.
+    /// Load of all relays at the endpoint, as last reported, plus what this relay has placed there since.
+    /// Connections that have ended since the report still count.
     pub cluster_load: f64,
-    /// How much own load it seems to manage.
+    /// How much of this relay's load the endpoint seems to manage.
     pub load_limit: LoadLimit,
-    /// Its quickest set-up lately.
+    /// The endpoint's quickest recent set-up.
     pub quickest_setup: QuickestSetup,
-    /// Its failures in a row, and until when it is skipped for them.
+    /// The endpoint's consecutive failures, and until when it is ejected for them.
     pub ejection: Ejection,
-    /// Connects have failed: if it answers again, its process has just started.
+    /// Whether connects to the endpoint have failed. If it answers again, its process has just started.
     pub refuses_connections: bool,
-    /// When it was first listed as draining or removed.
+    /// When the endpoint was first listed as draining or removed.
     pub draining_since: Option<Millis>,
 }
 
 impl Endpoint {
-    /// An endpoint of which only the list's entry is known.
+    /// Creates an endpoint of which only the list's entry is known.
     pub fn new(entry: &EndpointEntry) -> Self {
         let has_weight = entry.weight.is_finite() && entry.weight >= 0.0;
         Endpoint {
@@ -104,21 +105,21 @@
         }
     }
 
-    /// The same endpoint after its process has restarted: what was learned of the old one is void, and the
-    /// old one's connections end by themselves.
-    fn restarted(&mut self, entry: &EndpointEntry) -> Self {
+    /// The same endpoint after its process has restarted. What was learned about the old process no longer
+    /// holds. The old process's connections stay counted; each of them ends by itself.
+    fn after_restart(&mut self, entry: &EndpointEntry) -> Self {
         let placed = std::mem::take(&mut self.placed);
         Endpoint { placed, load: self.load, ..Endpoint::new(entry) }
     }
 }
 
-/// All endpoints that the list names or that still hold own connections.
+/// All endpoints that the list names or that still hold connections of this relay.
 pub(crate) struct EndpointTable {
     /// The endpoints by id.
     pub by_id: BTreeMap<EndpointId, Endpoint>,
     /// Load of all relays at all endpoints, in mean connections, as last reported.
     pub cluster_load: f64,
-    /// When that was reported.
+    /// When the load of all relays was last reported.
     pub cluster_load_at: Millis,
 }
 
@@ -129,7 +130,7 @@
 }
 
 impl EndpointTable {
-    /// Takes the entries of a list. Returns whether a restarted endpoint came back with another weight.
+    /// Applies the entries of a list. Returns whether an endpoint has restarted with another weight.
     pub fn apply_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> bool {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.by_id.values_mut().for_each(|endpoint| endpoint.state = EndpointState::Removed);
@@ -137,13 +138,14 @@
         let mut weight_changed = false;
         for entry in entries {
             match self.by_id.get_mut(&entry.id) {
-                // Not `!=`: a start that was inferred here is a little later than the listed one.
+                // The comparison isn't `!=`: a start that was inferred here is a little later than the listed
+                // one.
                 Some(known) if entry.started <= known.started => known.state = entry.state,
                 Some(known) => {
-                    // Only a restart changes the weight: a running process may be listed with a size that
-                    // follows its load, and the table would never rest.
+                    // Only a restart changes the weight. A list may give a running process a weight that
+                    // follows its load, and the Maglev table would then be refilled all the time.
                     let weight_before = known.weight;
-                    *known = known.restarted(&entry);
+                    *known = known.after_restart(&entry);
                     weight_changed |= known.weight != weight_before;
                 }
                 None => drop(self.by_id.insert(entry.id.clone(), Endpoint::new(&entry))),
@@ -155,30 +157,32 @@
         weight_changed
     }
 
-    /// The ready endpoints, sorted by id: those with a weight, or all where none has one.
+    /// The ready endpoints, sorted by id. Endpoints of weight 0 are left out, unless all ready endpoints have
+    /// weight 0.
     pub fn ready(&self) -> impl Iterator<Item = &EndpointId> + Clone {
         let ready = self.by_id.iter().filter(|(_, endpoint)| endpoint.state == EndpointState::Ready);
         let any_weight = ready.clone().any(|(_, endpoint)| endpoint.weight > 0.0);
         ready.filter(move |(_, endpoint)| endpoint.weight > 0.0 || !any_weight).map(|(id, _)| id)
     }
 
-    /// Whether all endpoints are ready: none drains, and none that was removed still has own connections.
-    pub fn none_leaving(&self) -> bool {
+    /// Whether all endpoints are ready: no endpoint is draining, and no removed endpoint still holds
+    /// connections of this relay.
+    pub fn all_ready(&self) -> bool {
         self.by_id.values().all(|endpoint| endpoint.state == EndpointState::Ready)
     }
 
-    /// Own load by endpoints' tags, for a report to other relays.
+    /// This relay's load by endpoint tag, for a load report to other relays.
     pub fn load_report(&self) -> Vec<(Tag, f64)> {
         let used = self.by_id.values().filter(|endpoint| !endpoint.placed.is_empty());
         used.map(|endpoint| (endpoint.tag, endpoint.load)).collect()
     }
 
-    /// Weights by endpoints' tags.
+    /// Weights by endpoint tag.
     pub fn weights_by_tag(&self) -> BTreeMap<Tag, f64> {
         self.by_id.values().map(|endpoint| (endpoint.tag, endpoint.weight)).collect()
     }
 
-    /// Takes what all relays hold. Of endpoints that it does not name they hold little.
+    /// Applies the reported load of all relays. Endpoints that the report does not name carry little.
     pub fn apply_cluster_load(&mut self, now: Millis, reported: &ClusterLoad) {
         self.cluster_load = reported.total;
         self.cluster_load_at = now;
@@ -187,8 +191,8 @@
         }
     }
 
-    /// Whether over a third of the endpoints that hold own connections are slow: then the load is too high
-    /// for all, and moving it to others would only make these slow too.
+    /// Whether over a third of the endpoints that hold connections of this relay are slow. The load is then
+    /// too high for all endpoints, and moving load to others would only make them slow too.
     pub fn is_widely_slow(&self, now: Millis) -> bool {
         let used = self.by_id.values().filter(|endpoint| !endpoint.placed.is_empty());
         let vote = |endpoint: &Endpoint| {
@@ -197,11 +201,11 @@
         used.map(vote).sum::<i32>() < 0
     }
 
-    /// The median of the quickest set-ups at these endpoints, in ms, of those measured after `since`;
-    /// infinite where there is none.
+    /// The median of the quickest set-up times at these endpoints, in ms, among those measured after `since`.
+    /// It is infinite if there is no such measurement.
     pub fn median_setup(&self, ids: &[EndpointId], since: Millis) -> Millis {
         let known = ids.iter().filter_map(|id| self.by_id.get(id)).map(|endpoint| endpoint.quickest_setup);
-        let recent = known.filter(|setup| setup.since > since);
+        let recent = known.filter(|setup| setup.span_started_at > since);
         let mut times: Vec<Millis> = recent.map(|setup| setup.elapsed).collect();
         times.sort_by(f64::total_cmp);
         times.get(times.len() / 2).copied().unwrap_or(f64::INFINITY)
--- a/src/policy/group_sample.rs
+++ b/src/policy/group_sample.rs
@@ -1,22 +1,24 @@
-//! How large the groups of connections are, as far as arrivals show it.
+//! Estimates how large the groups of connections are, from their arrivals.
 //!
-//! Input: arrivals here, by the slot of their group's key, and the samples of other relays. Output: each
-//! group's part of the arrivals. In a tier of many relays each sees too few to tell; so relays send their
-//! samples to one of them, the collector, which answers with the sum. Any message may be lost; the
-//! collector may be down, and the next in number does it then.
+//! Inputs: arrivals at this relay, by the slot of their group's key, and the samples of other relays. Output:
+//! each group's part of the arrivals. In a cluster of many relays each relay sees too few arrivals for an
+//! estimate, so the relays send their samples to one of them, the collector, which answers with the sum. Any
+//! message may be lost. If the collector is down, the relay with the next number takes its place.
 
 use std::collections::BTreeMap;
 
 use super::api::*;
 
-/// Arrivals that a sample remembers: each fades as later ones come.
+/// The total that a sample's arrivals tend to in the long run, since each arrival counts less with every
+/// later one.
 pub(crate) const SAMPLE_SIZE: f64 = 256.0;
-/// What is left of a group's arrivals when they are dropped.
+/// A group whose count of arrivals has decayed to this is dropped from the sample.
 const MIN_ARRIVALS: f64 = 0.05;
-/// A relay reports its sample again once its size divided by this has come anew.
+/// A relay reports its sample again once as many new arrivals have come as the sample's total divided by
+/// this.
 const REPORT_DIVISOR: f64 = 3.0;
 
-/// Arrivals by the slot of their group's key; older ones count less.
+/// A sample of arrivals by the slot of their group's key. Older arrivals count less.
 #[derive(Clone, Default)]
 pub(crate) struct GroupSample {
     /// Arrivals by slot.
@@ -24,20 +26,21 @@
 }
 
 impl GroupSample {
-    /// Counts one arrival; all earlier ones keep what makes [`SAMPLE_SIZE`] of them count in the long run.
+    /// Counts one arrival. All earlier arrivals decay, so that the total tends to [`SAMPLE_SIZE`] in the long
+    /// run.
     pub fn record(&mut self, group: u32) {
-        let kept_part = 1.0 - 1.0 / SAMPLE_SIZE;
-        self.arrivals.values_mut().for_each(|count| *count *= kept_part);
+        let decay_factor = 1.0 - 1.0 / SAMPLE_SIZE;
+        self.arrivals.values_mut().for_each(|count| *count *= decay_factor);
         self.arrivals.retain(|_, count| *count > MIN_ARRIVALS);
         *self.arrivals.entry(group).or_default() += 1.0;
     }
 
-    /// Arrivals of all groups.
+    /// Total arrivals of all groups.
     pub fn total(&self) -> f64 {
         self.arrivals.values().sum()
     }
 
-    /// The largest groups, as many as fit a message.
+    /// A message with the largest groups, as many as fit.
     pub fn to_message(&self, is_sum: bool) -> GroupSizes {
         let arrivals = self.arrivals.iter();
         let mut groups: Vec<GroupArrivals> = arrivals
@@ -49,28 +52,28 @@
     }
 }
 
-/// The sum of several relays' samples: this relay's part in making it, as sender and as collector.
+/// The sum of several relays' samples, and this relay's part in making it, as sender and as collector.
 #[derive(Default)]
 pub(crate) struct MergedSample {
-    /// The relay that adds up.
+    /// The relay that adds up the samples.
     pub collector: u32,
-    /// When it was last sent a sample that it has not answered.
+    /// When this relay sent the collector the sample that is still unanswered; `None` if there is none.
     unanswered_since: Option<Millis>,
-    /// Its latest answer, or what this relay has added up itself.
+    /// The collector's latest answer, or the sum that this relay has made as the collector.
     pub sum: GroupSizes,
-    /// Samples that others have sent here, by relay.
+    /// Samples that other relays have sent to this one, by relay.
     received: BTreeMap<u32, Vec<GroupArrivals>>,
-    /// Own arrivals since a sample was last sent.
+    /// Arrivals at this relay since it last sent a sample.
     arrivals_since_report: f64,
 }
 
 impl MergedSample {
-    /// Counts an arrival. Gives the sample to be sent to the collector where that is due: ever more seldom,
-    /// and not at all once own arrivals tell enough by themselves.
+    /// Counts an arrival. Returns the message with this relay's sample if a report to the collector is due.
+    /// Reports become rarer as this relay's sample grows, and stop once the sample is large enough by itself.
     pub fn record_arrival(&mut self, now: Millis, own: &GroupSample, settings: &Settings) -> Option<Action> {
         self.arrivals_since_report += 1.0;
         let own_total = own.total();
-        // One own arrival for each relay tells enough.
+        // The sample is large enough by itself once it has one arrival for each relay of the cluster.
         if own_total > f64::from(settings.relay_count) {
             self.sum = GroupSizes::default();
             return None;
@@ -91,17 +94,17 @@
     }
 
     fn is_report_due(&self, now: Millis, own_total: f64, answer_timeout: Millis) -> bool {
-        let has_enough_new = self.arrivals_since_report > 1.0 + own_total / REPORT_DIVISOR;
-        has_enough_new && self.unanswered_since.is_none_or(|sent| now - sent > answer_timeout)
+        let has_enough_new_arrivals = self.arrivals_since_report > 1.0 + own_total / REPORT_DIVISOR;
+        has_enough_new_arrivals && self.unanswered_since.is_none_or(|sent_at| now - sent_at > answer_timeout)
     }
 
-    /// A collector that has not answered may be down: the next in number adds up.
+    /// Moves on to the relay with the next number if the collector has not answered, since it may be down.
     fn choose_collector(&mut self, relay_count: u32) {
-        let has_missed = self.unanswered_since.take().is_some();
-        self.collector = (self.collector + u32::from(has_missed)) % relay_count;
+        let has_timed_out = self.unanswered_since.take().is_some();
+        self.collector = (self.collector + u32::from(has_timed_out)) % relay_count;
     }
 
-    /// Takes another relay's sample, which is answered with the sum, or the collector's answer.
+    /// Handles another relay's sample, and returns the sum as the answer; or handles the collector's answer.
     pub fn receive(
         &mut self,
         peer: u32,
--- a/src/policy/learned_state.rs
+++ b/src/policy/learned_state.rs
@@ -1,10 +1,10 @@
-//! What the load balancer has learned of endpoints and groups, as one process of a relay hands it to the
-//! next.
+//! What the load balancer has learned about endpoints and groups, as one process of a relay hands it over to
+//! its successor.
 //!
-//! Bookkeeping only. Times are carried as ages, since the two processes' clocks need not agree; an
-//! endpoint's start is of the list's clock and is carried as it is. What comes in is checked as anything
-//! from outside is; what concerns endpoints that the list does not name is passed
-//! over. The order and types of the fields are those of the messages between processes and must stay.
+//! This module only converts records. Times are carried as ages, because the clocks of the two processes need
+//! not agree; an endpoint's start time comes from the list's clock and is carried unchanged. Received values
+//! are checked like any external input, and those of endpoints that the list does not name are ignored. The
+//! order and types of the fields are part of the message format between processes and must not change.
 
 use std::sync::Arc;
 
@@ -16,26 +16,26 @@
 use super::load_limit::LoadLimit;
 use super::outlier::Ejection;
 
-/// Endpoints or groups in one message at the most.
-const MAX_ROWS: usize = 256;
+/// Most endpoints or groups in one message.
+const MAX_ROWS_PER_MESSAGE: usize = 256;
 
-/// A part of what the load balancer has learned.
+/// A part of what the load balancer has learned, as sent in one message.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
-    /// How long from now no new connection may go to an endpoint that warms up, in ms.
+    /// How long from now no new connection may go to an endpoint that is warming up, in ms.
     pub slow_start_pause: Millis,
-    /// Whether slow messages are reported.
+    /// Whether endpoints' message delays are reported.
     latency_is_reported: bool,
     endpoints: Vec<LearnedEndpoint>,
-    /// Arrivals of groups, by slot.
+    /// Arrivals by the slot of their group's key.
     groups: Vec<(u32, f64)>,
 }
 
-/// What is known of one endpoint. Ages and remaining spans are in ms.
+/// What is known about one endpoint. Ages and remaining times are in ms.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct LearnedEndpoint {
     id: String,
-    /// When it started, as listed or as inferred.
+    /// When the endpoint's process started, as listed or as inferred.
     started: Millis,
     load_limit: f64,
     slow_age: Millis,
@@ -53,14 +53,15 @@
 }
 
 impl LearnedState {
-    /// Nothing but how long from now no new connection may go to an endpoint that warms up, in ms.
+    /// A state that holds only how long from now no new connection may go to an endpoint that is warming up,
+    /// in ms.
     pub fn pause(slow_start_pause: Millis) -> Self {
         LearnedState { slow_start_pause, ..LearnedState::default() }
     }
 }
 
 impl LearnedEndpoint {
-    fn of(now: Millis, id: &EndpointId, endpoint: &Endpoint) -> Self {
+    fn from_endpoint(now: Millis, id: &EndpointId, endpoint: &Endpoint) -> Self {
         LearnedEndpoint {
             id: id.0.to_string(),
             started: endpoint.started,
@@ -71,19 +72,19 @@
             consecutive_failures: endpoint.ejection.consecutive_failures,
             refuses_connections: endpoint.refuses_connections,
             quickest_setup: LearnedSetup {
-                age: now - endpoint.quickest_setup.since,
+                age: now - endpoint.quickest_setup.span_started_at,
                 elapsed: endpoint.quickest_setup.elapsed,
             },
         }
     }
 
-    /// Whether the values can be true, and the process they are of is the one that is listed.
+    /// Whether the values are possible, and belong to the endpoint process that is listed now.
     fn is_plausible(&self, now: Millis, listed_start: Millis, max_ejection: Millis) -> bool {
         let ages = [self.slow_age, self.limit_reduced_age, self.quickest_setup.age];
-        let lies_in_past = ages.iter().all(|age| *age >= 0.0);
-        let has_valid_amounts = self.load_limit >= 0.0 && self.quickest_setup.elapsed >= 0.0;
+        let ages_are_valid = ages.iter().all(|age| *age >= 0.0);
+        let amounts_are_valid = self.load_limit >= 0.0 && self.quickest_setup.elapsed >= 0.0;
         let is_same_process = self.started >= listed_start && self.started <= now;
-        lies_in_past && has_valid_amounts && self.ejection_remaining <= max_ejection && is_same_process
+        ages_are_valid && amounts_are_valid && self.ejection_remaining <= max_ejection && is_same_process
     }
 
     fn apply(self, now: Millis, endpoint: &mut Endpoint) {
@@ -98,17 +99,19 @@
             ejected_until: now + self.ejection_remaining,
         };
         endpoint.refuses_connections = self.refuses_connections;
-        endpoint.quickest_setup =
-            QuickestSetup { since: now - self.quickest_setup.age, elapsed: self.quickest_setup.elapsed };
+        endpoint.quickest_setup = QuickestSetup {
+            span_started_at: now - self.quickest_setup.age,
+            elapsed: self.quickest_setup.elapsed,
+        };
     }
 }
 
 impl LoadBalancer {
-    /// All that was learned, in parts of at most 256 rows.
+    /// All that this relay has learned, in parts of at most 256 rows.
     pub(crate) fn export_learned_state(&self, now: Millis) -> Vec<LearnedState> {
         let endpoints = self.placements.endpoints.by_id.iter();
         let endpoints: Vec<_> =
-            endpoints.map(|(id, endpoint)| LearnedEndpoint::of(now, id, endpoint)).collect();
+            endpoints.map(|(id, endpoint)| LearnedEndpoint::from_endpoint(now, id, endpoint)).collect();
         let groups: Vec<(u32, f64)> =
             self.group_sample.arrivals.iter().map(|(group, arrivals)| (*group, *arrivals)).collect();
         let part = |endpoints: &[LearnedEndpoint], groups: &[(u32, f64)]| LearnedState {
@@ -117,18 +120,19 @@
             endpoints: endpoints.to_vec(),
             groups: groups.to_vec(),
         };
-        let of_endpoints = endpoints.chunks(MAX_ROWS).map(|rows| part(rows, &[]));
-        let of_groups = groups.chunks(MAX_ROWS).map(|rows| part(&[], rows));
-        of_endpoints.chain(of_groups).collect()
+        let endpoint_parts = endpoints.chunks(MAX_ROWS_PER_MESSAGE).map(|rows| part(rows, &[]));
+        let group_parts = groups.chunks(MAX_ROWS_PER_MESSAGE).map(|rows| part(&[], rows));
+        endpoint_parts.chain(group_parts).collect()
     }
 
-    /// Takes a part, after the list.
+    /// Applies one part of a learned state. The endpoint list must have been applied before.
     pub(crate) fn import_learned_state(&mut self, now: Millis, part: LearnedState) {
-        // No pause is longer than a warm-up: a foreign number must not close endpoints for ever.
+        // A pause is never longer than a warm-up. A wrong value from outside must not block endpoints
+        // forever.
         let max_pause = self.settings.warm_up_time;
         if part.slow_start_pause.is_finite() && part.slow_start_pause <= max_pause {
-            let until = now + part.slow_start_pause;
-            self.slow_start.next_send_at = self.slow_start.next_send_at.max(until);
+            let paused_until = now + part.slow_start_pause;
+            self.slow_start.next_send_at = self.slow_start.next_send_at.max(paused_until);
         }
         self.latency_is_reported |= part.latency_is_reported;
         for learned in part.endpoints {
@@ -139,7 +143,7 @@
             }
         }
         let groups = part.groups.into_iter().filter(|(_, arrivals)| arrivals.is_finite() && *arrivals > 0.0);
-        self.group_sample.arrivals.extend(groups.take(MAX_ROWS));
+        self.group_sample.arrivals.extend(groups.take(MAX_ROWS_PER_MESSAGE));
         self.assignment.invalidate();
     }
 }
--- a/src/policy/load_limit.rs
+++ b/src/policy/load_limit.rs
@@ -1,27 +1,28 @@
-//! How much load an endpoint seems to manage, learned from when it was slow.
+//! Estimates how much load an endpoint can manage, from the times when it was slow.
 //!
-//! Inputs: the load that this relay has there (in mean connections), and signs that the endpoint is slow or
-//! overloaded. Output: a limit on this relay's own load there. It is set to the present load when messages
-//! are slow, cut further when they are worthless or connections are shed (multiplicative decrease), and
-//! grows while the endpoint is healthy, so that a limit learned in a bad minute does not last.
+//! Inputs: this relay's load at the endpoint, in mean connections, and signs that the endpoint is slow or
+//! overloaded. Output: a limit on this relay's own load there. The limit is set to the present load when
+//! messages are slow, and is reduced further when messages come too late to be useful or connections are shed
+//! (multiplicative decrease). It grows while the endpoint is healthy, so that a limit learned in a bad minute
+//! does not last.
 
 use super::api::Millis;
 
-/// An endpoint of which nothing slow was reported for this long is healthy: reports come once a second
-/// while it is slow.
+/// An endpoint is healthy if it was not reported slow for this long. A slow endpoint is reported once a
+/// second.
 const SLOW_REPORT_TTL_MS: Millis = 1500.0;
-/// Growth of the limit in a second in which the endpoint is healthy.
+/// Factor by which the limit grows in each second in which the endpoint is healthy.
 const GROWTH_PER_HEALTHY_SECOND: f64 = 1.08;
 /// Milliseconds in a second.
 const SECOND_MS: Millis = 1000.0;
 
 /// A limit on this relay's own load at one endpoint, in mean connections.
 pub(crate) struct LoadLimit {
-    /// The limit as of `slow_at`; infinite while nothing slow was seen.
+    /// The limit as of `slow_at`; infinite until a limit is learned.
     pub limit: f64,
     /// When the endpoint was last slow.
     pub slow_at: Millis,
-    /// When the limit was last cut below the load of that time.
+    /// When the limit was last reduced below the load of that time.
     pub reduced_at: Millis,
 }
 
@@ -32,8 +33,8 @@
 }
 
 impl LoadLimit {
-    /// The limit now. `load_per_endpoint` is this relay's mean load of an endpoint: growth starts from
-    /// there, so that a limit near zero recovers too.
+    /// The current limit. `load_per_endpoint` is this relay's mean load per endpoint: it is part of what
+    /// grows, so that a limit near zero recovers too.
     pub fn current(&self, now: Millis, load_per_endpoint: f64) -> f64 {
         if !self.limit.is_finite() {
             return self.limit;
@@ -42,7 +43,8 @@
         (self.limit + load_per_endpoint) * GROWTH_PER_HEALTHY_SECOND.powf(healthy_seconds) - load_per_endpoint
     }
 
-    /// The endpoint is slow at this load. Where `limits_load` is set, it is to take no more than that.
+    /// Records that the endpoint is slow at this load. If `limits_load` is set, the limit becomes at most
+    /// this load.
     pub fn record_slow(&mut self, now: Millis, load_per_endpoint: f64, load: f64, limits_load: bool) {
         if limits_load {
             self.limit = self.current(now, load_per_endpoint).min(load);
@@ -50,8 +52,9 @@
         self.slow_at = now;
     }
 
-    /// The endpoint is overloaded: messages come too late to be worth anything, or it drops connections.
-    /// The limit is cut to `factor` of the load, once in a burst of such signs.
+    /// Records that the endpoint is overloaded: messages come too late to be useful, or it drops connections.
+    /// The limit is reduced to `factor` times the present load or limit, whichever is less, once in a burst
+    /// of such signs.
     pub fn record_overload(&mut self, now: Millis, load_per_endpoint: f64, load: f64, factor: f64) {
         self.limit = self.current(now, load_per_endpoint);
         self.slow_at = now;
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Whether nothing slow was reported of the endpoint lately.
+    /// Whether the endpoint was not reported slow recently.
     pub fn is_healthy(&self, now: Millis) -> bool {
         now - self.slow_at > SLOW_REPORT_TTL_MS
     }
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -1,24 +1,25 @@
-//! Which clients are asked to reconnect because their endpoint carries too much of the cluster's load. One
-//! of three causes of a migration, beside `drain` and `overload`.
+//! Decides which clients are asked to reconnect because their endpoint carries too much of the cluster's
+//! load. This is one of the three causes of a migration, beside `drain` and `overload`.
 //!
-//! Input: what all relays hold at each endpoint, in mean connections, whenever it is reported anew. Output:
-//! a share of the own clients of endpoints that hold more than their fair load
-//! (`sandgw_cluster::rebalance`). Nobody is moved while set-ups queue, while an endpoint drains, or by a
-//! report that only few relays are in.
+//! Input: the load of all relays at each endpoint, in mean connections, whenever a new report of it arrives.
+//! Output: a fraction of this relay's clients at the endpoints that carry more than their fair load
+//! (`sandgw_cluster::rebalance`). No client is migrated while set-ups queue, while an endpoint is draining,
+//! or if the report covers only few relays.
 
 use sandgw_cluster::rebalance::{EndpointLoad, migration_fractions};
 
 use super::api::*;
 use super::load_balancer::LoadBalancer;
 
-/// A report is ignored whose total is below this part of the own load times the number of relays: it comes
-/// of few of them, since its collector has just started.
-const MIN_REPORTING_PART: f64 = 0.25;
-/// A connection whose attempt was sent within this span, in ms, is not asked.
+/// A report is ignored if its total is below this fraction of this relay's load times the number of relays:
+/// it covers few relays, because its collector has just started.
+const MIN_REPORTED_FRACTION: f64 = 0.25;
+/// The client of a connection whose attempt was sent within this span, in ms, is not asked to reconnect.
 const SETTLING_TIME_MS: Millis = 4000.0;
 
 impl LoadBalancer {
-    /// Asks some own clients of endpoints that carry too much to reconnect, in calm times.
+    /// Asks some of this relay's clients at endpoints that carry too much to reconnect, unless the cluster is
+    /// busy or changing.
     pub(super) fn rebalance(&mut self, now: Millis, actions: &mut Actions) {
         if !self.may_rebalance() {
             return;
@@ -45,10 +46,10 @@
 
     fn may_rebalance(&self) -> bool {
         let own_load = self.placements.requests.placed_load;
-        let least_reported = own_load * MIN_REPORTING_PART * f64::from(self.settings.relay_count);
-        let is_of_most_relays = self.placements.endpoints.cluster_load >= least_reported;
-        is_of_most_relays
+        let min_reported_load = own_load * MIN_REPORTED_FRACTION * f64::from(self.settings.relay_count);
+        let covers_enough_relays = self.placements.endpoints.cluster_load >= min_reported_load;
+        covers_enough_relays
             && !self.concurrency_limit.latest_met_queue()
-            && self.placements.endpoints.none_leaving()
+            && self.placements.endpoints.all_ready()
     }
 }
