--- a/src/policy/api/actions.rs
+++ b/src/policy/api/actions.rs
@@ -1,53 +1,54 @@
-//! What the load balancer does.
+//! Actions: what the load balancer asks the relay to carry out.
 
 use sandgw_units::Millis;
 
 use super::ids::{EndpointId, RequestId};
 use super::messages::PeerMessage;
 
-/// What the load balancer does.
+/// An action that the relay carries out for the load balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Start an attempt to connect a request to an endpoint.
     StartAttempt {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint to connect to.
         endpoint: EndpointId,
-        /// When to give the attempt up.
+        /// When the attempt times out.
         until: Millis,
-        /// Before when it has to begin: a connection may take its time to come up.
+        /// The attempt must have been sent to the endpoint before this time; opening a connection for it may
+        /// take a while.
         begin_by: Millis,
     },
-    /// Final answer: rejected, a retry is harmless.
+    /// Reject the request as its final answer: a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client ought to wait, in ms.
+        /// Retry hint: how long the client should wait before it retries, in ms.
         retry_after: Option<Millis>,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Fail the request as its final answer, without a promise that a retry is harmless.
     Fail(RequestId),
     /// Ask the client of an established connection to reconnect.
     Migrate(RequestId),
-    /// Ask for [`Event::Timer`](super::Event::Timer).
+    /// Set a timer, which comes back as [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// Span from now, in ms.
+        /// Delay from now, in ms.
         after: Millis,
-        /// Comes back with the event.
+        /// Token that is returned with the event.
         token: u64,
     },
-    /// Subscribe to changes of the list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Send a message to another relay, where [`Settings::peer_messages`](super::Settings::peer_messages)
-    /// allows it.
+    /// Send a message to another relay, if [`Settings::peer_messages`](super::Settings::peer_messages) allows
+    /// it.
     SendToPeer {
-        /// The receiver's number.
+        /// Number of the receiving relay.
         peer: u32,
         /// The message.
         message: PeerMessage,
     },
 }
 
-/// Actions in the order in which they are to be carried out.
+/// Actions, in the order in which the relay carries them out.
 pub type Actions = Vec<Action>;
--- a/src/policy/api/events.rs
+++ b/src/policy/api/events.rs
@@ -1,4 +1,4 @@
-//! What the load balancer is told.
+//! Events: the inputs of the load balancer.
 
 use sandgw_units::Millis;
 
@@ -11,33 +11,35 @@
 /// A measurement of an established connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Measurement {
-    /// Its load now, in work (ms) a second.
+    /// The connection's present load, in ms of work per second.
     Load(f64),
-    /// How long a message takes at its endpoint now, in ms.
+    /// How long a message takes at the connection's endpoint at present, in ms.
     MessageDelay(Millis),
 }
 
-/// What the load balancer is told.
+/// An event that the load balancer handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// New settings are in force, whole. A class that a request has is the same at its position as before.
+    /// A complete set of new settings takes effect. A class that any request refers to keeps its position in
+    /// [`Settings::classes`].
     Settings(Box<Settings>),
-    /// The list of endpoints, or changes to it.
+    /// The endpoint list, or changes to it.
     List {
-        /// What `endpoints` contains.
+        /// Which entries `endpoints` contains.
         kind: ListKind,
-        /// The entries.
+        /// The entries of the list.
         endpoints: Vec<EndpointEntry>,
     },
-    /// Until when the list may be used for new attempts, in ms; without this event for ever.
+    /// The endpoint list may be used for new attempts until this time, in ms. Before the first such event it
+    /// may be used without limit.
     ListValidUntil(Millis),
     /// A request arrived.
     Request(Request),
-    /// A connection that was routed through here before the start.
+    /// A connection that was already established through this relay before the load balancer started.
     ExistingConnection {
-        /// The request behind it; its attempt 0 counts as made.
+        /// The request that became the connection; its attempt 0 counts as made.
         request: Request,
-        /// Its endpoint.
+        /// Endpoint of the connection.
         endpoint: EndpointId,
     },
     /// An attempt's connection is established.
@@ -46,38 +48,38 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptId,
-        /// Time since it was sent, in ms.
+        /// Time since the attempt was sent, in ms.
         elapsed: Millis,
     },
-    /// An attempt ended, or the connection that came of it.
+    /// An attempt has ended, or the connection that it established.
     AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptId,
-        /// Its endpoint.
+        /// Endpoint of the attempt.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the attempt or the connection ended.
         outcome: Outcome,
-        /// The request is finished.
+        /// Whether the request is finished, so that no further attempt is made for it.
         finished: bool,
     },
-    /// The client has gone; nothing more is owed.
+    /// The client has disconnected; the request needs no answer any more.
     ClientGone(RequestId),
-    /// An established connection was measured.
+    /// A measurement of an established connection.
     Measured {
         /// The request.
         request: RequestId,
         /// The measurement.
         measurement: Measurement,
     },
-    /// A message from another relay.
+    /// A message from another relay has arrived.
     PeerMessage {
-        /// The sender's number.
+        /// Number of the sending relay.
         peer: u32,
         /// The message.
         message: PeerMessage,
     },
-    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) is due; its token.
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) has expired; carries the timer's token.
     Timer(u64),
 }
--- a/src/policy/api/ids.rs
+++ b/src/policy/api/ids.rs
@@ -1,12 +1,12 @@
-//! What things are named by.
+//! Identifiers of requests, attempts, endpoints, keys, classes and zones.
 
 use std::sync::Arc;
 
-/// One request, and the connection that comes of it; a client's retry carries a fresh one.
+/// Identifies a request and the connection that it becomes. A client's retry is a new request with a new id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// One endpoint; stays the same when its process restarts.
+/// Identifies an endpoint. The id stays the same when the endpoint's process restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub Arc<str>);
 
@@ -18,10 +18,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// Number of an attempt of one request, from 0, in the order in which they are sent.
+/// Number of an attempt within its request, counted from 0 in the order in which attempts are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u32);
 
-/// A zone, by its name.
+/// Name of a zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Zone(pub Arc<str>);
--- a/src/policy/api/list.rs
+++ b/src/policy/api/list.rs
@@ -1,48 +1,49 @@
-//! The list of endpoints, as discovery or another relay gives it.
+//! The endpoint list, as discovery or another relay provides it.
 
 use sandgw_units::Millis;
 
 use super::ids::{EndpointId, Zone};
 
-/// State of an endpoint in the list.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes new connections.
+    /// The endpoint accepts new connections.
     Ready,
-    /// Finishes what it has, takes nothing new.
+    /// The endpoint finishes its established connections and accepts no new ones.
     Draining,
-    /// Removed from the list.
+    /// The endpoint was removed from the list.
     Removed,
 }
 
-/// One entry of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub id: EndpointId,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// Its listed size, comparable across endpoints.
+    /// Listed size of the endpoint, in a unit that is comparable across endpoints.
     pub weight: f64,
-    /// When its process last started; 0 when long past.
+    /// When the endpoint's process last started; 0 if that was long ago.
     pub started: Millis,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: Zone,
-    /// Its cell: the small set of endpoints that share the keys they have seen.
+    /// Cell of the endpoint: the small set of endpoints that share which deduplication keys they have seen.
     pub cell: u64,
 }
 
-/// What a message about the list contains.
+/// Which entries a list event contains, and where they come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as last stored, possibly stale.
+    /// The complete list as it was last stored; it may be stale.
     Cached,
-    /// A poll failed or the subscription dropped; nothing is said of the endpoints.
+    /// A poll of the list failed, or the subscription was dropped. Carries no information about the
+    /// endpoints.
     Failed,
-    /// Some entries as another relay reports them; no poll was answered.
+    /// Some entries, as another relay reports them. They are not the answer to a poll.
     Gossip,
 }
--- a/src/policy/api/mod.rs
+++ b/src/policy/api/mod.rs
@@ -1,7 +1,7 @@
 //! The load balancer's interface: settings, events and actions.
 //!
-//! Times are milliseconds on a monotonic clock of arbitrary origin. Ids are opaque: the decisions compare
-//! and hash them, and read nothing else from them.
+//! Times are milliseconds on a monotonic clock of arbitrary origin. Ids are opaque: the load balancer only
+//! compares and hashes them.
 
 mod actions;
 mod events;
--- a/src/policy/api/request.rs
+++ b/src/policy/api/request.rs
@@ -1,4 +1,4 @@
-//! Requests, and how their attempts end.
+//! Requests, and the outcomes of their attempts.
 
 use std::borrow::Cow;
 
@@ -9,30 +9,32 @@
 /// A request as it arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class; `None` when the settings do not name it.
+    /// Class of the request; `None` if the settings do not define it.
     pub class: Option<ClassId>,
-    /// Its client key.
+    /// Key of the client, if the request carries one.
     pub client: Option<Key>,
-    /// The key of its group of connections.
+    /// Key of the request's group of connections, if the request carries one.
     pub group: Option<Key>,
-    /// When the client gives up.
+    /// When the client stops waiting for an answer.
     pub deadline: Millis,
-    /// How much of the wanted set-up time was used before the request could be read, in ms.
+    /// How much of the latency objective had passed before the relay could read the request, in ms.
     pub setup_time_used: Millis,
-    /// Expected load, in work (ms) a second.
+    /// Expected load, in ms of work per second.
     pub load: Option<f64>,
-    /// Packets of an established connection that now arrive here.
+    /// Whether the request is for a connection that was established through another relay and whose packets
+    /// now arrive at this one.
     pub mid_flow: bool,
-    /// The client was here before: it retries, or reconnects after its connection broke or was migrated.
+    /// Whether the client has sent a request before: it retries, or reconnects after its connection broke or
+    /// was migrated.
     pub returned: bool,
-    /// An endpoint that drains notifies its client by itself.
+    /// Whether the endpoint itself notifies this client when it drains.
     pub drained_by_endpoint: bool,
 }
 
 impl Request {
-    /// The client key, or the request's own id where it carries none.
+    /// The client key, or the request's own id if it carries no client key.
     pub fn client_key(&self) -> Cow<'_, [u8]> {
         match &self.client {
             Some(key) => Cow::Borrowed(key.0.as_bytes()),
@@ -41,29 +43,29 @@
     }
 }
 
-/// How an attempt, or the connection that came of it, ended.
+/// How an attempt, or the connection that it established, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The request was served.
     Ok,
-    /// An error; the attempt may have had an effect.
+    /// The endpoint answered with an error; the attempt may have had an effect.
     Error,
-    /// Rejected by the endpoint without an effect.
+    /// The endpoint rejected the attempt, which had no effect.
     Rejected,
-    /// No reply in time; the attempt may have had an effect.
+    /// The endpoint did not answer in time; the attempt may have had an effect.
     TimedOut,
-    /// No connection; the attempt had no effect.
+    /// No connection could be opened; the attempt had no effect.
     ConnectFailed,
-    /// The connection was dropped; the attempt may have had an effect.
+    /// The connection was reset; the attempt may have had an effect.
     Reset,
-    /// Cancelled; the attempt may have had an effect.
+    /// The attempt was cancelled; it may have had an effect.
     Cancelled,
-    /// Not sent.
+    /// The attempt was not sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the outcome leaves open that the attempt had an effect.
+    /// Whether the attempt may have had an effect, as far as this outcome tells.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
--- a/src/policy/api/settings.rs
+++ b/src/policy/api/settings.rs
@@ -4,100 +4,105 @@
 use sandgw_quota::tenants::Tenants;
 use sandgw_units::Millis;
 
-/// Which endpoints drop repeats of a keyed request.
+/// The endpoints within which repeats of a keyed request are recognized and dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
-/// What repeating a request may do.
+/// Effect of repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Repeating is harmless.
+    /// A repeat is harmless.
     Safe,
-    /// Repeats are dropped within a scope of endpoints for a while.
+    /// Repeats are dropped for a limited time by endpoints that share which keys they have seen.
     Keyed {
-        /// The endpoints that share what they have seen.
+        /// The endpoints that share the keys that they have seen.
         scope: DeduplicationScope,
-        /// How long they remember, in ms from the first attempt that may have had an effect.
+        /// How long these endpoints remember a key, in ms from the first attempt that may have had an effect.
         window: Millis,
     },
-    /// A repeat may act twice.
+    /// A repeat may take effect a second time.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its effect when repeated.
+    /// Effect of repeating a request of this class.
     pub idempotency: Idempotency,
-    /// Wanted set-up time, in ms.
+    /// Target for the time until the connection is established, in ms.
     pub latency_objective: Millis,
-    /// Wanted time of a message on an established connection, in ms.
+    /// Target for the time that a message takes on an established connection, in ms; `None` if the class has
+    /// no such target.
     pub message_latency_objective: Option<Millis>,
-    /// Weight of one request beside those of other classes.
+    /// Priority of a request of this class relative to those of other classes.
     pub priority_weight: f64,
 }
 
-/// How the list of endpoints reaches this relay.
+/// How the endpoint list reaches this relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes are pushed.
+    /// Discovery pushes changes.
     Pushed,
-    /// Only after [`Action::Subscribe`](super::Action::Subscribe).
+    /// Discovery sends the list only after [`Action::Subscribe`](super::Action::Subscribe).
     OnRequest,
 }
 
-/// Limit on one relay's attempts beyond each request's first, in any window of a length.
+/// Limit on the attempts that one relay makes beyond the first attempt of each request, within any window of
+/// a given length.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Length of the window, in ms.
     pub window: Millis,
-    /// Attempts allowed however few requests came.
+    /// Retries that are allowed in a window regardless of the number of requests.
     pub min_retries: f64,
-    /// Attempts allowed besides for each request taken in the window.
+    /// Additional retries that are allowed per request that arrived in the window.
     pub retry_ratio: f64,
 }
 
-/// Settings, given at the start and anew in [`Event::Settings`](super::Event::Settings).
+/// Settings of the load balancer. They are passed in at the start and replaced by
+/// [`Event::Settings`](super::Event::Settings).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Classes by position.
+    /// Request classes; [`ClassId`](super::ClassId) is the position in this list.
     pub classes: Vec<Class>,
-    /// How the list of endpoints arrives.
+    /// How the endpoint list reaches this relay.
     pub discovery: Discovery,
-    /// Relays that serve the same endpoints, this one included.
+    /// Number of relays in the cluster, this one included.
     pub relay_count: u32,
-    /// Number of this one among them, from 0.
+    /// Index of this relay among the relays of the cluster, from 0.
     pub local_index: u32,
-    /// Whether relays may send each other messages.
+    /// Whether relays may send messages to each other.
     pub peer_messages: bool,
-    /// Packets pass through: when the set of relays changes, established connections arrive at another one.
+    /// Whether the relays pass packets through: when the set of relays changes, the packets of established
+    /// connections arrive at a different relay.
     pub packet_passthrough: bool,
-    /// Attempts of one request at the most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// A connection that is not established after this long has failed, in ms.
+    /// Time after which a connection that is not established counts as failed, in ms.
     pub connect_timeout: Millis,
-    /// Least spacing of this relay's clock readings, in ms.
+    /// Resolution of this relay's clock: the smallest difference between two readings, in ms.
     pub resolution: Millis,
-    /// The longest retry hint that a client heeds, in ms; `None` where hints do not reach it.
+    /// The longest retry hint that clients respect, in ms; `None` if hints do not reach the clients.
     pub max_retry_after: Option<Millis>,
-    /// A list that is not subscribed to counts as stale after this long, in ms.
+    /// Time after which a list without a subscription counts as stale, in ms.
     pub list_max_age: Millis,
-    /// Share of its capacity that an endpoint has at the least when it starts.
+    /// Minimum fraction of its capacity that an endpoint has when it starts.
     pub cold_capacity_fraction: f64,
-    /// An endpoint is warm after this long at the latest, in ms.
+    /// Time after which an endpoint is warm at the latest, in ms.
     pub warm_up_time: Millis,
-    /// An endpoint that warms up fails when it is sent more than this multiple of its present capacity.
+    /// Load, as a multiple of its present capacity, above which an endpoint that is warming up fails.
     pub overload_multiple: f64,
-    /// Limit on attempts beyond the first; `None` where none is stated.
+    /// Limit on attempts beyond the first of each request; `None` if retries are not limited.
     pub retry_budget: Option<RetryBudget>,
-    /// What the tables of clients and groups may take up; relays and their numbers are those above.
+    /// Size limits of the tables of clients and groups. For the relays and their numbers, `relay_count` and
+    /// `local_index` above apply.
     pub affinity_limits: Limits,
     /// Tenants' quotas, and whether they are enforced.
     pub quotas: QuotaSettings,
@@ -127,18 +132,19 @@
     }
 }
 
-/// Whether quotas are enforced where no file of an operator says so. Nothing is counted or reported where
-/// they are not.
+/// Whether quotas are enforced if no operator's configuration file says so. Without enforcement, usage is
+/// neither counted nor reported.
 const ENFORCED_BY_DEFAULT: bool = false;
 
 /// Tenants' quotas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// The tenants, with their quotas.
+    /// The tenants and their quotas.
     pub tenants: Tenants,
-    /// What a connection beyond its tenant's quota is worth, as a part of what it is worth within.
+    /// Value of a connection over its tenant's quota, as a fraction of the value of a connection within the
+    /// quota.
     pub over_quota_weight: f64,
-    /// Whether a tenant over its quota is rejected first where places are short.
+    /// Whether connections of tenants over their quota are rejected first when capacity is scarce.
     pub enforce: bool,
 }
 
@@ -149,7 +155,7 @@
 }
 
 impl QuotaSettings {
-    /// Whether any tenant has a limit.
+    /// Whether any tenant has a quota for its connections or its connection rate.
     pub fn has_limits(&self) -> bool {
         let mut tenants = (0..self.tenants.len()).filter_map(|position| self.tenants.get(position));
         tenants.any(|tenant| tenant.connections.is_some() || tenant.per_s.is_some())
--- a/src/policy/attempt_outcome.rs
+++ b/src/policy/attempt_outcome.rs
@@ -1,9 +1,8 @@
-//! What follows when an attempt is established or ends.
+//! Updates state and decides the next step when an attempt is established or ends.
 //!
-//! Inputs: the events [`Event::Established`](super::api::Event::Established) and
-//! [`Event::AttemptEnded`](super::api::Event::AttemptEnded). Outputs: what is learned of the endpoint
-//! (ejection, load limit, restart), of the tier (the concurrency limit), and for the request the next
-//! attempt or its final answer.
+//! Inputs: the events [`Event::Established`] and [`Event::AttemptEnded`]. Outputs: updates to the endpoint's
+//! state (ejection, load limit, restart) and to the concurrency limit, which reflects the state of the whole
+//! cluster, and for the request its next attempt or its final answer.
 
 use super::api::*;
 use super::estimates::move_toward;
@@ -11,32 +10,34 @@
 use super::load_balancer::LoadBalancer;
 use super::outlier::is_endpoint_failure;
 use super::request_table::{PossibleExecution, Stage};
-use super::retry::is_sign_of_load;
+use super::retry::indicates_overload;
 
-/// Several set-ups at once wait for each other: an endpoint's set-up time is the quickest within this span.
+/// Span over which an endpoint's set-up time is the minimum of those measured. Concurrent set-ups delay each
+/// other, so the shortest tells most about the endpoint itself.
 const QUICKEST_SETUP_SPAN_MS: Millis = 1000.0;
-/// How long a set-up time says something of its endpoint.
+/// Time for which a measured set-up time is used to judge its endpoint.
 const SETUP_TIME_TTL_MS: Millis = 5000.0;
-/// Part of the latency objective by which a set-up has to exceed the usual one to count as slow; it has to
-/// take twice the usual time, too.
-const SLOW_SETUP_MARGIN: f64 = 0.1;
-/// Factor of an endpoint's load that its limit is cut to when it drops connections.
+/// A set-up counts as slow if it exceeds the median set-up time by this fraction of the latency objective,
+/// and also takes at least twice the median.
+const SLOW_SETUP_OBJECTIVE_FRACTION: f64 = 0.1;
+/// When an endpoint drops connections, its load limit is cut to this fraction of its present load.
 pub(super) const OVERLOAD_DECREASE: f64 = 0.75;
-/// Part of the way that the score of endpoints' faults moves with a connection that broke off or was ended.
+/// Fraction by which the endpoint fault score moves toward its target for each established connection that
+/// was reset or cancelled.
 const FAULT_SCORE_STEP: f64 = 1.0 / 8.0;
 
-/// An attempt that has ended.
+/// The end of an attempt, or of the connection that it established.
 pub(super) struct AttemptEnd {
     pub request: RequestId,
     pub attempt: AttemptId,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
-    /// The request is finished with it.
+    /// Whether the request is finished, so that no further attempt is made for it.
     pub finished: bool,
 }
 
 impl LoadBalancer {
-    /// An attempt's connection is established, `elapsed` ms after it was sent.
+    /// Handles an attempt whose connection was established `elapsed` ms after the attempt was sent.
     pub(super) fn handle_established(
         &mut self,
         now: Millis,
@@ -44,8 +45,11 @@
         attempt: AttemptId,
         elapsed: Millis,
     ) {
-        let Some(tracked) =
-            self.placements.requests.of_attempt(id, attempt).filter(|t| t.stage == Stage::Attempting)
+        let Some(tracked) = self
+            .placements
+            .requests
+            .by_latest_attempt(id, attempt)
+            .filter(|tracked| tracked.stage == Stage::Attempting)
         else {
             return;
         };
@@ -63,22 +67,25 @@
         }
         self.placements.requests.set_stage(id, Stage::Established);
         if let Some(endpoint_id) = endpoint_id.filter(|_| is_new) {
-            self.compare_setup_time(now, &endpoint_id, objective);
+            self.detect_slow_setup(now, &endpoint_id, objective);
         }
     }
 
-    /// An attempt has ended, or the connection that came of it.
+    /// Handles the end of an attempt, or of the connection that it established.
     pub(super) fn handle_attempt_ended(&mut self, now: Millis, end: AttemptEnd, actions: &mut Actions) {
         let id = end.request;
-        let Some(tracked) =
-            self.placements.requests.of_attempt(id, end.attempt).filter(|t| t.stage != Stage::Pending)
+        let Some(tracked) = self
+            .placements
+            .requests
+            .by_latest_attempt(id, end.attempt)
+            .filter(|tracked| tracked.stage != Stage::Pending)
         else {
             return;
         };
         let was_established = tracked.is_established();
         self.record_possible_execution(&end);
-        self.record_fault_score(end.outcome, was_established);
-        if is_sign_of_load(end.outcome) && !was_established {
+        self.update_fault_score(end.outcome, was_established);
+        if indicates_overload(end.outcome) && !was_established {
             self.record_late_setup(now, &end.endpoint);
         }
         self.record_endpoint_outcome(now, &end, was_established);
@@ -91,11 +98,11 @@
             self.forget(id);
             return actions.push(Action::Fail(id));
         }
-        let pause = self.retry_pause(now, id, end.outcome);
-        self.dispatch(now, id, pause, actions);
+        let backoff = self.retry_backoff(now, id, end.outcome);
+        self.dispatch(now, id, backoff, actions);
     }
 
-    /// A set-up came late or in time, for the concurrency limit.
+    /// Records for the concurrency limit whether a set-up was late or in time.
     fn record_setup_time(
         &mut self,
         now: Millis,
@@ -109,8 +116,8 @@
         }
     }
 
-    /// A set-up came late, or ended in an error: this relay's concurrency limit takes it, and the other
-    /// relays are told.
+    /// Records a set-up that was late or ended in an error: in this relay's concurrency limit, and as a
+    /// notice to the other relays.
     fn record_late_setup(&mut self, now: Millis, endpoint: &EndpointId) {
         let endpoint_hash = key_hash(endpoint.0.as_bytes());
         let attempts_out = self.placements.requests.attempts_out;
@@ -118,55 +125,58 @@
         self.cluster.report_late_setup(now, endpoint);
     }
 
-    /// An endpoint has answered an attempt.
+    /// Records that an endpoint has answered an attempt.
     fn record_endpoint_answered(&mut self, now: Millis, id: &EndpointId, elapsed: Millis, is_new: bool) {
         let Some(endpoint) = self.placements.endpoints.by_id.get_mut(id) else { return };
         endpoint.ejection.record_success();
         if is_new {
             endpoint.quickest_setup.record(now, elapsed, QUICKEST_SETUP_SPAN_MS);
         }
-        let was_down = std::mem::take(&mut endpoint.refuses_connections);
-        if was_down && endpoint.started < now - self.settings.warm_up_time {
-            // The list is late: an endpoint that was down and answers has just started, and is cold.
+        let refused_connections = std::mem::take(&mut endpoint.refuses_connections);
+        if refused_connections && endpoint.started < now - self.settings.warm_up_time {
+            // The list lags behind: an endpoint that refused connections and now answers has just restarted,
+            // and is warming up.
             endpoint.started = now;
         }
     }
 
-    /// Compares an endpoint's set-up time with the usual one. What it takes longer is work piled up there,
-    /// which messages wait behind as well; what a shared store adds is common to all. By itself it cuts no
-    /// load limit, unless slow messages are reported too: one odd set-up of an endpoint that has just
-    /// started would starve it.
-    fn compare_setup_time(&mut self, now: Millis, id: &EndpointId, objective: Millis) {
+    /// Marks an endpoint as slow if its set-up time exceeds the median of all endpoints. The excess is work
+    /// that is queued at this endpoint, and messages wait behind that work too; a delay from a shared store
+    /// would be common to all endpoints. A slow set-up alone does not cut the load limit unless slow messages
+    /// are reported too, since a single odd set-up of an endpoint that has just started would starve it.
+    fn detect_slow_setup(&mut self, now: Millis, id: &EndpointId, objective: Millis) {
         let ready = &self.assignment.ready_endpoints;
-        let usual = self.placements.endpoints.median_setup(ready, now - SETUP_TIME_TTL_MS);
+        let median_setup_time = self.placements.endpoints.median_setup(ready, now - SETUP_TIME_TTL_MS);
         let load_per_endpoint = self.placements.requests.capped_load_per_endpoint(ready.len());
         let Some(endpoint) = self.placements.endpoints.by_id.get_mut(id) else { return };
-        let excess = endpoint.quickest_setup.elapsed - usual;
-        if excess > usual.max(SLOW_SETUP_MARGIN * objective) {
+        let excess = endpoint.quickest_setup.elapsed - median_setup_time;
+        if excess > median_setup_time.max(SLOW_SETUP_OBJECTIVE_FRACTION * objective) {
             endpoint.load_limit.record_slow(now, load_per_endpoint, endpoint.load, self.latency_is_reported);
         }
     }
 
-    /// Notes the first attempt that may have had an effect, and the endpoint that failed the request.
+    /// Records the first attempt of a request that may have had an effect, and the endpoint that failed the
+    /// request.
     fn record_possible_execution(&mut self, end: &AttemptEnd) {
         let endpoint = self.placements.endpoints.by_id.get(&end.endpoint);
         let Some(tracked) = self.placements.requests.by_id.get_mut(&end.request) else { return };
         let may_have_run = end.outcome.may_have_run() && !tracked.is_established();
         if may_have_run && tracked.possibly_executed.is_none() {
             let sent_at = tracked.attempt_sent_at;
-            let executed = endpoint.map(|known| PossibleExecution {
+            let executed = endpoint.map(|endpoint| PossibleExecution {
                 sent_at,
-                zone: known.zone.clone(),
-                cell: known.cell,
+                zone: endpoint.zone.clone(),
+                cell: endpoint.cell,
             });
             tracked.possibly_executed = Some(executed.unwrap_or_default());
         }
         tracked.failed_endpoints.push(end.endpoint.clone());
     }
 
-    /// Follows whether established connections break off by their endpoint's fault. Clients that leave of
-    /// themselves, as when many reconnect at once, come again without one.
-    fn record_fault_score(&mut self, outcome: Outcome, was_established: bool) {
+    /// Updates the score that says whether established connections break through the fault of their endpoint.
+    /// When clients disconnect by themselves, as when many reconnect at once, their return is not a sign of
+    /// such a fault.
+    fn update_fault_score(&mut self, outcome: Outcome, was_established: bool) {
         match outcome {
             Outcome::Reset if was_established => {
                 move_toward(&mut self.endpoint_fault_score, 1.0, FAULT_SCORE_STEP);
@@ -178,7 +188,7 @@
         }
     }
 
-    /// What an attempt's end says of its endpoint.
+    /// Updates an endpoint's load limit and ejection from the outcome of an attempt.
     fn record_endpoint_outcome(&mut self, now: Millis, end: &AttemptEnd, was_established: bool) {
         let load_per_endpoint =
             self.placements.requests.capped_load_per_endpoint(self.assignment.ready_endpoints.len());
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -1,8 +1,8 @@
-//! The load balancer's state, and which rule takes which event.
+//! The load balancer's state, and the dispatch of events to the modules that handle them.
 //!
-//! A state machine without I/O: it is handed events with the time and appends actions, in the order in
-//! which they are to be carried out. Every decision is in a module of its own; see the table in
-//! [`crate::policy`].
+//! The load balancer is a state machine without I/O: [`LoadBalancer::handle`] takes an event with the current
+//! time and appends actions, in the order in which the relay carries them out. Each decision is made in a
+//! module of its own; see the table in [`crate::policy`].
 
 use std::collections::BTreeSet;
 
@@ -23,60 +23,62 @@
 use super::slow_start::SlowStart;
 
 /// Token of the timer for the steps in which clients of draining endpoints are asked to reconnect. Request
-/// ids, which are tokens too, stay far below.
+/// ids, which serve as tokens too, stay far below this value.
 pub(super) const DRAIN_TIMER: u64 = 1 << 62;
 /// Token of the timers of [`ClusterState`].
 const CLUSTER_TIMER: u64 = DRAIN_TIMER + 1;
-/// Arrivals that the groups' sizes count for at the most, as other relays or a store report them.
+/// Maximum number of arrivals that group sizes count for when other relays or a store report them.
 const MAX_REPORTED_ARRIVALS: f64 = SAMPLE_SIZE / 2.0;
-/// A request's deadline is brought forward by this many readings of the clock, so that the outcome of its
+/// Number of clock resolutions by which a request's deadline is brought forward, so that the outcome of its
 /// last attempt is still answered in time.
-const DEADLINE_MARGIN_READINGS: f64 = 2.0;
-/// Connect time-outs between two cuts of the concurrency limit by other relays' notices.
-const NOTICE_SPAN_CONNECT_TIMEOUTS: f64 = 2.0;
+const DEADLINE_MARGIN_CLOCK_TICKS: f64 = 2.0;
+/// Minimum time between two cuts of the concurrency limit by other relays' notices, as a multiple of the
+/// connect time-out.
+const NOTICE_SETTLE_CONNECT_TIMEOUTS: f64 = 2.0;
 
-/// The decisions of one relay.
+/// The load balancer of one relay: its state and all its decisions.
 #[derive(Default)]
 pub struct LoadBalancer {
     pub(super) settings: Settings,
-    /// What random numbers go on from.
+    /// State of the pseudo-random number generator.
     pub(super) random_state: u64,
-    /// Until when the list may be used for new attempts.
+    /// End of the list lease: until then the endpoint list may be used for new attempts.
     pub(super) list_valid_until: Millis,
-    /// Endpoints, requests, and which is placed where.
+    /// Endpoints, requests, and which request is placed at which endpoint.
     pub(crate) placements: Placements,
-    /// Requests that wait for their turn.
+    /// Requests that wait until the concurrency limit admits them.
     pub(crate) queue: BTreeSet<RequestId>,
-    /// Requests that wait until the list may be used.
+    /// Requests that wait until the endpoint list may be used.
     pub(super) awaiting_list: BTreeSet<RequestId>,
-    /// Which endpoints serve which group.
+    /// The assignment of groups to endpoints.
     pub(super) assignment: GroupAssignment,
-    /// Own arrivals by group.
+    /// Arrivals at this relay by group.
     pub(super) group_sample: GroupSample,
-    /// The sum of several relays' arrivals by group.
+    /// Arrivals by group, summed over several relays.
     pub(crate) merged_sample: MergedSample,
-    /// Mean of the work, in ms a second, that connections report: the unit that loads are counted in.
+    /// Mean of the work, in ms per second, that connections report: the unit in which loads are counted.
     pub(super) reported_work: RunningMean,
-    /// Message delays are reported: load limits follow them better than an even distribution can. Set by
-    /// the first report, and never cleared.
+    /// Whether message delays are reported. If they are, load limits track the endpoints better than an even
+    /// distribution of load can. Set by the first report, and never cleared.
     pub(super) latency_is_reported: bool,
-    /// Where clients and groups are held, and what relays exchange about it.
+    /// Which endpoints hold which clients and groups, and the messages that relays exchange about that.
     pub(crate) cluster: ClusterState,
-    /// How many set-ups may be out at once while a fault is common to all endpoints.
+    /// Limit on the number of set-ups in flight while a fault is common to all endpoints.
     pub(super) concurrency_limit: ConcurrencyLimit,
-    /// Whether own connections broke off lately by their endpoint's fault: from 1 (all) to -1 (none).
+    /// Endpoint fault score: whether this relay's connections recently broke through the fault of their
+    /// endpoint, from 1 (all of them) to -1 (none).
     pub(super) endpoint_fault_score: f64,
-    /// The timer of the drain steps is set.
+    /// Whether the timer of the drain steps is set.
     pub(super) drain_timer_is_set: bool,
-    /// Own sends to endpoints that warm up.
+    /// State of the slow start: this relay's sends to endpoints that are warming up.
     pub(super) slow_start: SlowStart,
-    /// Requests and retries within the retry budget's window.
+    /// Requests and retries within the window of the retry budget.
     pub(super) retry_budget_use: RetryBudgetUse,
 }
 
 impl LoadBalancer {
-    /// A load balancer without any state but its settings. Its first event is the list as last held. `seed`
-    /// is this relay's own; the same seed and events give the same actions.
+    /// Creates a load balancer that has no state but its settings. Its first event must be the endpoint list
+    /// as last stored. `seed` is this relay's own; the same seed and events give the same actions.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         LoadBalancer {
             cluster: ClusterState::new(&settings, seed, now),
@@ -89,13 +91,13 @@
         }
     }
 
-    /// Takes one event and appends the actions that follow from it.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Actions) {
         match event {
             Event::Settings(settings) => self.handle_settings(*settings, actions),
             Event::List { kind: ListKind::Failed, .. } => self.cluster.list_poll_failed(now),
             Event::List { kind, endpoints } => self.handle_list(now, kind, endpoints, actions),
-            Event::ListValidUntil(end) => self.handle_list_lease(now, end, actions),
+            Event::ListValidUntil(valid_until) => self.handle_list_lease(now, valid_until, actions),
             Event::Request(request) => self.handle_request(now, request, actions),
             Event::ExistingConnection { request, endpoint } => {
                 self.handle_existing_connection(now, request, endpoint);
@@ -120,7 +122,8 @@
         self.dispatch_queue(now, actions);
     }
 
-    /// Takes new settings. The list is asked for anew where it reaches this relay in another way.
+    /// Applies new settings. If the way in which the endpoint list reaches this relay has changed, subscribes
+    /// to the list again.
     fn handle_settings(&mut self, settings: Settings, actions: &mut Actions) {
         self.cluster.apply_settings(&settings);
         if settings.discovery != self.settings.discovery {
@@ -130,7 +133,7 @@
         self.assignment.invalidate();
     }
 
-    /// Takes a list of endpoints, or changes to it.
+    /// Applies an endpoint list, or changes to it.
     fn handle_list(
         &mut self,
         now: Millis,
@@ -147,28 +150,29 @@
         self.assignment.total_weight = ready.map(|id| endpoints.by_id[id].weight).sum();
     }
 
-    /// Takes a request and sends it on, holds it or answers it.
+    /// Tracks a new request, and starts an attempt for it, holds it or answers it.
     fn handle_request(&mut self, now: Millis, mut request: Request, actions: &mut Actions) {
         let id = request.id;
-        request.deadline -= DEADLINE_MARGIN_READINGS * self.settings.resolution;
+        request.deadline -= DEADLINE_MARGIN_CLOCK_TICKS * self.settings.resolution;
         self.retry_budget_use.requests.record(now);
         self.record_group_arrival(now, &request, actions);
         self.cluster.count_request();
-        let tracked = self.track(now, request, Stage::Pending);
+        let tracked = self.tracked_request(now, request, Stage::Pending);
         self.placements.requests.by_id.insert(id, tracked);
         self.dispatch(now, id, 0.0, actions);
     }
 
-    /// Takes a connection that was routed through here before the start.
+    /// Tracks a connection that was already established through this relay before the load balancer started.
     fn handle_existing_connection(&mut self, now: Millis, request: Request, endpoint: EndpointId) {
         let id = request.id;
-        let tracked = TrackedRequest { attempts: 1, ..self.track(now, request, Stage::Established) };
+        let tracked =
+            TrackedRequest { attempts: 1, ..self.tracked_request(now, request, Stage::Established) };
         self.cluster.record_location(now, &tracked.request, tracked.load, &endpoint);
         self.placements.requests.by_id.insert(id, tracked);
         self.placements.assign(id, endpoint);
     }
 
-    /// Takes a message from another relay.
+    /// Handles a message from another relay.
     fn handle_peer_message(&mut self, now: Millis, peer: u32, message: PeerMessage, actions: &mut Actions) {
         match message {
             PeerMessage::Cluster(ClusterMessage::LoadReport(rows)) => {
@@ -177,11 +181,11 @@
             }
             PeerMessage::Cluster(ClusterMessage::OverloadNotice(endpoint)) => {
                 if self.cluster.receive_overload_notice(now, endpoint) {
-                    let span = NOTICE_SPAN_CONNECT_TIMEOUTS * self.settings.connect_timeout;
+                    let settle_time = NOTICE_SETTLE_CONNECT_TIMEOUTS * self.settings.connect_timeout;
                     self.concurrency_limit.record_peer_warning(
                         now,
                         self.placements.requests.attempts_out,
-                        span,
+                        settle_time,
                     );
                 }
             }
@@ -194,7 +198,8 @@
         }
     }
 
-    /// Takes what the cluster state has learned since the last event, and sends what it has for other relays.
+    /// Applies what the cluster state has learned since the last event, and sends its pending messages to
+    /// other relays.
     fn apply_cluster_state(&mut self, now: Millis, actions: &mut Actions) {
         let reported = self.cluster.take_learned_sizes(now, MAX_REPORTED_ARRIVALS);
         if let Some(sample) = reported.filter(|sample| sample.total() > self.group_sample.total()) {
@@ -209,7 +214,8 @@
         self.cluster.flush(now, CLUSTER_TIMER, actions);
     }
 
-    /// Counts an arrival for its group. Clients that come again would count groups in trouble double.
+    /// Counts an arrival for its group. Clients that return are not counted: they would make groups with
+    /// failures appear larger than they are.
     fn record_group_arrival(&mut self, now: Millis, request: &Request, actions: &mut Actions) {
         let Some(group) = request.group.as_ref().filter(|_| !request.returned) else { return };
         self.group_sample.record(slot_of_key(group.0.as_bytes()));
@@ -218,57 +224,59 @@
         actions.extend(report);
     }
 
-    /// A request as it is kept. Its load counts as a multiple of the mean, where both are known.
-    fn track(&self, now: Millis, request: Request, stage: Stage) -> TrackedRequest {
+    /// Creates the tracked state of a request. Its load is a multiple of the mean load if both are known,
+    /// otherwise 1.
+    fn tracked_request(&self, now: Millis, request: Request, stage: Stage) -> TrackedRequest {
         let load = request.load.zip(self.reported_work.mean()).map_or(1.0, |(load, mean)| load / mean);
         TrackedRequest::new(now, request, stage, load)
     }
 
-    /// Drops a request and all that was counted for it.
+    /// Removes a request and everything that was counted for it.
     pub(super) fn forget(&mut self, id: RequestId) {
         self.placements.remove(id);
         self.queue.remove(&id);
         self.awaiting_list.remove(&id);
     }
 
-    /// A request's class, where the settings name it.
+    /// The class of a request, if the settings define it.
     pub(super) fn class(&self, request: &Request) -> Option<&Class> {
         self.settings.classes.get(request.class?.0)
     }
 
-    /// Wanted set-up time of a request, in ms: at most half of what its client waits, which is all that is
-    /// known without a class.
+    /// The latency objective of a request, in ms: that of its class, but at most half of the time that its
+    /// client waits. Without a class, the client's time is all that is known.
     pub(super) fn latency_objective(&self, tracked: &TrackedRequest) -> Millis {
-        let wanted = self.class(&tracked.request).map_or(f64::INFINITY, |class| class.latency_objective);
-        wanted.min((tracked.request.deadline - tracked.arrived_at) / 2.0)
+        let class_objective =
+            self.class(&tracked.request).map_or(f64::INFINITY, |class| class.latency_objective);
+        class_objective.min((tracked.request.deadline - tracked.arrived_at) / 2.0)
     }
 
-    /// What a request is worth for the load that it brings.
+    /// Priority weight of a request per unit of the load that it brings.
     pub(super) fn priority_per_load(&self, tracked: &TrackedRequest) -> f64 {
         let weight = self.class(&tracked.request).map_or(0.0, |class| class.priority_weight);
         weight / tracked.load.max(f64::MIN_POSITIVE)
     }
 
-    /// The next random number in `[0, 1)`.
+    /// The next pseudo-random number in `[0, 1)`.
     pub(super) fn random(&mut self) -> f64 {
         self.random_state = xxh3_64_with_seed(&[], self.random_state);
         unit_of_hash(self.random_state)
     }
 
-    /// The settings in force.
+    /// The settings in effect.
     pub(crate) fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// A request as it arrived, or the one behind an established connection.
+    /// The request with this id as it arrived, pending or established.
     pub(crate) fn request(&self, id: RequestId) -> Option<&Request> {
         self.placements.requests.by_id.get(&id).map(|tracked| &tracked.request)
     }
 
-    /// Entries of the list as they are known, of the endpoints that are wanted, as if in this state.
+    /// List entries of the endpoints that match `predicate`, as known here, with `state` as their state.
     pub(crate) fn entries(
         &self,
-        wanted: impl Fn(&EndpointId) -> bool,
+        predicate: impl Fn(&EndpointId) -> bool,
         state: EndpointState,
     ) -> Vec<EndpointEntry> {
         let entry = |(id, endpoint): (&EndpointId, &Endpoint)| EndpointEntry {
@@ -279,15 +287,15 @@
             zone: endpoint.zone.clone(),
             cell: endpoint.cell,
         };
-        self.placements.endpoints.by_id.iter().filter(|(id, _)| wanted(id)).map(entry).collect()
+        self.placements.endpoints.by_id.iter().filter(|(id, _)| predicate(id)).map(entry).collect()
     }
 
-    /// Where clients and groups are held, and what relays exchange about it.
+    /// Which endpoints hold which clients and groups, and the messages that relays exchange about that.
     pub(crate) fn cluster_state(&self) -> &ClusterState {
         &self.cluster
     }
 
-    /// The same, to be changed.
+    /// Mutable access to [`Self::cluster_state`].
     pub(crate) fn cluster_state_mut(&mut self) -> &mut ClusterState {
         &mut self.cluster
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,22 +1,23 @@
-//! Every decision of the relay. Nothing here does I/O or reads a clock: time is an argument.
+//! The load balancer: every decision that the relay makes. No code in this module does I/O or reads a clock;
+//! the current time is passed in as an argument.
 //!
-//! [`api`] has the settings, events and actions; [`LoadBalancer`] hands each
-//! event to the rule that takes it. Each rule is a module that opens with its inputs, units and reason:
+//! [`api`] defines the settings, events and actions. [`LoadBalancer`] passes each event to the module that
+//! handles it. Each of these modules opens with its inputs, its outputs and the reason for its rules:
 //!
 //! | question | module |
 //! |---|---|
 //! | Why was this request rejected, held or answered late? | `admission`; whether a retry was allowed: `retry` |
-//! | Why did this endpoint get this request? | `selection`, over the order of `group_assignment` and `maglev` |
-//! | Why did this endpoint get nothing? | `selection` lists the filters in order |
-//! | Why was this client asked to reconnect? | `drain` (its endpoint drains), `overload` (its endpoint is overloaded), `rebalance` (its endpoint carries too much of the tier's load) |
-//! | What follows from an attempt's end, or from a slow message? | `attempt_outcome`, `overload` |
+//! | Why did this endpoint get this request? | `selection`, which follows the candidate order of `group_assignment` and `maglev` |
+//! | Why did this endpoint get no requests? | `selection` lists the filters in order |
+//! | Why was this client asked to reconnect? | `drain` (its endpoint is draining), `overload` (its endpoint is overloaded), `rebalance` (its endpoint carries too much of the cluster's load) |
+//! | What does the end of an attempt, or a slow message, change? | `attempt_outcome`, `overload` |
 //!
 //! Loads are counted in *mean connections*: 1.0 is the mean of the work that connections have reported so
-//! far. What was counted before keeps its value when the mean moves.
+//! far. A load that has already been counted keeps its value when the mean changes.
 //!
-//! State: `placements` over `endpoint_table` and `request_table`; `estimates` and `group_sample` are what
-//! is measured; `cluster_state` is what relays tell each other; `learned_state` is what a process hands to
-//! the next; `scarcity` is what the core asks about quotas.
+//! State: `placements` combines `endpoint_table` and `request_table`; `estimates` and `group_sample` hold
+//! measurements; `cluster_state` holds what relays exchange; `learned_state` is what a process hands over to
+//! its successor; `scarcity` answers the core's question whether capacity is scarce, for enforcing quotas.
 
 mod admission;
 pub mod api;
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,20 +1,20 @@
-//! Outlier ejection: an endpoint whose attempts fail gets nothing new for a while.
+//! Outlier ejection: an endpoint whose attempts fail gets no new attempts for a while.
 //!
-//! Inputs: attempts that failed by the endpoint's fault, and those that succeeded. Output: until when the
-//! endpoint is skipped. The pause doubles with each failure in a row, as in exponential backoff. When all
-//! candidates of a request are ejected the fault is more likely common to them, and selection uses them all
-//! the same (`selection`).
+//! Inputs: attempts that failed through the fault of the endpoint, and attempts that succeeded. Output: the
+//! time until which the endpoint is ejected. The ejection time doubles with each consecutive failure, as in
+//! exponential backoff. If all candidates of a request are ejected, their fault is more likely a common one,
+//! and `selection` uses them regardless.
 
 use super::api::{Millis, Outcome};
 
-/// Doublings of the pause at the most.
+/// Maximum number of times that the ejection time doubles.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// What is known of an endpoint's failures.
+/// An endpoint's consecutive failures and its ejection.
 pub(crate) struct Ejection {
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub consecutive_failures: u32,
-    /// The endpoint is skipped until then.
+    /// The endpoint is ejected until this time.
     pub ejected_until: Millis,
 }
 
@@ -25,36 +25,37 @@
 }
 
 impl Ejection {
-    /// Whether the endpoint is skipped now.
+    /// Whether the endpoint is ejected now.
     pub fn is_ejected(&self, now: Millis) -> bool {
         now < self.ejected_until
     }
 
-    /// Counts a failure, unless the endpoint is ejected already. `base_pause` is the pause after the first.
-    pub fn record_failure(&mut self, now: Millis, base_pause: Millis) {
+    /// Records a failure, unless the endpoint is already ejected. `base_ejection_time` is the ejection time
+    /// after the first failure.
+    pub fn record_failure(&mut self, now: Millis, base_ejection_time: Millis) {
         if self.is_ejected(now) {
             return;
         }
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
-        self.ejected_until = now + base_pause * f64::from(1u32 << doublings);
+        self.ejected_until = now + base_ejection_time * f64::from(1u32 << doublings);
         self.consecutive_failures += 1;
     }
 
-    /// An attempt has succeeded.
+    /// Records an attempt that succeeded.
     pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 }
 
-/// Whether an outcome counts against its endpoint. A time-out does not while set-ups are late everywhere
-/// (`fault_is_common`): then something that all endpoints share is slow.
+/// Whether an outcome counts as a failure of its endpoint. A time-out does not count while set-ups are late
+/// at all endpoints (`fault_is_common`), because then something that all endpoints share is slow.
 pub(crate) fn is_endpoint_failure(outcome: Outcome, was_established: bool, fault_is_common: bool) -> bool {
     match outcome {
         Outcome::Reset => true,
         Outcome::ConnectFailed => !was_established,
         Outcome::TimedOut => !was_established && !fault_is_common,
-        // Errors and rejections show an endpoint that is there and has too much to do: `retry` paces
-        // attempts for them.
+        // An endpoint that answers with errors or rejections is reachable but has too much load: `retry`
+        // delays further attempts instead.
         Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => false,
     }
 }
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -1,61 +1,62 @@
-//! The requests that still lack their final answer, and the connections that came of others.
+//! The requests that still await their final answer, and the established connections.
 //!
-//! Bookkeeping only. Decisions that read it: `admission`, `retry`, `selection`, `drain`, `rebalance`.
+//! This module only keeps records. The modules that decide by them are `admission`, `retry`, `selection`,
+//! `drain` and `rebalance`.
 
 use std::collections::BTreeMap;
 
 use super::api::*;
 
-/// Most that an endpoint's mean load counts for: one more connection at each of many relays is too much
-/// already.
+/// Upper limit of the mean load per endpoint: if many relays each send one more connection, that is already
+/// too much.
 const MAX_LOAD_PER_ENDPOINT: f64 = 1.0;
 
-/// How far a request has come.
+/// Stage of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// No attempt is out.
+    /// No attempt is in flight.
     Pending,
-    /// An attempt is out.
+    /// An attempt is in flight.
     Attempting,
-    /// Its connection is established; only its end is still to come.
+    /// The connection is established; no attempt follows, only the connection's end.
     Established,
 }
 
-/// The first attempt of a request that may have had an effect.
+/// The first attempt of a request that may have had an effect, by its time and place.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct PossibleExecution {
     /// When the attempt was sent.
     pub sent_at: Millis,
-    /// Zone of its endpoint.
+    /// Zone of the attempt's endpoint.
     pub zone: Zone,
-    /// Cell of its endpoint.
+    /// Cell of the attempt's endpoint.
     pub cell: u64,
 }
 
-/// A request, and the connection that came of it.
+/// A request, and the connection that it becomes.
 pub(crate) struct TrackedRequest {
     /// The request as it arrived.
     pub request: Request,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_at: Millis,
-    /// How far it has come.
+    /// Stage of the request.
     pub stage: Stage,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u32,
-    /// Endpoint of the latest attempt while it is out or established.
+    /// Endpoint of the latest attempt while that attempt is in flight or established.
     pub endpoint: Option<EndpointId>,
     /// When the latest attempt was sent.
     pub attempt_sent_at: Millis,
     /// Endpoints that failed this request.
     pub failed_endpoints: Vec<EndpointId>,
-    /// Its first attempt that may have had an effect.
+    /// The request's first attempt that may have had an effect.
     pub possibly_executed: Option<PossibleExecution>,
-    /// Load counted for it, in mean connections.
+    /// Load that the request counts for, in mean connections.
     pub load: f64,
 }
 
 impl TrackedRequest {
-    /// A request that no attempt was made for.
+    /// Creates a request for which no attempt was made.
     pub fn new(arrived_at: Millis, request: Request, stage: Stage, load: f64) -> Self {
         TrackedRequest {
             request,
@@ -70,18 +71,18 @@
         }
     }
 
-    /// Whether this is a connection established elsewhere whose packets arrive here, and none was sent on
-    /// yet.
+    /// Whether this is a connection that was established through another relay, whose packets arrive at this
+    /// relay, and for which this relay has made no attempt yet.
     pub fn continues_mid_flow(&self) -> bool {
         self.request.mid_flow && self.attempts == 0
     }
 
-    /// Whether its client has still to be asked to reconnect when its endpoint drains.
+    /// Whether the relay has to ask the client to reconnect when the endpoint drains.
     pub fn needs_drain_notice(&self) -> bool {
         !self.request.drained_by_endpoint
     }
 
-    /// Whether its connection is established.
+    /// Whether the request's connection is established.
     pub fn is_established(&self) -> bool {
         self.stage == Stage::Established
     }
@@ -92,36 +93,36 @@
 pub(crate) struct RequestTable {
     /// The requests by id.
     pub by_id: BTreeMap<RequestId, TrackedRequest>,
-    /// Load of all that are placed at an endpoint, in mean connections.
+    /// Load of all requests that are placed at an endpoint, in mean connections.
     pub placed_load: f64,
-    /// Attempts that are out.
+    /// Number of attempts in flight.
     pub attempts_out: u32,
-    /// The highest established load lately, fading, and when it was brought up to date.
+    /// The recent peak of the established load, which decays over time.
     pub recent_peak_load: f64,
     recent_peak_at: Millis,
 }
 
 impl RequestTable {
-    /// Brings the peak of the established load up to date: it rises at once and fades with this time
+    /// Updates the recent peak of the established load: the peak rises at once and decays with this time
     /// constant, in ms.
     pub fn update_recent_peak(&mut self, now: Millis, time_constant: Millis) {
         let established = self.placed_load - f64::from(self.attempts_out);
-        let remaining = (-(now - self.recent_peak_at) / time_constant).exp();
-        self.recent_peak_load = established.max(self.recent_peak_load * remaining);
+        let decay = (-(now - self.recent_peak_at) / time_constant).exp();
+        self.recent_peak_load = established.max(self.recent_peak_load * decay);
         self.recent_peak_at = now;
     }
 
-    /// Own load that falls to each of so many endpoints on average, at most [`MAX_LOAD_PER_ENDPOINT`].
+    /// Mean load of this relay per endpoint, at most [`MAX_LOAD_PER_ENDPOINT`].
     pub fn capped_load_per_endpoint(&self, endpoint_count: usize) -> f64 {
         (self.placed_load / endpoint_count.max(1) as f64).min(MAX_LOAD_PER_ENDPOINT)
     }
 
-    /// A request, if this is its latest attempt: what comes late of an earlier one says nothing.
-    pub fn of_attempt(&self, id: RequestId, attempt: AttemptId) -> Option<&TrackedRequest> {
+    /// The request, if this is its latest attempt: late events of an earlier attempt are ignored.
+    pub fn by_latest_attempt(&self, id: RequestId, attempt: AttemptId) -> Option<&TrackedRequest> {
         self.by_id.get(&id).filter(|tracked| tracked.attempts == attempt.0 + 1)
     }
 
-    /// Moves a request to another stage.
+    /// Moves a request to another stage, and updates the number of attempts in flight.
     pub fn set_stage(&mut self, id: RequestId, stage: Stage) {
         let Some(tracked) = self.by_id.get_mut(&id) else { return };
         self.attempts_out -= u32::from(tracked.stage == Stage::Attempting);
--- a/src/policy/scarcity.rs
+++ b/src/policy/scarcity.rs
@@ -1,4 +1,4 @@
-//! Signs that places are short, for whoever decides about tenants over their quota.
+//! Signals that capacity is scarce, for the decisions about tenants over their quota.
 
 use sandgw_quota::policy::ScarcitySignals;
 
@@ -6,8 +6,8 @@
 use super::load_balancer::LoadBalancer;
 
 impl LoadBalancer {
-    /// Signs that places are short: set-ups are held back, or no endpoint has headroom by what is known of
-    /// it. Whether descriptors are short is not known here.
+    /// Signals that capacity is scarce: set-ups are held back, or no endpoint has known headroom. Whether
+    /// file descriptors are scarce is not known here.
     pub(crate) fn scarcity_signals(&self, now: Millis) -> ScarcitySignals {
         let endpoints = &self.placements.endpoints;
         let ready = &self.assignment.ready_endpoints;
