--- a/src/discovery/errors.rs
+++ b/src/discovery/errors.rs
@@ -1,104 +1,108 @@
-//! Why a poll of discovery brings no list.
+//! Errors of a poll of discovery.
 
 use serde_json::Value;
 use thiserror::Error;
 
 use crate::help::help;
 
-/// What is wrong with a list of endpoints. Nothing of it has been taken.
+/// Why an endpoint list is rejected. Nothing of a rejected list is applied.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// The text is no JSON.
+    /// The body is not JSON.
     #[error("not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// A key of the list itself is missing or of another kind.
+    /// A field of the list itself, not of an entry, is missing or has the wrong type.
     #[error("{key}: must be {wanted}")]
-    Field {
-        /// The key.
+    InvalidField {
+        /// Name of the field.
         key: &'static str,
-        /// What it must be.
+        /// The type that the field must have.
         wanted: &'static str,
     },
-    /// Changes came where nothing is held that they could change.
+    /// The answer has changes to a list, but this relay has no list that they could apply to.
     #[error("complete: the whole list was asked for")]
-    NotWhole,
-    /// The list is older than the one that is held.
+    UnexpectedChanges,
+    /// The revision of the answer is lower than that of the list that this relay has.
     #[error("revision: went back to {to} from {from}")]
-    WentBack {
-        /// The version that came.
+    RevisionWentBack {
+        /// Revision of the answer.
         to: u64,
-        /// The version that is held.
+        /// Revision of the list that this relay has.
         from: u64,
     },
-    /// The answer is to a call of another service.
+    /// The answer is to a request that was sent to another discovery service.
     #[error("discovery has moved since it was asked")]
-    Moved,
-    /// An endpoint has no name.
+    ServiceReplaced,
+    /// An entry has no `id`, or one that is not a text.
     #[error("members: id: must be a text")]
-    NoId,
-    /// An endpoint's phase is none of those known.
+    MissingId,
+    /// The `phase` of an entry is missing or unknown.
     #[error("members: {id}: phase: unknown phase {phase:?}")]
-    Phase {
-        /// The endpoint.
+    UnknownPhase {
+        /// Id of the endpoint.
         id: String,
-        /// What stands there, if it is a text.
+        /// The value of `phase`, if it is a text.
         phase: Option<String>,
     },
-    /// Nothing can be sent to an endpoint.
+    /// The `host_port` of an entry is missing or not an IP address with a port, so nothing can be sent to the
+    /// endpoint.
     #[error("members: {id}: host_port: must be an address and a port")]
-    Address {
-        /// The endpoint.
+    InvalidAddress {
+        /// Id of the endpoint.
         id: String,
     },
-    /// An endpoint's figure can't be used.
+    /// A field of an entry is not a number in its range.
     #[error("members: {id}: {key}: {value} is no number from 0 to {max}")]
-    Figure {
-        /// The endpoint.
+    InvalidNumber {
+        /// Id of the endpoint.
         id: String,
-        /// `size` or `up_since_ms`.
+        /// Name of the field: `size` or `up_since_ms`.
         key: &'static str,
-        /// What stands there.
+        /// The value of the field.
         value: Value,
-        /// The most that it may be.
+        /// The largest value allowed.
         max: f64,
     },
 }
 
 help!(ListError {
     NotJson: "not JSON" => "see that what answers there is the list service, and nothing cuts its answers short",
-    Field: "must be" => "the list service speaks another form: look at its version",
-    NotWhole: "the whole list was asked for" => "nothing where it stays at one; else look at the list service",
-    WentBack: "went back to" => "nothing, the whole list is asked for next; if it repeats, services with lists of \
+    InvalidField: "must be" => "the list service speaks another form: look at its version",
+    UnexpectedChanges: "the whole list was asked for" =>
+        "nothing where it stays at one; else look at the list service",
+    RevisionWentBack: "went back to" =>
+        "nothing, the whole list is asked for next; if it repeats, services with lists of \
         their own share one address",
-    Moved: "has moved since it was asked" => "nothing: the new one is asked at once",
-    NoId: "members: id" => "look at how streamers are registered: one has no name",
-    Phase: "unknown phase" => "the streamer's phase must be Ready, Terminating or Gone: look at how it is registered",
-    Address: "host_port" => "register the streamer with an IP address and a port, no host name",
-    Figure: "is no number from 0 to" => "register the streamer with a figure in that range, or without one",
+    ServiceReplaced: "has moved since it was asked" => "nothing: the new one is asked at once",
+    MissingId: "members: id" => "look at how streamers are registered: one has no name",
+    UnknownPhase: "unknown phase" =>
+        "the streamer's phase must be Ready, Terminating or Gone: look at how it is registered",
+    InvalidAddress: "host_port" => "register the streamer with an IP address and a port, no host name",
+    InvalidNumber: "is no number from 0 to" => "register the streamer with a figure in that range, or without one",
 });
 
-/// Why a call of discovery has brought no list; the one held stays in force.
+/// Why a poll of discovery has failed. The list that this relay has stays in force.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The connection could not be made, or broke.
+    /// The connection could not be established, or broke.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// There was no answer within [`EndpointList::timeout`](super::EndpointList::timeout).
+    /// No answer came within [`EndpointList::timeout`](super::EndpointList::timeout).
     #[error("no answer in time")]
     Late,
-    /// What came is no HTTP.
+    /// The answer is not HTTP.
     #[error("not HTTP: {0}")]
     NotHttp(String),
-    /// The service has answered with another status than 200.
+    /// The service has answered with a status other than 200.
     #[error("status {0}")]
     Status(u16),
-    /// The connection ended before the answer did.
+    /// The connection ended within this part of the answer.
     #[error("the answer ended in its {0}")]
     Cut(&'static str),
-    /// The answer is longer than a list can be.
+    /// The answer is longer than [`ANSWER_BYTES`](super::ANSWER_BYTES).
     #[error("the answer is too long")]
     TooLong,
-    /// The answer has come, but its list can't be taken.
+    /// The answer is complete, but its list is rejected.
     #[error(transparent)]
     List(#[from] ListError),
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! The list of endpoints as discovery gives it, and what is asked of discovery.
+//! The endpoint list as received from discovery, and the requests that poll discovery for it.
 //!
-//! Nothing here knows a socket: a driver asks for [`EndpointList::next_request`] and hands the body of what
-//! comes back to [`EndpointList::apply_answer`]. When to ask is decided by `sandgw_cluster::poll_scheduler`.
+//! This module does no I/O: a driver sends the request of [`EndpointList::next_request`] and passes the body
+//! of the answer to [`EndpointList::apply_answer`]. A watch is a request that discovery holds until the list
+//! changes or a given wait ends. When to poll is decided by `sandgw_cluster::poll_scheduler`.
 
 mod entry;
 mod errors;
@@ -19,122 +20,129 @@
 use crate::policy::api::*;
 use crate::policy::hashing::unit_of_hash;
 
-/// How long discovery may hold a watch at the least, in ms. Each wait is drawn, so that relays whose
-/// watches were all answered by one change do not go on in step.
+/// Shortest time for which discovery may hold a watch, in ms. The wait of each watch is drawn at random, so
+/// that relays whose watches were all answered by one change do not go on in step.
 pub const MIN_WAIT_MS: Millis = 1000.0;
-/// How long discovery may hold a watch at the most, in ms. What a watch that has fallen silent misses
-/// counts as told 6 s later, whether or not it arrived: by then the silence has to be noticed, and another
-/// call answered.
+/// Longest time for which discovery may hold a watch, in ms. A change that a silent watch misses counts as
+/// known 6 s later, whether or not it has arrived: by then the relay has to have noticed the silence and
+/// received the answer to another request.
 pub const MAX_WAIT_MS: Millis = 2500.0;
-/// How much longer an answer to a watch may be on its way, in ms: beyond that the watch is broken.
+/// Time that the answer to a watch may take beyond the wait, in ms. After that the watch counts as broken.
 pub const ANSWER_GRACE_MS: Millis = 1000.0;
-/// A call that doesn't wait is answered at once, after at most the 2 s that discovery lets one queue.
+/// Timeout of a request that is not a watch, in ms. Discovery answers such a request at once, after at most
+/// the 2 s for which it lets a request queue.
 pub const LIST_TIMEOUT_MS: Millis = 2500.0;
-/// Pause before the next try at a discovery service that has not answered since it was configured, in ms:
-/// what it has to tell counts as told 4 s later.
+/// Pause before the next request to a discovery service that has not answered since its address was
+/// configured, in ms. The pause is short because the service's changes count as known 4 s later.
 pub const RETRY_MS: Millis = 250.0;
-/// Most bytes of one answer; a list of thousands of endpoints stays far below.
+/// Largest size of an answer, in bytes. A list of thousands of endpoints is far smaller.
 pub const ANSWER_BYTES: usize = 4 << 20;
 
-/// The list as this relay has it.
+/// The endpoint list that this relay has.
 #[derive(Debug, Default)]
 pub struct EndpointList {
-    /// The list's version; nothing where it is not known to be this discovery service's.
+    /// Revision of the list; `None` where the list is not known to be the current discovery service's.
     revision: Option<u64>,
-    /// No call has been answered since the start or since one failed: the version is of the list as last
-    /// held.
+    /// Whether no request has been answered since the start or since one failed: the revision is that of the
+    /// list as last known.
     unconfirmed: bool,
-    /// How long the latest call lets discovery wait, and what the draws for it go on from.
+    /// For how long discovery may hold the latest request; 0 unless the request is a watch.
     wait: Millis,
     seed: u64,
-    /// A call is out that has not been answered, for what is newer than this or for all of the list.
-    asked: Option<Option<u64>>,
+    /// The request that waits for an answer, if any: `Some(revision)` where it asks for changes since that
+    /// revision, `None` where it asks for the full list.
+    pending_request: Option<Option<u64>>,
     addresses: BTreeMap<EndpointId, SocketAddr>,
-    /// The entries as they came, for the process that is to serve next.
-    members: BTreeMap<EndpointId, Value>,
+    /// The entries as received, for the successor process.
+    raw_entries: BTreeMap<EndpointId, Value>,
 }
 
 impl EndpointList {
-    /// Starts from the list as last held, if there is one.
+    /// Starts from the cached list, if there is one.
     ///
     /// # Errors
     ///
-    /// What is wrong with that list; nothing of it has been taken.
-    pub fn from_cached(known: &Value) -> Result<(Self, Vec<EndpointEntry>), ListError> {
+    /// Why the list is rejected. Nothing of a rejected list is applied.
+    pub fn from_cached(cached: &Value) -> Result<(Self, Vec<EndpointEntry>), ListError> {
         let mut list = EndpointList::default();
-        if known.is_null() {
+        if cached.is_null() {
             return Ok((list, Vec::new()));
         }
-        // What has changed since costs discovery less than the whole list. Should it be of another service,
-        // that one says so at once, unless its versions are ahead by chance.
-        let (_, entries) = list.read(known)?;
+        // Requesting the changes since then costs discovery less than the full list. If the cached list is
+        // another service's, the current service shows so in its first answer, unless its revisions happen to
+        // be higher.
+        let (_, entries) = list.apply_json(cached)?;
         list.unconfirmed = true;
         Ok((list, entries))
     }
 
-    /// Takes the list as the process before held it; with its version where the same service is asked.
+    /// Applies the list of the predecessor process, with its revision if both processes poll the same
+    /// service.
     ///
     /// # Errors
     ///
-    /// What is wrong with that list; nothing of it has been taken.
+    /// Why the list is rejected. Nothing of a rejected list is applied.
     pub fn import(
         &mut self,
         revision: Option<u64>,
-        members: Vec<Value>,
+        raw_entries: Vec<Value>,
     ) -> Result<Vec<EndpointEntry>, ListError> {
-        let list = serde_json::json!({"revision": 0, "complete": true, "members": members});
-        let (_, entries) = self.read(&list)?;
+        let list = serde_json::json!({"revision": 0, "complete": true, "members": raw_entries});
+        let (_, entries) = self.apply_json(&list)?;
         self.revision = revision;
         Ok(entries)
     }
 
-    /// The list's version, where it is known to be this discovery service's, and its entries.
+    /// The list's revision, if the list is known to be the current discovery service's, and its entries as
+    /// received.
     pub fn contents(&self) -> (Option<u64>, impl Iterator<Item = &Value>) {
-        (self.revision, self.members.values())
+        (self.revision, self.raw_entries.values())
     }
 
-    /// Another service is asked from now on: versions are each service's own.
+    /// Forgets the list's revision, since another service is polled from now on: each service has revisions
+    /// of its own.
     pub fn service_replaced(&mut self) {
         self.revision = None;
         self.unconfirmed = false;
-        // What the old one still answers is not of the list that is asked for now.
-        self.asked = None;
+        // An answer of the old service to the pending request is not for the list that is requested now.
+        self.pending_request = None;
     }
 
-    /// Draws from another seed: each relay's waits are its own.
+    /// Replaces the random seed, so that each relay draws waits of its own.
     pub fn reseed(&mut self, seed: u64) {
         self.seed = seed;
     }
 
-    /// How long the call that was made last may take.
+    /// Timeout of the latest request.
     pub fn timeout(&self) -> Millis {
         if self.is_watch() { self.wait + ANSWER_GRACE_MS } else { LIST_TIMEOUT_MS }
     }
 
-    /// Whether the call that was made last is a watch, which discovery may hold.
+    /// Whether the latest request is a watch, which discovery may hold.
     pub fn is_watch(&self) -> bool {
         self.wait > 0.0
     }
 
-    /// The call that is out has failed. Changes are asked for without a wait next, which shows at once
-    /// whether there is a service; whether a watch was broken by it that had been going on.
+    /// Records that the pending request has failed. The next request asks for changes without a wait, which
+    /// shows at once whether there is a service. Returns whether the failure broke a subscription that had
+    /// been going on.
     pub fn poll_failed(&mut self) -> bool {
-        self.asked = None;
+        self.pending_request = None;
         !std::mem::replace(&mut self.unconfirmed, self.revision.is_some()) && self.revision.is_some()
     }
 
-    /// In how long to ask anew after a watch has fallen silent, or was broken otherwise, in a tier of so
-    /// many relays.
-    pub fn renewal_delay(&mut self, relays: u32, silent: bool) -> Millis {
+    /// Delay before the next request after a watch has fallen silent, or was broken in another way, in a
+    /// cluster of `relay_count` relays.
+    pub fn renewal_delay(&mut self, relay_count: u32, is_silent: bool) -> Millis {
         let draw = self.draw();
-        if silent {
-            poll_scheduler::delay_after_silent_watch(relays, draw)
+        if is_silent {
+            poll_scheduler::delay_after_silent_watch(relay_count, draw)
         } else {
-            poll_scheduler::delay_after_broken_watch(relays, draw)
+            poll_scheduler::delay_after_broken_watch(relay_count, draw)
         }
     }
 
-    /// How long discovery may hold the next watch, in whole ms.
+    /// Draws for how long discovery may hold the next watch, in whole ms.
     fn draw_wait(&mut self) -> Millis {
         (MIN_WAIT_MS + (MAX_WAIT_MS - MIN_WAIT_MS) * self.draw()).round()
     }
@@ -144,74 +152,75 @@
         unit_of_hash(self.seed)
     }
 
-    /// Where an endpoint listens for this relay; nowhere once it is gone, since nothing is sent there any
-    /// more.
+    /// The address of an endpoint; `None` once the endpoint is removed, since nothing is sent to it any more.
     pub fn address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         self.addresses.get(endpoint).copied()
     }
 
-    /// What to ask for: the whole list, then the watch for what is newer.
+    /// Path and query of the next request: first for the full list, then watches for changes to it.
     pub fn next_request(&mut self) -> String {
-        self.asked = Some(self.revision);
-        let going = self.revision.is_some() && !self.unconfirmed;
-        self.wait = if going { self.draw_wait() } else { 0.0 };
+        self.pending_request = Some(self.revision);
+        let is_subscribed = self.revision.is_some() && !self.unconfirmed;
+        self.wait = if is_subscribed { self.draw_wait() } else { 0.0 };
         let wait = self.wait;
         let watch =
             self.revision.map(|after| format!("?after={after}&wait_ms={wait:.0}")).unwrap_or_default();
         format!("/v1/endpoints{watch}")
     }
 
-    /// Takes the body of the answer to the call that is out, whole or not at all.
+    /// Applies the body of the answer to the pending request, entirely or not at all.
     ///
     /// # Errors
     ///
-    /// What is wrong with the answer; nothing of it has been taken, and the list held stays in force.
+    /// Why the answer is rejected. Nothing of a rejected answer is applied, and the list known so far stays
+    /// in force.
     pub fn apply_answer(&mut self, body: &[u8]) -> Result<(ListKind, Vec<EndpointEntry>), ListError> {
-        let after = self.asked.take().ok_or(ListError::Moved)?;
+        let after = self.pending_request.take().ok_or(ListError::ServiceReplaced)?;
         let value: Value = serde_json::from_slice(body).map_err(ListError::NotJson)?;
         if value["complete"] == false {
-            // Changes to a list that is not held would leave what they do not name as it is.
-            let after = after.ok_or(ListError::NotWhole)?;
+            // Changes to a list that this relay does not have would leave endpoints that they do not name as
+            // they are.
+            let after = after.ok_or(ListError::UnexpectedChanges)?;
             if let Some(to) = value["revision"].as_u64().filter(|revision| *revision < after) {
                 self.revision = None;
                 self.unconfirmed = false;
-                return Err(ListError::WentBack { to, from: after });
+                return Err(ListError::RevisionWentBack { to, from: after });
             }
         }
-        self.read(&value)
+        self.apply_json(&value)
     }
 
-    fn read(&mut self, value: &Value) -> Result<(ListKind, Vec<EndpointEntry>), ListError> {
-        let field = |key, wanted| ListError::Field { key, wanted };
+    fn apply_json(&mut self, value: &Value) -> Result<(ListKind, Vec<EndpointEntry>), ListError> {
+        let field = |key, wanted| ListError::InvalidField { key, wanted };
         let revision = value["revision"].as_u64().ok_or(field("revision", "a whole number"))?;
         let complete = value["complete"].as_bool().ok_or(field("complete", "true or false"))?;
-        let members = value["members"].as_array().ok_or(field("members", "a list"))?;
-        // All are read before any is taken: half a list would hide a drain.
-        let listed = members.iter().map(ListedEndpoint::read).collect::<Result<Vec<_>, _>>()?;
+        let raw_entries = value["members"].as_array().ok_or(field("members", "a list"))?;
+        // All entries are parsed before any is applied: half a list would hide that an endpoint drains.
+        let listed = raw_entries.iter().map(ListedEndpoint::parse).collect::<Result<Vec<_>, _>>()?;
         self.revision = Some(revision);
         self.unconfirmed = false;
         if complete {
             self.addresses.clear();
-            self.members.clear();
+            self.raw_entries.clear();
         }
         let mut entries = Vec::with_capacity(listed.len());
-        for (endpoint, value) in listed.into_iter().zip(members) {
-            entries.push(self.apply(endpoint, value));
+        for (endpoint, value) in listed.into_iter().zip(raw_entries) {
+            entries.push(self.apply_entry(endpoint, value));
         }
         let kind = if complete { ListKind::Full } else { ListKind::Delta };
         Ok((kind, entries))
     }
 
-    /// Takes one entry. The address of an endpoint that was removed is forgotten: nothing is sent there any
-    /// more.
-    fn apply(&mut self, listed: ListedEndpoint, value: &Value) -> EndpointEntry {
+    /// Applies one entry. The address of an endpoint that was removed is forgotten, since nothing is sent
+    /// there any more.
+    fn apply_entry(&mut self, listed: ListedEndpoint, value: &Value) -> EndpointEntry {
         let ListedEndpoint { entry, address } = listed;
         if entry.state == EndpointState::Removed {
-            self.members.remove(&entry.id);
+            self.raw_entries.remove(&entry.id);
             self.addresses.remove(&entry.id);
             return entry;
         }
-        self.members.insert(entry.id.clone(), value.clone());
+        self.raw_entries.insert(entry.id.clone(), value.clone());
         if let Some(address) = address {
             self.addresses.insert(entry.id.clone(), address);
         }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,8 +1,9 @@
-//! Messages between relays as datagrams: plain text of at most [`MAX_BYTES`].
+//! Encodes messages between relays as datagrams: plain text of at most [`MAX_BYTES`].
 //!
-//! The first character says of which kind a datagram is: `SAMPLE` and `MERGED_SAMPLE` are group sizes,
-//! written here; the others are written by the crates that own them. What is too long, malformed or of
-//! another version reads as nothing: it is no fault of this relay and is ignored.
+//! The first characters tell of which kind a datagram is: `SAMPLE` and `MERGED_SAMPLE` are group sizes,
+//! encoded here; the other kinds are encoded by the crates that own them. A datagram that is too long,
+//! malformed or of another version decodes to `None`: this is no fault of this relay, which ignores the
+//! datagram.
 
 use sandgw_affinity::codec::VERSION as CLUSTER_KIND;
 use sandgw_datagram::MAX_BYTES;
@@ -10,19 +11,21 @@
 
 use crate::policy::api::{ClusterMessage, GroupArrivals, GroupSizes, PeerMessage, UsageReport};
 
-/// First word of a sample of group sizes: the version and the kind.
+/// First field of a sample of group sizes: the version and the kind.
 const SAMPLE: &str = "1s";
-/// First word of the sum of several relays' samples.
+/// First field of the sum of several relays' samples.
 const MERGED_SAMPLE: &str = "1t";
-/// Arrivals are written as whole multiples of one in so many.
-const ARRIVALS_PER_UNIT: f64 = 10.0;
-/// Numbers are written in hexadecimal digits.
+/// Numbers of arrivals are encoded as whole tenths.
+const UNITS_PER_ARRIVAL: f64 = 10.0;
+/// Radix of the encoded numbers.
 const RADIX: u32 = 16;
 
-/// A buffer for a datagram, one byte larger than allowed, so that a longer one shows as such.
+/// Size of the receive buffer for a datagram: one byte more than allowed, so that a datagram that is too long
+/// is recognized.
 pub const BUFFER: usize = MAX_BYTES + 1;
 
-/// Writes a message as a datagram. No message is made that does not fit; an empty text reads as no message.
+/// Encodes a message as a datagram. Senders make no message that does not fit; an empty text decodes to no
+/// message.
 pub fn encode(message: &PeerMessage) -> String {
     match message {
         PeerMessage::Cluster(message) => message.encode().unwrap_or_default(),
@@ -31,7 +34,7 @@
     }
 }
 
-/// Reads a datagram; `None` where it is no message.
+/// Decodes a datagram; `None` where the datagram is not a valid message.
 pub fn decode(text: &str) -> Option<PeerMessage> {
     if text.starts_with(CLUSTER_KIND) {
         return ClusterMessage::decode(text).map(PeerMessage::Cluster);
@@ -42,30 +45,30 @@
     decode_group_sizes(text).map(PeerMessage::GroupSizes)
 }
 
-/// As many groups as fit, the largest first.
+/// Encodes as many groups as fit into a datagram, the largest first.
 fn encode_group_sizes(sizes: &GroupSizes) -> String {
     let kind = if sizes.is_sum { MERGED_SAMPLE } else { SAMPLE };
     let mut text = format!("{kind} {:x}", arrivals_to_units(sizes.total));
     for GroupArrivals { group_slot, arrivals } in &sizes.groups {
-        let word = format!(" {group_slot:x}:{:x}", arrivals_to_units(*arrivals));
-        if text.len() + word.len() <= MAX_BYTES {
-            text.push_str(&word);
+        let field = format!(" {group_slot:x}:{:x}", arrivals_to_units(*arrivals));
+        if text.len() + field.len() <= MAX_BYTES {
+            text.push_str(&field);
         }
     }
     text
 }
 
 fn decode_group_sizes(text: &str) -> Option<GroupSizes> {
-    let mut words = text.split(' ').filter(|_| text.len() <= MAX_BYTES);
-    let is_sum = match words.next()? {
+    let mut fields = text.split(' ').filter(|_| text.len() <= MAX_BYTES);
+    let is_sum = match fields.next()? {
         SAMPLE => false,
         MERGED_SAMPLE => true,
         _ => return None,
     };
-    let total = units_to_arrivals(words.next()?)?;
+    let total = units_to_arrivals(fields.next()?)?;
     let mut groups = Vec::new();
-    for word in words.take(GroupSizes::MAX_GROUPS) {
-        let (group, arrivals) = word.split_once(':')?;
+    for field in fields.take(GroupSizes::MAX_GROUPS) {
+        let (group, arrivals) = field.split_once(':')?;
         let group_slot = u32::from_str_radix(group, RADIX).ok()?;
         groups.push(GroupArrivals { group_slot, arrivals: units_to_arrivals(arrivals)? });
     }
@@ -73,10 +76,10 @@
 }
 
 fn arrivals_to_units(arrivals: f64) -> u32 {
-    (arrivals * ARRIVALS_PER_UNIT).round() as u32
+    (arrivals * UNITS_PER_ARRIVAL).round() as u32
 }
 
 fn units_to_arrivals(digits: &str) -> Option<f64> {
     let units = u32::from_str_radix(digits, RADIX).ok()?;
-    Some(f64::from(units) / ARRIVALS_PER_UNIT)
+    Some(f64::from(units) / UNITS_PER_ARRIVAL)
 }
--- a/src/relay/actions.rs
+++ b/src/relay/actions.rs
@@ -1,4 +1,4 @@
-//! Hands events to the load balancer and turns its actions into commands.
+//! Passes queued events to the load balancer and turns its actions into commands.
 
 use log::error;
 
@@ -8,7 +8,8 @@
 use crate::policy::api::{Action, Actions, AttemptId, EndpointId, Event, Millis, Outcome, RequestId};
 
 impl Relay {
-    /// Hands events to the load balancer until none is left, and runs the actions of each in order.
+    /// Passes queued events to the load balancer until none is left, and runs the actions of each event in
+    /// order.
     pub(super) fn handle_queued_events(&mut self, now: Millis) {
         let mut actions = Actions::new();
         while let Some(event) = self.events.pop_front() {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Commands an attempt under the next number, if the rules leave room for it.
+    /// Commands an attempt with the next number, unless it would break a guarantee or the limit on attempts.
     fn start_attempt(&mut self, id: RequestId, attempt: Attempt) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let allowed = connection.stage == ConnectionStage::Queued
@@ -58,10 +59,13 @@
         self.command(id, ConnectionCommand::StartAttempt(attempt));
     }
 
-    /// An attempt that would break a guarantee is not sent, whatever the load balancer decided.
+    /// Reports an attempt as not sent because it would break a guarantee, whatever the load balancer decided.
     fn refuse_attempt(&mut self, id: RequestId, endpoint: EndpointId) {
         let Some(connection) = self.connections.get(id) else { return };
-        error!("connection {}: an attempt to {} was not allowed", id.0, endpoint.0);
+        error!(
+            "connection {}: attempt to {} not sent: the request is answered, not queued or out of attempts",
+            id.0, endpoint.0
+        );
         let attempt = AttemptId(connection.attempts);
         let finished = connection.answered;
         let outcome = Outcome::NotSent;
--- a/src/relay/affinity.rs
+++ b/src/relay/affinity.rs
@@ -1,4 +1,4 @@
-//! Access to the cluster's affinity tables of clients and groups, for a store and for monitoring.
+//! Access to the cluster's affinity tables of clients and groups, for the affinity store and for monitoring.
 
 use sandgw_affinity::{Changes, Record, RestoreSummary, Statistics};
 
@@ -6,18 +6,18 @@
 use crate::policy::api::Millis;
 
 impl Relay {
-    /// Takes what a store has of clients and groups, before the first list.
+    /// Restores the stored records of clients and groups, before the first list is applied.
     pub fn restore_affinity(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> RestoreSummary {
         self.load_balancer.cluster_state_mut().restore(now, records)
     }
 
-    /// From now on removed keys are remembered for [`Relay::take_affinity_changes`], and all entries count
-    /// as changed.
+    /// Starts to track changes for [`Relay::take_affinity_changes`]: removed keys are recorded from now on,
+    /// and all entries count as changed.
     pub fn track_affinity_changes(&mut self) {
         self.load_balancer.cluster_state_mut().track_changes();
     }
 
-    /// What has changed of clients and groups since the last call, at most so many entries.
+    /// Takes the changes to clients and groups since the last call, at most `max_entries` entries.
     pub fn take_affinity_changes(&mut self, now: Millis, max_entries: usize) -> Changes {
         self.load_balancer.cluster_state_mut().take_changes(now, max_entries)
     }
--- a/src/relay/classes.rs
+++ b/src/relay/classes.rs
@@ -1,42 +1,43 @@
-//! Positions of classes. Connections, the core and the load balancer refer to a class by its position in
-//! the settings, so a position must mean the same for as long as anything refers to it, whatever settings
-//! are applied in between.
+//! Assigns positions to classes. Connections, the core and the load balancer refer to a class by its position
+//! in the settings, so a position must mean the same class for as long as anything refers to it, whatever
+//! settings are applied in between.
 //!
-//! Inputs are the classes of each new settings and the positions that connections refer to, with times in
-//! milliseconds; outputs are the classes by position, and the position of a name. It never moves a class.
+//! Inputs are the classes of new settings and the positions that connections refer to, with times in
+//! milliseconds; outputs are the classes by position, and the position of a name. A class is never moved to
+//! another position.
 
 use std::collections::BTreeSet;
 
 use crate::policy::api::{Class, ClassId, Idempotency, Millis};
 
-/// For how long new requests may still name a class that was dropped: clients learn of new settings up to
-/// 1.2 s later, and then take their time to send a request.
+/// For how long new requests may still name a class that was dropped from the settings: clients learn of new
+/// settings up to 1.2 s later, and then take their time to send a request.
 const DROPPED_CLASS_GRACE_MS: Millis = 2000.0;
-/// Dropped classes that stay though no connection here refers to them: connections of theirs may arrive
-/// mid-flow.
+/// Number of dropped classes that are kept though no connection here refers to them: connections of such a
+/// class may still arrive mid-flow.
 const MAX_UNUSED_DROPPED_CLASSES: usize = 8;
 
 /// A class that requests may name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Where it was dropped from the settings, the time until which a new request may still name it. A
-    /// connection that arrives mid-flow may come with it all the same.
+    /// For a class that was dropped from the settings, the time until which a new request may still name it.
+    /// A connection that arrives mid-flow may name the class even later.
     pub accepted_until: Option<Millis>,
 }
 
-/// What a position stands for.
+/// A class at its position, with its name.
 #[derive(Clone, Debug, PartialEq)]
 struct NamedClass {
     name: String,
     class: Class,
-    /// When it was dropped from the settings, if it was.
+    /// When the class was dropped from the settings, if it was.
     dropped_at: Option<Millis>,
 }
 
 impl NamedClass {
-    fn is(&self, name: &str, class: &Class) -> bool {
+    fn matches(&self, name: &str, class: &Class) -> bool {
         self.name == name && self.class == *class
     }
 }
@@ -47,7 +48,7 @@
     dropped_at: Millis,
 }
 
-/// Classes by position: those of the settings, and dropped ones that something may still refer to.
+/// Classes by position: those of the settings, and dropped ones that a connection may still refer to.
 #[derive(Debug, Default)]
 pub(super) struct ClassTable {
     /// `None` where a position is free.
@@ -66,7 +67,7 @@
         self.mark_dropped(now, names, classes);
         self.free_unused(in_use);
         for (name, class) in names.iter().zip(classes) {
-            if !self.slots.iter().flatten().any(|slot| slot.is(name, class)) {
+            if !self.slots.iter().flatten().any(|slot| slot.matches(name, class)) {
                 self.add(NamedClass { name: name.clone(), class: class.clone(), dropped_at: None });
             }
         }
@@ -74,12 +75,12 @@
 
     fn mark_dropped(&mut self, now: Millis, names: &[String], classes: &[Class]) {
         for slot in self.slots.iter_mut().flatten() {
-            let listed = names.iter().zip(classes).any(|(name, class)| slot.is(name, class));
+            let listed = names.iter().zip(classes).any(|(name, class)| slot.matches(name, class));
             slot.dropped_at = if listed { None } else { Some(slot.dropped_at.unwrap_or(now)) };
         }
     }
 
-    /// Frees the positions of dropped classes that no connection refers to, but for the last few.
+    /// Frees the positions of dropped classes that no connection refers to, except for those dropped last.
     fn free_unused(&mut self, in_use: &BTreeSet<ClassId>) {
         let mut unused = self.unused(in_use);
         unused.sort_by(|a, b| b.dropped_at.total_cmp(&a.dropped_at));
@@ -99,7 +100,7 @@
         unused
     }
 
-    /// Puts a class at the first free position.
+    /// Puts a class into the first free position.
     fn add(&mut self, class: NamedClass) {
         match self.slots.iter_mut().find(|slot| slot.is_none()) {
             Some(free) => *free = Some(class),
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Classes that requests may name, by position.
+    /// The classes that requests may name, by position.
     pub(super) fn accepted(&self) -> Vec<AcceptedClass> {
         let accepted = |slot: &NamedClass| AcceptedClass {
             name: slot.name.clone(),
@@ -116,7 +117,7 @@
         self.slots.iter().flatten().map(accepted).collect()
     }
 
-    /// The position of a class: of the one in force of that name, or else of the one that was dropped last.
+    /// The position of the class with this name: the one in force, or else the one that was dropped last.
     pub(super) fn position(&self, name: &str) -> Option<ClassId> {
         let dropped_at = |slot: &NamedClass| slot.dropped_at.unwrap_or(f64::INFINITY);
         let slots = self.slots.iter().enumerate().filter_map(|(i, slot)| Some((ClassId(i), slot.as_ref()?)));
@@ -130,15 +131,17 @@
         self.slots.get(class.0)?.as_ref().map(|slot| slot.name.as_str())
     }
 
-    /// The classes for the load balancer, by position. At a free position is one that nobody can name.
+    /// The classes for the load balancer, by position. A free position holds a placeholder that no request
+    /// can name.
     pub(super) fn by_position(&self) -> Vec<Class> {
-        let unnamed = Class {
+        let placeholder = Class {
             idempotency: Idempotency::Unsafe,
             latency_objective: f64::INFINITY,
             message_latency_objective: None,
             priority_weight: 0.0,
         };
-        let class = |slot: &Option<NamedClass>| slot.as_ref().map_or(&unnamed, |slot| &slot.class).clone();
+        let class =
+            |slot: &Option<NamedClass>| slot.as_ref().map_or(&placeholder, |slot| &slot.class).clone();
         self.slots.iter().map(class).collect()
     }
 }
--- a/src/relay/commands.rs
+++ b/src/relay/commands.rs
@@ -1,15 +1,14 @@
-//! What the core commands: the values that [`Relay::take_commands`](super::Relay::take_commands) returns
-//! and a driver carries out in order. Times are absolute milliseconds on the core's clock unless said
-//! otherwise.
+//! Commands of the core: the values that [`Relay::take_commands`](super::Relay::take_commands) returns and a
+//! driver carries out in order. Times are absolute milliseconds on the core's clock unless said otherwise.
 
 use crate::policy::api::{EndpointId, Millis, PeerMessage, RequestId};
 
-/// A final reply that the relay gives by itself, without one of an endpoint.
+/// A final reply from the relay itself rather than from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LocalReply {
-    /// Rejected; a retry is harmless, after this many milliseconds.
+    /// The request was rejected. A retry is harmless, after this many milliseconds if a time is given.
     Rejected(Option<Millis>),
-    /// Failed; nothing is promised about a retry.
+    /// The request failed. The relay does not promise that a retry is harmless.
     Failed,
 }
 
@@ -18,14 +17,15 @@
 pub struct Attempt {
     /// Number of the attempt, from 0.
     pub number: u32,
-    /// Where to.
+    /// The endpoint to connect to.
     pub endpoint: EndpointId,
-    /// Whether the endpoint was listed as ready at the decision: then it must still be ready when the
-    /// attempt begins.
+    /// Whether the endpoint was listed as ready when the attempt was decided. If so, the endpoint must still
+    /// be ready when the attempt begins.
     pub was_ready: bool,
     /// When to give the attempt up.
     pub until: Millis,
-    /// Before when its first byte has to be written, however long the transport takes to connect.
+    /// Time before which the first byte of the attempt has to be written, however long the transport takes to
+    /// connect.
     pub begin_by: Millis,
 }
 
@@ -34,20 +34,21 @@
 pub enum ConnectionCommand {
     /// Start an attempt.
     StartAttempt(Attempt),
-    /// Give this final reply now, and cancel the attempt if one is out.
+    /// Give this final reply now, and cancel the attempt if one is in flight.
     Reply(LocalReply),
     /// Ask the client of the established connection to reconnect, then close both sides.
     Migrate,
-    /// Transfer the established connection to the process that serves now, if its protocol can.
+    /// Transfer the established connection to the process that serves now, if the connection's protocol
+    /// allows it.
     Transfer,
 }
 
 /// A command for the drivers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// For one connection.
+    /// A command for one connection.
     Connection(RequestId, ConnectionCommand),
-    /// Call [`Relay::timer_fired`](super::Relay::timer_fired) with the token after a while.
+    /// Call [`Relay::timer_fired`](super::Relay::timer_fired) with the token after this time.
     SetTimer {
         /// Milliseconds from now.
         after: Millis,
--- a/src/relay/connections.rs
+++ b/src/relay/connections.rs
@@ -1,21 +1,21 @@
 //! The table of requests and connections, with the stage that each is in.
 //!
-//! An entry has one [`RequestId`] from its acceptance to its end: it is a request until an endpoint has
-//! taken it, and a connection from then on. The table decides nothing.
+//! An entry has one [`RequestId`] from its acceptance to its end: the entry is a request until an endpoint
+//! accepts it, and a connection from then on. The table decides nothing.
 
 use std::collections::{BTreeSet, HashMap};
 
 use super::incoming::IncomingRequest;
 use crate::policy::api::{AttemptId, ClassId, EndpointId, Key, RequestId};
 
-/// How far a request has come.
+/// Stage of a request or connection.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum ConnectionStage {
-    /// The load balancer has it; no attempt is out.
+    /// The load balancer has the request; no attempt is in flight.
     Queued,
-    /// An attempt to this endpoint is out.
+    /// An attempt to this endpoint is in flight.
     Attempting(EndpointId),
-    /// This endpoint has taken it.
+    /// This endpoint has accepted the connection.
     Established(EndpointId),
 }
 
@@ -23,26 +23,28 @@
 pub(super) struct Connection {
     pub(super) stage: ConnectionStage,
     pub(super) class: Option<ClassId>,
-    /// Attempts started.
+    /// Number of attempts started.
     pub(super) attempts: u32,
-    /// The final reply was given, by an endpoint, by the core or before a transfer; or the client has left.
-    /// No other reply may follow.
+    /// Whether the final reply was given, by an endpoint, by the core or before a transfer, or the client has
+    /// left. No other reply may follow.
     pub(super) answered: bool,
     pub(super) existing_endpoint_only: bool,
-    /// It can go on without this process, as in [`IncomingRequest`](super::IncomingRequest).
+    /// Whether the connection can go on without this process, as in
+    /// [`IncomingRequest`](super::IncomingRequest).
     pub(super) reroutable: bool,
-    /// Its client was asked to reconnect.
+    /// Whether the client was asked to reconnect.
     pub(super) migrating: bool,
-    /// Its transfer to another process was commanded.
+    /// Whether the transfer of the connection to another process was commanded.
     pub(super) transferring: bool,
-    /// The tenant for which it counts.
+    /// The tenant for which the entry counts.
     pub(super) tenant: Option<Key>,
-    /// It counts for its tenant as established.
+    /// Whether the entry counts for its tenant as established.
     pub(super) counted_established: bool,
 }
 
 impl Connection {
-    /// A request that was just accepted. `counted` says whether it counts for its tenant.
+    /// Creates the entry of a request that was just accepted. `counted` says whether the request counts for
+    /// its tenant.
     pub(super) fn queued(incoming: &IncomingRequest, class: Option<ClassId>, counted: bool) -> Self {
         Connection {
             stage: ConnectionStage::Queued,
@@ -58,7 +60,8 @@
         }
     }
 
-    /// A connection that another process had established. What was transferred does not name its tenant.
+    /// Creates the entry of a connection that another process had established. The transferred data does not
+    /// name the tenant.
     pub(super) fn transferred(endpoint: EndpointId, class: Option<ClassId>, reroutable: bool) -> Self {
         Connection {
             stage: ConnectionStage::Established(endpoint),
@@ -78,12 +81,12 @@
         matches!(self.stage, ConnectionStage::Established(_))
     }
 
-    /// Whether it is established at this endpoint.
+    /// Whether the connection is established at this endpoint.
     pub(super) fn is_established_at(&self, endpoint: &EndpointId) -> bool {
         matches!(&self.stage, ConnectionStage::Established(at) if at == endpoint)
     }
 
-    /// Number of the attempt that was started last. At least one was started.
+    /// Number of the attempt that was started last. At least one attempt must have been started.
     pub(super) fn last_attempt(&self) -> AttemptId {
         AttemptId(self.attempts - 1)
     }
@@ -97,7 +100,7 @@
 }
 
 impl ConnectionTable {
-    /// An id that no entry has had.
+    /// Allocates an id that no entry has had.
     pub(super) fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -124,29 +127,29 @@
         self.entries.is_empty()
     }
 
-    /// All entries, in no order.
+    /// All entries, in arbitrary order.
     pub(super) fn values(&self) -> impl Iterator<Item = &Connection> {
         self.entries.values()
     }
 
-    /// Classes that entries refer to.
+    /// The classes that entries refer to.
     pub(super) fn classes_in_use(&self) -> BTreeSet<ClassId> {
         self.values().filter_map(|connection| connection.class).collect()
     }
 
-    /// Ids of the entries that fit, in ascending order.
-    pub(super) fn sorted_ids(&self, fits: impl Fn(&Connection) -> bool) -> Vec<RequestId> {
-        let mut ids: Vec<RequestId> = self.ids(fits).collect();
+    /// Ids of the entries that match the predicate, in ascending order.
+    pub(super) fn sorted_ids(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<RequestId> {
+        let mut ids: Vec<RequestId> = self.ids(predicate).collect();
         ids.sort_unstable();
         ids
     }
 
-    /// The lowest id of the entries that fit.
-    pub(super) fn lowest_id(&self, fits: impl Fn(&Connection) -> bool) -> Option<RequestId> {
-        self.ids(fits).min()
+    /// The lowest id of the entries that match the predicate.
+    pub(super) fn lowest_id(&self, predicate: impl Fn(&Connection) -> bool) -> Option<RequestId> {
+        self.ids(predicate).min()
     }
 
-    fn ids(&self, fits: impl Fn(&Connection) -> bool) -> impl Iterator<Item = RequestId> {
-        self.entries.iter().filter(move |(_, connection)| fits(connection)).map(|(id, _)| *id)
+    fn ids(&self, predicate: impl Fn(&Connection) -> bool) -> impl Iterator<Item = RequestId> {
+        self.entries.iter().filter(move |(_, connection)| predicate(connection)).map(|(id, _)| *id)
     }
 }
--- a/src/relay/counters.rs
+++ b/src/relay/counters.rs
@@ -1,6 +1,6 @@
 //! Totals of one relay since its start.
 
-/// Number of variants of `Outcome`(crate::policy::api::Outcome), for [`Counters::attempts`].
+/// Number of variants of [`Outcome`](crate::policy::api::Outcome), for [`Counters::attempts`].
 pub const OUTCOME_COUNT: usize = 8;
 
 /// Totals since the start.
@@ -12,9 +12,9 @@
     pub established: u64,
     /// Attempts and established connections that have ended, by outcome in the order of `Outcome`.
     pub attempts: [u64; OUTCOME_COUNT],
-    /// Local replies that reject.
+    /// Local replies that rejected a request.
     pub rejected: u64,
-    /// Local replies that fail.
+    /// Local replies that failed a request.
     pub failed: u64,
     /// Clients asked to reconnect.
     pub migrations: u64,
--- a/src/relay/drain_exchange.rs
+++ b/src/relay/drain_exchange.rs
@@ -1,8 +1,8 @@
-//! What relays tell each other about draining endpoints while discovery is slow to answer. All uses of
-//! [`DrainGossip`](sandgw_cluster::drain_gossip::DrainGossip) are here.
+//! Exchanges messages with other relays about draining endpoints while discovery is slow to answer. All uses
+//! of [`DrainGossip`](sandgw_cluster::drain_gossip::DrainGossip) are here.
 //!
-//! On another relay's message nothing is sent to an endpoint any more; nothing is ever sent to one because
-//! of such a message.
+//! Another relay's message can make this relay stop sending to an endpoint, but never makes it send anything
+//! to one.
 
 use std::collections::BTreeSet;
 
@@ -17,10 +17,10 @@
 use super::timers::CoreTimer;
 use crate::policy::api::{ClusterMessage, Discovery, EndpointState, ListKind, Millis, PeerMessage};
 
-/// What an answer of discovery changes about gossip.
+/// How the drain gossip changes with an answer of discovery.
 pub(super) struct Reconciliation {
-    /// Endpoints that were held for draining by gossip only and are ready.
-    pub(super) back: Vec<EndpointHash>,
+    /// Endpoints that were treated as draining only because of gossip, and are ready.
+    pub(super) ready_again: Vec<EndpointHash>,
     /// Messages to other relays.
     pub(super) messages: Outbox,
 }
@@ -32,18 +32,19 @@
         self.send_drain_gossip(now, Outbox::new());
     }
 
-    /// The subscription was lost and the list is requested anew: changes are unknown until that is answered.
+    /// The subscription was lost and the list is requested anew: changes are unknown until that request is
+    /// answered.
     pub fn subscription_lost(&mut self, now: Millis) {
         self.drain_gossip.discovery_failed(now, self.gossip_cluster());
         self.send_drain_gossip(now, Outbox::new());
     }
 
-    /// The relays that gossip about draining endpoints: all, where each requests the list from discovery
-    /// itself.
+    /// The relays that gossip about draining endpoints: all relays where they may send each other messages
+    /// and each requests the list from discovery itself, otherwise none.
     fn gossip_cluster(&self) -> ClusterPosition {
         let settings = self.load_balancer.settings();
-        let gossips = settings.peer_messages && settings.discovery == Discovery::OnRequest;
-        let relay_count = if gossips { settings.relay_count } else { 0 };
+        let is_enabled = settings.peer_messages && settings.discovery == Discovery::OnRequest;
+        let relay_count = if is_enabled { settings.relay_count } else { 0 };
         ClusterPosition { local_index: settings.local_index, relay_count }
     }
 
@@ -51,9 +52,9 @@
         self.drain_gossip.set_revision(revision);
     }
 
-    /// Endpoints that were ready, or are held for draining by gossip only.
+    /// Endpoints that were ready, or are treated as draining only because of gossip.
     pub(super) fn usable_endpoints(&self) -> impl Iterator<Item = EndpointHash> {
-        self.endpoints.ready_or(|endpoint| self.drain_gossip.is_reported_draining(endpoint))
+        self.endpoints.ready_or_matching(|endpoint| self.drain_gossip.is_reported_draining(endpoint))
     }
 
     pub(super) fn reconcile_drain_gossip(
@@ -66,26 +67,26 @@
         let cluster = self.gossip_cluster();
         let mut messages = Outbox::new();
         let change = ListChange { departed, ready };
-        let back = self.drain_gossip.apply_answer(now, cluster, answer, change, &mut messages);
-        Reconciliation { back, messages }
+        let ready_again = self.drain_gossip.apply_answer(now, cluster, answer, change, &mut messages);
+        Reconciliation { ready_again, messages }
     }
 
-    /// Takes another relay's message about draining endpoints, or answers its query.
+    /// Applies another relay's message about draining endpoints, or answers its query.
     pub(super) fn receive_drain_gossip(&mut self, now: Millis, peer: u32, message: ClusterMessage) {
         let cluster = self.gossip_cluster();
         let mut messages = Outbox::new();
-        let ready: BTreeSet<EndpointHash> = self.endpoints.ready_or(|_| false).collect();
+        let ready: BTreeSet<EndpointHash> = self.endpoints.ready_or_matching(|_| false).collect();
         let is_ready = |id: EndpointHash| ready.contains(&id);
         let draining = self.drain_gossip.receive(now, cluster, peer, message, is_ready, &mut messages);
         if !draining.is_empty() {
             debug!("relay {peer} reports {} draining endpoints", draining.len());
-            let endpoints = self.entries_as(&draining, EndpointState::Draining);
+            let endpoints = self.entries_with_state(&draining, EndpointState::Draining);
             self.apply_list(now, ListKind::Gossip, endpoints);
         }
         self.send_drain_gossip(now, messages);
     }
 
-    /// The timer of the next query is due.
+    /// Sends the query that is due to another relay.
     pub(super) fn send_drain_query(&mut self, now: Millis) {
         let cluster = self.gossip_cluster();
         let mut messages = Outbox::new();
--- a/src/relay/endpoints.rs
+++ b/src/relay/endpoints.rs
@@ -1,5 +1,5 @@
-//! What the core knows of endpoints: their listed state, how many connections each has, and round trips
-//! measured on them. Once a tick it reports the endpoints whose messages are slow.
+//! Tracks endpoints: their listed state, how many connections each has, and the round trips measured on those
+//! connections. On each tick the core reports endpoints with slow messages to the load balancer.
 
 use std::collections::BTreeMap;
 
@@ -12,24 +12,24 @@
     EndpointEntry, EndpointId, EndpointState, Event, ListKind, Measurement, Millis, RequestId, Settings,
 };
 
-/// A message is slow when its round trip takes longer than the shortest objective divided by this, as in
-/// the simulator.
+/// A message is slow if its round trip takes longer than the shortest message latency objective divided by
+/// this number, as in the simulator.
 const OBJECTIVE_PER_SLOW_ROUND_TRIP: f64 = 3.0;
 
 /// An endpoint as the relay sees it, for monitoring.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointStatus {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Its state in the list.
+    /// State of the endpoint in the list.
     pub state: EndpointState,
-    /// Connections established at it.
+    /// Connections established at the endpoint.
     pub established: u64,
-    /// Attempts started to it.
+    /// Attempts started to the endpoint.
     pub attempts: u64,
 }
 
-/// An endpoint whose messages are slow, or were at the last report.
+/// An endpoint whose messages are slow, or were slow at the last report.
 struct SlowEndpoint {
     endpoint: EndpointId,
     /// Median of the round trips since the last report.
@@ -38,14 +38,14 @@
 
 #[derive(Default)]
 struct TrackedEndpoint {
-    /// `None` where the list does not name it.
+    /// `None` where the list does not name the endpoint.
     state: Option<EndpointState>,
     established: u64,
     attempts: u64,
     /// Round trips measured since the last tick.
     round_trips_ms: Vec<Millis>,
-    /// Messages were slow at the last report.
-    slow: bool,
+    /// Whether messages were slow at the last report.
+    is_slow: bool,
 }
 
 impl TrackedEndpoint {
@@ -57,8 +57,9 @@
         !matches!(self.state, None | Some(EndpointState::Removed))
     }
 
-    /// Ends the measuring interval: the median of its round trips, where any was measured. The median,
-    /// since a message that waited behind a pause of the endpoint or of this machine says little.
+    /// Ends the measuring interval and returns the median of its round trips, if any was measured. The median
+    /// is used since a single message that waited behind a pause of the endpoint or of this machine says
+    /// little.
     fn take_median_ms(&mut self) -> Option<Millis> {
         self.round_trips_ms.sort_by(f64::total_cmp);
         let median = self.round_trips_ms.get(self.round_trips_ms.len() / 2).copied();
@@ -67,7 +68,7 @@
     }
 }
 
-/// Round trip above which a message counts as slow.
+/// Round-trip time above which a message counts as slow.
 pub(super) fn slow_round_trip_ms(settings: &Settings) -> Millis {
     let objectives = settings.classes.iter().filter_map(|class| class.message_latency_objective);
     objectives.fold(f64::INFINITY, f64::min) / OBJECTIVE_PER_SLOW_ROUND_TRIP
@@ -80,7 +81,8 @@
 }
 
 impl EndpointTable {
-    /// Applies a message about the list. An endpoint that is listed no more stays while it has connections.
+    /// Applies an update of the list. An endpoint that is no longer listed stays in the table while it has
+    /// connections.
     pub(super) fn apply_list(&mut self, kind: ListKind, listed: &[EndpointEntry]) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.entries.values_mut().for_each(|endpoint| endpoint.state = None);
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Connections established at any endpoint.
+    /// Number of connections established at all endpoints.
     pub(super) fn established(&self) -> u64 {
         self.entries.values().map(|endpoint| endpoint.established).sum()
     }
@@ -114,10 +116,13 @@
         self.entries.get(endpoint).is_some_and(TrackedEndpoint::is_ready)
     }
 
-    /// Hashes of the endpoints that are ready, or that the predicate is true for.
-    pub(super) fn ready_or(&self, or: impl Fn(EndpointHash) -> bool) -> impl Iterator<Item = EndpointHash> {
+    /// Hashes of the endpoints that are ready or match the predicate.
+    pub(super) fn ready_or_matching(
+        &self,
+        predicate: impl Fn(EndpointHash) -> bool,
+    ) -> impl Iterator<Item = EndpointHash> {
         let hashed = self.entries.iter().map(|(id, endpoint)| (EndpointHash::of(&id.0), endpoint));
-        hashed.filter(move |(hash, endpoint)| endpoint.is_ready() || or(*hash)).map(|(hash, _)| hash)
+        hashed.filter(move |(hash, endpoint)| endpoint.is_ready() || predicate(*hash)).map(|(hash, _)| hash)
     }
 
     fn statuses(&self) -> impl Iterator<Item = EndpointStatus> {
@@ -133,14 +138,15 @@
         self.entries.entry(endpoint.clone()).or_default().round_trips_ms.push(round_trip_ms);
     }
 
-    /// Endpoints whose median round trip is above the threshold, and once more those that are back below it.
+    /// The endpoints whose median round trip is above the threshold. An endpoint that is back below the
+    /// threshold is returned once more.
     fn take_slow(&mut self, threshold_ms: Millis) -> Vec<SlowEndpoint> {
         let mut slow = Vec::new();
         for (id, endpoint) in &mut self.entries {
             let Some(median_ms) = endpoint.take_median_ms() else { continue };
-            let was_slow = endpoint.slow;
-            endpoint.slow = median_ms > threshold_ms;
-            if was_slow || endpoint.slow {
+            let was_slow = endpoint.is_slow;
+            endpoint.is_slow = median_ms > threshold_ms;
+            if was_slow || endpoint.is_slow {
                 slow.push(SlowEndpoint { endpoint: id.clone(), median_ms });
             }
         }
@@ -149,7 +155,7 @@
 }
 
 impl Relay {
-    /// Number of connections established now.
+    /// Number of connections that are established now.
     pub fn established_connections(&self) -> u64 {
         self.endpoints.established()
     }
@@ -164,16 +170,16 @@
         self.endpoints.is_ready(endpoint)
     }
 
-    /// A message of an established connection was answered after this many milliseconds, or has not been
-    /// for as long.
+    /// Records that a message of an established connection was answered after this many milliseconds, or has
+    /// not been answered for that long.
     pub fn record_round_trip(&mut self, id: RequestId, round_trip_ms: Millis) {
         let Some(connection) = self.connections.get(id) else { return };
         let ConnectionStage::Established(endpoint) = &connection.stage else { return };
         self.endpoints.record_round_trip(endpoint, round_trip_ms);
     }
 
-    /// To be called once a second: reports endpoints whose messages are slow to the load balancer, and logs
-    /// what was rejected for quotas. No other measurement tells of slow messages on sockets.
+    /// Reports endpoints with slow messages to the load balancer, and logs quota rejections and changes of
+    /// the list lease. To be called once a second. No other measurement shows slow messages on sockets.
     pub fn tick(&mut self, now: Millis) {
         let slow = self.endpoints.take_slow(self.slow_round_trip_ms);
         self.log_quota_rejections();
@@ -184,10 +190,10 @@
         self.handle_queued_events(now);
     }
 
-    /// Reports it on one of its connections: that is enough, however many it has.
+    /// Reports a slow endpoint on one of its connections, which is enough however many connections it has.
     fn report_slow_endpoint(&mut self, slow: SlowEndpoint) {
         let SlowEndpoint { endpoint, median_ms } = slow;
-        debug!("messages at {} take {median_ms:.0} ms", endpoint.0);
+        debug!("endpoint {}: the median round trip of messages is {median_ms:.0} ms", endpoint.0);
         let Some(request) = self.connections.lowest_id(|c| c.is_established_at(&endpoint)) else { return };
         let measurement = Measurement::MessageDelay(median_ms);
         self.events.push_back(Event::Measured { request, measurement });
--- a/src/relay/incoming.rs
+++ b/src/relay/incoming.rs
@@ -1,15 +1,15 @@
-//! A connection as a listener has read it, before the core places it.
+//! A client's request as a listener has read it, before the core places it.
 
 use crate::policy::api::{EndpointId, Key, Millis};
 
 /// A client's request for a connection. Times are milliseconds on the core's clock.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct IncomingRequest {
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: String,
     /// The client's key.
     pub client: Option<Key>,
-    /// The key of its group.
+    /// Key of the client's group.
     pub group: Option<Key>,
     /// When the client gives up.
     pub deadline: Millis,
@@ -17,22 +17,23 @@
     pub setup_time_used: Millis,
     /// Expected load, in milliseconds of work a second.
     pub load: Option<f64>,
-    /// Whether it is a connection that is open already, and whose packets, routed through another relay so
-    /// far, now arrive here.
+    /// Whether the connection is open already: its packets were routed through another relay so far, and now
+    /// arrive here.
     pub mid_flow: bool,
-    /// The client was here before.
+    /// Whether the client was here before: it retries, or reconnects after its connection broke or was
+    /// migrated.
     pub returned: bool,
-    /// Its endpoint migrates it by itself when it drains.
+    /// Whether the endpoint migrates the connection by itself when the endpoint drains.
     pub drained_by_endpoint: bool,
-    /// Whether it can go on without this process: the network reroutes its packets where packets pass
-    /// through, and its sockets can be transferred to the next process.
+    /// Whether the connection can go on without this process: the network reroutes its packets where packets
+    /// pass through, and its sockets can be transferred to the successor process.
     pub reroutable: bool,
-    /// It can't be set up anew: only the endpoint that already has it will do.
+    /// Whether the connection can't be set up anew, so that only the endpoint that already has it will do.
     pub existing_endpoint_only: bool,
-    /// The endpoint that already had it when this process started.
+    /// The endpoint that already had the connection when this process started.
     pub existing_endpoint: Option<EndpointId>,
-    /// The tenant that it belongs to.
+    /// The tenant that the request belongs to.
     pub tenant: Option<Key>,
-    /// File descriptors are nearly used up.
+    /// Whether file descriptors are nearly used up.
     pub descriptors_short: bool,
 }
--- a/src/relay/list_lease.rs
+++ b/src/relay/list_lease.rs
@@ -1,8 +1,8 @@
-//! How the core applies the lease of the list: while it has ended, the load balancer starts no attempt. A
-//! process that has just started has none, and is not ready for clients before its first poll has ended.
+//! Applies the list lease: once the lease has ended, the load balancer starts no attempt. A process that has
+//! just started has no lease, and is not ready for clients before its first poll has ended.
 //!
-//! Where relays may send each other messages, departures are told by gossip (`drain_exchange`), and where
-//! lists are pushed, the agent's list counts as known: the lease binds in neither case.
+//! The lease does not bind where relays may send each other messages, since they learn of departures by
+//! gossip (`drain_exchange`), nor where lists are pushed, since the agent's list counts as known.
 
 use log::{info, warn};
 use sandgw_cluster::list_lease::{LIST_LEASE_MS, ListLease};
@@ -13,41 +13,42 @@
 #[cfg(test)]
 mod tests;
 
-/// The lease, and what was made of it.
+/// The list lease, and what the core has done about it.
 #[derive(Default)]
 pub(super) struct ListLeaseState {
     lease: ListLease,
-    /// A driver says how polls end: without one, the list may always be used.
+    /// Whether a driver reports how polls end. Without such reports the list may always be used.
     is_tracked: bool,
-    /// The first poll since the start has ended, whichever way.
+    /// Whether the first poll since the start has ended, whether or not it was answered.
     first_poll_ended: bool,
-    /// The log says that the lease has ended.
+    /// Whether the latest log line about the lease says that it has ended.
     is_end_logged: bool,
 }
 
-/// Whether nothing but discovery's answers tells a relay which endpoints have left.
+/// Whether a relay learns only from discovery's answers which endpoints have left.
 fn depends_on_answers(settings: &Settings) -> bool {
     settings.discovery == Discovery::OnRequest && !settings.peer_messages
 }
 
 impl Relay {
-    /// From now on the driver says how polls end. The list that is known is of unknown age.
+    /// From now on the driver reports how polls end. The list that the relay has is of unknown age.
     pub fn track_list_lease(&mut self, now: Millis) {
         self.list_lease.is_tracked = true;
         self.apply_list_lease(now);
     }
 
-    /// Discovery has answered, or the process before has handed over a list that it answered with.
+    /// Discovery has answered, or the predecessor process has handed over a list that discovery had answered
+    /// with.
     pub fn discovery_answered(&mut self, now: Millis) {
         self.renew_list_lease(now);
     }
 
-    /// A poll found that discovery can't be reached: the relay serves on by the list that it has.
+    /// A poll found that discovery can't be reached: the relay goes on serving by the list that it has.
     pub fn discovery_unreachable(&mut self, now: Millis) {
         self.renew_list_lease(now);
     }
 
-    /// A poll has failed, though discovery could be reached. Where that was the first one, the relay serves by
+    /// A poll has failed, though discovery could be reached. If this was the first poll, the relay serves by
     /// the list with which it was started rather than not at all.
     pub fn discovery_poll_failed(&mut self, now: Millis) {
         if !self.list_lease.first_poll_ended {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Whether the relay waits for the end of its first poll before it takes clients.
+    /// Whether the relay waits for the end of its first poll before it accepts clients.
     pub(super) fn awaits_first_poll(&self) -> bool {
         !self.list_lease.first_poll_ended && self.is_bound_by_lease()
     }
@@ -70,7 +71,7 @@
         self.list_lease.is_tracked && depends_on_answers(self.load_balancer.settings())
     }
 
-    /// Tells the load balancer until when it may use the list.
+    /// Notifies the load balancer of the time until which it may use the list.
     pub(super) fn apply_list_lease(&mut self, now: Millis) {
         let end = if self.is_bound_by_lease() {
             self.list_lease.lease.expires_at().unwrap_or(f64::NEG_INFINITY)
@@ -81,7 +82,7 @@
         self.handle_queued_events(now);
     }
 
-    /// Logs that the lease has ended, and that there is one again. A process that has just started has none
+    /// Logs that the lease has ended, or that it is valid again. A process that has just started has no lease
     /// until its first poll has ended.
     pub(super) fn log_list_lease(&mut self, now: Millis) {
         let Some(end) = self.list_lease.lease.expires_at().filter(|_| self.is_bound_by_lease()) else {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,9 +1,9 @@
-//! The core of a relay: owns the load balancer and the table of connections. It turns what happens to
-//! connections into the load balancer's events, and the load balancer's actions into commands.
+//! The core of a relay: owns the load balancer and the table of connections. The core turns what happens to
+//! connections into events for the load balancer, and the load balancer's actions into commands for drivers.
 //!
 //! Inputs are method calls with the time in milliseconds on a monotonic clock; outputs are the commands of
-//! [`Relay::take_commands`]. It knows no socket and no wire format, and never waits. Whatever the load
-//! balancer decides, a request gets exactly one final reply and has at most one attempt out.
+//! [`Relay::take_commands`]. The core does no I/O, knows no wire format and never waits. Whatever the load
+//! balancer decides, a request gets exactly one final reply and has at most one attempt in flight.
 
 mod actions;
 mod affinity;
@@ -55,27 +55,29 @@
     classes: ClassTable,
     connections: ConnectionTable,
     endpoints: EndpointTable,
-    /// Whether a list of endpoints has been given.
+    /// Whether the core has received an endpoint list.
     has_endpoint_list: bool,
     list_lease: ListLeaseState,
     standby: StandbyState,
     quota: QuotaAccounting,
-    /// Endpoints that drain or were removed, by the list or by other relays' messages.
+    /// Endpoints that drain or were removed, according to the list or to other relays' messages.
     drain_gossip: DrainGossip,
-    /// Packets pass through: connections that the network reroutes need no migration off this relay.
+    /// Whether packets pass through: connections that the network reroutes then need no migration off this
+    /// relay.
     packet_passthrough: bool,
     max_attempts: u32,
-    /// Round trip above which a message counts as slow.
+    /// Round-trip time above which a message counts as slow.
     slow_round_trip_ms: Millis,
-    /// Events that the load balancer has not handled.
+    /// Events that the load balancer has not handled yet.
     events: VecDeque<Event>,
-    /// Commands that were not taken.
+    /// Commands that no driver has taken yet.
     commands: Vec<Command>,
     counters: Counters,
 }
 
 impl Relay {
-    /// A relay without a list. `class_names` are the names of the settings' classes, in their order.
+    /// Creates a relay without an endpoint list. `class_names` are the names of the settings' classes, in the
+    /// same order.
     pub fn new(settings: Settings, class_names: Vec<String>, seed: u64, now: Millis) -> Self {
         let mut classes = ClassTable::default();
         classes.apply_settings(now, &class_names, &settings.classes, &BTreeSet::new());
@@ -101,8 +103,8 @@
         relay
     }
 
-    /// Applies new settings, with the names of their classes. Connections keep the class that they came
-    /// with; the number of attempts binds all of them from now on.
+    /// Applies new settings, with the names of their classes. Connections keep the class that they came with;
+    /// the new limit on attempts applies to all connections from now on.
     pub fn apply_settings(&mut self, now: Millis, settings: Settings, class_names: &[String]) {
         let in_use = self.connections.classes_in_use();
         self.classes.apply_settings(now, class_names, &settings.classes, &in_use);
@@ -116,12 +118,12 @@
         self.apply_list_lease(now);
     }
 
-    /// Classes that requests may name.
+    /// The classes that requests may name.
     pub fn accepted_classes(&self) -> Vec<AcceptedClass> {
         self.classes.accepted()
     }
 
-    /// The commands since the last call, in order.
+    /// Takes the commands since the last call, in order.
     pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
@@ -131,7 +133,7 @@
         self.counters
     }
 
-    /// A timer that was set by [`Command::SetTimer`] is due.
+    /// Handles a timer that was set by [`Command::SetTimer`] and is due.
     pub fn timer_fired(&mut self, now: Millis, token: u64) {
         match CoreTimer::from_token(token) {
             Some(CoreTimer::MigrationStep) => self.run_migration_step(now),
--- a/src/relay/operator_calls.rs
+++ b/src/relay/operator_calls.rs
@@ -1,27 +1,27 @@
 //! Operators' calls to a running relay at its operations address: one line in, one line out.
 //!
-//! A parser and a formatter without I/O: a driver feeds [`CallParser`] the bytes that it reads and writes
-//! the line of [`reply_line`]. It carries out no call.
+//! This module is a parser and a formatter without I/O: a driver feeds [`CallParser`] the bytes that it reads
+//! and writes the line of [`reply_line`]. Calls are carried out elsewhere.
 
 use sandgw_maintenance::{RefusalReason, call};
 use sandgw_schema_version::SchemaVersionError;
 use thiserror::Error;
 
-/// Longest call, with its end.
+/// Length of the longest call in bytes, including the line end.
 pub const MAX_CALL_BYTES: usize = 64;
 
-/// What operators may call for.
+/// The calls that operators may make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
-    /// Whether this process can serve.
+    /// Report whether this process can serve.
     Status,
     /// Go on standby.
     Standby,
     /// End standby.
     Active,
-    /// Which schema versions of shared state are read and written.
+    /// Report which schema versions of shared state are read and written.
     SchemaVersions,
-    /// Finalize the newest schema version: no way back below it.
+    /// Finalize the newest schema version: afterwards there is no way back to an older one.
     Finalize,
     /// A call about maintenance windows.
     MaintenanceWindow(call::Call),
@@ -33,22 +33,22 @@
     /// The line is empty.
     #[error("an empty call; known are status, standby, active")]
     Empty,
-    /// It is no known call.
+    /// The line is not a known call.
     #[error("an unknown call; known are status, standby, active")]
     Unknown,
-    /// It has no end within [`MAX_CALL_BYTES`].
+    /// The line has no end within [`MAX_CALL_BYTES`].
     #[error("a call is at most 64 bytes long")]
     TooLong,
-    /// The caller ended, or timed out, before the end of the line.
+    /// The caller stopped sending, or timed out, before the end of the line.
     #[error("the call has no end")]
     Truncated,
-    /// Something follows the line.
+    /// More bytes follow the line.
     #[error("one call to a connection")]
     TrailingBytes,
     /// The relay has no list of endpoints yet.
     #[error("not ready: no list of streamers yet")]
     NotReady,
-    /// Another process serves in this one's place.
+    /// Another process serves in place of this process.
     #[error("handed over: a new process serves in this one's place")]
     HandedOver,
     /// No schema version can be finalized now.
@@ -59,15 +59,16 @@
     MaintenanceWindow(#[source] RefusalReason),
 }
 
-/// Reads one caller's call.
+/// Parses the call of one caller.
 #[derive(Debug, Default)]
 pub struct CallParser {
-    /// At most one byte more than the longest call.
+    /// The bytes received, at most one more than the longest call has.
     buffer: Vec<u8>,
 }
 
 impl CallParser {
-    /// Takes what a caller has sent, empty at the end of its sending; gives the call once it is decided.
+    /// Takes the bytes that a caller has sent, none once the caller has stopped sending; returns the call or
+    /// its error as soon as that is known.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<OperatorCall, OperatorCallError>> {
         self.buffer_bytes(bytes);
         let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') else {
@@ -85,7 +86,7 @@
         self.buffer.extend_from_slice(&bytes[..bytes.len().min(capacity)]);
     }
 
-    /// What is wrong with a line that has no end so far, if it is known.
+    /// The error of a line whose end has not arrived, if the error is known already.
     fn unterminated(&self, caller_ended: bool) -> Option<OperatorCallError> {
         if self.buffer.len() >= MAX_CALL_BYTES {
             return Some(OperatorCallError::TooLong);
--- a/src/relay/operator_calls/tests.rs
+++ b/src/relay/operator_calls/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn fed(parts: &[&[u8]]) -> Option<Result<OperatorCall, OperatorCallError>> {
+fn feed_parts(parts: &[&[u8]]) -> Option<Result<OperatorCall, OperatorCallError>> {
     let mut parser = CallParser::default();
     parts.iter().find_map(|part| parser.feed(part))
 }
 
 #[test]
-fn a_call_is_read_however_it_is_cut_and_whichever_end_it_has() {
+fn a_call_is_parsed_however_it_is_split_and_with_either_line_end() {
     for (text, call) in [
         ("status", OperatorCall::Status),
         ("standby", OperatorCall::Standby),
@@ -16,10 +16,10 @@
             let whole = format!("{text}{end}");
             for at in 1..whole.len() {
                 let (head, tail) = whole.as_bytes().split_at(at);
-                assert_eq!(fed(&[head, tail]), Some(Ok(call.clone())), "{whole:?} cut at {at}");
-                assert_eq!(fed(&[head]), None, "{whole:?} without an end");
+                assert_eq!(feed_parts(&[head, tail]), Some(Ok(call.clone())), "{whole:?} cut at {at}");
+                assert_eq!(feed_parts(&[head]), None, "{whole:?} without an end");
                 assert_eq!(
-                    fed(&[head, b""]),
+                    feed_parts(&[head, b""]),
                     Some(Err(OperatorCallError::Truncated)),
                     "{whole:?} ended at {at}"
                 );
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn whatever_is_no_call_has_one_refusal() {
+fn an_invalid_call_is_refused_with_its_error() {
     let long = [b'x'; 300];
     let cases: [(&[u8], OperatorCallError); 11] = [
         (b"\n", OperatorCallError::Empty),
@@ -45,11 +45,11 @@
         (&long, OperatorCallError::TooLong),
     ];
     for (bytes, refusal) in cases {
-        assert_eq!(fed(&[bytes]), Some(Err(refusal)), "{bytes:?}");
+        assert_eq!(feed_parts(&[bytes]), Some(Err(refusal)), "{bytes:?}");
     }
-    // However much comes, no more than a call is kept.
+    // However many bytes arrive, the parser keeps no more than a call.
     let mut parser = CallParser::default();
-    let parts = long.chunks(7).find_map(|part| parser.feed(part));
-    assert_eq!(parts, Some(Err(OperatorCallError::TooLong)));
+    let refusal = long.chunks(7).find_map(|part| parser.feed(part));
+    assert_eq!(refusal, Some(Err(OperatorCallError::TooLong)));
     assert!(parser.buffer.len() <= MAX_CALL_BYTES + 1);
 }
--- a/src/relay/peer_messages.rs
+++ b/src/relay/peer_messages.rs
@@ -1,11 +1,11 @@
-//! Messages of other relays, by what they are about: quotas and draining endpoints are the core's, all else
-//! the load balancer's.
+//! Dispatches messages of other relays by their subject: quotas and draining endpoints are handled by the
+//! core, everything else by the load balancer.
 
 use super::Relay;
 use crate::policy::api::{ClusterMessage, Event, Millis, PeerMessage};
 
 impl Relay {
-    /// A message from the relay of this index.
+    /// Handles a message from the relay whose index is `peer`.
     pub fn receive_peer_message(&mut self, now: Millis, peer: u32, message: PeerMessage) {
         match message {
             PeerMessage::Quota(report) => self.receive_usage_report(now, peer, report),
--- a/src/relay/quotas.rs
+++ b/src/relay/quotas.rs
@@ -1,6 +1,6 @@
-//! Tenants' quotas at this relay: applies the settings, and counts its connections by tenant.
+//! Tenants' quotas at this relay: applies the settings, and counts the relay's connections by tenant.
 //!
-//! The counting and the decision are in `sandgw-quota`.
+//! Counting and decisions are implemented in `sandgw-quota`.
 
 use sandgw_quota::policy::{ScarcitySignals, Verdict};
 use sandgw_quota::usage_table::OutgoingReport;
@@ -8,16 +8,16 @@
 
 use crate::policy::api::*;
 
-/// A tenant's weight over its quota from which on quotas have no effect.
+/// The weight of a connection over quota from which on quotas have no effect.
 const FULL_WEIGHT: f64 = 1.0;
 
-/// The usage of tenants; empty where quotas are not enforced.
+/// Counts tenants' usage; `None` where quotas are not enforced.
 #[derive(Default)]
 pub(crate) struct TenantQuotas(Option<QuotaManager>);
 
 impl TenantQuotas {
-    /// For these settings. Nothing is counted without a limit, or where a connection over quota weighs as
-    /// much as one within it.
+    /// Applies these settings. Nothing is counted without a limit, or where a connection over quota weighs as
+    /// much as one within the quota.
     pub fn new(settings: &Settings, now: Millis) -> Self {
         let quotas = &settings.quotas;
         let is_enforced = quotas.enforce && quotas.over_quota_weight < FULL_WEIGHT && quotas.has_limits();
@@ -32,7 +32,7 @@
         TenantQuotas(Some(QuotaManager::new(quotas.tenants.clone(), position, now)))
     }
 
-    /// Decides about a new connection. One that is admitted counts until [`TenantQuotas::closed`].
+    /// Decides about a new connection. A connection that is admitted counts until [`TenantQuotas::closed`].
     pub fn decide(
         &mut self,
         now: Millis,
@@ -45,31 +45,32 @@
         }
     }
 
-    /// What was decided since the last call about connections that waited.
+    /// Takes the decisions since the last call about connections that waited.
     pub fn take_decided(&mut self) -> Vec<Decided> {
         self.0.as_mut().map(QuotaManager::take_decided).unwrap_or_default()
     }
 
-    /// Adds the requests for grants that are due to `out`; returns in how long to call again, if at all.
+    /// Adds the grant requests that are due to `out`; returns the time after which to call again, if that is
+    /// needed.
     pub fn poll_grants(&mut self, now: Millis, out: &mut Vec<OutgoingReport>) -> Option<Millis> {
         self.0.as_mut().and_then(|manager| manager.poll_grants(now, out))
     }
 
-    /// Counts a connection without a decision: it is established already.
+    /// Counts a connection without a decision, since the connection is established already.
     pub fn adopt(&mut self, tenant: &str) {
         if let Some(manager) = &mut self.0 {
             manager.adopt(tenant);
         }
     }
 
-    /// A counted connection is established.
+    /// Records that a counted connection is established.
     pub fn established(&mut self, tenant: &str) {
         if let Some(manager) = &mut self.0 {
             manager.established(tenant);
         }
     }
 
-    /// A counted connection has ended.
+    /// Records that a counted connection has ended.
     pub fn closed(&mut self, now: Millis, tenant: &str, was_established: bool) {
         if let Some(manager) = &mut self.0 {
             manager.closed(now, tenant, was_established);
@@ -81,21 +82,21 @@
         self.0.as_ref().is_some_and(|manager| manager.next_grant_poll(now).is_some())
     }
 
-    /// An endpoint has rejected a connection.
+    /// Records that an endpoint has rejected a connection.
     pub fn endpoint_rejected(&mut self, now: Millis) {
         if let Some(manager) = &mut self.0 {
             manager.endpoint_rejected(now);
         }
     }
 
-    /// The load balancer has rejected a connection without an attempt.
+    /// Records that the load balancer has rejected a connection without an attempt.
     pub fn rejected_without_attempt(&mut self, now: Millis) {
         if let Some(manager) = &mut self.0 {
             manager.rejected_without_attempt(now);
         }
     }
 
-    /// Handles another relay's report; what is to be sent in reply is added to `out`.
+    /// Handles another relay's report; adds the replies to `out`.
     pub fn handle_report(
         &mut self,
         now: Millis,
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Adds the reports that are due to `out`; returns in how long to call again, if at all.
+    /// Adds the usage reports that are due to `out`; returns the time after which to call again, if that is
+    /// needed.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<OutgoingReport>) -> Option<Millis> {
         self.0.as_mut().map(|manager| manager.poll(now, out))
     }
--- a/src/relay/requests.rs
+++ b/src/relay/requests.rs
@@ -1,6 +1,6 @@
-//! What happens to one request or connection, from its acceptance to its end. Each handler turns one
-//! occurrence into the load balancer's event and keeps the two guarantees: one final reply, and one attempt
-//! out at most.
+//! Handles what happens to one request or connection, from its acceptance to its end. Each handler turns one
+//! occurrence into an event for the load balancer and keeps the two guarantees: exactly one final reply, and
+//! at most one attempt in flight.
 
 use log::warn;
 use sandgw_quota::policy::Verdict;
@@ -11,14 +11,15 @@
 use super::incoming::IncomingRequest;
 use crate::policy::api::{EndpointId, Event, Millis, Outcome, Request, RequestId};
 
-/// How an attempt or an established connection left its stage.
+/// An attempt or an established connection that has ended.
 struct EndedAttempt {
     endpoint: EndpointId,
     was_established: bool,
 }
 
 impl Connection {
-    /// Back to the queue; `None` where no attempt was out.
+    /// Moves the request back to the queue; `None` where no attempt was in flight and no connection
+    /// established.
     fn end_attempt(&mut self) -> Option<EndedAttempt> {
         match std::mem::replace(&mut self.stage, ConnectionStage::Queued) {
             ConnectionStage::Queued => None,
@@ -29,7 +30,8 @@
 }
 
 impl Relay {
-    /// Accepts a request. One that an endpoint already has is attempted there and nowhere else.
+    /// Accepts a request. A connection that an endpoint already has is attempted at that endpoint and nowhere
+    /// else.
     pub fn accept_request(&mut self, now: Millis, incoming: IncomingRequest) -> RequestId {
         let id = self.connections.allocate_id();
         self.counters.connections += 1;
@@ -80,8 +82,8 @@
         self.events.push_back(Event::ExistingConnection { request, endpoint });
     }
 
-    /// The endpoint has taken the connection, `elapsed` milliseconds after the attempt was sent: that was
-    /// the final reply.
+    /// The endpoint has accepted the connection, `elapsed` milliseconds after the attempt was sent: this
+    /// acceptance is the final reply.
     pub fn connection_established(&mut self, now: Millis, id: RequestId, elapsed: Millis) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let ConnectionStage::Attempting(endpoint) = &connection.stage else { return };
@@ -96,15 +98,15 @@
         self.handle_queued_events(now);
     }
 
-    /// The attempt that is out, or the established connection, has ended.
+    /// The attempt in flight, or the established connection, has ended.
     pub fn attempt_ended(&mut self, now: Millis, id: RequestId, outcome: Outcome) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(EndedAttempt { endpoint, was_established }) = connection.end_attempt() else { return };
         let attempt = connection.last_attempt();
-        let lost = connection.existing_endpoint_only && !was_established;
-        let finished = was_established || lost || connection.answered;
+        let cannot_retry = connection.existing_endpoint_only && !was_established;
+        let finished = was_established || cannot_retry || connection.answered;
         self.count_ended_attempt(now, &endpoint, outcome, was_established);
-        if lost {
+        if cannot_retry {
             self.reply(id, LocalReply::Failed);
         }
         if finished {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// The client has left without a final reply, or had one that was not the core's.
+    /// The client has left without a final reply, or got one that the core did not command.
     pub fn client_gone(&mut self, now: Millis, id: RequestId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.answered {
@@ -147,16 +149,20 @@
         }
     }
 
-    /// The client is about to give up: whatever the load balancer still queues, the request is answered now.
+    /// The client is about to give up: the request is answered now, even if the load balancer still queues
+    /// it.
     pub fn deadline_passed(&mut self, now: Millis, id: RequestId) {
         if self.connections.get(id).is_some_and(|connection| !connection.answered) {
-            warn!("connection {}: deadline passed, answered as failed", id.0);
+            warn!(
+                "connection {}: deadline passed without a final reply; the request is answered as failed",
+                id.0
+            );
             self.reply(id, LocalReply::Failed);
             self.client_gone(now, id);
         }
     }
 
-    /// Commands the final reply, unless one was given. It does not mark the request as answered: the caller
+    /// Commands the final reply, unless one was given. The request is not marked as answered: the caller
     /// removes the request or reports its client gone next.
     pub(super) fn reply(&mut self, id: RequestId, reply: LocalReply) {
         if self.connections.get(id).is_none_or(|connection| connection.answered) {
@@ -169,7 +175,7 @@
         self.command(id, ConnectionCommand::Reply(reply));
     }
 
-    /// A request or connection is over.
+    /// Removes a request or connection that has ended.
     pub(super) fn remove_connection(&mut self, now: Millis, id: RequestId) {
         if let Some(connection) = self.connections.remove(id) {
             self.count_removed(now, &connection);
--- a/src/relay/standby.rs
+++ b/src/relay/standby.rs
@@ -1,6 +1,7 @@
-//! Standby, and migration off this relay on standby or once this process is to end. A migration asks the
-//! client to reconnect, anywhere; a transfer (`transfer`) passes its sockets to the next process of this
-//! relay; after a hand-over (`takeover`) that process accepts.
+//! Standby, and the migration of connections off this relay on standby or once this process is to end. A
+//! migration asks the client to reconnect to any relay; a transfer (`transfer`) passes the connection's
+//! sockets to the successor process of this relay; after a hand-over (`takeover`) the successor accepts new
+//! connections.
 
 use std::fmt;
 
@@ -13,15 +14,15 @@
 use super::timers::CoreTimer;
 use crate::policy::api::{Millis, RequestId};
 
-/// What this process does for new clients.
+/// How this process treats new clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServingMode {
-    /// It accepts requests.
+    /// The process accepts requests.
     #[default]
     Active,
-    /// Its first poll of discovery has not ended: its health checks say that it is not ready.
+    /// The first poll of discovery has not ended: health checks say that the process is not ready.
     Starting,
-    /// Its health checks say that it wants no new clients.
+    /// Health checks say that the process wants no new clients.
     Standby,
 }
 
@@ -35,19 +36,19 @@
     }
 }
 
-/// Whether and since when this process steps back.
+/// Whether and since when the relay is on standby or handed over.
 #[derive(Default)]
 pub(super) struct StandbyState {
     /// Since when the relay is on standby.
     pub(super) since: Option<Millis>,
-    /// Since when another process serves in this one's place.
+    /// Since when another process serves in place of this process.
     pub(super) handed_over_at: Option<Millis>,
-    /// The timer of the next migration step is set.
+    /// Whether the timer of the next migration step is set.
     migration_timer_set: bool,
 }
 
 impl Relay {
-    /// What it does for new clients.
+    /// How this process treats new clients.
     pub fn serving_mode(&self) -> ServingMode {
         if self.standby.since.is_some() {
             ServingMode::Standby
@@ -58,24 +59,24 @@
         }
     }
 
-    /// Goes on standby: wants no new clients, and migrates connections that can't stay. A second call
-    /// changes nothing.
+    /// Goes on standby: the relay wants no new clients, and migrates connections that can't stay. A second
+    /// call changes nothing.
     pub fn enter_standby(&mut self, now: Millis) {
         self.standby.since.get_or_insert(now);
         self.start_migration();
     }
 
-    /// How long it has been on standby, if it is.
+    /// How long the relay has been on standby, if it is on standby.
     pub fn standby_elapsed(&self, now: Millis) -> Option<Millis> {
         self.standby.since.map(|since| now - since)
     }
 
-    /// Ends standby. Clients that were asked to reconnect do so all the same; no more are asked.
+    /// Ends standby. Clients that were already asked to reconnect still do so; no more clients are asked.
     pub fn activate(&mut self) {
         self.standby.since = None;
     }
 
-    /// Sets the timer of the migration steps, unless it is set.
+    /// Sets the timer of the migration steps, unless the timer is set already.
     pub(super) fn start_migration(&mut self) {
         if !self.standby.migration_timer_set {
             self.standby.migration_timer_set = true;
@@ -83,8 +84,8 @@
         }
     }
 
-    /// One step of the migration off this relay, on standby or once this process is to end. Connections
-    /// that are established after this step are looked at by the next one.
+    /// Runs one step of the migration off this relay, on standby or once this process is to end. Connections
+    /// that are established after this step are left to the next one.
     pub(super) fn run_migration_step(&mut self, now: Millis) {
         let Some(since) = self.standby.since.or(self.standby.handed_over_at) else {
             self.standby.migration_timer_set = false;
@@ -100,21 +101,22 @@
         self.set_timer(MIGRATION_STEP_MS, CoreTimer::MigrationStep);
     }
 
-    /// Whether a connection goes on without being asked to reconnect. On standby only one that the network
-    /// reroutes does; when only handed over, one that can be transferred to the next process does too.
+    /// Whether a connection goes on without its client being asked to reconnect. On standby this holds only
+    /// for a connection that the network reroutes; after a hand-over without standby, also for one that can
+    /// be transferred to the successor process.
     fn needs_no_migration(&self, connection: &Connection) -> bool {
         connection.reroutable && (self.packet_passthrough || self.standby.since.is_none())
     }
 
-    /// Asks the client of an established connection to reconnect, at most once a connection; further calls
-    /// change nothing.
+    /// Asks the client of an established connection to reconnect, at most once for each connection; further
+    /// calls change nothing.
     pub(super) fn migrate_connection(&mut self, id: RequestId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if !connection.is_established() || connection.migrating {
             return;
         }
         connection.migrating = true;
-        debug!("connection {}: asked to reconnect", id.0);
+        debug!("connection {}: the client is asked to reconnect", id.0);
         self.counters.migrations += 1;
         self.command(id, ConnectionCommand::Migrate);
     }
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -1,37 +1,37 @@
-//! The core's part of a takeover by another process of the same relay: who serves, and what the load
-//! balancer has learned. The messages and their order are in [`crate::handover`].
+//! The core's part of a takeover by another process of the same relay: which process serves, and the state
+//! that the load balancer has learned. The messages and their order are in [`crate::handover`].
 
 use super::Relay;
 use crate::policy::api::Millis;
 use crate::policy::learned_state::LearnedState;
 
 impl Relay {
-    /// Another process serves in this one's place from now on.
+    /// Another process serves in place of this process from now on.
     pub fn hand_over(&mut self, now: Millis) {
         self.standby.handed_over_at = Some(now);
     }
 
-    /// The other process has failed, and this one serves again.
+    /// The other process has failed, and this process serves again.
     pub fn resume_serving(&mut self) {
         self.standby.handed_over_at = None;
     }
 
-    /// Whether another process serves in this one's place.
+    /// Whether another process serves in place of this process.
     pub fn is_handed_over(&self) -> bool {
         self.standby.handed_over_at.is_some()
     }
 
-    /// Whether there is no request and no connection left.
+    /// Whether no request and no connection is left.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// What the load balancer has learned, for the process that is to serve next.
+    /// The state that the load balancer has learned, for the successor process.
     pub fn export_learned_state(&self, now: Millis) -> Vec<LearnedState> {
         self.load_balancer.export_learned_state(now)
     }
 
-    /// Takes what the process before has learned, after its list.
+    /// Imports the state that the predecessor process has learned, after its list was applied.
     pub fn import_learned_state(&mut self, now: Millis, state: LearnedState) {
         self.load_balancer.import_learned_state(now, state);
     }
--- a/src/relay/timers.rs
+++ b/src/relay/timers.rs
@@ -1,4 +1,4 @@
-//! The core's own timers. Their tokens stay above those of the load balancer.
+//! Timers of the core. Their tokens are above those of the load balancer's timers.
 
 const FIRST_CORE_TOKEN: u64 = 1 << 63;
 
@@ -19,12 +19,12 @@
     const ALL: [CoreTimer; 4] =
         [CoreTimer::MigrationStep, CoreTimer::UsageReport, CoreTimer::QuotaGrant, CoreTimer::DrainQuery];
 
-    /// The token that stands for this timer.
+    /// The token of this timer.
     pub(super) fn token(self) -> u64 {
         FIRST_CORE_TOKEN + self as u64
     }
 
-    /// The timer of a token; `None` for those of the load balancer.
+    /// The timer with this token; `None` for timers of the load balancer.
     pub(super) fn from_token(token: u64) -> Option<CoreTimer> {
         CoreTimer::ALL.into_iter().find(|timer| timer.token() == token)
     }
--- a/src/relay/transfer.rs
+++ b/src/relay/transfer.rs
@@ -1,4 +1,4 @@
-//! Established connections on their way from one process of a relay to the next.
+//! Transfers established connections from one process of a relay to its successor.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,13 +7,13 @@
 use super::connections::{Connection, ConnectionStage};
 use crate::policy::api::{EndpointId, Event, Key, Millis, Request, RequestId};
 
-/// An established connection, as it is sent to the other process: the order and the types of the fields are
-/// part of the hand-over's messages.
+/// An established connection, as sent to the other process: the order and the types of the fields are part of
+/// the hand-over's messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredConnection {
-    /// Name of its class.
+    /// Name of the connection's class.
     pub class: String,
-    /// Its endpoint.
+    /// Id of the connection's endpoint.
     pub endpoint: String,
     pub(super) client: Option<String>,
     pub(super) group: Option<String>,
@@ -32,7 +32,8 @@
             group: key(self.group),
             deadline: now,
             setup_time_used: 0.0,
-            // The other process may be of another version: its figures are checked like a client's.
+            // The other process may be of another version, so the transferred load is checked like that of a
+            // client.
             load: self.load.filter(|load| load.is_finite() && *load > 0.0),
             mid_flow: false,
             returned: false,
@@ -42,8 +43,9 @@
 }
 
 impl Relay {
-    /// The process ends soon: commands the transfer of at most `max_connections` to the other process, and
-    /// migrates those that can't be transferred as on standby, though the relay goes on accepting requests.
+    /// Commands the transfer of at most `max_connections` connections to the other process, since this
+    /// process ends soon. Connections that can't be transferred are migrated as on standby, though the relay
+    /// goes on accepting requests.
     pub fn transfer_connections(&mut self, max_connections: usize) {
         self.start_migration();
         let ids = self
@@ -57,7 +59,8 @@
         }
     }
 
-    /// An established connection, for the process that serves now.
+    /// Describes an established connection for the process that serves now; `None` where no such connection
+    /// is established.
     pub fn transfer_connection(&self, id: RequestId) -> Option<TransferredConnection> {
         let connection = self.connections.get(id)?;
         let ConnectionStage::Established(endpoint) = &connection.stage else { return None };
@@ -75,7 +78,7 @@
         })
     }
 
-    /// Adopts a connection that the process before had established.
+    /// Adopts a connection that the predecessor process had established.
     pub fn adopt_connection(&mut self, now: Millis, transferred: TransferredConnection) -> RequestId {
         let id = self.connections.allocate_id();
         let endpoint = EndpointId(transferred.endpoint.as_str().into());
--- a/src/schema_status.rs
+++ b/src/schema_status.rs
@@ -1,9 +1,10 @@
-//! Renders the operators' view of schema versions. The decisions are in `sandgw-schema-version`.
+//! Formats the status of schema versions for operators. `sandgw-schema-version` decides which versions are
+//! used.
 
 use sandgw_schema_version::Millis;
 use sandgw_schema_version::versioned_channel::VersionedChannel;
 
-/// Most relays that the line names.
+/// Maximum number of outdated relays that the status line names.
 const MAX_NAMED_RELAYS: usize = 8;
 const MS_PER_S: Millis = 1000.0;
 
@@ -13,9 +14,9 @@
     let counters = channel.counters();
     let (version, supported) = (negotiator.version(now), negotiator.supported());
     let mut line = format!("writes form {version}, reads {supported}, finalized {}", negotiator.finalized());
-    if let Some(older) = negotiator.oldest_sighting(now) {
-        let age_s = older.age_ms / MS_PER_S;
-        line += &format!("; a process that reads up to form {} was alive {age_s:.0} s ago", older.version);
+    if let Some(oldest) = negotiator.oldest_sighting(now) {
+        let age_s = oldest.age_ms / MS_PER_S;
+        line += &format!("; a process that reads up to form {} was alive {age_s:.0} s ago", oldest.version);
     } else if version < supported.newest() {
         line += &format!("; goes up in {:.0} s", negotiator.remaining_quiet_ms(now) / MS_PER_S);
     }
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -1,7 +1,7 @@
 //! A read-only SNMP agent (version 2c, RFC 3416) for `mibs/SANDGW-MIB.txt`.
 //!
-//! Builds the objects of the MIB from the relay's counters, and answers one datagram with another. It does
-//! no I/O and changes nothing: a request to set is refused.
+//! Builds the objects of the MIB from the relay's counters, and answers one datagram with another. This
+//! module does no I/O and changes nothing: a SetRequest is refused.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -18,59 +18,61 @@
 
 /// iso.org.dod.internet.private.enterprises.32473.1: the example enterprise of RFC 5612.
 pub const BASE: [u32; 8] = [1, 3, 6, 1, 4, 1, 32473, 1];
-/// Most repetitions in the answer to one GETBULK, so that the answer fits into one datagram.
+/// Maximum number of repetitions in the response to one GetBulkRequest, so that the response fits into one
+/// datagram.
 const MAX_REPETITIONS: u32 = 32;
-/// Number of bindings from which on no further repetition is added to an answer.
+/// Number of variable bindings from which on no further repetition is added to a response.
 const MAX_BINDINGS: usize = 64;
 /// Version number of SNMPv2c on the wire.
 const VERSION_2C: u32 = 1;
 
-/// Objects of the agent in the order of their identifiers.
+/// The agent's objects, in the order of their identifiers.
 pub type View = BTreeMap<Vec<u32>, ObjectSyntax>;
 
-/// Builds the view of the relay's current state; `written` counts the writes of the affinity store.
-pub fn view(relay: &Relay, written: WriterStats) -> View {
+/// Builds the agent's objects from the relay's current state; `writer_stats` counts the writes of the
+/// affinity store.
+pub fn view(relay: &Relay, writer_stats: WriterStats) -> View {
     let mut view = View::new();
     put_connections(&mut view, relay);
-    put_affinity(&mut view, relay, written);
+    put_affinity(&mut view, relay, writer_stats);
     for row in relay.endpoints() {
         put_endpoint(&mut view, &row);
     }
     view
 }
 
-fn put(view: &mut View, tail: &[u32], value: ObjectSyntax) {
-    view.insert([&BASE[..], tail].concat(), value);
+fn put(view: &mut View, suffix: &[u32], value: ObjectSyntax) {
+    view.insert([&BASE[..], suffix].concat(), value);
 }
 
-fn counter(n: u64) -> ObjectSyntax {
-    ObjectSyntax::ApplicationWide(ApplicationSyntax::BigCounter(Counter64(n)))
+fn counter(value: u64) -> ObjectSyntax {
+    ObjectSyntax::ApplicationWide(ApplicationSyntax::BigCounter(Counter64(value)))
 }
 
-fn gauge(n: u64) -> ObjectSyntax {
-    let gauge = rasn_smi::v1::Gauge(n.try_into().unwrap_or(u32::MAX));
+fn gauge(value: u64) -> ObjectSyntax {
+    let gauge = rasn_smi::v1::Gauge(value.try_into().unwrap_or(u32::MAX));
     ObjectSyntax::ApplicationWide(ApplicationSyntax::Unsigned(gauge))
 }
 
-/// Connections (1) and attempts by outcome (2).
+/// Adds the connection counters (subtree 1) and the attempts by outcome (subtree 2).
 fn put_connections(view: &mut View, relay: &Relay) {
     let counters = relay.counters();
     let scalars =
         [counters.connections, counters.established, counters.rejected, counters.failed, counters.migrations];
-    for (object, n) in (1..).zip(scalars) {
-        put(view, &[1, object, 0], counter(n));
+    for (object, value) in (1..).zip(scalars) {
+        put(view, &[1, object, 0], counter(value));
     }
     put(view, &[1, 6, 0], gauge(relay.established_connections()));
-    for (outcome, n) in (1..).zip(counters.attempts) {
-        put(view, &[2, 1, 2, outcome], counter(n));
+    for (outcome, value) in (1..).zip(counters.attempts) {
+        put(view, &[2, 1, 2, outcome], counter(value));
     }
 }
 
-/// The affinity table (5).
-fn put_affinity(view: &mut View, relay: &Relay, written: WriterStats) {
+/// Adds the statistics of the affinity tables (subtree 5).
+fn put_affinity(view: &mut View, relay: &Relay, writer_stats: WriterStats) {
     let affinity = relay.affinity_statistics();
-    for (object, n) in (1..).zip([affinity.sessions, affinity.groups, affinity.max_bytes]) {
-        put(view, &[5, object, 0], gauge(n));
+    for (object, value) in (1..).zip([affinity.sessions, affinity.groups, affinity.max_bytes]) {
+        put(view, &[5, object, 0], gauge(value));
     }
     let totals = [
         affinity.evicted,
@@ -78,16 +80,16 @@
         affinity.expired,
         affinity.stale_lookups,
         affinity.resent_chunks,
-        written.entries,
-        written.failures,
+        writer_stats.entries,
+        writer_stats.failures,
     ];
-    for (object, n) in (4..).zip(totals) {
-        put(view, &[5, object, 0], counter(n));
+    for (object, value) in (4..).zip(totals) {
+        put(view, &[5, object, 0], counter(value));
     }
 }
 
-/// A row of the table of endpoints (3). Its index is the endpoint's id, as length and bytes (SMIv2), so the
-/// id needs no column.
+/// Adds a row of the endpoint table (subtree 3). Its index is the endpoint's id, as length and bytes (SMIv2),
+/// so the id needs no column.
 fn put_endpoint(view: &mut View, row: &EndpointStatus) {
     let id = row.id.0.as_bytes();
     let length = std::iter::once(id.len() as u32);
@@ -103,7 +105,8 @@
     put(view, &column(4), counter(row.attempts));
 }
 
-/// Answers a datagram; `None` where it is malformed or of another community, as the protocol requires.
+/// Answers a datagram; `None` where the datagram is malformed or of another community, as the protocol
+/// requires.
 pub fn answer(datagram: &[u8], community: &str, view: &View) -> Option<Vec<u8>> {
     let message: Message<Pdus> = rasn::ber::decode(datagram).ok()?;
     if message.version != Integer::from(VERSION_2C) || &message.community[..] != community.as_bytes() {
@@ -136,19 +139,19 @@
     rasn::ber::encode(&Message { version: Integer::from(VERSION_2C), community, data }).ok()
 }
 
-/// A response without an error.
+/// Builds a response without an error.
 fn response(request_id: i32, variable_bindings: Vec<VarBind>) -> Pdu {
     Pdu { request_id, error_status: Pdu::ERROR_STATUS_NO_ERROR, error_index: 0, variable_bindings }
 }
 
-/// The value of the variable itself.
+/// Binds the variable to its value, or to `NoSuchObject` where the agent has no such object.
 fn get(view: &View, variable: &VarBind) -> VarBind {
     let found = view.get(&variable.name.to_vec());
     let value = found.map_or(VarBindValue::NoSuchObject, |value| VarBindValue::Value(value.clone()));
     VarBind { name: variable.name.clone(), value }
 }
 
-/// The first object after the variable in the order of identifiers.
+/// Returns the first object after the variable in the order of identifiers.
 fn get_next(view: &View, variable: &VarBind) -> Option<VarBind> {
     let after = (Bound::Excluded(variable.name.to_vec()), Bound::Unbounded);
     match view.range(after).next() {
@@ -160,21 +163,22 @@
     }
 }
 
-/// The next object of the first variables, then repeatedly the next objects of the others.
+/// Returns the next object of each of the first `non_repeaters` variables, then repeatedly the next objects
+/// of the others.
 fn get_bulk(view: &View, request: &BulkPdu) -> Vec<VarBind> {
     let variables = &request.variable_bindings;
     let non_repeaters = variables.len().min(request.non_repeaters as usize);
-    let (once, repeated) = variables.split_at(non_repeaters);
+    let (non_repeated, repeated) = variables.split_at(non_repeaters);
     let next = |variable: &VarBind| get_next(view, variable);
-    let mut found: Vec<VarBind> = once.iter().filter_map(next).collect();
+    let mut bindings: Vec<VarBind> = non_repeated.iter().filter_map(next).collect();
     let mut row = repeated.to_vec();
     for _ in 0..request.max_repetitions.min(MAX_REPETITIONS) {
         row = row.iter().filter_map(next).collect();
-        found.extend(row.iter().cloned());
+        bindings.extend(row.iter().cloned());
         let at_end = row.iter().all(|binding| binding.value == VarBindValue::EndOfMibView);
-        if at_end || found.len() >= MAX_BINDINGS {
+        if at_end || bindings.len() >= MAX_BINDINGS {
             break;
         }
     }
-    found
+    bindings
 }
