--- a/crates/maintenance/src/call.rs
+++ b/crates/maintenance/src/call.rs
@@ -1,15 +1,15 @@
-//! Parses operators' calls about windows, one line each. Durations in calls are in seconds.
+//! Parses operators' calls about windows. Each call is one line; durations in calls are in seconds.
 
 use crate::{CapacityShare, RefusalReason, WholeMillis, WindowId};
 
-/// The longest duration that a call may name, in seconds: a week.
+/// The longest duration that a call may contain, in seconds: one week.
 const MAX_DURATION_S: f64 = 604_800.0;
-/// The least capacity that a call may name, in the list's unit.
+/// The smallest capacity that a call may contain, in the endpoint list's unit.
 const MIN_CAPACITY: f64 = 0.001;
-/// The largest capacity that a call may name, in the list's unit.
+/// The largest capacity that a call may contain, in the endpoint list's unit.
 const MAX_CAPACITY: f64 = 4e6;
 
-/// What is to be drained, by its name.
+/// What a window is to drain, by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NamedScope {
     /// A zone, or a part of it.
@@ -20,16 +20,16 @@
     Relay(u32),
 }
 
-/// The request for a window.
+/// A request for a window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WindowRequest {
     /// What is to be drained.
     pub scope: NamedScope,
     /// How long the window lasts once granted.
     pub duration: WholeMillis,
-    /// How long from now it starts at the earliest.
+    /// The earliest start, as a delay from now.
     pub delay: WholeMillis,
-    /// The operator who overrides the floor.
+    /// The operator who overrides the floor, if the call names one.
     pub override_by: Option<String>,
 }
 
@@ -38,9 +38,9 @@
 pub enum Call {
     /// Requests a window.
     Request(WindowRequest),
-    /// Lists all windows that this relay knows.
+    /// Lists all windows that this relay knows of.
     List,
-    /// Closes a window that is not wanted any more.
+    /// Closes a window that is no longer wanted.
     Cancel(WindowId),
     /// Closes a window whose work is done.
     Done(WindowId),
@@ -48,17 +48,17 @@
     Extend {
         /// The window.
         id: WindowId,
-        /// By how much.
+        /// How much longer the window is to last.
         extension: WholeMillis,
     },
 }
 
-/// Parses a call; `None` where its first word is of no call about windows.
+/// Parses a call. Returns `None` if the first word does not belong to a call about windows.
 ///
 /// # Errors
 ///
-/// [`RefusalReason::Syntax`] where the call is malformed, [`RefusalReason::UnknownWindow`] where it
-/// names no id of a window.
+/// Returns [`RefusalReason::Syntax`] if the call is malformed, and [`RefusalReason::UnknownWindow`] if
+/// the window's id in the call is malformed.
 ///
 /// ```
 /// use sandgw_maintenance::call::{Call, NamedScope, WindowRequest, parse};
@@ -90,7 +90,8 @@
     Ok(Call::Extend { id: parse_id(id)?, extension: parse_duration(extension)? })
 }
 
-/// The arguments of a request: what is to be drained, the duration, `in` and a delay, `by` and an operator.
+/// Parses the arguments of a request: the scope, the duration, optionally `in` with a delay, and optionally
+/// `by` with an operator's name.
 fn parse_request(arguments: &[&str]) -> Result<WindowRequest, RefusalReason> {
     let (scope, arguments) = parse_scope(arguments)?;
     let (duration, arguments) = arguments.split_first().ok_or(RefusalReason::Syntax)?;
@@ -106,7 +107,7 @@
     Ok(WindowRequest { scope, duration: parse_duration(duration)?, delay, override_by })
 }
 
-/// The scope and the arguments that follow it.
+/// Parses the scope. Returns the scope and the arguments that follow it.
 fn parse_scope<'a, 'b>(arguments: &'a [&'b str]) -> Result<(NamedScope, &'a [&'b str]), RefusalReason> {
     match arguments {
         ["hall", name, capacity, rest @ ..] => {
@@ -121,7 +122,7 @@
     }
 }
 
-/// A capacity in the list's unit, which is counted in thousandths.
+/// Parses a capacity in the endpoint list's unit. The result is in thousandths, rounded up.
 fn parse_capacity(text: &str) -> Result<CapacityShare, RefusalReason> {
     if text == "all" {
         return Ok(CapacityShare::All);
--- a/crates/maintenance/src/codec/decode.rs
+++ b/crates/maintenance/src/codec/decode.rs
@@ -1,15 +1,15 @@
-//! Text to messages.
+//! Decodes datagrams into messages.
 
 use sandgw_datagram::base36;
 
-use super::{ABSENT, HEEDS_FLOOR, MAX_BYTES, OVERRIDES_FLOOR, PREFIX, decision, kind, scope};
+use super::{ABSENT, MAX_BYTES, OVERRIDES_FLOOR, PREFIX, RESPECTS_FLOOR, decision, kind, scope};
 use crate::replicated_ledger::{AcceptedLedger, Decision, Message, Term};
 use crate::{
     CapacityShare, GrantedWindow, MAX_GRANTED_WINDOWS, RefusalReason, Scope, WholeMillis, Window, WindowId,
 };
 
-/// Decodes a message; `None` where the text is too long, of another kind or version, truncated, or
-/// has more words than the message.
+/// Decodes a message. Returns `None` if the text is too long, has another prefix, is malformed or truncated,
+/// or has extra words after the message.
 pub fn decode(text: &str) -> Option<Message> {
     if text.len() > MAX_BYTES {
         return None;
@@ -82,7 +82,7 @@
     })
 }
 
-/// A field that may be absent; the outer `None` where it is malformed.
+/// Decodes an optional field. Returns the outer `None` if the field is malformed.
 fn decode_optional<T>(text: &str, decode: impl FnOnce(&str) -> Option<T>) -> Option<Option<T>> {
     if text == ABSENT { Some(None) } else { decode(text).map(Some) }
 }
@@ -122,12 +122,12 @@
 fn decode_overrides_floor(text: &str) -> Option<bool> {
     match text {
         OVERRIDES_FLOOR => Some(true),
-        HEEDS_FLOOR => Some(false),
+        RESPECTS_FLOOR => Some(false),
         _ => None,
     }
 }
 
-/// All words that remain, as entries of a ledger.
+/// Decodes all remaining words as entries of a ledger.
 fn decode_entries<'a>(words: &mut impl Iterator<Item = &'a str>) -> Option<Vec<GrantedWindow>> {
     let entries: Vec<GrantedWindow> = words.map(decode_entry).collect::<Option<_>>()?;
     (entries.len() <= MAX_GRANTED_WINDOWS).then_some(entries)
--- a/crates/maintenance/src/codec/encode.rs
+++ b/crates/maintenance/src/codec/encode.rs
@@ -1,12 +1,12 @@
-//! Messages to text.
+//! Encodes messages as datagrams.
 
 use sandgw_datagram::base36;
 
-use super::{ABSENT, HEEDS_FLOOR, OVERRIDES_FLOOR, PREFIX, decision, kind, scope};
+use super::{ABSENT, OVERRIDES_FLOOR, PREFIX, RESPECTS_FLOOR, decision, kind, scope};
 use crate::replicated_ledger::{AcceptedLedger, Decision, Message, Term};
 use crate::{CapacityShare, GrantedWindow, MAX_GRANTED_WINDOWS, RefusalReason, Scope, WholeMillis, Window};
 
-/// Encodes a message. The protocol makes no message that is longer than [`MAX_BYTES`](super::MAX_BYTES).
+/// Encodes a message. No message of the protocol is longer than [`MAX_BYTES`](super::MAX_BYTES) when encoded.
 ///
 /// ```
 /// use sandgw_maintenance::replicated_ledger::{Message, Term};
@@ -62,7 +62,7 @@
 }
 
 fn encode_overrides_floor(overrides_floor: bool) -> &'static str {
-    if overrides_floor { OVERRIDES_FLOOR } else { HEEDS_FLOOR }
+    if overrides_floor { OVERRIDES_FLOOR } else { RESPECTS_FLOOR }
 }
 
 fn encode_term(term: &Term) -> String {
@@ -86,7 +86,7 @@
     }
 }
 
-/// The entries of a ledger, each with a space before it.
+/// Encodes the entries of a ledger, each with a leading space.
 fn encode_entries(entries: &[GrantedWindow]) -> String {
     entries.iter().take(MAX_GRANTED_WINDOWS).map(|entry| format!(" {}", encode_entry(entry))).collect()
 }
--- a/crates/maintenance/src/codec/mod.rs
+++ b/crates/maintenance/src/codec/mod.rs
@@ -1,8 +1,7 @@
-//! The encoding of messages about windows: plain text of at most 256 bytes.
+//! The datagram encoding of maintenance messages: plain text of at most 256 bytes.
 //!
-//! A datagram is a sequence of words separated by single spaces. The first is [`PREFIX`], which no
-//! other kind of datagram starts with, and the second says which message it is; numbers are in base
-//! 36.
+//! A datagram is a sequence of words separated by single spaces. The first word is [`PREFIX`], which no other
+//! kind of datagram starts with, and the second word is the kind of the message. Numbers are in base 36.
 
 mod decode;
 mod encode;
@@ -11,10 +10,10 @@
 pub use encode::encode;
 pub use sandgw_datagram::MAX_BYTES;
 
-/// The first word of every datagram: its kind and version.
+/// The first word of every maintenance datagram: the kind of datagram and the version of its encoding.
 pub const PREFIX: &str = "m1";
 
-/// The words by which messages are told apart.
+/// The words that identify the kinds of messages.
 mod kind {
     pub const REQUEST_VOTE: &str = "c";
     pub const VOTE: &str = "v";
@@ -25,17 +24,18 @@
     pub const DECISION: &str = "t";
 }
 
-/// The words by which decisions are told apart.
+/// The words that identify the kinds of decisions.
 mod decision {
     pub const GRANTED: &str = "g";
     pub const WAITS: &str = "w";
-    /// Refused because another window waits, which is named.
+    /// Refused because another window waits; the id of that window follows.
     pub const BLOCKS_WAITING: &str = "n";
-    /// Refused for another reason, by its position in [`RefusalReason::ALL`](crate::RefusalReason::ALL).
+    /// Refused for any other reason; its position in [`RefusalReason::ALL`](crate::RefusalReason::ALL)
+    /// follows.
     pub const REFUSED: &str = "r";
 }
 
-/// The letters by which scopes are told apart.
+/// The letters that identify the kinds of scopes.
 mod scope {
     pub const ZONE: &str = "h";
     pub const PART_OF_ZONE: &str = "p";
@@ -43,9 +43,9 @@
     pub const RELAY: &str = "r";
 }
 
-/// Stands for an optional field that has no value.
+/// Encodes an optional field that has no value.
 const ABSENT: &str = "-";
 /// Marks a window that overrides the floor.
 const OVERRIDES_FLOOR: &str = "f";
-/// Marks a window that does not.
-const HEEDS_FLOOR: &str = "n";
+/// Marks a window that does not override the floor.
+const RESPECTS_FLOOR: &str = "n";
--- a/crates/maintenance/src/errors.rs
+++ b/crates/maintenance/src/errors.rs
@@ -1,4 +1,4 @@
-//! Why a window is refused, and what an operator can do about it.
+//! The reasons why a call about windows is refused, with help texts for operators.
 
 use std::num::ParseIntError;
 
@@ -6,63 +6,63 @@
 
 use crate::{MAX_LOCAL_WINDOWS, WindowId};
 
-/// Why a text is no [`WindowId`].
+/// Why a text is not a valid [`WindowId`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseWindowIdError {
-    /// The two parts are not separated by a dot.
-    #[error("a window's name has a dot between its relay and its number")]
+    /// The relay's number and the time of the request are not separated by a dot.
+    #[error("a window id has a dot between the relay's number and the time of the request")]
     NoSeparator,
-    /// The relay is no number.
-    #[error("a window's name starts with the number of a relay")]
+    /// The part before the dot is not a relay's number.
+    #[error("a window id starts with a relay's number")]
     Relay(#[source] ParseIntError),
-    /// The time of the request is no base-36 number.
-    #[error("a window's name ends in digits and small letters")]
+    /// The part after the dot is not a base-36 number.
+    #[error("a window id ends with the time of the request, in digits and lower-case letters")]
     RequestedAt,
 }
 
-/// Why a call about windows was not carried out. The texts are replies to operators.
+/// Why a call about windows was not carried out. The messages are sent to operators in replies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Error)]
 pub enum RefusalReason {
-    /// The call has no known syntax.
+    /// The call is malformed.
     #[error("a window is asked for as: window hall NAME all|SIZE SECONDS, window streamer NAME SECONDS")]
     Syntax,
-    /// The window would last longer than is allowed, or for no time at all.
+    /// The window would last longer than is allowed, or its duration is zero.
     #[error("longer than the longest window")]
     TooLong,
-    /// The floor would not be met even if all other capacity were available.
+    /// Draining the scope would violate a floor even if everything else were available.
     #[error("the floor could not be kept even with nothing else drained")]
     FloorUnreachable,
-    /// The list has no such zone.
+    /// The endpoint list has no such zone.
     #[error("no such hall in the list")]
     UnknownZone,
-    /// The list has no such endpoint.
+    /// The endpoint list has no such endpoint.
     #[error("no such streamer in the list")]
     UnknownEndpoint,
-    /// The tier has no such relay.
+    /// The cluster has no such relay.
     #[error("no such relay in the tier")]
     UnknownRelay,
-    /// The named operator may not override the floor.
+    /// The operator named in the call may not override the floor.
     #[error("this name may not override the floor")]
     OverrideNotPermitted,
     /// No window with that id is open, as far as this relay knows.
     #[error("no window of that name is open here")]
     UnknownWindow,
-    /// The window is not granted, so that there is nothing to extend.
+    /// The window is not granted now, so it cannot be extended.
     #[error("the window is not granted now")]
     NotGranted,
     /// Too many windows are open at this relay.
     #[error("{MAX_LOCAL_WINDOWS} windows are open at this relay")]
     TooManyLocal,
-    /// Too many windows wait in the tier.
+    /// Too many windows wait in the cluster.
     #[error("too many windows wait in the tier")]
     TooManyWaiting,
-    /// A waiting window would be pushed back by the extension.
+    /// The extension would delay the window named here, which waits.
     #[error("window {0} waits for it")]
     BlocksWaiting(WindowId),
 }
 
 impl RefusalReason {
-    /// One of each, in the order of their codes in datagrams.
+    /// Every reason, in the order of the codes that datagrams carry.
     pub const ALL: [RefusalReason; 12] = [
         RefusalReason::Syntax,
         RefusalReason::TooLong,
@@ -78,7 +78,7 @@
         RefusalReason::BlocksWaiting(WindowId { requested_at: 0, relay: 0 }),
     ];
 
-    /// What an operator can do about it, for the reply to a call.
+    /// What an operator can do about the refusal, for the reply to a call.
     ///
     /// ```
     /// use sandgw_maintenance::RefusalReason;
--- a/crates/maintenance/src/event.rs
+++ b/crates/maintenance/src/event.rs
@@ -6,38 +6,38 @@
 use crate::replicated_ledger::WindowStatus;
 use crate::{WholeMillis, WindowId};
 
-/// What is logged without a call. The texts of alarms are also replies to operators.
+/// An event to be logged. The messages of some alarms are also part of replies to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A window that was requested here has changed its status.
+    /// The status of a window that was requested at this relay has changed.
     StatusChanged {
         /// The window.
         id: WindowId,
-        /// Its new status.
+        /// The window's new status.
         status: WindowStatus,
     },
-    /// A window has ended, and what it was granted for still drains by the list.
+    /// A window has ended, but the endpoint list shows that its scope is still draining.
     DrainsPastEnd(WindowId),
-    /// Endpoints of a zone drain without a window.
+    /// Endpoints of a zone are draining without a window.
     UnplannedDrain {
         /// The zone's name.
         zone: String,
-        /// Their capacity, in thousandths of the list's unit.
+        /// The capacity of these endpoints, in thousandths of the endpoint list's unit.
         capacity: u64,
     },
-    /// The capacity that remains is below the floor.
+    /// The remaining capacity is below a floor.
     BelowFloor {
-        /// What remains in total, in thousandths of the list's unit.
+        /// The remaining capacity in total, in thousandths of the endpoint list's unit.
         remaining: u64,
     },
     /// This relay has become the leader.
     BecameLeader,
-    /// This relay is not the leader any more.
+    /// This relay is no longer the leader.
     LostLeadership,
 }
 
 impl Event {
-    /// Whether an operator should look at it.
+    /// Whether the event needs an operator's attention.
     pub fn is_alarm(&self) -> bool {
         match self {
             Event::StatusChanged { status, .. } => {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Milliseconds as whole seconds, rounded down.
+/// Converts milliseconds to whole seconds, rounded down.
 pub(crate) fn whole_seconds(time: WholeMillis) -> WholeMillis {
     time / 1000
 }
--- a/crates/maintenance/src/plan/drained.rs
+++ b/crates/maintenance/src/plan/drained.rs
@@ -1,15 +1,15 @@
-//! The scopes of several windows, taken together.
+//! The combined scopes of several windows.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{CapacityShare, GrantedWindow, Scope, Tag};
 
-/// What is drained by several windows.
+/// What several windows drain together.
 #[derive(Default)]
 pub(super) struct DrainedScopes {
     zones: BTreeSet<Tag>,
     endpoints: BTreeSet<Tag>,
-    /// Capacity drained of zones that are not drained as a whole, in thousandths.
+    /// The capacity that windows for a part of a zone drain, by zone, in thousandths.
     pub parts: BTreeMap<Tag, u64>,
 }
 
@@ -33,12 +33,12 @@
             Scope::Endpoint(id) => {
                 self.endpoints.insert(id);
             }
-            // A relay has no part in the capacity of the list.
+            // The endpoint list's capacity does not include relays.
             Scope::Relay(_) => {}
         }
     }
 
-    /// Whether an endpoint is drained as a whole, by itself or with its zone.
+    /// Whether a window drains the whole endpoint, by itself or together with its zone.
     pub fn covers(&self, id: Tag, zone: Tag) -> bool {
         self.zones.contains(&zone) || self.endpoints.contains(&id)
     }
--- a/crates/maintenance/src/plan/floors.rs
+++ b/crates/maintenance/src/plan/floors.rs
@@ -1,27 +1,27 @@
-//! What must remain, and what an endpoint in slow start counts for.
+//! The configured floors, and the effective capacity of endpoints in slow start.
 
 use std::collections::BTreeMap;
 
 use crate::WholeMillis;
 
-/// Thousandths that are the whole of a fraction.
+/// The number of thousandths in a whole.
 const WHOLE_THOUSANDTHS: u64 = 1000;
 
-/// What must remain, and how much may be drained at once.
+/// The capacity that must remain, and the limits on what is drained at once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CapacityFloors {
-    /// Capacity that must remain in all zones together, in thousandths.
+    /// The capacity that must remain in all zones together, in thousandths of the endpoint list's unit.
     pub total: u64,
-    /// The same by the name of a zone, for zones that have a floor of their own.
+    /// The capacity that must remain in single zones, by zone name, for zones that have a floor of their own.
     pub zones: BTreeMap<String, u64>,
     /// The number of relays that must remain.
     pub min_relays: u32,
-    /// The configured limit of windows granted at once. The ledger holds `MAX_GRANTED_WINDOWS` at most,
-    /// whatever is configured.
+    /// The configured limit on windows granted at once. The ledger holds at most `MAX_GRANTED_WINDOWS`,
+    /// whatever limit is configured.
     pub max_windows: usize,
-    /// The longest window.
+    /// The maximum duration of a window.
     pub max_window_duration: WholeMillis,
-    /// What endpoints that have just started count for.
+    /// How the capacity of endpoints that have just started is counted.
     pub slow_start: SlowStart,
 }
 
@@ -30,19 +30,20 @@
 pub struct SlowStart {
     /// The fraction of its capacity that an endpoint has when it starts, in thousandths.
     pub initial_fraction: u64,
-    /// How long it takes until it has all of it.
+    /// How long it takes until the endpoint has its full capacity.
     pub warm_up_time: WholeMillis,
 }
 
 impl SlowStart {
-    /// The capacity of an endpoint of a certain age, growing linearly until the warm-up time is over.
+    /// Returns the capacity of an endpoint of the given age. It grows linearly until the warm-up time is
+    /// over.
     pub(super) fn effective_capacity(&self, capacity: u64, age: WholeMillis) -> u64 {
         let warm_up_time = self.warm_up_time;
         if age >= warm_up_time {
             return capacity;
         }
         let initial = self.initial_fraction.min(WHOLE_THOUSANDTHS);
-        let grown = initial * warm_up_time + (WHOLE_THOUSANDTHS - initial) * age;
-        capacity * grown / (WHOLE_THOUSANDTHS * warm_up_time)
+        let warm_up_progress = initial * warm_up_time + (WHOLE_THOUSANDTHS - initial) * age;
+        capacity * warm_up_progress / (WHOLE_THOUSANDTHS * warm_up_time)
     }
 }
--- a/crates/maintenance/src/plan/mod.rs
+++ b/crates/maintenance/src/plan/mod.rs
@@ -1,9 +1,9 @@
-//! What capacity remains while windows are granted, by the list of endpoints.
+//! Computes from the endpoint list which capacity remains while windows are granted.
 //!
-//! [`CapacityPlan`] owns the list as this relay knows it and the floors. It computes what would
-//! remain if everything granted were drained, beside what is down or in slow start by the list. It
-//! knows nothing of who requests windows. Capacities are in thousandths of the list's unit, times
-//! in milliseconds.
+//! [`CapacityPlan`] holds the endpoint list as this relay knows it, and the floors. It computes the capacity
+//! that would remain if all granted windows were drained; endpoints that are down or in slow start by the
+//! list are accounted for as well. It does not depend on who requests windows. Capacities are in thousandths
+//! of the list's unit, times in milliseconds.
 
 mod drained;
 mod floors;
@@ -16,35 +16,35 @@
 
 use drained::DrainedScopes;
 
-/// Thousandths of the list's unit of capacity in one unit.
+/// The number of thousandths in one unit of the endpoint list's capacity.
 const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
-/// A capacity in thousandths as a number in the list's unit.
+/// Converts a capacity in thousandths to the endpoint list's unit.
 pub(crate) fn in_list_units(thousandths: u64) -> f64 {
     thousandths as f64 / THOUSANDTHS_PER_UNIT
 }
 
-/// An endpoint as the list has it.
+/// An endpoint in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id in the list.
+    /// The endpoint's id in the list.
     pub id: String,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: String,
-    /// Its capacity, in thousandths of the list's unit.
+    /// The endpoint's capacity, in thousandths of the list's unit.
     pub capacity: u64,
-    /// Whether it takes new work; it drains or is down where it does not.
+    /// Whether the endpoint takes new connections. Otherwise it is draining or down.
     pub is_ready: bool,
-    /// When it started; 0 where that was long ago.
+    /// When the endpoint started; 0 if that was long ago.
     pub started_at: WholeMillis,
 }
 
-/// What remains of capacity, in thousandths.
+/// The remaining capacity, in thousandths of the endpoint list's unit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RemainingCapacity {
-    /// In all zones together.
+    /// The remaining capacity of all zones together.
     pub total: u64,
-    /// By zone.
+    /// The remaining capacity by zone.
     pub by_zone: BTreeMap<Tag, u64>,
 }
 
@@ -56,22 +56,22 @@
     started_at: WholeMillis,
 }
 
-/// The list of endpoints, and what must remain of it.
+/// The endpoint list, and the floors that its remaining capacity must meet.
 #[derive(Clone, Debug)]
 pub struct CapacityPlan {
-    /// What must remain.
+    /// The configured floors and limits.
     pub floors: CapacityFloors,
     zone_floors: BTreeMap<Tag, u64>,
     relay_count: u32,
     endpoints: BTreeMap<Tag, EndpointState>,
     /// The names of zones and endpoints.
     names: BTreeMap<Tag, String>,
-    /// When the list was confirmed last.
+    /// When the list was last confirmed.
     confirmed_at: Option<WholeMillis>,
 }
 
 impl CapacityPlan {
-    /// A plan for a tier of so many relays, without a list yet.
+    /// Returns a plan for a cluster of `relay_count` relays, without an endpoint list yet.
     pub fn new(floors: CapacityFloors, relay_count: u32) -> CapacityPlan {
         let zone_floors = floors.zones.iter().map(|(zone, floor)| (tag(zone), *floor)).collect();
         let names = floors.zones.keys().map(|zone| (tag(zone), zone.clone())).collect();
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Discovery has answered: the list is true as of now.
+    /// Records that discovery has answered, so that the list is up to date as of now.
     pub fn confirm_list(&mut self, now: WholeMillis) {
         self.confirmed_at = Some(now);
     }
 
-    /// Removes all endpoints, before a full list.
+    /// Removes all endpoints, before a full list is applied.
     pub fn clear_endpoints(&mut self) {
         self.endpoints.clear();
     }
@@ -116,17 +116,17 @@
         self.names.remove(&tag(id));
     }
 
-    /// Whether the list is new enough to grant by.
+    /// Whether the list was confirmed recently enough to grant windows.
     pub fn is_fresh(&self, now: WholeMillis, timing: &Timing) -> bool {
         self.confirmed_at.is_some_and(|confirmed| now <= confirmed + timing.list_max_age)
     }
 
-    /// The name of a zone or an endpoint, or its tag where the name is not known.
+    /// Returns the name of a zone or an endpoint, or its tag if the name is not known.
     pub fn name_of(&self, tag: Tag) -> String {
         self.names.get(&tag).cloned().unwrap_or_else(|| format!("#{tag:x}"))
     }
 
-    /// What is to be drained, in the words of operators' calls.
+    /// Describes a scope in the syntax of operators' calls.
     pub fn describe(&self, scope: Scope) -> String {
         match scope {
             Scope::Zone(zone, CapacityShare::All) => format!("hall {} all", self.name_of(zone)),
@@ -138,26 +138,28 @@
         }
     }
 
-    /// What would remain if all these were drained now, beside what is down or in slow start by the list.
+    /// Returns the capacity that would remain if all these windows were drained now. Endpoints that are
+    /// not ready by the list count for nothing, and endpoints in slow start for their effective capacity.
     pub fn remaining_capacity(&self, now: WholeMillis, granted: &[GrantedWindow]) -> RemainingCapacity {
         let drained = DrainedScopes::of(granted);
-        let mut by_zone = self.undrained(&drained, |endpoint| {
+        let mut by_zone = self.undrained_capacity(&drained, |endpoint| {
             if endpoint.is_ready { self.effective_capacity(now, endpoint) } else { 0 }
         });
         for (zone, part) in &drained.parts {
-            // What drains in the zone already is a part of what was granted.
-            let draining = self.draining_outside(&drained, *zone);
+            // Capacity that already drains in the zone counts towards the granted part.
+            let draining = self.not_ready_capacity(&drained, *zone);
             let remaining = by_zone.entry(*zone).or_default();
             *remaining = remaining.saturating_sub(part.saturating_sub(draining));
         }
         RemainingCapacity { total: by_zone.values().sum(), by_zone }
     }
 
-    /// What would remain without a scope if all endpoints of the list were ready and past slow start.
+    /// Returns the capacity that would remain if one scope were drained while all endpoints of the list were
+    /// ready and past slow start.
     fn best_case_remaining(&self, scope: Scope) -> RemainingCapacity {
         let mut drained = DrainedScopes::default();
         drained.add(scope);
-        let mut by_zone = self.undrained(&drained, |endpoint| endpoint.capacity);
+        let mut by_zone = self.undrained_capacity(&drained, |endpoint| endpoint.capacity);
         for (zone, part) in &drained.parts {
             let remaining = by_zone.entry(*zone).or_default();
             *remaining = remaining.saturating_sub(*part);
@@ -165,8 +167,8 @@
         RemainingCapacity { total: by_zone.values().sum(), by_zone }
     }
 
-    /// The capacity of all endpoints that are not drained as a whole, by zone.
-    fn undrained(
+    /// Returns by zone the capacity of all endpoints that no window drains as a whole.
+    fn undrained_capacity(
         &self,
         drained: &DrainedScopes,
         capacity_of: impl Fn(&EndpointState) -> u64,
@@ -181,8 +183,8 @@
         by_zone
     }
 
-    /// The capacity of a zone that is not ready, beside what is drained as a whole.
-    fn draining_outside(&self, drained: &DrainedScopes, zone: Tag) -> u64 {
+    /// Returns the capacity of a zone's endpoints that are not ready and that no window drains as a whole.
+    fn not_ready_capacity(&self, drained: &DrainedScopes, zone: Tag) -> u64 {
         let draining = self.endpoints.iter().filter(|(id, endpoint)| {
             !endpoint.is_ready && endpoint.zone == zone && !drained.covers(**id, zone)
         });
@@ -197,14 +199,14 @@
         self.floors.slow_start.effective_capacity(endpoint.capacity, age)
     }
 
-    /// Whether what remains is enough, in total and in each zone that has a floor.
+    /// Whether the remaining capacity meets the total floor and the floor of each zone that has one.
     pub fn meets_floors(&self, remaining: &RemainingCapacity) -> bool {
         let zone_is_met =
             |(zone, floor): (&Tag, &u64)| remaining.by_zone.get(zone).copied().unwrap_or(0) >= *floor;
         remaining.total >= self.floors.total && self.zone_floors.iter().all(zone_is_met)
     }
 
-    /// Whether all these may be granted together.
+    /// Whether all these windows may be granted together.
     pub fn fits(&self, now: WholeMillis, granted: &[GrantedWindow]) -> bool {
         granted.len() <= self.floors.max_windows
             && self.leaves_enough_relays(granted)
@@ -218,12 +220,13 @@
     }
 
     fn leaves_enough_capacity(&self, now: WholeMillis, granted: &[GrantedWindow]) -> bool {
-        // Relays have no capacity of the list: they may be drained though the floor is not met.
+        // Relays do not count towards the list's capacity, so they may be drained even if the floor is not
+        // met.
         let only_relays = granted.iter().all(|entry| entry.scope.relay().is_some());
         only_relays || self.meets_floors(&self.remaining_capacity(now, granted))
     }
 
-    /// Why a window could never be granted.
+    /// Returns why a window could never be granted, if there is a reason.
     pub fn permanent_refusal(
         &self,
         scope: Scope,
@@ -257,14 +260,15 @@
         }
     }
 
-    /// The capacity that drains by the list without a window, by zone; zones without such are left out.
+    /// Returns by zone the capacity that drains by the list without a window. Zones without unplanned drains
+    /// are left out.
     pub fn unplanned_drains(&self, granted: &[GrantedWindow]) -> BTreeMap<Tag, u64> {
         let drained = DrainedScopes::of(granted);
         let zones: BTreeSet<Tag> = self.endpoints.values().map(|endpoint| endpoint.zone).collect();
         let mut unplanned = BTreeMap::new();
         for zone in zones {
             let planned = drained.parts.get(&zone).copied().unwrap_or(0);
-            let capacity = self.draining_outside(&drained, zone).saturating_sub(planned);
+            let capacity = self.not_ready_capacity(&drained, zone).saturating_sub(planned);
             if capacity > 0 {
                 unplanned.insert(zone, capacity);
             }
@@ -272,11 +276,11 @@
         unplanned
     }
 
-    /// Whether any of a scope drains by the list.
+    /// Whether any endpoint of a scope is draining or down by the list.
     pub fn is_draining(&self, scope: Scope) -> bool {
         let is_in_scope = |id: Tag, endpoint: &EndpointState| match scope {
             Scope::Zone(zone, _) => endpoint.zone == zone,
-            Scope::Endpoint(of) => id == of,
+            Scope::Endpoint(endpoint_id) => id == endpoint_id,
             Scope::Relay(_) => false,
         };
         self.endpoints.iter().any(|(id, endpoint)| !endpoint.is_ready && is_in_scope(*id, endpoint))
--- a/crates/maintenance/src/queue.rs
+++ b/crates/maintenance/src/queue.rs
@@ -1,35 +1,35 @@
-//! The order in which waiting windows are granted. Inputs: the time and the time-outs, the plan, the
-//! granted and the waiting windows. Outputs: the windows to grant now, and the first that is blocked. The
-//! ledger is changed by the caller.
+//! The order in which waiting windows are granted. [`select`] takes the time, the timeouts, the capacity
+//! plan, and the granted and the waiting windows; it returns the windows to grant now and the first blocked
+//! window. The caller changes the ledger.
 //!
-//! The window that has waited longest is first. If it does not fit, a later one may overtake it
-//! only if that ends before the first one could start anyway. Windows that override the floor come
-//! before all others and wait for nothing but a place in the ledger.
+//! The window that was requested first is considered first. If this window does not fit, a later window may
+//! overtake it only if the later window ends before the blocked window could start anyway. Windows that
+//! override the floor come before all others and wait only for a free entry in the ledger.
 
 use std::cmp::Reverse;
 
 use crate::plan::CapacityPlan;
 use crate::{GrantedWindow, MAX_GRANTED_WINDOWS, Timing, WholeMillis, Window, WindowId};
 
-/// A window that has to wait until others end.
+/// A window that has to wait until granted windows end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockedWindow {
     /// The window.
     pub id: WindowId,
-    /// When it fits, if all granted windows end on time.
+    /// When the window fits, if all granted windows end on time.
     pub fits_at: WholeMillis,
 }
 
-/// What may be granted now.
+/// The windows that may be granted now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selection {
-    /// Windows to be granted.
+    /// The windows to grant.
     pub granted: Vec<GrantedWindow>,
-    /// The first window that has to wait for others to end.
+    /// The first window in the queue that has to wait for granted windows to end.
     pub first_blocked: Option<BlockedWindow>,
 }
 
-/// Selects the waiting windows that may be granted now beside those that are granted already.
+/// Selects the waiting windows that may be granted now, in addition to those that are granted already.
 pub fn select(
     now: WholeMillis,
     timing: &Timing,
@@ -38,29 +38,29 @@
     waiting: impl Iterator<Item = Window>,
 ) -> Selection {
     let mut selection = Selection::default();
-    let mut all = granted.to_vec();
+    let mut granted_and_selected = granted.to_vec();
     for window in in_queue_order(now, waiting) {
         let entry = GrantedWindow::starting_at(now, &window);
-        all.push(entry);
-        let fits = window.overrides_floor || plan.fits(now, &all);
+        granted_and_selected.push(entry);
+        let fits = window.overrides_floor || plan.fits(now, &granted_and_selected);
         let may_overtake = window.overrides_floor
             || selection
                 .first_blocked
                 .is_none_or(|blocked| entry.end + timing.clock_skew_bound <= blocked.fits_at);
-        if all.len() <= MAX_GRANTED_WINDOWS && fits && may_overtake {
+        if granted_and_selected.len() <= MAX_GRANTED_WINDOWS && fits && may_overtake {
             selection.granted.push(entry);
             continue;
         }
-        all.pop();
+        granted_and_selected.pop();
         if selection.first_blocked.is_none() {
-            let fits_at = fits_once_others_end(now, timing, plan, &all, entry);
+            let fits_at = fits_once_others_end(now, timing, plan, &granted_and_selected, entry);
             selection.first_blocked = fits_at.map(|fits_at| BlockedWindow { id: window.id, fits_at });
         }
     }
     selection
 }
 
-/// The waiting windows that may start by now, in the order in which they are considered.
+/// Returns the waiting windows that may start by now, in the order in which they are considered.
 fn in_queue_order(now: WholeMillis, waiting: impl Iterator<Item = Window>) -> Vec<Window> {
     let mut windows: Vec<Window> = waiting.filter(|window| window.not_before <= now).collect();
     windows
@@ -68,7 +68,7 @@
     windows
 }
 
-/// When a window fits, if all granted windows end on time; `None` where it is not they that it waits for.
+/// Returns when a window fits if all granted windows end on time, or `None` if it would not fit even then.
 fn fits_once_others_end(
     now: WholeMillis,
     timing: &Timing,
--- a/crates/maintenance/src/replicated_ledger/grants.rs
+++ b/crates/maintenance/src/replicated_ledger/grants.rs
@@ -1,9 +1,14 @@
-//! The leader's decisions: which windows are granted, extended or refused, and the notices of it.
+//! The leader's decisions: which windows are granted, extended or refused, and the notices to their relays.
 //!
-//! A window waits while no leader is elected (a voter that has restarted abstains for one lease), the
-//! leader is in its `grant_holdoff`, a write is pending, the leader's list is older than `list_max_age`,
-//! its `not_before` is not reached, the ledger holds `MAX_GRANTED_WINDOWS`, the limit of windows, of relays
-//! or a floor would be violated, or it may not overtake the first blocked window (`queue`).
+//! A window waits while any of these holds:
+//!
+//! - No leader is elected. A restarted voter abstains for one lease.
+//! - The leader is in its `grant_holdoff`, or has a pending write.
+//! - The leader's endpoint list is older than `list_max_age`.
+//! - The window's `not_before` is not reached.
+//! - The ledger holds `MAX_GRANTED_WINDOWS` windows.
+//! - The window would violate the limit of windows, the minimum number of relays, or a floor.
+//! - The window may not overtake the first blocked window (`queue`).
 
 use super::state::{Role, WaitingWindow};
 use super::{Context, Decision, Message, Outbox, OutgoingMessage, ReplicatedLedger};
@@ -11,59 +16,61 @@
 use crate::{GrantedWindow, RefusalReason, WholeMillis, Window, WindowId};
 
 impl ReplicatedLedger {
-    /// Adds the windows whose turn it is to the next ledger. They are granted once that is committed.
-    pub(super) fn grant_waiting(&mut self, cx: Context<'_>) {
+    /// Moves the waiting windows that may be granted now to the next ledger. They are granted once that
+    /// ledger is committed.
+    pub(super) fn grant_waiting(&mut self, context: Context<'_>) {
         let Role::Leader(leader) = &mut self.role else { return };
-        // A new leader first learns who waits, so that nobody is overtaken.
-        let may_grant = cx.now >= leader.elected_at + cx.timing.grant_holdoff;
-        if !may_grant || !cx.plan.is_fresh(cx.now, cx.timing) {
+        // A new leader first collects the repeated requests, so that no earlier window is overtaken.
+        let may_grant = context.now >= leader.elected_at + context.timing.grant_holdoff;
+        if !may_grant || !context.plan.is_fresh(context.now, context.timing) {
             return;
         }
-        // A window that this relay knew as waiting before it was elected may be granted in the
-        // ledger it took over.
+        // A window that this relay knew as waiting before its election may already be granted in the
+        // ledger that it took over.
         self.waiting.retain(|id, _| !leader.next.iter().any(|entry| entry.id == *id));
         let waiting = self.waiting.values().map(|waiting| waiting.window);
-        let selection = select(cx.now, cx.timing, cx.plan, &leader.next, waiting);
+        let selection = select(context.now, context.timing, context.plan, &leader.next, waiting);
         for entry in selection.granted {
             self.waiting.remove(&entry.id);
             leader.next.push(entry);
         }
     }
 
-    /// Decides a request: extends the window, refuses it or has it wait, and notifies its relay.
+    /// Decides a window request: extends the window, refuses it or makes it wait, and notifies its relay.
     pub(super) fn decide_request(
         &mut self,
-        cx: Context<'_>,
+        context: Context<'_>,
         window: Window,
         is_full: bool,
-        out: &mut Outbox,
+        outbox: &mut Outbox,
     ) {
         let Role::Leader(leader) = &self.role else { return };
         if leader.next.iter().any(|entry| entry.id == window.id) {
-            self.decide_extension(cx, window, out);
-        } else if let Some(refused) = refusal(cx, &window, is_full) {
+            self.decide_extension(context, window, outbox);
+        } else if let Some(reason) = refusal(context, &window, is_full) {
             self.waiting.remove(&window.id);
-            self.notify(cx, window.id, Decision::Refused(refused), out);
+            self.notify(context, window.id, Decision::Refused(reason), outbox);
         } else {
-            self.enqueue(cx, window, out);
+            self.enqueue(context, window, outbox);
         }
     }
 
-    fn enqueue(&mut self, cx: Context<'_>, window: Window, out: &mut Outbox) {
-        self.waiting.insert(window.id, WaitingWindow { window, requested_at: cx.now });
-        let first = self.select_next(cx).first_blocked.map(|blocked| blocked.id);
+    fn enqueue(&mut self, context: Context<'_>, window: Window, outbox: &mut Outbox) {
+        self.waiting.insert(window.id, WaitingWindow { window, requested_at: context.now });
+        let first = self.select_next(context).first_blocked.map(|blocked| blocked.id);
         let ahead = self.waiting.keys().take_while(|other| **other < window.id).count() as u32;
-        self.notify(cx, window.id, Decision::Waits { ahead, first }, out);
+        self.notify(context, window.id, Decision::Waits { ahead, first }, outbox);
     }
 
-    /// Changes the end of a window in the next ledger where a later one is requested and may be.
-    fn decide_extension(&mut self, cx: Context<'_>, window: Window, out: &mut Outbox) {
-        match self.extended_end(cx, &window) {
-            Err(refused) => return self.notify(cx, window.id, Decision::Refused(refused), out),
+    /// Moves the end of a granted window in the next ledger if a later end is requested and permitted, and
+    /// notifies the window's relay.
+    fn decide_extension(&mut self, context: Context<'_>, window: Window, outbox: &mut Outbox) {
+        match self.extended_end(context, &window) {
+            Err(reason) => return self.notify(context, window.id, Decision::Refused(reason), outbox),
             Ok(None) => {}
             Ok(Some(end)) => self.set_end(window.id, end),
         }
-        self.notify_grant(cx, window.id, out);
+        self.notify_grant(context, window.id, outbox);
     }
 
     fn set_end(&mut self, id: WindowId, end: WholeMillis) {
@@ -73,62 +80,68 @@
         }
     }
 
-    /// The later end that a granted window may have; `None` where none is requested.
-    fn extended_end(&self, cx: Context<'_>, window: &Window) -> Result<Option<WholeMillis>, RefusalReason> {
+    /// Returns the requested end of a granted window if it is later than the current end, or the reason why
+    /// it is refused.
+    fn extended_end(
+        &self,
+        context: Context<'_>,
+        window: &Window,
+    ) -> Result<Option<WholeMillis>, RefusalReason> {
         let entry = self.next_entries().iter().find(|entry| entry.id == window.id);
         let Some(entry) = entry else { return Ok(None) };
         let Some(end) = window.requested_end.filter(|end| *end > entry.end) else { return Ok(None) };
-        if end.saturating_sub(cx.now) > cx.plan.floors.max_window_duration {
+        if end.saturating_sub(context.now) > context.plan.floors.max_window_duration {
             return Err(RefusalReason::TooLong);
         }
-        match self.select_next(cx).first_blocked {
-            // A waiting window is not pushed back by a longer one.
-            Some(blocked) if end + cx.timing.clock_skew_bound > blocked.fits_at => {
+        match self.select_next(context).first_blocked {
+            // An extension may not delay the first blocked window.
+            Some(blocked) if end + context.timing.clock_skew_bound > blocked.fits_at => {
                 Err(RefusalReason::BlocksWaiting(blocked.id))
             }
             _ => Ok(Some(end)),
         }
     }
 
-    fn select_next(&self, cx: Context<'_>) -> Selection {
+    fn select_next(&self, context: Context<'_>) -> Selection {
         let waiting = self.waiting.values().map(|waiting| waiting.window);
-        select(cx.now, cx.timing, cx.plan, self.next_entries(), waiting)
+        select(context.now, context.timing, context.plan, self.next_entries(), waiting)
     }
 
-    /// The ledger that this relay is going to write next as leader.
+    /// Returns the entries that this relay writes next as leader; none if it is not the leader.
     fn next_entries(&self) -> &[GrantedWindow] {
         if let Role::Leader(leader) = &self.role { &leader.next } else { &[] }
     }
 
-    /// Notifies the relay of a window that is granted by a committed ledger until when its lease lasts.
-    pub(super) fn notify_grant(&mut self, cx: Context<'_>, id: WindowId, out: &mut Outbox) {
+    /// Notifies a window's relay of the expiry of its lease, if a committed ledger grants the window.
+    pub(super) fn notify_grant(&mut self, context: Context<'_>, id: WindowId, outbox: &mut Outbox) {
         let Role::Leader(leader) = &self.role else { return };
-        // Nothing is granted by a write that a majority has not acknowledged.
+        // A write that a majority has not acknowledged grants nothing.
         let (Some(committed_at), None) = (leader.committed_at, &leader.pending) else { return };
         let Some(entry) = leader.written.iter().find(|entry| entry.id == id) else { return };
-        // The relay's clock may be behind by the clock skew bound: the lease ends earlier by as much.
-        let lease = cx.timing.lease.saturating_sub(cx.timing.clock_skew_bound);
+        // The relay's clock may be behind by the clock skew bound, so its lease ends earlier by this bound.
+        let lease = context.timing.lease.saturating_sub(context.timing.clock_skew_bound);
         let end = entry.end;
         let until = (committed_at + lease).min(end);
-        self.notify(cx, id, Decision::Granted { until, end }, out);
+        self.notify(context, id, Decision::Granted { until, end }, outbox);
     }
 
-    /// Sends a decision to the relay of a window, or applies it where that is this one.
-    fn notify(&mut self, cx: Context<'_>, id: WindowId, decision: Decision, out: &mut Outbox) {
+    /// Sends a decision to the relay of a window, or applies the decision directly if that is this relay.
+    fn notify(&mut self, context: Context<'_>, id: WindowId, decision: Decision, outbox: &mut Outbox) {
         if id.relay == self.local_index {
-            self.handle_decision(cx, id, decision);
+            self.handle_decision(context, id, decision);
         } else {
-            out.push(OutgoingMessage { to: id.relay, message: Message::Decision { id, decision } });
+            outbox.push(OutgoingMessage { to: id.relay, message: Message::Decision { id, decision } });
         }
     }
 }
 
-/// Why a window that is not granted yet cannot even wait.
-fn refusal(cx: Context<'_>, window: &Window, is_full: bool) -> Option<RefusalReason> {
-    let duration = window.requested_end.map_or(window.duration, |end| end.saturating_sub(cx.now));
-    // An old list does not show what exists, so that nothing is refused for good by it.
-    let is_fresh = cx.plan.is_fresh(cx.now, cx.timing);
-    let permanent =
-        is_fresh.then(|| cx.plan.permanent_refusal(window.scope, duration, window.overrides_floor)).flatten();
+/// Returns why a window that is not granted yet may not wait either, if there is a reason.
+fn refusal(context: Context<'_>, window: &Window, is_full: bool) -> Option<RefusalReason> {
+    let duration = window.requested_end.map_or(window.duration, |end| end.saturating_sub(context.now));
+    // An outdated endpoint list may lack what exists by now, so it is not used for permanent refusals.
+    let is_fresh = context.plan.is_fresh(context.now, context.timing);
+    let permanent = is_fresh
+        .then(|| context.plan.permanent_refusal(window.scope, duration, window.overrides_floor))
+        .flatten();
     permanent.or(is_full.then_some(RefusalReason::TooManyWaiting))
 }
--- a/crates/maintenance/src/replicated_ledger/messages.rs
+++ b/crates/maintenance/src/replicated_ledger/messages.rs
@@ -1,5 +1,4 @@
-//! What relays send each other about maintenance windows: typed messages, without their encoding
-//! (see [`codec`](crate::codec)).
+//! The messages that relays exchange about maintenance windows. [`codec`](crate::codec) has their encoding.
 
 use crate::{GrantedWindow, RefusalReason, WholeMillis, Window, WindowId};
 
@@ -7,29 +6,30 @@
 /// term supersedes an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Term {
-    /// When the election started, by the candidate's clock, and later than any round that the candidate knew.
+    /// The start of the election by the candidate's clock, or a later value where a term that the candidate
+    /// had promised has the same or a later round.
     pub round: u64,
-    /// The candidate.
+    /// The candidate's number.
     pub relay: u32,
     /// The candidate's incarnation.
     pub incarnation: u64,
 }
 
-/// The ledger that a voter has accepted last.
+/// The ledger that a voter accepted last.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AcceptedLedger {
-    /// The term in which it was written; `None` before the first write.
+    /// The term in which the ledger was written; `None` before the first write.
     pub term: Option<Term>,
-    /// Its sequence number within the term.
+    /// The ledger's sequence number within the term.
     pub seq: u64,
-    /// The windows granted by it.
+    /// The windows in the ledger.
     pub entries: Vec<GrantedWindow>,
 }
 
-/// What the leader has decided about a window.
+/// The leader's decision about a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Decision {
-    /// Granted under a lease, which is renewed until the window's end.
+    /// The window is granted under a lease, which is renewed until the window ends.
     Granted {
         /// When the lease expires unless it is renewed.
         until: WholeMillis,
@@ -38,20 +38,20 @@
     },
     /// The window has to wait.
     Waits {
-        /// How many known waiting windows have earlier ids. It is not the place in the queue: windows that
-        /// override the floor come first.
+        /// How many waiting windows that the leader knows of have earlier ids. This is not the position in
+        /// the queue, since windows that override the floor come first.
         ahead: u32,
         /// The first window in the queue that waits for granted windows to end.
         first: Option<WindowId>,
     },
-    /// Not granted, or not extended.
+    /// The window is not granted, or not extended.
     Refused(RefusalReason),
 }
 
-/// What relays send each other.
+/// A message between relays.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// A candidate asks for a vote.
+    /// A candidate requests a vote.
     RequestVote {
         /// The term that starts if the candidate is elected.
         term: Term,
@@ -62,7 +62,7 @@
         term: Term,
         /// The voter's incarnation.
         incarnation: u64,
-        /// The ledger that the voter has accepted last.
+        /// The ledger that the voter accepted last.
         accepted: AcceptedLedger,
     },
     /// The leader replicates its ledger.
@@ -71,7 +71,7 @@
         term: Term,
         /// The ledger's sequence number within the term.
         seq: u64,
-        /// All windows granted.
+        /// All granted windows.
         entries: Vec<GrantedWindow>,
     },
     /// A voter has accepted a write.
@@ -83,11 +83,11 @@
         /// The voter's incarnation.
         incarnation: u64,
     },
-    /// A window is requested, is still wanted, or is to last longer.
+    /// A window is requested for the first time or again, or is to be extended.
     RequestWindow(Window),
-    /// A window is over, or not wanted any more.
+    /// A window is over, or is no longer wanted.
     CloseWindow(WindowId),
-    /// The leader's decision, for the relay at which the window was requested.
+    /// The leader's decision, sent to the relay at which the window was requested.
     Decision {
         /// The window.
         id: WindowId,
@@ -96,12 +96,12 @@
     },
 }
 
-/// A message and its receiver.
+/// A message and its recipient.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OutgoingMessage {
-    /// The relay that it is for.
+    /// The number of the relay that receives the message.
     pub to: u32,
-    /// What is sent.
+    /// The message.
     pub message: Message,
 }
 
--- a/crates/maintenance/src/replicated_ledger/state.rs
+++ b/crates/maintenance/src/replicated_ledger/state.rs
@@ -1,71 +1,71 @@
-//! The protocol's state: the role of a relay and what it has to remember in that role. No transitions.
+//! The data types of the protocol state. The transitions are in the other modules of the protocol.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{AcceptedLedger, Term};
 use crate::{GrantedWindow, RefusalReason, WholeMillis, Window, WindowId};
 
-/// The part that a relay has in the current term, with the state that belongs to it.
+/// The role of a relay, with the state of that role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Role {
-    /// Neither candidate nor leader. Relays that are no voters stay in it.
+    /// Neither candidate nor leader. Relays that are not voters always have this role.
     Follower,
-    /// Waits for votes.
+    /// The relay has started an election and waits for votes.
     Candidate(CandidateState),
-    /// Writes the ledger.
+    /// The relay has won an election and writes the ledger.
     Leader(LeaderState),
 }
 
-/// What a voter has answered to a candidate.
+/// A vote, as the candidate receives it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Vote {
     /// The voter's incarnation.
     pub incarnation: u64,
-    /// The ledger that the voter has accepted last.
+    /// The ledger that the voter accepted last.
     pub accepted: AcceptedLedger,
 }
 
-/// An election under way.
+/// The state of a candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CandidateState {
     pub term: Term,
-    /// Votes by voter, the candidate's own included.
+    /// The votes by voter, including the candidate's own vote.
     pub votes: BTreeMap<u32, Vote>,
     pub started_at: WholeMillis,
     /// When votes were requested last.
     pub requested_at: WholeMillis,
 }
 
-/// A write that a majority has not acknowledged yet.
+/// A write of the ledger that a majority has not acknowledged yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingWrite {
-    /// When it was sent first: leases granted by it run from then.
+    /// When the write was first sent. The leases that it grants start at this time.
     pub written_at: WholeMillis,
-    /// When it was sent last.
+    /// When the write was last sent.
     pub sent_at: WholeMillis,
-    /// Voters that have acknowledged it.
+    /// The voters that have acknowledged the write.
     pub acknowledged_by: BTreeSet<u32>,
 }
 
-/// A leadership.
+/// The state of a leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LeaderState {
     pub term: Term,
-    /// The voters that elected this leader, with their incarnations. No other acknowledgement counts.
+    /// The voters that elected this leader, with their incarnations. Only their acknowledgements count.
     pub electors: BTreeMap<u32, u64>,
     pub elected_at: WholeMillis,
     /// The sequence number of the last write.
     pub seq: u64,
-    /// The ledger as written last.
+    /// The ledger that was written last.
     pub written: Vec<GrantedWindow>,
-    /// The ledger as it is to be written next.
+    /// The ledger that is to be written next.
     pub next: Vec<GrantedWindow>,
     pub pending: Option<PendingWrite>,
     /// When the last committed ledger was written.
     pub committed_at: Option<WholeMillis>,
 }
 
-/// A requested window that is not granted, as a voter knows it.
+/// A requested window that is not granted yet, as a voter knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct WaitingWindow {
     pub window: Window,
@@ -73,10 +73,10 @@
     pub requested_at: WholeMillis,
 }
 
-/// The closing of a window that the voters are still to be notified of.
+/// A notice to the voters that a window is over, which is still to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CloseNotice {
-    /// How many more times it is sent.
+    /// How many more times the notice is sent.
     pub remaining_sends: u32,
     pub next_send_at: WholeMillis,
 }
@@ -84,32 +84,32 @@
 /// The status of a window, at the relay where it was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WindowStatus {
-    /// Requested; no leader has answered yet.
+    /// The window was requested; no leader has answered yet.
     Requested,
-    /// It waits.
+    /// The window waits.
     Waits {
-        /// How many windows have waited longer.
+        /// How many waiting windows that the leader knows of have earlier ids.
         ahead: u32,
         /// The first window in the queue that waits for granted windows to end.
         first: Option<WindowId>,
     },
-    /// It is granted.
+    /// The window is granted.
     Granted {
         /// When the lease expires unless it is renewed.
         until: WholeMillis,
         /// When the window ends.
         end: WholeMillis,
     },
-    /// Its lease has expired without a renewal: its drain has to end. It is requested again.
+    /// The window's lease has expired without a renewal: the drain has to end. The window is requested again.
     Lapsed {
         /// When the window would have ended.
         end: WholeMillis,
     },
-    /// It was refused.
+    /// The window was refused.
     Refused(RefusalReason),
-    /// It has come to its end.
+    /// The window has reached its end.
     Ended,
-    /// It was done or cancelled.
+    /// The window was cancelled, or its work is done.
     Closed,
 }
 
@@ -125,18 +125,18 @@
 pub struct LocalWindow {
     /// The window, with the end that was requested last.
     pub window: Window,
-    /// Its status.
+    /// The window's status.
     pub status: WindowStatus,
-    /// Why the last extension was refused.
-    pub extension_refused: Option<RefusalReason>,
-    /// When to send the request next.
+    /// Why the last extension was refused, if it was.
+    pub extension_refusal: Option<RefusalReason>,
+    /// When the request is sent next.
     pub(super) next_request_at: WholeMillis,
-    /// When the status was entered.
+    /// When the status last changed.
     pub(super) status_since: WholeMillis,
 }
 
 impl LocalWindow {
-    /// Whether the request has to be sent: the window is not granted, or it is to be extended.
+    /// Whether the request has to be sent: the window is open and not granted, or is to be extended.
     pub(super) fn needs_request(&self) -> bool {
         match self.status {
             WindowStatus::Requested | WindowStatus::Waits { .. } | WindowStatus::Lapsed { .. } => true,
@@ -157,7 +157,7 @@
     }
 }
 
-/// A ledger that a leader has sent, as a voter receives it.
+/// A write of the ledger, as a voter receives it.
 #[derive(Clone, Debug)]
 pub(super) struct LedgerWrite {
     pub term: Term,
--- a/crates/maintenance/src/service/mod.rs
+++ b/crates/maintenance/src/service/mod.rs
@@ -1,9 +1,8 @@
-//! Maintenance windows at one relay: the grant protocol, the list of endpoints and the liveness of
-//! the other relays, joined.
+//! Combines the grant protocol, the endpoint list and the liveness of the other relays into the
+//! maintenance service of one relay.
 //!
-//! [`MaintenanceService`] takes changes of the list, operators' calls, datagrams and the time in
-//! milliseconds; it produces messages to be sent, replies to calls and events for the log. It does
-//! no I/O.
+//! [`MaintenanceService`] takes changes of the endpoint list, operators' calls, datagrams and the time in
+//! milliseconds. It produces messages to be sent, replies to calls and events for the log. It does no I/O.
 
 mod monitor;
 mod rows;
@@ -20,28 +19,28 @@
 
 use monitor::EndedWindow;
 
-/// The number of voters by default in a tier that has more relays. Traffic between voters does not
-/// grow with the tier.
+/// The default number of voters in a cluster that has more relays than this. It is fixed so that the traffic
+/// between voters does not grow with the cluster.
 const DEFAULT_VOTERS: u32 = 7;
 
-/// What a relay's service is configured with.
+/// The configuration of a relay's maintenance service.
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
     /// This relay's number.
     pub local_index: u32,
-    /// The number of relays in the tier.
+    /// The number of relays in the cluster.
     pub relay_count: u32,
-    /// What must remain.
+    /// The configured floors and limits.
     pub floors: CapacityFloors,
     /// The protocol's timeouts.
     pub timing: Timing,
-    /// The relays that vote.
+    /// The numbers of the relays that vote.
     pub voters: Vec<u32>,
     /// The operators who may override the floor.
     pub may_override: Vec<String>,
 }
 
-/// Maintenance windows at one relay.
+/// The maintenance service of one relay.
 #[derive(Debug)]
 pub struct MaintenanceService {
     ledger: ReplicatedLedger,
@@ -53,18 +52,18 @@
     liveness: Liveness,
     outbox: Outbox,
     events: VecDeque<Event>,
-    /// The status of each local window that was reported last.
+    /// The last reported status of each local window.
     reported_status: BTreeMap<WindowId, WindowStatus>,
-    /// Windows that have ended, until it is checked whether their drains have.
-    ended: BTreeMap<WindowId, EndedWindow>,
-    /// The unplanned drains that were reported last.
-    reported_unplanned: BTreeMap<Tag, u64>,
+    /// Windows that have ended and whose drains are still to be checked.
+    ended_windows: BTreeMap<WindowId, EndedWindow>,
+    /// The last reported unplanned drains: capacity by zone.
+    reported_unplanned_drains: BTreeMap<Tag, u64>,
     reported_below_floor: bool,
-    reported_leader: bool,
+    reported_as_leader: bool,
 }
 
 impl MaintenanceService {
-    /// The voters where none are configured: all relays of a small tier, else seven spread evenly.
+    /// Returns the default voters: all relays of a small cluster, otherwise seven that are spread evenly.
     ///
     /// ```
     /// use sandgw_maintenance::MaintenanceService;
@@ -73,11 +72,11 @@
     /// ```
     pub fn default_voters(relay_count: u32) -> Vec<u32> {
         let voter_count = relay_count.min(DEFAULT_VOTERS);
-        let nth = |n: u32| (u64::from(n) * u64::from(relay_count) / u64::from(voter_count)) as u32;
-        (0..voter_count).map(nth).collect()
+        let nth_voter = |n: u32| (u64::from(n) * u64::from(relay_count) / u64::from(voter_count)) as u32;
+        (0..voter_count).map(nth_voter).collect()
     }
 
-    /// The service of a relay that starts now.
+    /// Returns the service of a relay that starts now.
     pub fn new(config: ServiceConfig, now: WholeMillis) -> MaintenanceService {
         MaintenanceService {
             ledger: ReplicatedLedger::new(config.local_index, now),
@@ -90,69 +89,69 @@
             outbox: Vec::new(),
             events: VecDeque::new(),
             reported_status: BTreeMap::new(),
-            ended: BTreeMap::new(),
-            reported_unplanned: BTreeMap::new(),
+            ended_windows: BTreeMap::new(),
+            reported_unplanned_drains: BTreeMap::new(),
             reported_below_floor: false,
-            reported_leader: false,
+            reported_as_leader: false,
         }
     }
 
-    /// The list of endpoints as this relay has it, to be changed.
+    /// Returns the capacity plan, for changes to the endpoint list.
     pub fn plan_mut(&mut self) -> &mut CapacityPlan {
         &mut self.plan
     }
 
-    /// Which relays are alive.
+    /// Returns which relays are alive.
     pub fn liveness(&self) -> &Liveness {
         &self.liveness
     }
 
-    /// The protocol's state.
+    /// Returns the protocol state of this relay.
     pub fn ledger(&self) -> &ReplicatedLedger {
         &self.ledger
     }
 
-    /// The messages to be sent since the last call.
+    /// Returns and removes the messages to be sent.
     pub fn take_outbox(&mut self) -> Outbox {
         std::mem::take(&mut self.outbox)
     }
 
-    /// The events since the last call.
+    /// Returns and removes the events since the last call of this function.
     pub fn take_events(&mut self) -> Vec<Event> {
         self.events.drain(..).collect()
     }
 
-    /// Runs a transition of the protocol, and reports what it has changed.
+    /// Runs a transition of the protocol, and reports the changes that it has made.
     fn step<T>(
         &mut self,
         now: WholeMillis,
         transition: impl FnOnce(&mut ReplicatedLedger, Context<'_>, &mut Outbox) -> T,
     ) -> T {
-        let cx = Context { now, timing: &self.timing, plan: &self.plan, voters: &self.voters };
-        let result = transition(&mut self.ledger, cx, &mut self.outbox);
+        let context = Context { now, timing: &self.timing, plan: &self.plan, voters: &self.voters };
+        let result = transition(&mut self.ledger, context, &mut self.outbox);
         self.report_changes(now);
         result
     }
 
-    /// Lets time pass.
+    /// Handles the passage of time in the protocol, and compares the endpoint list with the granted windows.
     pub fn tick(&mut self, now: WholeMillis) {
         self.step(now, |ledger, cx, out| ledger.tick(cx, out));
         self.check_drains(now);
     }
 
-    /// Handles a datagram of another relay. One that is malformed is ignored.
+    /// Handles a datagram of another relay. Malformed datagrams are ignored.
     pub fn handle_datagram(&mut self, now: WholeMillis, from: u32, text: &str) {
         let Some(message) = codec::decode(text) else { return };
         self.liveness.record_contact(from, sender_incarnation(from, &message), now);
         self.step(now, |ledger, cx, out| ledger.handle_message(cx, from, message, out));
     }
 
-    /// Carries out a call. Returns the window that it is about, whose status is in
-    /// [`MaintenanceService::window_row`]; `None` for a call about all windows.
+    /// Carries out a call. Returns the id of the window that the call is about, whose status
+    /// [`MaintenanceService::window_row`] returns, or `None` for a call about all windows.
     ///
     /// # Errors
     ///
-    /// The reason why the call was not carried out.
+    /// Returns the reason why the call was not carried out.
     pub fn handle_call(&mut self, now: WholeMillis, call: Call) -> Result<Option<WindowId>, RefusalReason> {
         match call {
             Call::List => Ok(None),
@@ -183,7 +182,7 @@
             NamedScope::Relay(relay) => Scope::Relay(relay),
         };
         let overrides_floor = override_by.is_some();
-        // What is refused by the local list in any case is refused at once; the leader decides the rest.
+        // A request that the local endpoint list rules out is refused at once. The leader decides all others.
         if let Some(reason) = self.plan.permanent_refusal(scope, duration, overrides_floor) {
             return Err(reason);
         }
@@ -194,19 +193,20 @@
         Ok(id)
     }
 
-    /// The id of a window that is requested now: of the time, or of the first unused millisecond after it.
+    /// Returns the id of a window that is requested now. Its time is now, or the first millisecond after the
+    /// newest local window if that is later.
     fn next_window_id(&self, now: WholeMillis) -> WindowId {
         let newest = self.ledger.local_windows().keys().next_back();
         let first_unused = newest.map_or(0, |id| id.requested_at + 1);
         WindowId { requested_at: now.max(first_unused), relay: self.local_index }
     }
 
-    /// Whether the leader has not decided a request or an extension yet: the window waits or
-    /// nothing was answered.
+    /// Whether the leader has not decided a request or an extension yet: the window waits, or the leader
+    /// has not answered.
     pub fn is_undecided(&self, id: WindowId) -> bool {
         self.ledger.local_windows().get(&id).is_some_and(|local| match local.status {
             WindowStatus::Requested | WindowStatus::Waits { .. } => true,
-            WindowStatus::Granted { .. } => local.extension_refused.is_none() && local.awaits_extension(),
+            WindowStatus::Granted { .. } => local.extension_refusal.is_none() && local.awaits_extension(),
             WindowStatus::Lapsed { .. }
             | WindowStatus::Refused(_)
             | WindowStatus::Ended
@@ -215,7 +215,7 @@
     }
 }
 
-/// The sender's incarnation, where a message names it.
+/// Returns the sender's incarnation, if the message contains it.
 fn sender_incarnation(from: u32, message: &Message) -> Option<u64> {
     match message {
         Message::Vote { incarnation, .. } | Message::WriteAck { incarnation, .. } => Some(*incarnation),
--- a/crates/maintenance/src/service/monitor.rs
+++ b/crates/maintenance/src/service/monitor.rs
@@ -1,5 +1,5 @@
-//! Reports what has changed since the last report: the status of windows, leadership, and drains
-//! that the list shows beside what is granted.
+//! Reports changes since the last report: the status of windows, leadership, drains that the endpoint list
+//! shows without a granted window, and capacity below a floor.
 
 use std::mem::discriminant;
 
@@ -7,18 +7,18 @@
 use crate::replicated_ledger::WindowStatus;
 use crate::{Event, Scope, WholeMillis, WindowId};
 
-/// The maximum number of events that wait to be taken; later ones are dropped.
+/// The maximum number of pending events. Further events are dropped.
 const MAX_PENDING_EVENTS: usize = 256;
 
-/// A window that has ended, whose drain has to end as well.
+/// A window that has ended, and whose drain must end as well.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndedWindow {
     scope: Scope,
-    /// When it is checked whether the drain has ended.
+    /// When to check whether the drain has ended.
     check_at: WholeMillis,
 }
 
-/// A local window whose status has changed since it was reported.
+/// A local window whose status has changed since the last report.
 struct ChangedWindow {
     id: WindowId,
     status: WindowStatus,
@@ -26,7 +26,8 @@
 }
 
 impl MaintenanceService {
-    /// What operators should look at now: unplanned drains, and a capacity below the floor.
+    /// Returns the alarms that need an operator's attention now: unplanned drains, and capacity below a
+    /// floor.
     pub fn alarms(&self, now: WholeMillis) -> Vec<String> {
         let granted = self.ledger.granted();
         let mut alarms = Vec::new();
@@ -47,12 +48,12 @@
         }
     }
 
-    /// Reports windows whose status has changed, and a change of leadership.
+    /// Reports changes in the status of local windows, and in leadership.
     pub(super) fn report_changes(&mut self, now: WholeMillis) {
         for ChangedWindow { id, status, scope } in self.changed_windows() {
             if status == WindowStatus::Ended {
                 let check_at = now + self.timing.clock_skew_bound + self.timing.retry_interval;
-                self.ended.insert(id, EndedWindow { scope, check_at });
+                self.ended_windows.insert(id, EndedWindow { scope, check_at });
             }
             self.reported_status.insert(id, status);
             self.push_event(Event::StatusChanged { id, status });
@@ -62,7 +63,8 @@
         self.report_leadership();
     }
 
-    /// Local windows whose status is of another kind than was reported. A renewed lease is not reported.
+    /// Returns the local windows whose status is of another kind than last reported. Renewed leases are not
+    /// reported.
     fn changed_windows(&self) -> Vec<ChangedWindow> {
         let mut changed = Vec::new();
         for (id, local) in self.ledger.local_windows() {
@@ -77,26 +79,26 @@
 
     fn report_leadership(&mut self) {
         let is_leader = self.ledger.is_leader();
-        if is_leader != self.reported_leader {
-            self.reported_leader = is_leader;
+        if is_leader != self.reported_as_leader {
+            self.reported_as_leader = is_leader;
             self.push_event(if is_leader { Event::BecameLeader } else { Event::LostLeadership });
         }
     }
 
-    /// Compares the list with what is granted. Only the leader reports on the whole tier, so that
-    /// each finding is logged once.
+    /// Compares the endpoint list with the granted windows. Only the leader reports findings about the whole
+    /// cluster, so that each finding is logged once.
     pub(super) fn check_drains(&mut self, now: WholeMillis) {
         self.report_drains_past_end(now);
-        if self.reported_leader {
+        if self.reported_as_leader {
             self.report_unplanned_drains();
             self.report_below_floor(now);
         }
     }
 
     fn report_drains_past_end(&mut self, now: WholeMillis) {
-        for (id, ended) in std::mem::take(&mut self.ended) {
+        for (id, ended) in std::mem::take(&mut self.ended_windows) {
             if ended.check_at > now {
-                self.ended.insert(id, ended);
+                self.ended_windows.insert(id, ended);
             } else if self.plan.is_draining(ended.scope) {
                 self.push_event(Event::DrainsPastEnd(id));
             }
@@ -106,14 +108,14 @@
     fn report_unplanned_drains(&mut self) {
         let unplanned = self.plan.unplanned_drains(self.ledger.granted());
         for (zone, capacity) in &unplanned {
-            if self.reported_unplanned.get(zone) != Some(capacity) {
+            if self.reported_unplanned_drains.get(zone) != Some(capacity) {
                 self.push_event(Event::UnplannedDrain {
                     zone: self.plan.name_of(*zone),
                     capacity: *capacity,
                 });
             }
         }
-        self.reported_unplanned = unplanned;
+        self.reported_unplanned_drains = unplanned;
     }
 
     fn report_below_floor(&mut self, now: WholeMillis) {
--- a/crates/maintenance/src/service/rows.rs
+++ b/crates/maintenance/src/service/rows.rs
@@ -1,4 +1,4 @@
-//! Windows as they are listed in replies to operators.
+//! Formats windows for replies to operators.
 
 use super::MaintenanceService;
 use crate::event::whole_seconds;
@@ -6,24 +6,25 @@
 use crate::replicated_ledger::{LocalWindow, WindowStatus};
 use crate::{GrantedWindow, WholeMillis, WindowId};
 
-/// One window as it is listed.
+/// A window in a reply to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WindowRow {
-    /// Its id.
+    /// The window's id.
     pub id: WindowId,
-    /// What it drains, in words.
+    /// What the window drains, as text.
     pub scope: String,
-    /// Its status, in words.
+    /// The window's status, as text.
     pub status: String,
 }
 
 impl MaintenanceService {
-    /// A window that was requested here.
+    /// Returns the row of a window that was requested at this relay.
     pub fn window_row(&self, id: WindowId, now: WholeMillis) -> Option<WindowRow> {
         self.ledger.local_windows().get(&id).map(|local| self.local_row(local, now))
     }
 
-    /// All windows that this relay knows: those requested here first, then the others that are granted.
+    /// Returns the rows of all windows that this relay knows of: first those requested at this relay, then
+    /// the other granted windows.
     pub fn window_rows(&self, now: WholeMillis) -> Vec<WindowRow> {
         let local_windows = self.ledger.local_windows();
         let local = local_windows.values().map(|local| self.local_row(local, now));
@@ -32,7 +33,8 @@
         local.chain(others.map(|entry| self.granted_row(entry, now))).collect()
     }
 
-    /// What remains if everything is drained that is granted as far as this relay knows, in words.
+    /// Describes the capacity that remains if all windows that this relay knows to be granted are drained,
+    /// and the total floor.
     pub fn describe_remaining(&self, now: WholeMillis) -> String {
         let remaining = self.plan.remaining_capacity(now, self.ledger.granted());
         let floor = self.plan.floors.total;
@@ -68,8 +70,8 @@
             format!("waits behind {ahead}, for windows to end or streamers to be back")
         }
         WindowStatus::Granted { until, end } => {
-            let refused = local.extension_refused;
-            let extension = refused.map(|reason| format!(", not extended: {reason}")).unwrap_or_default();
+            let refusal = local.extension_refusal;
+            let extension = refusal.map(|reason| format!(", not extended: {reason}")).unwrap_or_default();
             format!(
                 "granted until {} ends {} ({} s){extension}",
                 whole_seconds(until),
@@ -84,7 +86,7 @@
     }
 }
 
-/// Whole seconds until a time; 0 where it has passed.
+/// Returns the whole seconds until a time, or 0 if the time has passed.
 fn seconds_until(time: WholeMillis, now: WholeMillis) -> WholeMillis {
     whole_seconds(time.saturating_sub(now))
 }
--- a/crates/maintenance/src/timing.rs
+++ b/crates/maintenance/src/timing.rs
@@ -2,38 +2,40 @@
 
 use crate::WholeMillis;
 
-/// The minimum age at which a list of endpoints is too old to grant by.
+/// The lower bound of [`Timing::list_max_age`].
 const MIN_LIST_MAX_AGE_MS: WholeMillis = 15_000;
 
 /// The timeouts of the grant protocol in milliseconds, the same at every relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
-    /// How long a window is granted at a time; it is renewed until its end.
+    /// How long a window is granted at a time. The lease is renewed until the window ends.
     pub lease: WholeMillis,
     /// The maximum difference between two relays' clocks.
     pub clock_skew_bound: WholeMillis,
-    /// How long a voter abstains after a restart. Anything below a lease is unsafe.
+    /// How long a voter abstains after a restart. Anything shorter than a lease is unsafe.
     pub abstention: WholeMillis,
-    /// Without contact with a leader for so long, the first voter starts an election.
+    /// After this long without contact with a leader, the first voter starts an election.
     pub election_timeout: WholeMillis,
-    /// What each further voter waits beyond that, so that elections seldom compete.
+    /// How much longer each further voter waits than the one before it, so that elections seldom compete.
     pub election_stagger: WholeMillis,
-    /// The ledger is written again after this long, so that its leases do not expire.
+    /// The leader writes the ledger again after this long, so that its leases do not expire.
     pub lease_renewal: WholeMillis,
-    /// How long a candidate with a majority still waits for the other votes.
+    /// How long after the start of an election a candidate with a majority still waits for the other votes.
     pub vote_grace: WholeMillis,
-    /// Requests, vote requests and writes that are not answered are sent again after this long.
+    /// Window requests, vote requests and writes that are not answered are sent again after this long.
     pub retry_interval: WholeMillis,
-    /// A candidate without a majority gives up after this long; a leader after twice as long.
+    /// A candidate without a majority gives up after this long, a leader without a commit after twice as
+    /// long.
     pub quorum_timeout: WholeMillis,
-    /// A new leader grants nothing for so long, until those who wait have repeated their requests.
+    /// A new leader grants nothing for this long, so that relays with waiting windows can repeat their
+    /// requests.
     pub grant_holdoff: WholeMillis,
-    /// The list of endpoints is too old to grant by after this long.
+    /// Nothing is granted if the endpoint list was last confirmed longer ago than this.
     pub list_max_age: WholeMillis,
 }
 
 impl Timing {
-    /// The default timeouts for a lease and a bound on clock skew, both in milliseconds.
+    /// Returns the default timeouts for a lease and a bound on clock skew, both in milliseconds.
     ///
     /// ```
     /// let timing = sandgw_maintenance::Timing::for_lease(30_000, 1_000);
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -1,4 +1,4 @@
-//! What a maintenance window is, and how it is identified.
+//! Maintenance windows, their ids and their scopes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,22 +8,22 @@
 
 use crate::{ParseWindowIdError, WholeMillis};
 
-/// A short tag of a zone or an endpoint: the lower four bytes of a hash of its name. Names with the
-/// same tag are not told apart.
+/// Identifies a zone or an endpoint in datagrams: the lower four bytes of a hash of its name. Names with the
+/// same tag cannot be distinguished.
 pub type Tag = u32;
 
-/// The tag of a name.
+/// Returns the tag of a name.
 pub fn tag(name: &str) -> Tag {
     xxh3_64(name.as_bytes()) as Tag
 }
 
-/// Identifies a window: the relay at which it was requested and when, in milliseconds of that
-/// relay's clock. A relay never gives the same id twice, in whatever incarnation.
+/// Identifies a window: the relay at which the window was requested and the time of the request, in
+/// milliseconds of that relay's clock. A relay never assigns the same id twice, not even after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WindowId {
-    /// When it was requested: the earliest is first in the queue.
+    /// When the window was requested. The queue is ordered by this time.
     pub requested_at: WholeMillis,
-    /// The relay's number.
+    /// The number of the relay at which the window was requested.
     pub relay: u32,
 }
 
@@ -36,11 +36,11 @@
 impl FromStr for WindowId {
     type Err = ParseWindowIdError;
 
-    /// Reads what [`Display`](fmt::Display) writes.
+    /// Parses the text that [`Display`](fmt::Display) writes.
     ///
     /// # Errors
     ///
-    /// A [`ParseWindowIdError`] that says which part is malformed.
+    /// Returns a [`ParseWindowIdError`] that says which part is malformed.
     ///
     /// ```
     /// let id: sandgw_maintenance::WindowId = "3.rs".parse().unwrap();
@@ -58,16 +58,16 @@
 /// How much of a zone is drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CapacityShare {
-    /// The whole capacity.
+    /// The whole capacity of the zone.
     All,
-    /// So many thousandths of the list's unit of capacity.
+    /// A part of the capacity, in thousandths of the endpoint list's unit.
     Part(u32),
 }
 
-/// What is drained.
+/// What a window drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Scope {
-    /// A zone, or a part of its capacity, on whichever endpoints that is.
+    /// A zone, or a part of its capacity. The window does not say which endpoints provide that part.
     Zone(Tag, CapacityShare),
     /// One endpoint.
     Endpoint(Tag),
@@ -76,45 +76,45 @@
 }
 
 impl Scope {
-    /// The relay, where that is what is drained.
+    /// Returns the relay if the scope is a relay.
     pub(crate) fn relay(self) -> Option<u32> {
         if let Scope::Relay(relay) = self { Some(relay) } else { None }
     }
 }
 
-/// A window as it is requested.
+/// A requested window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Window {
-    /// Its id.
+    /// The window's id.
     pub id: WindowId,
     /// What is to be drained.
     pub scope: Scope,
-    /// The earliest start.
+    /// The earliest time at which the window may start.
     pub not_before: WholeMillis,
-    /// How long it lasts once granted.
+    /// How long the window lasts once granted.
     pub duration: WholeMillis,
-    /// The end of a window that was granted before, in place of a duration: of one that is extended
-    /// or has lapsed.
+    /// The requested end of a window that was granted before and is to be extended or has lapsed. It takes
+    /// the place of the duration.
     pub requested_end: Option<WholeMillis>,
-    /// Whether it may be granted though the floor is not met.
+    /// Whether the window may be granted even if the floor is not met.
     pub overrides_floor: bool,
 }
 
-/// A window that is granted: an entry of the ledger.
+/// A granted window: an entry of the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GrantedWindow {
     /// The window's id.
     pub id: WindowId,
-    /// What it drains.
+    /// What the window drains.
     pub scope: Scope,
-    /// When it ends.
+    /// When the window ends.
     pub end: WholeMillis,
-    /// Whether it was granted though the floor is not met.
+    /// Whether the window was granted without regard to the floor.
     pub overrides_floor: bool,
 }
 
 impl GrantedWindow {
-    /// A window as it is granted if that happens now.
+    /// Returns the ledger entry of a window that is granted now.
     pub fn starting_at(now: WholeMillis, window: &Window) -> GrantedWindow {
         GrantedWindow {
             id: window.id,
--- a/crates/maintenance/tests/call.rs
+++ b/crates/maintenance/tests/call.rs
@@ -1,10 +1,10 @@
-//! Operators' calls as they are parsed, and the reasons why they are refused.
+//! Tests how operators' calls are parsed, and the messages of refusals.
 
 use sandgw_maintenance::RefusalReason;
 use sandgw_maintenance::call::{Call, WindowRequest, parse};
 
 #[test]
-fn what_is_of_no_known_form_is_refused_as_such() {
+fn malformed_calls_are_refused() {
     for line in [
         "window",
         "window hall",
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn each_says_what_happened_and_what_to_do() {
+fn every_refusal_reason_has_a_message_and_a_help_text() {
     for reason in RefusalReason::ALL {
         assert!(!reason.to_string().is_empty() && !reason.help().is_empty(), "{reason:?}");
         assert_ne!(reason.to_string(), reason.help());
--- a/crates/maintenance/tests/codec.rs
+++ b/crates/maintenance/tests/codec.rs
@@ -1,5 +1,5 @@
-//! The bytes of datagrams about windows, which relays of other versions read as well, and what is
-//! no datagram.
+//! Tests the exact encoding of maintenance datagrams, which relays of other versions have to read, and that
+//! malformed datagrams are ignored.
 
 use sandgw_maintenance::codec::{MAX_BYTES, decode, encode};
 use sandgw_maintenance::replicated_ledger::{AcceptedLedger, Decision, Message, Term};
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn elections_have_these_bytes() {
+fn election_messages_have_a_stable_encoding() {
     assert_encodes(Message::RequestVote { term: EARLIER_TERM }, "m1 c 7.2.14");
     assert_encodes(
         Message::Vote { term: TERM, incarnation: 40, accepted: AcceptedLedger::default() },
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn writes_have_these_bytes() {
+fn ledger_writes_and_acknowledgements_have_a_stable_encoding() {
     assert_encodes(Message::Write { term: TERM, seq: 0, entries: Vec::new() }, "m1 w mubbs7i8.b.mubb6rwg 0");
     assert_encodes(
         Message::Write { term: TERM, seq: 1, entries: entries() },
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn requests_have_these_bytes() {
+fn window_requests_have_a_stable_encoding() {
     assert_encodes(Message::RequestWindow(WINDOW), "m1 a 3.mubbs7ln sz 0 cuyo - n");
     let extended = Window {
         scope: Scope::Relay(10),
@@ -82,17 +82,17 @@
 }
 
 #[test]
-fn decisions_have_these_bytes() {
-    let decided = |decision| Message::Decision { id: ID, decision };
+fn decisions_have_a_stable_encoding() {
+    let message = |decision| Message::Decision { id: ID, decision };
     let granted = Decision::Granted { until: 1_790_000_002_900, end: 1_790_000_060_000 };
-    assert_encodes(decided(granted), "m1 t 3.mubbs7ln g mubbs9qs mubbthsw");
-    assert_encodes(decided(Decision::Waits { ahead: 36, first: None }), "m1 t 3.mubbs7ln w 10 -");
+    assert_encodes(message(granted), "m1 t 3.mubbs7ln g mubbs9qs mubbthsw");
+    assert_encodes(message(Decision::Waits { ahead: 36, first: None }), "m1 t 3.mubbs7ln w 10 -");
     let waits = Decision::Waits { ahead: 0, first: Some(OTHER_ID) };
-    assert_encodes(decided(waits), "m1 t 3.mubbs7ln w 0 0.10");
+    assert_encodes(message(waits), "m1 t 3.mubbs7ln w 0 0.10");
 }
 
 #[test]
-fn refusals_have_these_bytes() {
+fn refusals_have_a_stable_encoding() {
     let codes = ["r 0", "r 1", "r 2", "r 3", "r 4", "r 5", "r 6", "r 7", "r 8", "r 9", "r a", "n 0.0"];
     assert_eq!(codes.len(), RefusalReason::ALL.len());
     for (reason, code) in RefusalReason::ALL.into_iter().zip(codes) {
--- a/crates/maintenance/tests/model.rs
+++ b/crates/maintenance/tests/model.rs
@@ -1,10 +1,10 @@
-//! The grant protocol, checked exhaustively: the transitions that run, with three relays, two zones
+//! Checks the production code of the grant protocol exhaustively, with a model of three relays, two zones
 //! and two windows.
 //!
-//! A datagram once sent stays in flight for good: it may arrive at any time, any number of times
-//! and in any order, or never, which is loss, duplication, delay and reordering at once. One relay,
-//! any one, is killed at any time and restarts with nothing; which of them act when is open as
-//! well, so that one may be stopped for as long as it likes.
+//! A datagram stays in flight forever once it is sent. It may arrive at any time, any number of times
+//! and in any order, or never; this covers loss, duplication, delay and reordering. Any single relay may be
+//! killed at any time, and restarts without state. The relays act in any order, so the model also covers a
+//! relay that is stopped for any length of time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,14 +15,15 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const RELAYS: u32 = 3;
-/// One lease; a tick is one.
+/// The duration of a lease, in steps of the model's clock: [`Action::PassTime`] advances it by one.
 const LEASE: WholeMillis = 2;
 const VOTERS: [u32; 3] = [0, 1, 2];
-/// The first moment of the model: all have been up for longer than a lease.
+/// The start time of the model. All relays have been up for longer than a lease by then.
 const START: WholeMillis = 10;
-/// A timeout that is never reached.
+/// A timeout that never expires in the model.
 const NEVER: WholeMillis = 1000;
-/// How many elections are explored: one by either relay that requests a window, and another by one of them.
+/// The maximum number of elections that are explored: one by each of the two relays that request a window,
+/// and one more by either of them.
 const MAX_ELECTIONS: usize = 3;
 
 /// Two zones of one endpoint each, of which one must remain.
@@ -65,7 +66,7 @@
     }
 }
 
-/// A message in flight.
+/// A message from one relay to another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Datagram {
     from: u32,
@@ -73,10 +74,10 @@
     message: Message,
 }
 
-struct Tier {
+struct TestModel {
     plan: CapacityPlan,
     timing: Timing,
-    until: WholeMillis,
+    time_limit: WholeMillis,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -95,12 +96,12 @@
     Kill(u32),
 }
 
-impl Tier {
-    fn cx(&self, now: WholeMillis) -> Context<'_> {
+impl TestModel {
+    fn context(&self, now: WholeMillis) -> Context<'_> {
         Context { now, timing: &self.timing, plan: &self.plan, voters: &VOTERS }
     }
 
-    /// The window that a relay requests: all of its zone.
+    /// Returns the window that a relay requests, which drains the relay's whole zone.
     fn window(&self, relay: u32) -> Window {
         let zone = ["a", "b"][relay as usize];
         Window {
@@ -120,13 +121,14 @@
         transition: impl FnOnce(&mut ReplicatedLedger, Context<'_>, &mut Outbox),
     ) -> State {
         let mut ledger = (*state.ledgers[relay as usize]).clone();
-        let mut out = Vec::new();
-        transition(&mut ledger, self.cx(state.now), &mut out);
+        let mut outbox = Vec::new();
+        transition(&mut ledger, self.context(state.now), &mut outbox);
         ledger.clear_timestamps();
         let mut next = state.clone();
-        // Requests are known from the start, or never: one that is lost or delayed grants nothing.
-        let out = out.into_iter().filter(|sent| !matches!(sent.message, Message::RequestWindow(_)));
-        let datagrams = out.map(|sent| Datagram { from: relay, to: sent.to, message: sent.message });
+        // Window requests are either known in the initial state or never delivered: a lost or delayed request
+        // grants nothing.
+        let outbox = outbox.into_iter().filter(|sent| !matches!(sent.message, Message::RequestWindow(_)));
+        let datagrams = outbox.map(|sent| Datagram { from: relay, to: sent.to, message: sent.message });
         next.in_flight.extend(datagrams.map(Arc::new));
         if ledger != *state.ledgers[relay as usize] {
             next.ledgers[relay as usize] = Arc::new(ledger);
@@ -135,10 +137,10 @@
         next
     }
 
-    /// The same state for all that follows: without datagrams that can change nothing any more,
-    /// whatever arrives. A vote or an acknowledgement that changes nothing now is of an election or
-    /// a write that is past. What a relay has promised not to accept any more it accepts only in
-    /// another incarnation, and a second kill is not to come.
+    /// Removes datagrams that can no longer change anything, whatever else arrives, so that equivalent states
+    /// become equal. A vote or an acknowledgement that changes nothing now belongs to an earlier election or
+    /// write. A relay accepts messages of terms earlier than its promise only in another incarnation, and no
+    /// relay is killed a second time.
     fn drop_ineffective(&self, state: &mut State) {
         let now = state.now;
         let killed = state.killed;
@@ -149,7 +151,7 @@
             match message {
                 Message::Vote { .. } | Message::WriteAck { .. } if ledger.awaits(message) => {
                     let mut after = (**ledger).clone();
-                    after.handle_message(self.cx(now), *from, message.clone(), &mut Vec::new());
+                    after.handle_message(self.context(now), *from, message.clone(), &mut Vec::new());
                     after.clear_timestamps();
                     after != **ledger
                 }
@@ -162,14 +164,15 @@
         });
     }
 
-    /// Whether the relay of a window believes that it may drain, or is going to once a datagram arrives.
+    /// Whether a relay believes that its window may be drained, or will believe so once a datagram in flight
+    /// arrives.
     fn believes_granted(&self, state: &State, relay: u32) -> bool {
         let id = self.window(relay).id;
         let ledger = &state.ledgers[relay as usize];
         let is_open = ledger.local_windows().get(&id).is_some_and(|local| !local.status.is_over());
         let grants = |message: &Message| match message {
-            Message::Decision { id: of, decision: Decision::Granted { until, .. } } => {
-                *of == id && state.now < *until
+            Message::Decision { id: decided_id, decision: Decision::Granted { until, .. } } => {
+                *decided_id == id && state.now < *until
             }
             _ => false,
         };
@@ -178,36 +181,36 @@
         ledger.may_drain(id, state.now) || is_open && grant_in_flight()
     }
 
-    /// Has a relay request its window.
+    /// Returns the state after a relay has requested its window.
     fn with_request(&self, state: &State, relay: u32) -> State {
         let window = self.window(relay);
         self.step(state, relay, |ledger, cx, out| ledger.request_window(cx, window, out).unwrap())
     }
 
-    /// Delivers the request of one relay to another.
-    fn with_known_request(&self, state: &State, at: u32, of: u32) -> State {
-        let request = Message::RequestWindow(self.window(of));
-        self.step(state, at, |ledger, cx, out| ledger.handle_message(cx, of, request, out))
+    /// Returns the state after the window request of one relay has been delivered to another.
+    fn with_known_request(&self, state: &State, relay: u32, requester: u32) -> State {
+        let request = Message::RequestWindow(self.window(requester));
+        self.step(state, relay, |ledger, cx, out| ledger.handle_message(cx, requester, request, out))
     }
 }
 
-impl Model for Tier {
+impl Model for TestModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let ledgers = VOTERS.map(|relay| Arc::new(ReplicatedLedger::new(relay, 0))).to_vec();
         let state = State { ledgers, in_flight: BTreeSet::new(), now: START, killed: false };
-        // Either relay knows its own window only; or both know both.
-        let apart = self.with_request(&self.with_request(&state, 0), 1);
-        let together = self.with_known_request(&self.with_known_request(&apart, 0, 1), 1, 0);
-        vec![apart, together]
+        // Each relay knows only its own window, or both relays know both windows.
+        let separate = self.with_request(&self.with_request(&state, 0), 1);
+        let shared = self.with_known_request(&self.with_known_request(&separate, 0, 1), 1, 0);
+        vec![separate, shared]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.extend(state.in_flight.iter().cloned().map(Action::Deliver));
         actions.extend([0, 1].map(Action::Tick));
-        if state.now < self.until {
+        if state.now < self.time_limit {
             actions.push(Action::PassTime);
         }
         if !state.killed {
@@ -237,46 +240,46 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the floor is met", |tier: &Tier, state: &State| {
-                !(tier.believes_granted(state, 0) && tier.believes_granted(state, 1))
+            Property::always("the floor is met", |m: &TestModel, state: &State| {
+                !(m.believes_granted(state, 0) && m.believes_granted(state, 1))
             }),
-            Property::sometimes("one is granted", |tier: &Tier, state: &State| {
-                tier.believes_granted(state, 0)
+            Property::sometimes("the first window is granted", |m: &TestModel, state: &State| {
+                m.believes_granted(state, 0)
             }),
-            Property::sometimes("the other is", |tier: &Tier, state: &State| tier.believes_granted(state, 1)),
+            Property::sometimes("the second is", |m: &TestModel, state: &State| m.believes_granted(state, 1)),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        let term_requested = |datagram: &Arc<Datagram>| match datagram.message {
+        let requested_term = |datagram: &Arc<Datagram>| match datagram.message {
             Message::RequestVote { term } => Some(term),
             _ => None,
         };
-        let elections: BTreeSet<Term> = state.in_flight.iter().filter_map(term_requested).collect();
+        let elections: BTreeSet<Term> = state.in_flight.iter().filter_map(requested_term).collect();
         elections.len() <= MAX_ELECTIONS
     }
 }
 
-fn tier(abstention: WholeMillis) -> Tier {
-    Tier { plan: plan(), timing: timing(abstention), until: START + 2 }
+fn model(abstention: WholeMillis) -> TestModel {
+    TestModel { plan: plan(), timing: timing(abstention), time_limit: START + 2 }
 }
 
 #[test]
-fn the_floor_is_kept_whatever_is_lost_doubled_late_killed_or_stopped() {
-    let checker = tier(LEASE).checker().threads(4).spawn_bfs().join();
+fn the_floor_is_met_despite_message_faults_and_a_restart() {
+    let checker = model(LEASE).checker().threads(4).spawn_bfs().join();
     println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
     assert!(checker.is_done());
-    // And windows are granted at all: at either relay.
+    // This also checks that each of the two windows is granted in some state.
     checker.assert_properties();
 }
 
-/// The checker finds faults: a relay that votes at once after a restart, or too early, has
-/// forgotten what is still in force.
+/// Checks that the model can detect violations. A relay that votes at once after a restart, or less than a
+/// lease after it, has forgotten acknowledgements of leases that are still in force.
 #[test]
-fn without_the_abstention_the_floor_breaks() {
+fn an_abstention_shorter_than_a_lease_violates_the_floor() {
     for abstention in [0, LEASE - 1] {
-        let broken = HasDiscoveries::AnyFailures;
-        let checker = tier(abstention).checker().threads(4).finish_when(broken).spawn_bfs().join();
+        let violated = HasDiscoveries::AnyFailures;
+        let checker = model(abstention).checker().threads(4).finish_when(violated).spawn_bfs().join();
         let path = checker.discovery("the floor is met").expect("the floor is met without abstention");
         assert!(path.into_actions().iter().any(|action| matches!(action, Action::Kill(_))));
     }
--- a/crates/maintenance/tests/schedules/tier.rs
+++ b/crates/maintenance/tests/schedules/tier.rs
@@ -1,5 +1,5 @@
-//! A tier of relays in memory: a network with faults, relays that are killed and stopped, zones
-//! that are lost, and the invariants that are checked after every step.
+//! An in-memory cluster of relays with an unreliable network. Relays are killed, stopped and isolated, zones
+//! are lost, and invariants are checked after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,15 +15,16 @@
 pub const LEASE: WholeMillis = 3000;
 pub const CLOCK_SKEW_BOUND: WholeMillis = 100;
 const STEP: WholeMillis = 20;
-/// Unix time is far from 0.
+/// The start time of a schedule, a realistic Unix time in milliseconds.
 const START: WholeMillis = 1_790_000_000_000;
 const ENDPOINTS: u32 = 12;
 const ENDPOINTS_PER_ZONE: u32 = 3;
 const ZONES: u32 = ENDPOINTS / ENDPOINTS_PER_ZONE;
-/// The voters of a tier with few of them.
+/// The voters of a cluster with few voters.
 const FEW_VOTERS: [u32; 3] = [0, 4, 8];
 
-/// Of twelve endpoints of capacity one in four zones, eight remain: a zone and one more may be drained.
+/// The cluster has twelve endpoints of capacity one in four zones. A capacity of eight must remain, so a zone
+/// and one more endpoint may be drained.
 fn floors() -> CapacityFloors {
     CapacityFloors {
         total: 8000,
@@ -35,7 +36,7 @@
     }
 }
 
-/// Gives a plan the list of all endpoints but those of a zone that is lost.
+/// Sets a plan's endpoint list to all endpoints except those of a lost zone.
 fn set_list(plan: &mut CapacityPlan, lost_zone: Option<u32>) {
     plan.clear_endpoints();
     for n in (0..ENDPOINTS).filter(|n| lost_zone != Some(n / ENDPOINTS_PER_ZONE)) {
@@ -50,22 +51,24 @@
 }
 
 pub struct Faults {
-    /// Probabilities that a datagram is lost, and that it is sent twice.
+    /// The probability that a datagram is lost.
     pub lost: f64,
+    /// The probability that a datagram is sent twice.
     pub duplicated: f64,
-    /// The longest delay, and the probability that one takes leases.
+    /// The longest delay of a datagram, unless it is delayed by leases.
     pub max_delay: WholeMillis,
+    /// The probability that a datagram may be delayed by up to three leases.
     pub delayed_by_leases: f64,
-    /// Cuts, kills, stops and losses of a zone in each second.
-    pub strikes_per_s: f64,
+    /// The rate at which relays are killed, stopped or isolated, or a zone is lost.
+    pub faults_per_s: f64,
 }
 
 pub const NO_FAULTS: Faults =
-    Faults { lost: 0.0, duplicated: 0.0, max_delay: 20, delayed_by_leases: 0.0, strikes_per_s: 0.0 };
+    Faults { lost: 0.0, duplicated: 0.0, max_delay: 20, delayed_by_leases: 0.0, faults_per_s: 0.0 };
 pub const MANY_FAULTS: Faults =
-    Faults { lost: 0.2, duplicated: 0.1, max_delay: 150, delayed_by_leases: 0.01, strikes_per_s: 0.4 };
+    Faults { lost: 0.2, duplicated: 0.1, max_delay: 150, delayed_by_leases: 0.01, faults_per_s: 0.4 };
 
-/// A message in flight. Those that are due are delivered in this order.
+/// A datagram in flight. Due datagrams are delivered in the order of this type.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Datagram {
     arrives_at: WholeMillis,
@@ -74,53 +77,55 @@
     text: String,
 }
 
-/// A zone whose endpoints are gone from the list.
+/// A zone whose endpoints are missing from the endpoint list.
 #[derive(Clone, Copy)]
 struct LostZone {
     zone: u32,
     until: WholeMillis,
 }
 
-pub struct Tier {
+pub struct Cluster {
     pub rng: StdRng,
     pub now: WholeMillis,
     pub services: Vec<MaintenanceService>,
-    /// How far each relay's clock is ahead.
+    /// How far each relay's clock is ahead of `now`.
     clock_offsets: Vec<WholeMillis>,
-    /// Until when each relay is stopped, and is cut off.
+    /// Until when each relay is stopped.
     stopped_until: Vec<WholeMillis>,
-    cut_until: Vec<WholeMillis>,
+    /// Until when each relay is isolated from the others.
+    isolated_until: Vec<WholeMillis>,
     in_flight: Vec<Datagram>,
     faults: Faults,
     lost_zone: Option<LostZone>,
-    /// When a zone was lost or came back last.
+    /// When a zone was last lost or restored.
     list_changed_at: WholeMillis,
-    /// Windows that their relays believe to be granted now.
+    /// The windows that their relays believe to be granted now.
     believed_granted: BTreeSet<WindowId>,
-    /// When each window was first in a ledger.
+    /// When each window first appeared in a relay's ledger.
     written_at: BTreeMap<WindowId, WholeMillis>,
-    /// How many steps have violated an invariant.
+    /// The number of steps in which an invariant was violated.
     pub violations: u32,
-    /// When each window was first believed to be granted.
+    /// When each window's relay first believed the window to be granted.
     pub granted_at: BTreeMap<WindowId, WholeMillis>,
     pub datagrams: u64,
     pub longest_datagram: usize,
     timing: Timing,
-    /// Three voters, not seven: a forgetful one is a third of the voters.
+    /// Whether there are three voters instead of seven, so that a single restarted voter is a third of the
+    /// voters.
     has_few_voters: bool,
 }
 
-impl Tier {
-    pub fn new(seed: u64, faults: Faults, timing: Timing) -> Tier {
+impl Cluster {
+    pub fn new(seed: u64, faults: Faults, timing: Timing) -> Cluster {
         let mut rng = StdRng::seed_from_u64(seed);
         let clock_offsets = (0..RELAYS).map(|_| rng.random_range(0..=CLOCK_SKEW_BOUND)).collect();
-        let mut tier = Tier {
+        let mut cluster = Cluster {
             rng,
             now: START,
             services: Vec::new(),
             clock_offsets,
             stopped_until: vec![0; RELAYS as usize],
-            cut_until: vec![0; RELAYS as usize],
+            isolated_until: vec![0; RELAYS as usize],
             in_flight: Vec::new(),
             faults,
             lost_zone: None,
@@ -134,16 +139,16 @@
             timing,
             has_few_voters: seed % 2 == 1,
         };
-        tier.services = (0..RELAYS).map(|local_index| tier.started_service(local_index)).collect();
-        tier
+        cluster.services = (0..RELAYS).map(|local_index| cluster.new_service(local_index)).collect();
+        cluster
     }
 
     fn clock(&self, relay: u32) -> WholeMillis {
         self.now + self.clock_offsets[relay as usize]
     }
 
-    /// The service of a relay that starts now.
-    fn started_service(&self, local_index: u32) -> MaintenanceService {
+    /// Returns the service of a relay that starts now.
+    fn new_service(&self, local_index: u32) -> MaintenanceService {
         let few = self.has_few_voters;
         let voters = if few { FEW_VOTERS.to_vec() } else { MaintenanceService::default_voters(RELAYS) };
         let config = ServiceConfig {
@@ -177,7 +182,7 @@
 
     pub fn step(&mut self) {
         self.now += STEP;
-        self.maybe_strike();
+        self.maybe_inject_fault();
         self.deliver_due();
         for relay in 0..RELAYS {
             if self.now >= self.stopped_until[relay as usize] {
@@ -200,9 +205,9 @@
             let from = datagram.from as usize;
             let to = datagram.to as usize;
             if self.now < self.stopped_until[to] {
-                // It waits in the socket of a process that is stopped.
+                // The datagram waits in the socket buffer of the stopped process.
                 self.in_flight.push(Datagram { arrives_at: self.stopped_until[to], ..datagram });
-            } else if self.now >= self.cut_until[from].max(self.cut_until[to]) {
+            } else if self.now >= self.isolated_until[from].max(self.isolated_until[to]) {
                 let now = self.clock(datagram.to);
                 self.services[to].handle_datagram(now, datagram.from, &datagram.text);
             }
@@ -226,33 +231,33 @@
         if self.rng.random_bool(self.faults.lost) {
             return;
         }
-        let takes_leases = self.rng.random_bool(self.faults.delayed_by_leases);
-        let max_delay = if takes_leases { 3 * LEASE } else { self.faults.max_delay };
+        let may_take_leases = self.rng.random_bool(self.faults.delayed_by_leases);
+        let max_delay = if may_take_leases { 3 * LEASE } else { self.faults.max_delay };
         let arrives_at = self.now + self.rng.random_range(1..=max_delay);
         self.in_flight.push(Datagram { arrives_at, from, to, text: text.to_owned() });
     }
 
-    /// Kills, stops or cuts off relays, or loses a zone, at random.
-    fn maybe_strike(&mut self) {
+    /// Kills, stops or isolates relays, or loses a zone, at random.
+    fn maybe_inject_fault(&mut self) {
         if self.lost_zone.is_some_and(|lost| self.now >= lost.until) {
             self.set_lost_zone(None);
         }
-        if !self.rng.random_bool(self.faults.strikes_per_s * STEP as f64 / 1000.0) {
+        if !self.rng.random_bool(self.faults.faults_per_s * STEP as f64 / 1000.0) {
             return;
         }
         let relay = self.rng.random_range(0..RELAYS);
         let until = self.now + self.rng.random_range(LEASE / 4..3 * LEASE);
         match self.rng.random_range(0..10) {
             0..3 => {
-                // A voter half of the time.
+                // Half of the kills hit relay 0, 4 or 8, which are the voters of a cluster with few voters.
                 let is_voter = self.rng.random_bool(0.5);
                 self.restart(if is_voter { relay / 4 * 4 } else { relay });
             }
             3..5 => self.stopped_until[relay as usize] = until,
-            5..7 => self.cut_until[relay as usize] = until,
+            5..7 => self.isolated_until[relay as usize] = until,
             7..9 => {
                 for n in 0..RELAYS / 3 {
-                    self.cut_until[((relay + n) % RELAYS) as usize] = until;
+                    self.isolated_until[((relay + n) % RELAYS) as usize] = until;
                 }
             }
             _ => self.set_lost_zone(Some(LostZone { zone: relay % ZONES, until })),
@@ -260,7 +265,7 @@
     }
 
     fn restart(&mut self, relay: u32) {
-        self.services[relay as usize] = self.started_service(relay);
+        self.services[relay as usize] = self.new_service(relay);
         self.in_flight.retain(|datagram| datagram.to != relay);
     }
 
@@ -272,7 +277,9 @@
         }
     }
 
-    /// All that is believed to be granted leaves the floor; and what is new leaves it beside what is lost.
+    /// Checks that the windows that relays believe to be granted meet the floor, stay within the limit of
+    /// windows, and occur only once in each ledger; and that newly granted windows meet the floor even
+    /// without the lost zone.
     fn check_invariants(&mut self) {
         let believed = self.believed_windows();
         let ids: BTreeSet<WindowId> = believed.iter().map(|entry| entry.id).collect();
@@ -283,10 +290,11 @@
         let has_too_many = believed.len() > floors().max_windows;
         let has_duplicate = self.services.iter().any(has_duplicate_entry);
         set_list(&mut plan, self.lost_zone.map(|lost| lost.zone));
-        // What was granted before the loss may become known after it, at a relay that was stopped.
-        let has_new = ids.iter().any(|id| self.is_newly_granted(id));
-        let breaks_floor_newly = has_new && !plan.meets_floors(&plan.remaining_capacity(self.now, &believed));
-        let violated = breaks_floor || has_too_many || has_duplicate || breaks_floor_newly;
+        // A relay that was stopped may learn only after the loss that its window was granted before the loss.
+        let has_new_grant = ids.iter().any(|id| self.is_newly_granted(id));
+        let new_grant_breaks_floor =
+            has_new_grant && !plan.meets_floors(&plan.remaining_capacity(self.now, &believed));
+        let violated = breaks_floor || has_too_many || has_duplicate || new_grant_breaks_floor;
         self.violations += u32::from(violated);
         for id in &ids {
             self.granted_at.entry(*id).or_insert(self.now);
@@ -294,7 +302,7 @@
         self.believed_granted = ids;
     }
 
-    /// The windows that their relays believe to be granted, in order of the relays.
+    /// Returns the windows that their relays believe to be granted, in the order of the relays.
     fn believed_windows(&self) -> Vec<GrantedWindow> {
         let mut believed = Vec::new();
         for (relay, service) in self.services.iter().enumerate() {
@@ -318,14 +326,15 @@
         }
     }
 
-    /// Whether a window was not granted before, and was written after the list changed.
+    /// Whether no relay believed the window granted before, and it was written after the endpoint list last
+    /// changed.
     fn is_newly_granted(&self, id: &WindowId) -> bool {
         let is_written_since =
             self.written_at.get(id).is_none_or(|written| *written > self.list_changed_at + STEP);
         !self.granted_at.contains_key(id) && is_written_since
     }
 
-    /// Requests a window at random, and closes or extends one that is granted.
+    /// Requests a random window, and closes or extends a random granted window or leaves it alone.
     pub fn random_call(&mut self) {
         let relay = self.rng.random_range(0..RELAYS);
         let zone = format!("hall-{}", self.rng.random_range(0..ZONES));
@@ -350,7 +359,7 @@
     }
 }
 
-/// Whether a relay's ledger has a window twice.
+/// Whether a relay's ledger contains a window twice.
 fn has_duplicate_entry(service: &MaintenanceService) -> bool {
     let granted = service.ledger().granted();
     let ids: BTreeSet<WindowId> = granted.iter().map(|entry| entry.id).collect();
