--- a/crates/schema-version/src/error.rs
+++ b/crates/schema-version/src/error.rs
@@ -1,74 +1,76 @@
-//! Errors of schema versions, each with what an operator can do about it.
+//! Errors about schema versions, each with a help text that tells an operator what to do.
+//!
+//! The messages call a schema version a form, as the operators' settings and calls do.
 
 use crate::{Millis, SchemaVersion, SupportedVersions};
 
-/// Why a version or a datagram can't be read, written or finalized.
+/// Why a schema version can't be used or finalized, or why a datagram can't be read.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SchemaVersionError {
-    /// The number is outside the range of versions.
-    #[error("{number} is no form; forms are numbered from 1 to 35")]
+    /// The number is outside the range of version numbers.
+    #[error("{number} is not the number of a form; forms are numbered from 1 to 35")]
     InvalidNumber {
-        /// The number.
+        /// The number that was given.
         number: u64,
     },
-    /// A range whose end is before its start.
-    #[error("a range from form {oldest} to form {newest} has nothing in it")]
+    /// The end of a range is before its start.
+    #[error("the range from form {oldest} to form {newest} is empty")]
     EmptyRange {
-        /// Start of the range.
+        /// The start of the range.
         oldest: SchemaVersion,
-        /// End of the range.
+        /// The end of the range.
         newest: SchemaVersion,
     },
     /// The version is newer than this program.
-    #[error("it is of form {version}, and this process reads up to form {newest}")]
+    #[error("form {version} is too new, and this process reads up to form {newest}")]
     TooNew {
-        /// The version that was asked for.
+        /// The version that was requested.
         version: SchemaVersion,
-        /// The newest that is supported here.
+        /// The newest version that this program supports.
         newest: SchemaVersion,
     },
-    /// A part of a datagram is of a kind that this program does not know.
-    #[error("it begins with {prefix:?}, which no form up to {newest} has")]
+    /// A datagram, or a part of it, is of a kind that this program does not know.
+    #[error("the datagram or a part of it begins with {prefix:?}, which no form up to {newest} has")]
     UnknownPart {
-        /// First character of the part.
+        /// The first character of the datagram or of the part.
         prefix: char,
-        /// The newest version that is supported here.
+        /// The newest version that this program supports.
         newest: SchemaVersion,
     },
-    /// The datagram was truncated or altered.
-    #[error("it is cut short or altered: {bytes} bytes, and {part} can't be read")]
+    /// A datagram or a part of it was truncated or altered.
+    #[error("the text is truncated or altered: {bytes} bytes were examined, and {part} can't be read")]
     Malformed {
-        /// Length of what was read.
+        /// The length of the text that was examined: of the datagram or of one part of it.
         bytes: usize,
-        /// What can't be read.
+        /// The part that can't be read.
         part: &'static str,
     },
     /// The cluster is finalized at a version that this process does not support.
     #[error("the tier is finalized at form {finalized}, and this process reads form {supported}")]
     Finalized {
-        /// The version below which nothing is written any more.
+        /// The finalized version: no process writes an older version any more.
         finalized: SchemaVersion,
-        /// What this process supports.
+        /// The versions that this process supports.
         supported: SupportedVersions,
     },
-    /// An older process is alive, so nothing can be finalized.
+    /// An older process is alive, so this process's newest version can't be finalized.
     #[error("a process that reads no more than form {version} was heard of {age_ms:.0} ms ago")]
     OlderAlive {
-        /// The newest version that the process supports.
+        /// The newest version that the older process supports.
         version: SchemaVersion,
-        /// Time since it was last seen.
+        /// The time since the older process was last seen.
         age_ms: Millis,
     },
     /// The quiet period is not over, so an older process may still be alive.
     #[error("this process has listened for older ones for too short a time: {remaining_ms:.0} ms are left")]
     TooEarly {
-        /// Remaining part of the quiet period.
+        /// The remaining part of the quiet period.
         remaining_ms: Millis,
     },
 }
 
 impl SchemaVersionError {
-    /// What an operator can do.
+    /// Returns what an operator can do about the error.
     ///
     /// ```
     /// let error = sandgw_schema_version::SchemaVersion::new(99).unwrap_err();
@@ -78,24 +80,24 @@
         match self {
             SchemaVersionError::InvalidNumber { .. } => "set forms.most to a form that this program knows",
             SchemaVersionError::EmptyRange { .. } => {
-                "look at the process that told it: it is not of this program"
+                "look at the process that sent the range: it does not run this program"
             }
             SchemaVersionError::TooNew { .. } => {
-                "upgrade this process, or set forms.most of the newer ones to what all read; nothing was changed"
+                "upgrade this process, or set forms.most of newer processes to a form all read; nothing was changed"
             }
             SchemaVersionError::UnknownPart { .. } => {
-                "upgrade this process if newer ones run; otherwise something else sends to peer_listen"
+                "upgrade this process if newer processes run; otherwise another program sends to peer_listen"
             }
             SchemaVersionError::Malformed { .. } => {
-                "nothing where it is seldom; otherwise look for what cuts datagrams under 256 bytes"
+                "nothing if this is rare; otherwise look for what truncates datagrams to less than 256 bytes"
             }
             SchemaVersionError::Finalized { .. } => {
                 "start a version that reads the finalized form, or raise forms.most to it; there is no way back"
             }
             SchemaVersionError::OlderAlive { .. } => {
-                "upgrade or stop the older process, then ask again; the call `forms` names its number"
+                "upgrade or stop the older process, then repeat the call; `forms` lists the numbers of older relays"
             }
-            SchemaVersionError::TooEarly { .. } => "ask again after that time",
+            SchemaVersionError::TooEarly { .. } => "repeat the call after that time",
         }
     }
 }
--- a/crates/schema-version/src/lib.rs
+++ b/crates/schema-version/src/lib.rs
@@ -2,16 +2,19 @@
 //! run side by side, and the conversion between neighbouring versions.
 //!
 //! - [`SchemaVersion`] is the number of a version, [`SupportedVersions`] the range that one process reads.
-//! - [`version_negotiator`] decides which version is written: the newest that all live processes support.
-//! - [`version_advertisement`] is how a process announces its range.
-//! - [`versioned_message`] is a version 2 datagram and its conversion from and to version 1.
-//! - [`versioned_channel`] sits between a relay's messages and its datagrams.
+//! - [`version_negotiator`] decides which version a process writes: the newest that all live processes
+//!   support.
+//! - [`version_advertisement`] is the text with which a process announces the versions that it supports.
+//! - [`versioned_message`] is a version 2 datagram, and its conversion from and to version 1.
+//! - [`quota_rows`] is the part of a version 2 datagram that reports the usage of tenants.
+//! - [`versioned_channel`] converts a relay's messages to datagrams and received datagrams to messages.
 //!
-//! The crate does no I/O; time is an argument, in milliseconds. It never interprets a version 1 text and
-//! never decides where a connection goes. `docs/forms.md` compares the designs that were considered.
+//! The crate does no I/O, and callers pass the time, in milliseconds. It never interprets a version 1 text
+//! and never decides where a connection goes. `docs/forms.md` compares the designs that were considered.
 //!
-//! Version 1 is what relays exchanged and stored before versions had numbers. A process that advertises
-//! nothing supports version 1 only.
+//! Version 1 is the format that relays exchanged and stored before versions had numbers. A process that
+//! advertises nothing supports version 1 only. Operators' settings, calls and messages call a schema version
+//! a form.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -30,21 +33,21 @@
 
 pub use sandgw_units::Millis;
 
-/// The number of a version, 1 to 35: one base-36 digit of a datagram.
+/// The number of a schema version, from 1 to 35: a datagram holds it in one base-36 digit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SchemaVersion(u8);
 
 impl SchemaVersion {
-    /// What was written before versions had numbers.
+    /// The version that was written before versions had numbers.
     pub const FIRST: SchemaVersion = SchemaVersion(1);
-    /// The first that carries tenants' usage.
+    /// The first version that carries the usage of tenants.
     pub const SECOND: SchemaVersion = SchemaVersion(2);
-    /// The newest that this program supports.
+    /// The newest version that this program supports.
     pub const NEWEST: SchemaVersion = SchemaVersion::SECOND;
-    /// The greatest number that a datagram can carry.
+    /// The version with the greatest number that a datagram can hold.
     pub const MAX: SchemaVersion = SchemaVersion(35);
 
-    /// The version of this number.
+    /// Returns the version with this number.
     ///
     /// ```
     /// use sandgw_schema_version::SchemaVersion;
@@ -54,14 +57,14 @@
     /// ```
     ///
     /// # Errors
-    /// [`SchemaVersionError::InvalidNumber`] where the number is 0 or over [`SchemaVersion::MAX`].
+    /// [`SchemaVersionError::InvalidNumber`] if the number is 0 or above [`SchemaVersion::MAX`].
     pub fn new(number: u64) -> Result<SchemaVersion, SchemaVersionError> {
         let valid = SchemaVersion::FIRST.0..=SchemaVersion::MAX.0;
         let version = u8::try_from(number).ok().filter(|number| valid.contains(number));
         version.map(SchemaVersion).ok_or(SchemaVersionError::InvalidNumber { number })
     }
 
-    /// The number.
+    /// Returns the number of this version.
     pub fn number(self) -> u8 {
         self.0
     }
@@ -73,8 +76,8 @@
     }
 }
 
-/// The contiguous range of versions that a process reads. It writes one of them, chosen by the
-/// [`version_negotiator`].
+/// The contiguous range of versions that a process reads. The process writes one of them, which the
+/// [`version_negotiator`] chooses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SupportedVersions {
     oldest: SchemaVersion,
@@ -82,11 +85,11 @@
 }
 
 impl SupportedVersions {
-    /// What a process supports that advertises nothing.
+    /// The versions that a process supports if it advertises nothing.
     pub const UNADVERTISED: SupportedVersions =
         SupportedVersions { oldest: SchemaVersion::FIRST, newest: SchemaVersion::FIRST };
 
-    /// All versions from one to another, both included.
+    /// Returns the range from `oldest` to `newest`, both included.
     ///
     /// ```
     /// use sandgw_schema_version::{SchemaVersion, SupportedVersions};
@@ -98,7 +101,7 @@
     /// ```
     ///
     /// # Errors
-    /// [`SchemaVersionError::EmptyRange`] where `oldest` is after `newest`.
+    /// [`SchemaVersionError::EmptyRange`] if `oldest` is newer than `newest`.
     pub fn new(
         oldest: SchemaVersion,
         newest: SchemaVersion,
@@ -109,10 +112,10 @@
         Ok(SupportedVersions { oldest, newest })
     }
 
-    /// What this program supports where its operator allows versions up to `newest`.
+    /// Returns the versions that this program supports if its operator allows versions up to `newest`.
     ///
     /// # Errors
-    /// [`SchemaVersionError::TooNew`] where this program does not know `newest`.
+    /// [`SchemaVersionError::TooNew`] if this program does not support `newest`.
     pub fn up_to(newest: SchemaVersion) -> Result<SupportedVersions, SchemaVersionError> {
         if newest > SchemaVersion::NEWEST {
             return Err(SchemaVersionError::TooNew { version: newest, newest: SchemaVersion::NEWEST });
@@ -120,27 +123,27 @@
         SupportedVersions::new(SchemaVersion::FIRST, newest)
     }
 
-    /// The oldest version of the range.
+    /// Returns the oldest version of the range.
     pub fn oldest(self) -> SchemaVersion {
         self.oldest
     }
 
-    /// The newest version of the range.
+    /// Returns the newest version of the range.
     pub fn newest(self) -> SchemaVersion {
         self.newest
     }
 
-    /// Whether a version is in the range.
+    /// Returns whether a version is in the range.
     pub fn contains(self, version: SchemaVersion) -> bool {
         self.versions().contains(&version)
     }
 
-    /// The range.
+    /// Returns the versions of the range.
     pub fn versions(self) -> RangeInclusive<SchemaVersion> {
         self.oldest..=self.newest
     }
 
-    /// The newest version that both ranges contain, if there is one.
+    /// Returns the newest version that both ranges contain, or `None` if they have none in common.
     ///
     /// ```
     /// use sandgw_schema_version::{SchemaVersion, SupportedVersions};
--- a/crates/schema-version/src/quota_rows.rs
+++ b/crates/schema-version/src/quota_rows.rs
@@ -1,23 +1,24 @@
-//! Rows of tenants' usage as a version 2 datagram carries them.
+//! The rows of a version 2 datagram that report the usage of tenants.
 //!
-//! The rows are opaque here: [`QuotaRows`] checks their alphabet and length, `sandgw-quota` gives them a
-//! meaning.
+//! This crate does not interpret the rows: [`QuotaRows`] checks only their alphabet and length, and
+//! `sandgw-quota` encodes and decodes them.
 
 use sandgw_datagram::MAX_BYTES;
 
 use crate::SchemaVersionError;
 
-/// First character of encoded rows.
+/// The first character of encoded rows.
 pub const ROWS_PREFIX: char = 'm';
-/// Longest encoded rows in bytes, so that a datagram holds them beside an advertisement and its separator.
+/// The greatest length of encoded rows, in bytes. It leaves room in a datagram for an advertisement without
+/// sightings and its separator.
 pub const MAX_ROWS_BYTES: usize = MAX_BYTES - 5;
 
-/// What one relay reports of tenants' usage: [`ROWS_PREFIX`], then base64.
+/// One relay's encoded report of the usage of tenants: [`ROWS_PREFIX`], then base64 characters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaRows(String);
 
 impl QuotaRows {
-    /// Checks a text and wraps it.
+    /// Wraps an encoded text after checking its prefix, alphabet and length.
     ///
     /// ```
     /// use sandgw_schema_version::quota_rows::QuotaRows;
@@ -27,18 +28,21 @@
     /// ```
     ///
     /// # Errors
-    /// [`SchemaVersionError::Malformed`] where the text has another prefix, another alphabet, no body, or
-    /// more than [`MAX_ROWS_BYTES`].
+    /// [`SchemaVersionError::Malformed`] if the text has another prefix, a character that is not base64,
+    /// nothing after the prefix, or more than [`MAX_ROWS_BYTES`].
     pub fn new(text: &str) -> Result<QuotaRows, SchemaVersionError> {
         let is_body = |body: &str| !body.is_empty() && body.chars().all(is_base64);
         let is_valid = text.len() <= MAX_ROWS_BYTES && text.strip_prefix(ROWS_PREFIX).is_some_and(is_body);
         if !is_valid {
-            return Err(SchemaVersionError::Malformed { bytes: text.len(), part: "the rows of shares" });
+            return Err(SchemaVersionError::Malformed {
+                bytes: text.len(),
+                part: "the rows of tenants' usage",
+            });
         }
         Ok(QuotaRows(text.to_owned()))
     }
 
-    /// The encoded text.
+    /// Returns the encoded text, with its prefix.
     pub fn text(&self) -> &str {
         &self.0
     }
--- a/crates/schema-version/src/version_advertisement.rs
+++ b/crates/schema-version/src/version_advertisement.rs
@@ -1,42 +1,44 @@
-//! How a process announces which versions it supports: a short text at the head of each version 2 datagram,
-//! and a datagram of its own before a version 1 datagram to a relay that may not know yet.
+//! The advertisement with which a process announces the versions that it supports. It is a short text at the
+//! head of each version 2 datagram. A relay that may not have it yet gets it in a separate datagram before a
+//! version 1 datagram.
 //!
-//! Layout: [`PREFIX`], then the oldest and newest supported version and the finalized one, a base-36 digit
-//! each. Then, for each version below the newest of which an older process was seen lately, three digits:
-//! the version, and the age of that sighting in tenths of a second.
+//! Layout: [`PREFIX`], then the oldest supported, the newest supported and the finalized version, a base-36
+//! digit each. A group of three digits follows for each older version that was recently the newest one that
+//! some process supported: one digit for the version, and two for the age of the last sighting of such a
+//! process, in tenths of a second.
 //!
-//! All versions to come keep this layout, so that a process can tell from any advertisement that it is too
-//! old itself. Releases before version 2 ignore a datagram with this prefix, as they do everything that
-//! they can't read.
+//! All later versions must keep this layout, so that a process can tell from any advertisement that it is
+//! itself too old. Releases before version 2 ignore a datagram with this prefix, as they ignore every
+//! datagram that they can't read.
 
 use sandgw_datagram::base36::{BASE, digit, digit_value};
 
 use crate::{Millis, SchemaVersion, SchemaVersionError, SupportedVersions};
 
-/// First character of an advertisement; version 1 texts begin with others.
+/// The first character of an advertisement; version 1 texts begin with other characters.
 pub const PREFIX: char = '3';
-/// Unit of an encoded age: a tenth of a second.
+/// The unit of an encoded age: a tenth of a second.
 const AGE_UNIT_MS: Millis = 100.0;
-/// The greatest age, in units, that two digits can hold.
+/// The greatest age that two digits can hold, in units of [`AGE_UNIT_MS`].
 const MAX_AGE_UNITS: u32 = BASE * BASE - 1;
 
-/// Evidence that a process was alive which supports no version newer than `version`.
+/// Evidence that a process which supports no version newer than `version` was alive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OlderSighting {
-    /// The newest version that the process supports.
+    /// The newest version that the older process supports.
     pub version: SchemaVersion,
-    /// Time since it was last seen.
+    /// The time since such a process was last seen.
     pub age_ms: Millis,
 }
 
-/// What a process announces.
+/// The versions that a process announces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionAdvertisement {
-    /// The versions that it supports.
+    /// The versions that the process supports.
     pub supported: SupportedVersions,
-    /// The version below which nothing is written any more.
+    /// The finalized version: no process writes an older version any more.
     pub finalized: SchemaVersion,
-    /// Sightings of older processes, by version.
+    /// The latest sighting of an older process for each version.
     pub older: Vec<OlderSighting>,
 }
 
@@ -45,12 +47,12 @@
 pub struct AdvertisementHead<'a> {
     /// The advertisement.
     pub advertisement: VersionAdvertisement,
-    /// What follows its separator, if there is one.
+    /// The text after the separator; `None` if the datagram has no separator.
     pub rest: Option<&'a str>,
 }
 
 impl VersionAdvertisement {
-    /// The advertisement as text.
+    /// Returns the advertisement as text.
     ///
     /// ```
     /// use sandgw_schema_version::version_advertisement::{OlderSighting, VersionAdvertisement};
@@ -72,7 +74,8 @@
         text
     }
 
-    /// The advertisement without sightings of older processes, for a datagram that has no room for them.
+    /// Returns the advertisement without sightings of older processes, for a datagram that has no room for
+    /// them.
     pub fn encode_without_sightings(&self) -> String {
         let versions = [self.supported.oldest, self.supported.newest, self.finalized];
         [PREFIX].into_iter().chain(versions.map(|version| digit(version.0.into()))).collect()
@@ -88,31 +91,32 @@
             Some((head, rest)) => (head, Some(rest)),
             None => (text, None),
         };
-        let malformed = || SchemaVersionError::Malformed { bytes: text.len(), part: "the word" };
+        let malformed = || SchemaVersionError::Malformed { bytes: text.len(), part: "the advertisement" };
         let digits = head.strip_prefix(PREFIX).ok_or_else(malformed)?;
         let digits: Vec<u32> =
             digits.chars().map(digit_value).collect::<Option<_>>().ok_or_else(malformed)?;
         let ([oldest, newest, finalized], sightings) =
             digits.split_first_chunk::<3>().ok_or_else(malformed)?;
-        let supported = SupportedVersions::new(version(*oldest)?, version(*newest)?)?;
+        let supported = SupportedVersions::new(version_from_digit(*oldest)?, version_from_digit(*newest)?)?;
         let mut older = Vec::new();
         for sighting in sightings.chunks(3) {
             let [number, high, low] = sighting else { return Err(malformed()) };
             let age_ms = f64::from(high * BASE + low) * AGE_UNIT_MS;
-            older.push(OlderSighting { version: version(*number)?, age_ms });
+            older.push(OlderSighting { version: version_from_digit(*number)?, age_ms });
         }
-        let finalized = version(*finalized)?;
+        let finalized = version_from_digit(*finalized)?;
         let advertisement = VersionAdvertisement { supported, finalized, older };
         Ok(AdvertisementHead { advertisement, rest })
     }
 }
 
-fn version(number: u32) -> Result<SchemaVersion, SchemaVersionError> {
+fn version_from_digit(number: u32) -> Result<SchemaVersion, SchemaVersionError> {
     SchemaVersion::new(u64::from(number))
 }
 
-/// An age in units, rounded up and one unit more: so an age that is passed on and on grows by more than the
-/// transit time that each relay leaves out, and a sighting that circulates expires.
+/// Converts an age to units, rounded up and increased by one unit. Relays pass sightings on without adding
+/// the transit time. The extra unit is more than that time, so that a sighting which circulates among relays
+/// still ages and expires.
 fn age_units(age_ms: Millis) -> u32 {
     ((age_ms.max(0.0) / AGE_UNIT_MS).ceil() + 1.0).min(f64::from(MAX_AGE_UNITS)) as u32
 }
--- a/crates/schema-version/src/version_negotiator.rs
+++ b/crates/schema-version/src/version_negotiator.rs
@@ -1,51 +1,53 @@
-//! Decides which version this process writes: the newest that all live processes support.
+//! Decides which schema version this process writes: the newest that all live processes support.
 //!
-//! [`VersionNegotiator`] owns what is known of the other relays' supported versions. Inputs:
-//! advertisements, version 1 datagrams without one, what was sent, and the time in milliseconds. Outputs:
-//! the cluster's version, the version for one relay, and the relays to which an advertisement is due. It
-//! upgrades only after [`QUIET_PERIOD_MS`] without a sighting of an older process, downgrades with the
-//! first one, and never goes below what an operator has finalized. It never needs to know who belongs to
-//! the cluster, and no relay has a special role.
+//! [`VersionNegotiator`] records which versions the other relays support. Its inputs are advertisements,
+//! version 1 datagrams without an advertisement, the datagrams that were sent, and the time in milliseconds.
+//! Its outputs are the cluster's version, the version for each relay, and the relays to which an
+//! advertisement is due. It upgrades only after [`QUIET_PERIOD_MS`] without a sighting of an older process,
+//! downgrades at the first sighting, and never goes below the version that an operator has finalized. It
+//! does not need to know which relays belong to the cluster, and no relay has a special role.
 //!
-//! A sighting is the time when a process was last seen that supports no version newer than a given one.
-//! Each advertisement carries the ages of sightings, and each receiver keeps the latest: they spread by
-//! gossip and expire by themselves.
+//! A sighting is the time when a process that supports no version newer than a given one was last seen. Each
+//! advertisement carries the ages of the sender's sightings, and each receiver keeps the latest sighting for
+//! each version. Sightings thus spread by gossip, and they expire at every relay without being withdrawn.
 //!
-//! Toward one relay more caution holds, so that a wrong belief about the cluster leaves no relay with
-//! datagrams that it can't read. It gets no newer version than it advertised; and it gets version 1 while
-//! its advertisement is out of date, once it has spoken without one, and once it was sent something newer
-//! and has not responded.
+//! Stricter rules apply to the version for a single relay, so that a relay can read its datagrams even if the
+//! cluster's version is assumed wrongly. A relay gets no newer version than it advertised. It gets version 1,
+//! or the finalized version if that is newer, in three cases: its advertisement has expired, it has sent a
+//! datagram without an advertisement, or it was sent a version newer than 1 and has not responded.
 
 use std::collections::BTreeMap;
 
 use crate::version_advertisement::{OlderSighting, VersionAdvertisement};
 use crate::{Millis, SchemaVersion, SchemaVersionError, SupportedVersions};
 
-/// Time without a sighting of an older process before the cluster upgrades.
+/// The time without a sighting of an older process after which the cluster upgrades.
 pub const QUIET_PERIOD_MS: Millis = 20_000.0;
-/// Interval between advertisements to a few relays drawn at random, and the least between two to the same
-/// relay.
+/// The interval between periodic advertisements to a few relays drawn at random. A version 1 datagram to a
+/// relay is preceded by an advertisement only if that relay was sent none within this interval.
 pub const ADVERTISE_INTERVAL_MS: Millis = 2000.0;
-/// Number of relays that get an advertisement each time.
+/// The number of relays that get each periodic advertisement.
 const ADVERTISE_FANOUT: u32 = 3;
 /// How long a relay's advertisement is valid.
 pub const ADVERTISEMENT_TTL_MS: Millis = 8000.0;
-/// A datagram without an advertisement is attributed to the process that advertised at most this long
-/// before it: no process restarts as quickly.
+/// A relay process takes longer than this to restart. A datagram without an advertisement that arrives at
+/// most this long after an advertisement therefore comes from the process that advertised.
 const MIN_RESTART_MS: Millis = 200.0;
-/// Interval between requests to a relay for its advertisement.
+/// The interval between requests to a relay for its advertisement.
 const REQUEST_INTERVAL_MS: Millis = 250.0;
-/// A relay that was asked for its advertisement and has sent none after this time counts as old.
+/// A relay that has sent no advertisement this long after the first request counts as a relay that supports
+/// only version 1.
 pub const REQUEST_TIMEOUT_MS: Millis = 3000.0;
-/// A relay that was sent a version newer than 1 must be heard from within this time.
+/// A relay that was sent a version newer than 1 must send a datagram within this time, or it counts as
+/// unresponsive.
 const RESPONSE_TIMEOUT_MS: Millis = 1000.0;
 
-/// A relay's number in its cluster.
+/// The position of a relay in its cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayPosition {
-    /// Its index, from 0.
+    /// The index of the relay, from 0.
     pub local_index: u32,
-    /// The number of relays.
+    /// The number of relays in the cluster.
     pub relay_count: u32,
 }
 
@@ -56,20 +58,20 @@
     last_sent_at: Millis,
 }
 
-/// What is known of one relay.
+/// What this process knows about one other relay.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    /// What it advertised last.
+    /// The versions that the relay advertised last.
     supported: SupportedVersions,
     advertised_at: Millis,
-    /// When it last spoke without an advertisement, since `advertised_at`.
+    /// When the relay last sent a datagram without an advertisement since `advertised_at`, if it did.
     plain_message_at: Option<Millis>,
     request: Option<AdvertisementRequest>,
-    /// Its last request timed out.
+    /// Whether the last request for the relay's advertisement timed out.
     ignores_requests: bool,
-    /// When it was sent the first datagram newer than version 1 since it was last heard from.
+    /// When the relay was sent the first datagram newer than version 1 since its last datagram, if it was.
     unanswered_since: Option<Millis>,
-    /// When it was last sent an advertisement.
+    /// When the relay was last sent an advertisement.
     advertisement_sent_at: Millis,
 }
 
@@ -87,23 +89,23 @@
     }
 }
 
-/// An advertisement to be sent.
+/// An advertisement that is to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdvertisementDue {
     /// The receiving relay.
     pub peer: u32,
-    /// Whether it is asked for its own.
+    /// Whether the receiver is asked for its own advertisement.
     pub requests_reply: bool,
 }
 
-/// The negotiation of one process with all others; see the module documentation.
+/// Negotiates the schema version of this process with all other relays; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct VersionNegotiator {
     supported: SupportedVersions,
     finalized: SchemaVersion,
     position: RelayPosition,
     listening_since: Millis,
-    /// When a process was last seen that supports no newer version, by version.
+    /// For each version, when a process that supports no newer version was last seen.
     older_seen_at: BTreeMap<SchemaVersion, Millis>,
     peers: BTreeMap<u32, Peer>,
     next_advertisement_at: Millis,
@@ -111,7 +113,7 @@
 }
 
 impl VersionNegotiator {
-    /// A negotiator of a process that starts now.
+    /// Creates the negotiator of a process that starts now.
     ///
     /// ```
     /// use sandgw_schema_version::version_negotiator::{QUIET_PERIOD_MS, RelayPosition, VersionNegotiator};
@@ -127,7 +129,7 @@
     /// ```
     ///
     /// # Errors
-    /// [`SchemaVersionError::Finalized`] where this process does not support the finalized version.
+    /// [`SchemaVersionError::Finalized`] if this process does not support the finalized version.
     pub fn new(
         supported: SupportedVersions,
         finalized: SchemaVersion,
@@ -150,23 +152,23 @@
         })
     }
 
-    /// Applies a changed number of relays, or index of this one.
+    /// Applies a change of this relay's index or of the number of relays.
     pub fn set_position(&mut self, position: RelayPosition) {
         self.position = position;
         self.peers.retain(|peer, _| *peer < position.relay_count);
     }
 
-    /// What this process supports.
+    /// Returns the versions that this process supports.
     pub fn supported(&self) -> SupportedVersions {
         self.supported
     }
 
-    /// The version below which nothing is written any more.
+    /// Returns the finalized version: no process writes an older version any more.
     pub fn finalized(&self) -> SchemaVersion {
         self.finalized
     }
 
-    /// The version that the cluster writes, as far as this process knows.
+    /// Returns the version that the cluster writes, as far as this process knows.
     pub fn version(&self, now: Millis) -> SchemaVersion {
         let mut version = self.supported.newest;
         if let Some(sighting) = self.oldest_sighting(now) {
@@ -178,25 +180,29 @@
         version.max(self.min_version())
     }
 
-    /// The oldest process seen within the quiet period that supports less than this one.
+    /// Returns the sighting of the oldest process that was seen within the quiet period and does not support
+    /// this process's newest version, if there is one.
     pub fn oldest_sighting(&self, now: Millis) -> Option<OlderSighting> {
-        let ages = self.older_seen().map(|(version, at)| OlderSighting { version, age_ms: now - at });
-        ages.filter(|sighting| sighting.age_ms < QUIET_PERIOD_MS)
+        let sightings =
+            self.older_sightings().map(|(version, at)| OlderSighting { version, age_ms: now - at });
+        sightings
+            .filter(|sighting| sighting.age_ms < QUIET_PERIOD_MS)
             .min_by(|a, b| a.version.cmp(&b.version).then(a.age_ms.total_cmp(&b.age_ms)))
     }
 
-    /// Versions below the newest of this process, and when a process was last seen that supports no newer
-    /// one.
-    fn older_seen(&self) -> impl Iterator<Item = (SchemaVersion, Millis)> {
-        // A relay that ignored a request and is asked once more counts here, but is passed on to others
-        // only once that request has timed out too.
+    /// Returns versions below the newest of this process, and for each the time when a process that supports
+    /// no newer version was last seen. A version may occur more than once.
+    fn older_sightings(&self) -> impl Iterator<Item = (SchemaVersion, Millis)> {
+        // A relay that ignored a request and is being asked again counts as a sighting here, but it is
+        // advertised to other relays only after the new request has timed out too.
         let ignoring = self.peers.values().filter(|peer| peer.ignores_requests);
         let ignoring = ignoring.filter_map(|peer| Some((SchemaVersion::FIRST, peer.plain_message_at?)));
         let recorded = self.older_seen_at.iter().map(|(version, at)| (*version, *at));
         recorded.chain(ignoring).filter(|(version, _)| *version < self.supported.newest)
     }
 
-    /// Relays heard from within the quiet period that support less than this process.
+    /// Returns the relays that sent a datagram within the quiet period and don't support this process's
+    /// newest version.
     pub fn outdated_peers(&self, now: Millis) -> Vec<u32> {
         let is_recent = |at: Millis| now - at < QUIET_PERIOD_MS;
         let is_outdated = |peer: &Peer| {
@@ -206,9 +212,9 @@
         self.peers.iter().filter(|(_, peer)| is_outdated(peer)).map(|(index, _)| *index).collect()
     }
 
-    /// Remaining part of the quiet period before an upgrade; 0 where it is over.
+    /// Returns the remaining part of the quiet period before an upgrade, or 0 if it is over.
     pub fn remaining_quiet_ms(&self, now: Millis) -> Millis {
-        let last_seen = self.older_seen().fold(self.listening_since, |latest, (_, at)| latest.max(at));
+        let last_seen = self.older_sightings().fold(self.listening_since, |latest, (_, at)| latest.max(at));
         (QUIET_PERIOD_MS - (now - last_seen)).max(0.0)
     }
 
@@ -216,7 +222,7 @@
         self.finalized.max(self.supported.oldest)
     }
 
-    /// The version in which one relay is written to.
+    /// Returns the version in which this process writes to one relay.
     pub fn version_for(&self, now: Millis, peer: u32) -> SchemaVersion {
         let min_version = self.min_version();
         let Some(peer) = self.peers.get(&peer) else { return min_version };
@@ -228,19 +234,19 @@
         self.version(now).min(peer.supported.newest).max(min_version)
     }
 
-    /// What this process advertises.
+    /// Returns this process's advertisement.
     pub fn advertisement(&self, now: Millis) -> VersionAdvertisement {
-        let ages = self.older_seen_at.iter();
-        let ages = ages.map(|(version, at)| OlderSighting { version: *version, age_ms: now - at });
-        let older = ages.filter(|sighting| sighting.age_ms < QUIET_PERIOD_MS).collect();
+        let sightings = self.older_seen_at.iter();
+        let sightings = sightings.map(|(version, at)| OlderSighting { version: *version, age_ms: now - at });
+        let older = sightings.filter(|sighting| sighting.age_ms < QUIET_PERIOD_MS).collect();
         VersionAdvertisement { supported: self.supported, finalized: self.finalized, older }
     }
 
     /// Handles a relay's advertisement.
     ///
     /// # Errors
-    /// [`SchemaVersionError::Finalized`] where the cluster is finalized at a version that is not supported
-    /// here.
+    /// [`SchemaVersionError::Finalized`] if the cluster is finalized at a version that this process does not
+    /// support.
     pub fn handle_advertisement(
         &mut self,
         now: Millis,
@@ -257,14 +263,14 @@
             advertisement_sent_at: known.advertisement_sent_at,
             ..Peer::default()
         };
-        self.record_older(advertisement.supported.newest, now);
+        self.record_sighting(advertisement.supported.newest, now);
         self.merge(now, advertisement)
     }
 
     /// Merges the sightings and the finalized version of an advertisement.
     fn merge(&mut self, now: Millis, advertisement: &VersionAdvertisement) -> Result<(), SchemaVersionError> {
         for sighting in &advertisement.older {
-            self.record_older(sighting.version, now - sighting.age_ms);
+            self.record_sighting(sighting.version, now - sighting.age_ms);
         }
         let finalized = advertisement.finalized;
         if finalized > self.supported.newest {
@@ -278,7 +284,7 @@
         peer < self.position.relay_count && peer != self.position.local_index
     }
 
-    /// Handles a relay's version 1 datagram that came without an advertisement.
+    /// Handles a relay's version 1 datagram, which has no advertisement.
     pub fn handle_plain_message(&mut self, now: Millis, peer: u32) {
         if !self.is_other_relay(peer) {
             return;
@@ -291,30 +297,30 @@
         }
         let previous = peer.plain_message_at.replace(now);
         if peer.ignores_requests && previous.is_some_and(|at| now - at <= ADVERTISEMENT_TTL_MS) {
-            self.record_older(SchemaVersion::FIRST, now);
+            self.record_sighting(SchemaVersion::FIRST, now);
         } else if peer.request.is_none() && advertised_ago > ADVERTISE_INTERVAL_MS + MIN_RESTART_MS {
-            // A process that advertises does so with the first datagram in each interval: either it was
-            // lost, or it has none. After a longer pause the relay may have been replaced, so what it was
-            // before proves nothing.
+            // A process that advertises sends an advertisement ahead of its first datagram in each interval.
+            // Here that advertisement was lost, or the process does not advertise. After a longer pause the
+            // relay's process may have been replaced, so an earlier advertisement proves nothing.
             peer.request = Some(AdvertisementRequest { started_at: now, last_sent_at: f64::NEG_INFINITY });
         }
     }
 
-    /// Records that a process which supports no newer version was alive at a time.
-    fn record_older(&mut self, version: SchemaVersion, at: Millis) {
+    /// Records that a process which supports no newer version than `version` was alive at a time.
+    fn record_sighting(&mut self, version: SchemaVersion, at: Millis) {
         if version < self.supported.newest {
             let latest = self.older_seen_at.entry(version).or_insert(at);
             *latest = latest.max(at);
         }
     }
 
-    /// Whether a relay is to get an advertisement before the next version 1 datagram.
+    /// Returns whether a relay is to get an advertisement before the next version 1 datagram.
     pub fn is_advertisement_due(&self, now: Millis, peer: u32) -> bool {
         let known = self.peers.get(&peer);
         known.is_none_or(|peer| now - peer.advertisement_sent_at >= ADVERTISE_INTERVAL_MS)
     }
 
-    /// Records that a relay was sent a datagram of this version, with or without an advertisement.
+    /// Records that a relay was sent a datagram of a version, with or without an advertisement.
     pub fn record_sent(&mut self, now: Millis, peer: u32, version: SchemaVersion, with_advertisement: bool) {
         let peer = self.peers.entry(peer).or_default();
         if version > SchemaVersion::FIRST {
@@ -325,7 +331,7 @@
         }
     }
 
-    /// The advertisements due now, beside those that go with other datagrams.
+    /// Returns the advertisements that are due now, apart from those that accompany other datagrams.
     pub fn poll(&mut self, now: Millis) -> Vec<AdvertisementDue> {
         let mut due = Vec::new();
         self.poll_requests(now, &mut due);
@@ -336,7 +342,8 @@
         due
     }
 
-    /// Draws the relays of a periodic advertisement: evenly spaced, so that neighbours reach different ones.
+    /// Draws the relays that get a periodic advertisement. They are evenly spaced, so that relays with
+    /// neighbouring indices reach different relays.
     fn draw_peers(&mut self, due: &mut Vec<AdvertisementDue>) {
         let RelayPosition { local_index, relay_count } = self.position;
         let others = relay_count.saturating_sub(1);
@@ -348,7 +355,7 @@
         }
     }
 
-    /// Repeats pending requests, and ends those that have timed out.
+    /// Repeats pending requests for advertisements, and ends requests that have timed out.
     fn poll_requests(&mut self, now: Millis, due: &mut Vec<AdvertisementDue>) {
         let mut seen_at = Vec::new();
         for (index, peer) in &mut self.peers {
@@ -363,11 +370,11 @@
             }
         }
         for at in seen_at {
-            self.record_older(SchemaVersion::FIRST, at);
+            self.record_sighting(SchemaVersion::FIRST, at);
         }
     }
 
-    /// In how many milliseconds [`VersionNegotiator::poll`] is to be called again.
+    /// Returns in how many milliseconds [`VersionNegotiator::poll`] is to be called again.
     pub fn next_poll_in_ms(&self, now: Millis) -> Millis {
         let requests = self.peers.values().filter_map(|peer| peer.request);
         let request_times = requests.map(|request| {
@@ -376,11 +383,13 @@
         (request_times.fold(self.next_advertisement_at, f64::min) - now).max(1.0)
     }
 
-    /// Ends the possibility to go back below the newest version, which it returns.
+    /// Finalizes the newest version that this process supports, and returns it. The cluster can't go back
+    /// below it afterwards.
     ///
     /// # Errors
-    /// [`SchemaVersionError::OlderAlive`] or [`SchemaVersionError::TooEarly`] while an older process may be
-    /// alive.
+    /// [`SchemaVersionError::OlderAlive`] if an older process was seen within the quiet period;
+    /// [`SchemaVersionError::TooEarly`] if this process has not listened for a whole quiet period and the
+    /// version is not finalized yet.
     pub fn finalize(&mut self, now: Millis) -> Result<SchemaVersion, SchemaVersionError> {
         if let Some(OlderSighting { version, age_ms }) = self.oldest_sighting(now) {
             return Err(SchemaVersionError::OlderAlive { version, age_ms });
@@ -393,16 +402,16 @@
         Ok(self.finalized)
     }
 
-    /// How long this process has listened, for the process that takes over from it.
+    /// Returns how long this process has listened for older processes, to hand over to its successor.
     pub fn listening_ms(&self, now: Millis) -> Millis {
         now - self.listening_since
     }
 
-    /// Applies what the predecessor process knew: how long it listened, and what it advertised.
+    /// Applies the predecessor process's knowledge: how long it listened, and its advertisement.
     ///
     /// # Errors
-    /// [`SchemaVersionError::Finalized`] where the cluster is finalized at a version that is not supported
-    /// here.
+    /// [`SchemaVersionError::Finalized`] if the cluster is finalized at a version that this process does not
+    /// support.
     pub fn resume(
         &mut self,
         now: Millis,
@@ -415,7 +424,8 @@
         self.merge(now, advertisement)
     }
 
-    /// A pseudo-random number by xorshift: it need only differ from relay to relay and from time to time.
+    /// Returns a pseudo-random number below `bound`, by xorshift. The numbers need only differ between relays
+    /// and between calls.
     fn random_below(&mut self, bound: u32) -> u32 {
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
--- a/crates/schema-version/src/versioned_channel.rs
+++ b/crates/schema-version/src/versioned_channel.rs
@@ -1,13 +1,13 @@
-//! Sits between a relay's messages and its datagrams: each message goes out in the version that its
-//! receiver supports, and comes in whatever version it has.
+//! Converts a relay's messages to datagrams and received datagrams to messages. Each message is sent in a
+//! version that the receiver supports; received datagrams may be of any supported version.
 //!
-//! [`VersionedChannel`] owns the negotiator and the rows of tenants' usage that version 1 can't carry.
-//! Inputs: version 1 texts, rows, datagrams, and the time in milliseconds. Outputs: datagrams, texts and
-//! rows. It sends nothing itself.
+//! [`VersionedChannel`] owns the version negotiator and a queue of rows with the usage of tenants, which
+//! version 1 can't carry. Its inputs are version 1 texts, rows, datagrams, and the time in milliseconds; its
+//! outputs are datagrams, texts and rows. The caller sends the datagrams.
 //!
-//! For each relay the latest rows only are queued for as long as that relay is written to in version 1.
-//! They go with the first version 2 datagram to it, so a downgrade and upgrade loses only rows that newer
-//! ones have replaced.
+//! While a relay is written to in version 1, only the latest rows for that relay stay queued. The first
+//! version 2 datagram to the relay carries them, so a downgrade and a later upgrade lose only rows that newer
+//! rows have replaced.
 
 use std::collections::BTreeMap;
 
@@ -21,11 +21,12 @@
 };
 use crate::{Millis, SchemaVersion, SchemaVersionError};
 
-/// How long rows wait for a datagram that can carry them before they get one of their own.
+/// How long rows wait for a version 2 datagram with a text before they are sent in a separate datagram.
 const ROWS_DELAY_MS: Millis = 200.0;
-/// Behind an advertisement: asks the receiver for its own.
+/// Follows an advertisement and asks the receiver for its advertisement.
 const REQUEST_SUFFIX: &str = "|?";
-/// Longest version 1 text in bytes that fits beside an advertisement without sightings and its separator.
+/// The greatest length in bytes of a version 1 text that fits beside an advertisement without sightings and
+/// its separator.
 const MAX_TEXT_BYTES: usize = MAX_BYTES - 5;
 
 /// A datagram to be sent.
@@ -33,71 +34,71 @@
 pub struct Datagram {
     /// The receiving relay.
     pub peer: u32,
-    /// Its content.
+    /// The content.
     pub text: String,
 }
 
-/// Totals since the start.
+/// Counters since the channel was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChannelCounters {
     /// Version 1 datagrams sent.
-    pub sent_first: u64,
+    pub sent_version_1: u64,
     /// Version 2 datagrams sent.
-    pub sent_second: u64,
-    /// Advertisements sent in datagrams of their own.
+    pub sent_version_2: u64,
+    /// Advertisements sent in separate datagrams.
     pub advertisements: u64,
-    /// Bytes of advertisements, alone or at the head of version 2 datagrams.
+    /// Bytes of advertisements sent, in separate datagrams or at the head of version 2 datagrams.
     pub advertisement_bytes: u64,
-    /// Datagrams received of a newer version.
+    /// Received datagrams that this process is too old to read or to accept.
     pub too_new: u64,
-    /// Datagrams received that were truncated or altered.
+    /// Received datagrams that were truncated or altered.
     pub malformed: u64,
 }
 
-/// Content of a received datagram.
+/// The content of a received datagram.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Received {
-    /// A version 1 text.
+    /// The version 1 text, if the datagram has one.
     pub text: Option<String>,
-    /// Rows of tenants' usage.
+    /// Rows with the usage of tenants, if the datagram has them.
     pub rows: Option<QuotaRows>,
 }
 
-/// Rows that wait for a datagram to their relay.
+/// Rows that wait for a version 2 datagram to the receiving relay.
 #[derive(Clone, Debug)]
 struct QueuedRows {
     queued_at: Millis,
     rows: QuotaRows,
 }
 
-/// The channel of one relay to all others; see the module documentation.
+/// The channel of this relay to all other relays; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct VersionedChannel {
-    /// Decides which version is written.
+    /// Decides in which version each relay is written to.
     pub negotiator: VersionNegotiator,
     queued_rows: BTreeMap<u32, QueuedRows>,
     counters: ChannelCounters,
 }
 
 impl VersionedChannel {
-    /// A channel with nothing queued.
+    /// Creates a channel with nothing queued.
     pub fn new(negotiator: VersionNegotiator) -> VersionedChannel {
         let counters = ChannelCounters::default();
         VersionedChannel { negotiator, queued_rows: BTreeMap::new(), counters }
     }
 
-    /// Totals since the start.
+    /// Returns the counters.
     pub fn counters(&self) -> ChannelCounters {
         self.counters
     }
 
-    /// Queues rows for a relay until they can be sent, in place of those queued before.
+    /// Queues rows for a relay until they can be sent. They replace the rows that were queued before.
     pub fn queue_rows(&mut self, now: Millis, peer: u32, rows: QuotaRows) {
         self.queued_rows.insert(peer, QueuedRows { queued_at: now, rows });
     }
 
-    /// Sends a version 1 text in the version that the relay supports: one datagram, or two where it is to
-    /// get an advertisement first.
+    /// Adds a version 1 text to `out`, in the version that the relay supports. This is one datagram, or two
+    /// if the relay is to get an advertisement first.
     ///
     /// ```
     /// use sandgw_schema_version::version_negotiator::{RelayPosition, VersionNegotiator};
@@ -109,40 +110,41 @@
     /// let mut channel = VersionedChannel::new(negotiator);
     /// let mut out = Vec::new();
     /// channel.send(0.0, 1, "1s a", &mut out);
-    /// // Nothing is known of relay 1: it gets an advertisement, which an old process ignores, and version 1.
+    /// // Relay 1 has not advertised yet: it gets an advertisement, which old processes ignore, and version 1.
     /// let texts = ["3121", "1s a"].map(String::from);
     /// assert_eq!(out, texts.map(|text| Datagram { peer: 1, text }));
     /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
     /// ```
     pub fn send(&mut self, now: Millis, peer: u32, text: &str, out: &mut Vec<Datagram>) {
         if self.negotiator.version_for(now, peer) >= SchemaVersion::SECOND
-            && let Some(datagram) = self.encode_second(now, peer, text)
+            && let Some(datagram) = self.encode_version_2(now, peer, text)
         {
-            return self.send_second(now, peer, datagram, out);
+            return self.send_version_2(now, peer, datagram, out);
         }
         if self.negotiator.is_advertisement_due(now, peer) {
             self.advertise(now, AdvertisementDue { peer, requests_reply: false }, out);
         }
-        self.counters.sent_first += 1;
+        self.counters.sent_version_1 += 1;
         self.negotiator.record_sent(now, peer, SchemaVersion::FIRST, false);
         out.push(Datagram { peer, text: text.to_owned() });
     }
 
-    /// A version 2 datagram with the text and the relay's queued rows, or with as much of the text as fits.
-    fn encode_second(&mut self, now: Millis, peer: u32, text: &str) -> Option<String> {
+    /// Encodes a version 2 datagram with the text and the relay's queued rows. If they don't fit together,
+    /// the rows stay queued and the datagram has as much of the text as fits.
+    fn encode_version_2(&mut self, now: Millis, peer: u32, text: &str) -> Option<String> {
         let rows = self.queued_rows.get(&peer).map(|queued| queued.rows.clone());
-        if let Some(whole) = self.message(now, Some(text), rows).encode() {
+        if let Some(datagram) = self.build_message(now, Some(text), rows).encode() {
             self.queued_rows.remove(&peer);
-            return Some(whole);
+            return Some(datagram);
         }
-        self.message(now, Some(fitting(text)), None).encode()
+        self.build_message(now, Some(truncate_to_fit(text)), None).encode()
     }
 
-    /// Handles a datagram of a relay; what is to be sent in reply is added to `out`.
+    /// Handles a datagram from a relay, and adds datagrams to be sent in reply to `out`.
     ///
     /// # Errors
-    /// Where it can't be read, which is counted, or where it says that the cluster is finalized at a
-    /// version that is not supported here.
+    /// If the datagram can't be read, or if it says that the cluster is finalized at a version that this
+    /// process does not support. Both are counted.
     pub fn receive(
         &mut self,
         now: Millis,
@@ -167,7 +169,8 @@
     ) -> Result<Received, SchemaVersionError> {
         let body = text.strip_suffix(REQUEST_SUFFIX);
         let decoded = VersionedMessage::decode(body.unwrap_or(text));
-        // An advertisement counts though what follows can't be read: its sender is alive and newer.
+        // A readable advertisement is handled even if the rest of the datagram can't be read: its sender is
+        // alive and runs a newer version.
         let advertisement = match &decoded {
             Ok(message) => Some(&message.advertisement),
             Err(error) => error.advertisement.as_ref(),
@@ -182,19 +185,19 @@
         Ok(Received { text, rows: parts.rows })
     }
 
-    /// Handles a datagram without an advertisement.
+    /// Handles a datagram that has no advertisement.
     fn receive_plain(&mut self, now: Millis, peer: u32, text: &str) -> Result<Received, SchemaVersionError> {
         let received = match text.chars().next() {
             Some(prefix) if FIRST_VERSION_PREFIXES.contains(&prefix) => {
                 Received { text: Some(text.to_owned()), rows: None }
             }
-            // Of a process that reports usage but advertises nothing: it supports version 1, and ignores
-            // the rest.
+            // The sender is a process that reports usage but advertises nothing. It supports version 1 and
+            // ignores all other datagrams.
             Some(ROWS_PREFIX) => Received { text: None, rows: Some(QuotaRows::new(text)?) },
             Some(prefix) => {
                 return Err(SchemaVersionError::UnknownPart { prefix, newest: SchemaVersion::NEWEST });
             }
-            None => return Err(SchemaVersionError::Malformed { bytes: 0, part: "all of it" }),
+            None => return Err(SchemaVersionError::Malformed { bytes: 0, part: "the empty datagram" }),
         };
         self.negotiator.handle_plain_message(now, peer);
         Ok(received)
@@ -209,7 +212,8 @@
         }
     }
 
-    /// Sends what is due without a text: advertisements, and rows that have waited long enough.
+    /// Adds the datagrams that are due without a text to `out`: advertisements, and rows that have waited for
+    /// at least [`ROWS_DELAY_MS`].
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Datagram>) {
         for due in self.negotiator.poll(now) {
             self.advertise(now, due, out);
@@ -228,12 +232,12 @@
 
     fn send_rows(&mut self, now: Millis, peer: u32, out: &mut Vec<Datagram>) {
         let rows = self.queued_rows.remove(&peer).map(|queued| queued.rows);
-        if let Some(datagram) = self.message(now, None, rows).encode() {
-            self.send_second(now, peer, datagram, out);
+        if let Some(datagram) = self.build_message(now, None, rows).encode() {
+            self.send_version_2(now, peer, datagram, out);
         }
     }
 
-    /// In how many milliseconds [`VersionedChannel::poll`] is to be called again.
+    /// Returns in how many milliseconds [`VersionedChannel::poll`] is to be called again.
     pub fn next_poll_in_ms(&self, now: Millis) -> Millis {
         let reads_rows = |peer: &u32| self.negotiator.version_for(now, *peer) >= SchemaVersion::SECOND;
         let sendable = self.queued_rows.iter().filter(|(peer, _)| reads_rows(peer));
@@ -241,7 +245,7 @@
         delays.fold(self.negotiator.next_poll_in_ms(now), f64::min).max(1.0)
     }
 
-    fn message(&self, now: Millis, text: Option<&str>, rows: Option<QuotaRows>) -> VersionedMessage {
+    fn build_message(&self, now: Millis, text: Option<&str>, rows: Option<QuotaRows>) -> VersionedMessage {
         let parts = SecondVersionParts { advertisement: self.negotiator.advertisement(now), rows };
         upgrade(Downgraded { text: text.map(str::to_owned), parts })
     }
@@ -258,18 +262,18 @@
         out.push(Datagram { peer, text });
     }
 
-    fn send_second(&mut self, now: Millis, peer: u32, text: String, out: &mut Vec<Datagram>) {
+    fn send_version_2(&mut self, now: Millis, peer: u32, text: String, out: &mut Vec<Datagram>) {
         let separator = text.find('|').unwrap_or(text.len());
-        self.counters.sent_second += 1;
+        self.counters.sent_version_2 += 1;
         self.counters.advertisement_bytes += separator as u64 + 1;
         self.negotiator.record_sent(now, peer, SchemaVersion::SECOND, true);
         out.push(Datagram { peer, text });
     }
 }
 
-/// As much of a version 1 text as fits beside an advertisement, in whole entries. Only load samples are
-/// ever longer, and their entries are sorted by size, the smallest groups last.
-fn fitting(text: &str) -> &str {
+/// Returns as many whole entries of a version 1 text as fit beside an advertisement. Only load samples can be
+/// too long; their entries are sorted by size, so the smallest groups, which come last, are left out.
+fn truncate_to_fit(text: &str) -> &str {
     if text.len() <= MAX_TEXT_BYTES {
         return text;
     }
