--- a/src/bin/sandgw-adapter.rs
+++ b/src/bin/sandgw-adapter.rs
@@ -1,4 +1,5 @@
-//! Runs the load balancer on the simulator's wire: batches of JSON lines on standard input, replies on standard output.
+//! Connects the load balancer to the simulator: reads batches of JSON lines from standard input, and writes
+//! the replies to standard output.
 
 #![forbid(unsafe_code)]
 
@@ -9,7 +10,7 @@
 use sandgw::simulator::{Adapter, WireError};
 use thiserror::Error;
 
-/// Why the adapter ended before its input did.
+/// Why the adapter stopped before the end of its input.
 #[derive(Debug, Error)]
 enum AdapterError {
     #[error("{0}")]
--- a/src/config/errors.rs
+++ b/src/config/errors.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a configuration. Every error names the file, the key and the reason.
+//! Errors of the configuration. Each names the file, the key and the reason.
 
 use std::io;
 
@@ -9,11 +9,11 @@
 use crate::help::{Help, HelpEntry, help};
 use crate::simulator::SettingFault;
 
-/// What was wrong with a configuration, or with a folder that it names.
+/// An error in a configuration, or in a folder that the configuration names.
 #[derive(Debug, Error)]
 #[error("{file}: {key}: {fault}")]
 pub struct ConfigError {
-    /// The file, or `environment`.
+    /// The name of the file, or `environment`.
     pub file: String,
     /// The faulty key.
     pub key: String,
@@ -33,115 +33,116 @@
     }
 }
 
-/// What can be wrong with a key or a file.
+/// Reasons why a key or a file is refused.
 #[derive(Debug, Error)]
 pub enum Fault {
-    /// Nothing says where the configuration is.
+    /// Neither the platform's file nor an application's file is given.
     #[error("is not set, and no application file is given")]
     NotSet,
     /// The file can't be read.
     #[error("{0}")]
     Unreadable(io::Error),
-    /// The file can't be written, or is there already.
+    /// The file can't be written, or exists already.
     #[error("{0}")]
     Unwritable(io::Error),
-    /// The file is no JSON or TOML.
+    /// The file is not valid JSON or TOML.
     #[error("{0}")]
     Syntax(String),
-    /// The file holds something else than keys.
+    /// The top level of the file is not an object.
     #[error("must be an object")]
     NotObject,
-    /// A key that nothing does without.
+    /// A required key is missing.
     #[error("is missing")]
     Missing,
-    /// Nobody could connect.
+    /// Neither `listen` nor an RTMP listener is configured, so no client could connect.
     #[error("is missing, and there is no [rtmp] listener")]
     NoListener,
-    /// A new file lacks what the one in force has.
+    /// At a reload, the new file lacks a key that the configuration in force has.
     #[error("is missing, and the running relay has it")]
-    Lacking,
-    /// A new file ends early.
+    MissingOnReload,
+    /// At a reload, the new file ends in the middle of a line.
     #[error("ends within a line")]
-    Cut,
-    /// A key that nothing reads.
+    Truncated,
+    /// The relay does not read this key.
     #[error("is unknown; known are {known}")]
-    Unknown {
-        /// What is read there.
+    UnknownKey {
+        /// The keys that the relay reads in this table.
         known: String,
     },
-    /// A text that must say something.
+    /// A text that must not be empty is empty.
     #[error("must not be empty")]
     Empty,
-    /// A value where a table is read.
+    /// The value is not a table.
     #[error("must be a table")]
     NotTable,
-    /// A value that is no list.
+    /// The value is not a list.
     #[error("must be a list")]
     NotList,
-    /// A value that is no text.
+    /// The value is not a text.
     #[error("{0} is no text")]
     NotText(Value),
-    /// A text that can't be read.
+    /// The text can't be parsed as the expected type.
     #[error("{text:?} is not {wanted}")]
-    Format {
+    InvalidText {
         /// The text.
         text: String,
-        /// What it must be.
+        /// Description of the expected format.
         wanted: &'static str,
     },
-    /// No number, or one that the relay can't work with.
+    /// The value is not a number, or is outside the range that the relay supports.
     #[error("{value} is no number from {min} to {max}")]
-    Number {
-        /// What stands there.
+    OutOfRange {
+        /// The value in the file.
         value: Value,
-        /// The least that it may be.
+        /// The smallest permitted value.
         min: f64,
-        /// The most that it may be.
+        /// The largest permitted value.
         max: f64,
     },
-    /// A seed that can't be read.
+    /// The seed is not a hexadecimal number of 64 bits.
     #[error("must be a hexadecimal number of 64 bits")]
-    Seed,
-    /// Settings without a class: no connection could be placed.
+    InvalidSeed,
+    /// The settings have no request class, so no connection could be placed.
     #[error("must name at least one class")]
     NoClasses,
-    /// A class that the settings don't name.
+    /// The settings have no class of this name.
     #[error("{0:?} is no class of settings.lanes")]
-    NoClass(String),
-    /// An agent that others than this machine could reach.
+    UnknownClass(String),
+    /// The address of the SNMP agent can be reached from other machines.
     #[error("must be a loopback address")]
     NotLoopback,
-    /// Hand-over and store exclude each other.
+    /// A hand-over and a store are both configured: a hand-over needs two processes, and the store admits
+    /// one.
     #[error("is not possible with [state] yet: the folder admits one process")]
-    OneProcess,
-    /// Shares are to be kept to, and nobody has one.
+    HandoverWithStore,
+    /// Quotas are to be enforced, but the settings define none.
     #[error("is true, and the settings state no share")]
-    NoShare,
-    /// No form of shared state has that number.
+    NoQuota,
+    /// The number is not a supported schema version of shared state.
     #[error("of forms: {0}")]
-    Forms(sandgw_schema_version::SchemaVersionError),
-    /// Windows are agreed on by messages between relays, and there are none.
+    SchemaVersion(sandgw_schema_version::SchemaVersionError),
+    /// Relays agree on maintenance windows by messages, but messages between relays are not configured.
     #[error("needs peer_listen, and settings.limits.peerMessages")]
-    NoMessages,
-    /// Clocks that are further apart than a lease allows for.
+    NoPeerMessages,
+    /// The bound on clock differences is too large for the lease.
     #[error("must be at most a quarter of lease_s")]
-    Bound,
-    /// Relays that there are not, or one named twice.
+    ClockBoundTooLarge,
+    /// The voters are empty, name a relay that does not exist, or name a relay twice.
     #[error("must be numbers of relays, from 0 and below {0}, each once")]
-    Voters(u32),
-    /// A name that makes no file name everywhere.
+    InvalidVoters(u32),
+    /// The application's name is not a portable file name.
     #[error("the name must be of small letters, digits and '-'")]
-    Name,
-    /// The relay could not start with a configuration that is in order.
+    InvalidName,
+    /// The relay could not start, although its configuration is valid.
     #[error("{0}")]
     Start(io::Error),
-    /// A command on the folder of clients and groups has failed.
+    /// A command on the folder of the store of clients and groups has failed.
     #[error("{0}")]
-    Folder(String),
-    /// The list as last held is faulty.
+    StateFolder(String),
+    /// The cached endpoint list is invalid.
     #[error(transparent)]
-    Known(Box<ListError>),
-    /// A value of the settings is faulty.
+    CachedList(Box<ListError>),
+    /// A value in the load balancer's settings is invalid.
     #[error(transparent)]
     Setting(#[from] SettingFault),
 }
@@ -154,34 +155,34 @@
     NotObject: "must be an object" => "the file must hold keys and values",
     Missing: "is missing" => "add the key; `sandgw config new` shows each with a value",
     NoListener: "is missing, and there is no [rtmp] listener" => "name an address for clients, or add [rtmp]",
-    Lacking: "is missing, and the running relay has it" => "put the key back, or restart with the file as it is",
-    Cut: "ends within a line" => "write the file anew, whole, and send SIGHUP again",
-    Unknown: "is unknown" => "correct the spelling, or take the key out",
+    MissingOnReload: "is missing, and the running relay has it" => "put the key back, or restart with the file as it is",
+    Truncated: "ends within a line" => "write the file anew, whole, and send SIGHUP again",
+    UnknownKey: "is unknown" => "correct the spelling, or take the key out",
     Empty: "must not be empty" => "give it a text, or take the table out",
     NotTable: "must be a table" => "write it as [NAME] with its keys below",
     NotList: "must be a list" => "put the values in [ ]",
     NotText: "is no text" => "put the value in quotes",
-    Format: "is not" => "write numbers, no host name: 127.0.0.1:8443 with a port, 127.0.0.1 without",
-    Number: "is no number from" => "choose a number in that range, without quotes",
-    Seed: "must be a hexadecimal number" => "take it out: the time will do",
+    InvalidText: "is not" => "write numbers, no host name: 127.0.0.1:8443 with a port, 127.0.0.1 without",
+    OutOfRange: "is no number from" => "choose a number in that range, without quotes",
+    InvalidSeed: "must be a hexadecimal number" => "take it out: the time will do",
     NoClasses: "must name at least one class" => "add a class to settings.lanes; the platform's file has them",
-    NoClass: "is no class of settings.lanes" => "name one of settings.lanes, or leave it out for the first",
+    UnknownClass: "is no class of settings.lanes" => "name one of settings.lanes, or leave it out for the first",
     NotLoopback: "must be a loopback address" => "let the agent listen at 127.0.0.1",
-    OneProcess: "is not possible with [state]" => "take out one of the two",
-    NoShare: "the settings state no share" => "give realms a quotaPerS or domain a tenantQuotaConnections, or leave \
+    HandoverWithStore: "is not possible with [state]" => "take out one of the two",
+    NoQuota: "the settings state no share" => "give realms a quotaPerS or domain a tenantQuotaConnections, or leave \
         [shares] out",
-    Forms: "of forms:" => "set forms.most to a form that this program knows",
-    NoMessages: "needs peer_listen" => "relays agree on windows by messages: name the address, or take [maintenance] out",
-    Bound: "must be at most a quarter of lease_s" => "it is subtracted from every grant: lengthen the lease, or keep \
+    SchemaVersion: "of forms:" => "set forms.most to a form that this program knows",
+    NoPeerMessages: "needs peer_listen" => "relays agree on windows by messages: name the address, or take [maintenance] out",
+    ClockBoundTooLarge: "must be at most a quarter of lease_s" => "it is subtracted from every grant: lengthen the lease, or keep \
         clocks closer",
-    Voters: "must be numbers of relays" => "name relays of this tier by their numbers, or leave it out",
-    Name: "the name must be of small letters" => "choose such a name",
+    InvalidVoters: "must be numbers of relays" => "name relays of this tier by their numbers, or leave it out",
+    InvalidName: "the name must be of small letters" => "choose such a name",
     Start: "relay: start:" => "an address must be free and this machine's, a folder there and this relay's; of \
         the hand-over see on-call.md",
-    Folder: "state.folder:" => "no relay may run on the folder meanwhile, and files are never overwritten; see state.md",
-} of Known, Setting);
+    StateFolder: "state.folder:" => "no relay may run on the folder meanwhile, and files are never overwritten; see state.md",
+} of CachedList, Setting);
 
-/// An error of a key in a file.
+/// Builds the error for a key in a file.
 pub(super) fn config_error(file: &str, key: &str, fault: impl Into<Fault>) -> ConfigError {
     ConfigError { file: file.to_owned(), key: key.to_owned(), fault: fault.into() }
 }
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,5 +1,4 @@
-//! Configuration files: their values, and which keys they have, to tell a file that was cut short from a
-//! whole one.
+//! Reads configuration files: their values, and the set of their keys, by which a truncated file is detected.
 
 use std::collections::BTreeSet;
 
@@ -7,21 +6,21 @@
 
 use super::errors::{ConfigError, Fault, config_error};
 
-/// The key that stands for a file as a whole.
+/// Stands in place of a key in errors about a file as a whole.
 pub(super) const WHOLE_FILE: &str = "(file)";
-/// Keys that come and go with other values: what is in the list of endpoints is its own matter, and these
-/// of a class depend on its effect when repeated.
+/// Keys that a complete file may lack although an earlier one had them: the endpoint list changes on its own,
+/// and these keys of a class depend on its idempotency.
 const OPTIONAL_KEYS: [&str; 4] =
     ["known", "settings.lanes[].group", "settings.lanes[].windowMs", "settings.lanes[].aimStretch"];
 
-/// What a file has said, whatever its values.
+/// The keys of a file, without their values.
 #[derive(Debug, PartialEq)]
 pub(super) struct FileKeys {
-    /// The file's name.
+    /// Path of the file.
     pub file: String,
-    /// Paths of its keys; below a list of tables only those that all of them have.
+    /// Paths of its keys; below a list of tables, only the keys that all of these tables have.
     pub keys: BTreeSet<String>,
-    /// Its last line has an end, or its format has an end of its own.
+    /// Whether the last line ends with a newline. Always true for JSON, which has a closing bracket.
     pub is_terminated: bool,
 }
 
@@ -32,40 +31,40 @@
     Toml,
 }
 
-struct Parsed {
+struct ParsedFile {
     value: Value,
     is_terminated: bool,
 }
 
 impl Format {
-    fn parse(self, text: &str) -> Result<Parsed, Fault> {
+    fn parse(self, text: &str) -> Result<ParsedFile, Fault> {
         match self {
-            // A JSON text ends with the bracket that it began with.
+            // A truncated JSON object lacks its closing bracket and does not parse.
             Format::Json => match serde_json::from_str(text) {
-                Ok(value) => Ok(Parsed { value, is_terminated: true }),
+                Ok(value) => Ok(ParsedFile { value, is_terminated: true }),
                 Err(error) => Err(Fault::Syntax(error.to_string())),
             },
             Format::Toml => match toml::from_str(text) {
-                Ok(value) => Ok(Parsed { value, is_terminated: text.ends_with('\n') }),
+                Ok(value) => Ok(ParsedFile { value, is_terminated: text.ends_with('\n') }),
                 Err(error) => Err(Fault::Syntax(error.to_string().trim_end().to_owned())),
             },
         }
     }
 }
 
-/// Reads a file as an object, and notes its keys. A file that can't be read is a fault, and reads as null.
+/// Reads a file as an object, and records its keys. Where that fails, reports a fault and returns null.
 pub(super) fn read_file(
     path: &str,
     format: Format,
-    written: &mut Vec<FileKeys>,
+    file_keys: &mut Vec<FileKeys>,
     faults: &mut Vec<ConfigError>,
 ) -> Value {
     let text = std::fs::read_to_string(path).map_err(Fault::Unreadable);
     let fault = match text.and_then(|text| format.parse(&text)) {
-        Ok(Parsed { value, is_terminated }) if value.is_object() => {
+        Ok(ParsedFile { value, is_terminated }) if value.is_object() => {
             let mut keys = BTreeSet::new();
             collect_keys(&value, "", &mut keys);
-            written.push(FileKeys { file: path.to_owned(), keys, is_terminated });
+            file_keys.push(FileKeys { file: path.to_owned(), keys, is_terminated });
             return value;
         }
         Ok(_) => Fault::NotObject,
@@ -93,7 +92,7 @@
         keys
     };
     let keys_by_table = elements.iter().filter(|element| element.is_object()).map(keys_of);
-    // A table more or less is a change; one that lacks what the others have was cut.
+    // Tables may be added or removed by a reload, but a table that lacks a key of the others is truncated.
     let common = keys_by_table.reduce(|common, keys| common.intersection(&keys).cloned().collect());
     keys.extend(common.unwrap_or_default());
 }
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -1,8 +1,8 @@
-//! Reading the configuration: the platform's file, variables of the environment, an application's file.
+//! Loads the configuration from the platform's file, environment variables and an application's file.
 //!
-//! What the application's file says goes over the platform's file; a variable says only what the files
-//! leave out, since they can be replaced under a running relay and its environment can't. All faults are
-//! reported, not the first only.
+//! A key of the application's file takes precedence over the platform's file. An environment variable is used
+//! only where both files lack the key, since files can be replaced while a relay runs and its environment
+//! can't. Loading reports all faults, not only the first.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -19,26 +19,26 @@
 use crate::policy::api::{EndpointEntry, Settings};
 use crate::simulator;
 
-/// Stands for the environment where messages name a file.
+/// Stands for the environment in messages, in place of a file name.
 const ENVIRONMENT: &str = "environment";
-/// Names the platform's file.
+/// Environment variable with the path of the platform's file.
 const FILE_VARIABLE: &str = "PROXY_CONFIG";
-/// Names the descriptor of the clients' listening socket.
+/// Environment variable with the number of the inherited descriptor of the clients' listening socket.
 const SOCKET_VARIABLE: &str = "PROXY_PASSED_SOCKET";
 /// The sections of an application's file.
 const SECTIONS: [&str; 9] =
     ["relay", "limits", "rtmp", "snmp", "state", "shares", "forms", "maintenance", "settings"];
-/// The relay's name where nothing gives one.
+/// The relay's name if no source gives one.
 const DEFAULT_NAME: &str = "sandgw";
 
-/// One file and its value; null where there is none.
+/// A configuration file and its parsed value, which is null if there is no such file.
 struct Source {
     file: String,
     value: Value,
 }
 
 impl Source {
-    /// A section of the file.
+    /// A reader of one section of the file.
     fn section<'a>(
         &'a self,
         key: &str,
@@ -53,11 +53,11 @@
     }
 }
 
-/// Both files, and their keys.
+/// The platform's and the application's file, and the keys of both.
 struct Sources {
     platform: Source,
     application: Source,
-    written: Vec<FileKeys>,
+    file_keys: Vec<FileKeys>,
 }
 
 /// The relay's name and addresses, as one source gives them.
@@ -71,14 +71,14 @@
     peers: Option<Vec<SocketAddr>>,
 }
 
-/// What the platform's file says of the list as last held, and of random numbers.
-struct Start {
+/// The state that the platform's file gives a relay for its start: the cached endpoint list and the seed.
+struct InitialState {
     known: Vec<EndpointEntry>,
     endpoint_list: EndpointList,
     seed: u64,
 }
 
-/// The load balancer's settings, with the names that they give.
+/// The load balancer's settings, with the names of the classes and tenants in them.
 struct NamedSettings {
     settings: Settings,
     classes: Vec<String>,
@@ -87,7 +87,7 @@
 }
 
 /// The optional sections of an application's file.
-struct Optional {
+struct OptionalSections {
     rtmp: Option<Rtmp>,
     snmp: Option<Snmp>,
     state: Option<StateFolder>,
@@ -96,30 +96,31 @@
 }
 
 impl Config {
-    /// Reads the platform's configuration, if `PROXY_CONFIG` names one, and over it an application's file,
-    /// if one is given.
+    /// Reads the platform's file if `PROXY_CONFIG` names one, and an application's file if one is given. At
+    /// least one of them is required.
     ///
     /// # Errors
     ///
-    /// All faults, each with file, key and reason.
+    /// All faults that were found, each with file, key and reason.
     pub fn load(environment: &Environment, application: Option<&Path>) -> Result<Config, Vec<ConfigError>> {
         let sources = Sources::read(environment, application)?;
         let mut faults = Vec::new();
-        let start = Start::read(&sources.platform, &mut faults);
+        let initial = InitialState::read(&sources.platform, &mut faults);
         let mut limits = Limits::default();
         limits.read(&mut sources.platform.section("limits", "limits.", &mut faults));
-        let platform = Identity::of_platform(&sources.platform, &mut faults);
-        let variables = Identity::of_environment(environment, &mut faults);
+        let platform = Identity::from_platform(&sources.platform, &mut faults);
+        let variables = Identity::from_environment(environment, &mut faults);
         let passed_socket = passed_socket(environment, &mut faults);
         sources.check_sections(&mut faults);
         read_application_limits(&sources.application, &mut limits, &mut faults);
-        // Who holds the socket starts new versions beside the running one, and keeps this folder for both.
+        // A platform that holds the socket starts a new version beside the running process, and keeps this
+        // folder for both.
         let shared_folder = passed_socket.and(environment.get("TMPDIR")).map(PathBuf::from);
         let mut handover = shared_folder;
-        let application = Identity::of_application(&sources.application, &mut handover, &mut faults);
+        let application = Identity::from_application(&sources.application, &mut handover, &mut faults);
         let identity = application.or(platform).or(variables);
         let mut named = NamedSettings::read(&sources, &mut faults);
-        let optional = Optional::read(&sources.application, &identity, &mut named, &mut faults);
+        let optional = OptionalSections::read(&sources.application, &identity, &mut named, &mut faults);
         sources.check_required(&identity, &mut faults);
         match identity.discovery {
             Some(discovery) if faults.is_empty() => Ok(Config {
@@ -129,11 +130,11 @@
                 ops: identity.ops,
                 passed_socket,
                 handover,
-                seed: start.seed,
+                seed: initial.seed,
                 peer_listen: identity.peer_listen,
                 peers: identity.peers.unwrap_or_default(),
-                known: start.known,
-                endpoint_list: start.endpoint_list,
+                known: initial.known,
+                endpoint_list: initial.endpoint_list,
                 settings: named.settings,
                 classes: named.classes,
                 tenants: named.tenants,
@@ -144,7 +145,7 @@
                 state: optional.state,
                 forms: optional.forms,
                 maintenance: optional.maintenance,
-                written: sources.written,
+                file_keys: sources.file_keys,
             }),
             _ => Err(faults),
         }
@@ -154,10 +155,10 @@
 impl Sources {
     fn read(environment: &Environment, application: Option<&Path>) -> Result<Sources, Vec<ConfigError>> {
         let mut faults = Vec::new();
-        let mut written = Vec::new();
+        let mut file_keys = Vec::new();
         let mut source = |path: Option<String>, format: Format| {
             path.map(|file| {
-                let value = read_file(&file, format, &mut written, &mut faults);
+                let value = read_file(&file, format, &mut file_keys, &mut faults);
                 Source { file, value }
             })
         };
@@ -169,29 +170,29 @@
         if !faults.is_empty() {
             return Err(faults);
         }
-        let none = || Source { file: ENVIRONMENT.to_owned(), value: Value::Null };
+        let no_file = || Source { file: ENVIRONMENT.to_owned(), value: Value::Null };
         Ok(Sources {
-            platform: platform.unwrap_or_else(none),
-            application: application.unwrap_or_else(none),
-            written,
+            platform: platform.unwrap_or_else(no_file),
+            application: application.unwrap_or_else(no_file),
+            file_keys,
         })
     }
 
-    /// Reports sections of the application's file that are unknown, or no tables.
+    /// Reports sections of the application's file that are unknown or not tables.
     fn check_sections(&self, faults: &mut Vec<ConfigError>) {
-        let mut top = Reader::new(&self.application.file, &self.application.value, "", faults);
-        top.known_keys(&SECTIONS);
-        top.tables(&SECTIONS);
+        let mut root = Reader::new(&self.application.file, &self.application.value, "", faults);
+        root.check_known_keys(&SECTIONS);
+        root.check_tables(&SECTIONS);
     }
 
-    /// Reports what is missing, in the file where it is expected first.
+    /// Reports missing keys, naming the application's file if there is one, else the platform's.
     fn check_required(&self, identity: &Identity, faults: &mut Vec<ConfigError>) {
         let has_application = !self.application.value.is_null();
         let file = if has_application { &self.application.file } else { &self.platform.file };
         let prefix = if has_application { "relay." } else { "" };
         let mut require = |key: &str, fault: Fault| {
             let key = format!("{prefix}{key}");
-            // A faulty value was reported already.
+            // An invalid value of this key was reported already.
             if !faults.iter().any(|reported| reported.key == key) {
                 faults.push(config_error(file, &key, fault));
             }
@@ -205,35 +206,35 @@
     }
 }
 
-impl Start {
-    fn read(platform: &Source, faults: &mut Vec<ConfigError>) -> Start {
-        let mut top = Reader::new(&platform.file, &platform.value, "", faults);
+impl InitialState {
+    fn read(platform: &Source, faults: &mut Vec<ConfigError>) -> InitialState {
+        let mut root = Reader::new(&platform.file, &platform.value, "", faults);
         let (endpoint_list, known) =
             EndpointList::from_cached(&platform.value["known"]).unwrap_or_else(|error| {
-                top.fault("known", Fault::Known(Box::new(error)));
+                root.fault("known", Fault::CachedList(Box::new(error)));
                 (EndpointList::default(), Vec::new())
             });
-        Start { known, endpoint_list, seed: top.seed() }
+        InitialState { known, endpoint_list, seed: root.seed() }
     }
 }
 
 impl Identity {
-    fn of_platform(platform: &Source, faults: &mut Vec<ConfigError>) -> Identity {
-        let mut top = Reader::new(&platform.file, &platform.value, "", faults);
+    fn from_platform(platform: &Source, faults: &mut Vec<ConfigError>) -> Identity {
+        let mut root = Reader::new(&platform.file, &platform.value, "", faults);
         Identity {
-            name: top.text("name"),
-            listen: top.parsed("listen", ADDRESS),
-            discovery: top.parsed("discovery", ADDRESS),
-            ops: top.parsed("ops", ADDRESS),
-            peer_listen: top.parsed("peer_listen", ADDRESS),
-            peers: top.list("peers", ADDRESS),
+            name: root.text("name"),
+            listen: root.parse_key("listen", ADDRESS),
+            discovery: root.parse_key("discovery", ADDRESS),
+            ops: root.parse_key("ops", ADDRESS),
+            peer_listen: root.parse_key("peer_listen", ADDRESS),
+            peers: root.list("peers", ADDRESS),
         }
     }
 
-    fn of_environment(environment: &Environment, faults: &mut Vec<ConfigError>) -> Identity {
+    fn from_environment(environment: &Environment, faults: &mut Vec<ConfigError>) -> Identity {
         let mut variables = Reader::new(ENVIRONMENT, &Value::Null, "", faults);
         let mut address =
-            |name: &str| environment.get(name).and_then(|value| variables.parse(name, value, ADDRESS));
+            |name: &str| environment.get(name).and_then(|value| variables.parse_text(name, value, ADDRESS));
         Identity {
             name: environment.get("PROXY_NAME").cloned(),
             listen: address("PROXY_LISTEN"),
@@ -243,32 +244,32 @@
         }
     }
 
-    /// Reads the section `relay`, which names the folder of hand-overs too.
-    fn of_application(
+    /// Reads the section `relay`, which may also set the folder for hand-overs.
+    fn from_application(
         application: &Source,
         handover: &mut Option<PathBuf>,
         faults: &mut Vec<ConfigError>,
     ) -> Identity {
         let mut relay = application.section("relay", "relay.", faults);
-        relay.known_keys(&["name", "listen", "ops", "handover", "discovery", "peer_listen", "peers"]);
+        relay.check_known_keys(&["name", "listen", "ops", "handover", "discovery", "peer_listen", "peers"]);
         let name = relay.text("name");
         if let Some(folder) = relay.text("handover") {
             *handover = Some(folder.into());
         }
         if handover.is_some() && application.has_section("state") {
-            relay.fault("handover", Fault::OneProcess);
+            relay.fault("handover", Fault::HandoverWithStore);
         }
         Identity {
             name,
-            listen: relay.parsed("listen", ADDRESS),
-            ops: relay.parsed("ops", ADDRESS),
-            discovery: relay.parsed("discovery", ADDRESS),
-            peer_listen: relay.parsed("peer_listen", ADDRESS),
+            listen: relay.parse_key("listen", ADDRESS),
+            ops: relay.parse_key("ops", ADDRESS),
+            discovery: relay.parse_key("discovery", ADDRESS),
+            peer_listen: relay.parse_key("peer_listen", ADDRESS),
             peers: relay.list("peers", ADDRESS),
         }
     }
 
-    /// What this source gives, and for the rest what the other gives.
+    /// Takes the values that this source lacks from `other`.
     fn or(self, other: Identity) -> Identity {
         Identity {
             name: self.name.or(other.name),
@@ -284,23 +285,24 @@
 fn passed_socket(environment: &Environment, faults: &mut Vec<ConfigError>) -> Option<i32> {
     let mut variables = Reader::new(ENVIRONMENT, &Value::Null, "", faults);
     let text = environment.get(SOCKET_VARIABLE)?;
-    variables.parse(SOCKET_VARIABLE, text, "the number of a descriptor")
+    variables.parse_text(SOCKET_VARIABLE, text, "the number of a descriptor")
 }
 
 fn read_application_limits(application: &Source, limits: &mut Limits, faults: &mut Vec<ConfigError>) {
     let mut section = application.section("limits", "limits.", faults);
-    section.known_keys(&["sockets", "first_line_ms"]);
+    section.check_known_keys(&["sockets", "first_line_ms"]);
     limits.read(&mut section);
 }
 
 impl NamedSettings {
-    /// Reads the settings of the application's file, if it has any, else of the platform's.
+    /// Reads the settings from the application's file if it has that section, else from the platform's file.
     fn read(sources: &Sources, faults: &mut Vec<ConfigError>) -> NamedSettings {
         let is_in_application = sources.application.has_section("settings");
         let source = if is_in_application { &sources.application } else { &sources.platform };
-        // Where there is no platform's file, settings are expected in the application's.
-        let is_expected_there = is_in_application || sources.platform.value.is_null();
-        let file = if is_expected_there { &sources.application.file } else { &sources.platform.file };
+        // Without a platform's file, settings are expected in the application's file.
+        let is_expected_in_application = is_in_application || sources.platform.value.is_null();
+        let file =
+            if is_expected_in_application { &sources.application.file } else { &sources.platform.file };
         let value = &source.value["settings"];
         let classes = simulator::class_names(value);
         let settings = simulator::read_settings(value).unwrap_or_else(|errors| {
@@ -322,13 +324,13 @@
     }
 }
 
-impl Optional {
+impl OptionalSections {
     fn read(
         application: &Source,
         identity: &Identity,
         named: &mut NamedSettings,
         faults: &mut Vec<ConfigError>,
-    ) -> Optional {
+    ) -> OptionalSections {
         let has = |key: &str| application.has_section(key);
         let settings = &mut named.settings;
         let rtmp = has("rtmp")
@@ -341,21 +343,22 @@
         sections::quotas(&mut application.section("shares", "shares.", faults), settings);
         let forms = has("forms")
             .then(|| sections::schema_versions(&mut application.section("forms", "forms.", faults)));
-        let windows = has("maintenance").then(|| {
+        let maintenance = has("maintenance").then(|| {
             let mut section = application.section("maintenance", "maintenance.", faults);
             read_maintenance(&mut section, identity, settings)
         });
-        Optional {
+        OptionalSections {
             rtmp: rtmp.flatten(),
             snmp: snmp.flatten(),
             state: state.flatten(),
             forms: forms.flatten(),
-            maintenance: windows.flatten(),
+            maintenance: maintenance.flatten(),
         }
     }
 }
 
-/// Windows are agreed on by messages between relays, where there are several.
+/// Reads the section `maintenance`. In a cluster of several relays they agree on maintenance windows by
+/// messages, so messages between relays must be configured.
 fn read_maintenance(
     section: &mut Reader<'_>,
     identity: &Identity,
@@ -364,7 +367,7 @@
     let relay_count = identity.peers.as_ref().map_or(1, |peers| peers.len().max(1) as u32);
     let receives_messages = identity.peer_listen.is_some() && settings.peer_messages;
     if relay_count > 1 && !receives_messages {
-        section.fault("floor", Fault::NoMessages);
+        section.fault("floor", Fault::NoPeerMessages);
     }
     maintenance(section, settings, relay_count)
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The one place where configuration is read, checked and given defaults: the platform's environment, its
-//! JSON file and an application's TOML file.
+//! Reads, checks and completes the configuration of a relay. It comes from the platform's environment
+//! variables, the platform's JSON file and an application's TOML file; no other module reads these.
 //!
-//! [`Config::load`] reads all of it and reports every fault with file, key and reason. [`Config::whole`]
-//! tells a file that was cut short, and [`Config::reload`] takes what may change while the relay runs.
+//! [`Config::load`] reads all three and reports every fault with file, key and reason. [`Config::whole`]
+//! detects a truncated file, and [`Config::reload`] applies the keys that may change while the relay runs.
 
 mod errors;
 mod file;
@@ -29,63 +29,64 @@
 use crate::listener::rtmp::RtmpSettings;
 use crate::policy::api::{EndpointEntry, Millis, Settings};
 
-/// The configuration of one relay. [`Config::reload`] says which keys are taken while it runs.
+/// The configuration of one relay. [`Config::reload`] documents which keys a running relay applies.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, for the log.
+    /// The relay's name. It appears in the log, and both processes of a hand-over must have the same.
     pub name: String,
-    /// Where clients of the platform's protocol connect; nowhere for an application that speaks RTMP only.
+    /// Listening address for clients of the line protocol; `None` if the application speaks RTMP only.
     pub listen: Option<SocketAddr>,
-    /// Where discovery listens.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators call; nowhere without it.
+    /// Listening address for operators' calls; without it the relay accepts none.
     pub ops: Option<SocketAddr>,
-    /// The clients' listening socket, where the platform holds it: the number of an inherited descriptor.
+    /// Number of the inherited descriptor of the clients' listening socket, if the platform holds that
+    /// socket.
     pub passed_socket: Option<i32>,
-    /// The folder in which a new process finds the running one, to take the relay over.
+    /// Folder in which a successor finds the running process, to take the relay over.
     pub handover: Option<PathBuf>,
-    /// For random numbers; new with each start.
+    /// Seed of the random number generator; differs with each start unless the platform's file sets it.
     pub seed: u64,
-    /// Where datagrams of other relays arrive.
+    /// Listening address for datagrams from other relays.
     pub peer_listen: Option<SocketAddr>,
-    /// The relays of the tier, by their numbers.
+    /// Addresses for datagrams of all relays of the cluster, in the order of their numbers.
     pub peers: Vec<SocketAddr>,
-    /// The list as last held.
+    /// Entries of the cached endpoint list, used until discovery answers.
     pub known: Vec<EndpointEntry>,
-    /// The list's state to go on from.
+    /// State of the cached endpoint list, from which polling continues.
     pub endpoint_list: EndpointList,
     /// The load balancer's settings.
     pub settings: Settings,
-    /// Names of the settings' classes.
+    /// Names of the request classes in the settings.
     pub classes: Vec<String>,
-    /// Names of the settings' tenants; none where they name none.
+    /// Names of the tenants in the settings; empty if the settings name none.
     pub tenants: Vec<String>,
-    /// Whether connections of one group share work.
+    /// Whether connections of one group share work. If not, the group key of a line counts as its client key.
     pub groups: bool,
-    /// What clients may take up.
+    /// Limits on descriptors and on time before a client's first line.
     pub limits: Limits,
-    /// The RTMP listener, where an application's file has one.
+    /// The RTMP listener, if the application's file has one.
     pub rtmp: Option<Rtmp>,
-    /// The SNMP agent, where an application's file has one.
+    /// The SNMP agent, if the application's file has one.
     pub snmp: Option<Snmp>,
-    /// The store of clients and groups, where an application's file names a folder.
+    /// Durable store of clients and groups, if the application's file names a folder.
     pub state: Option<StateFolder>,
-    /// What it reads of shared state and may write, where an application's file turns forms on; without it,
-    /// it writes form 1 and tells nobody what it reads.
+    /// Schema versions of shared state that the relay reads and may write, if the application's file has a
+    /// `forms` section. Without it the relay writes schema version 1 and sends no version advertisement.
     pub forms: Option<SupportedVersions>,
-    /// Maintenance windows, where an application's file has a section for them.
+    /// Maintenance windows, if the application's file has a section for them.
     pub maintenance: Option<Maintenance>,
-    /// The files' keys, to tell a file that was cut from a whole one.
-    written: Vec<FileKeys>,
+    /// Keys of the files that were read, to detect a truncated file at a reload.
+    file_keys: Vec<FileKeys>,
 }
 
-/// What clients may take up before they have asked for anything, and all of them together.
+/// Limits on the descriptors of the whole process, and on the time before a client's first line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Descriptors that the process may hold. The platform says, and it is the usual limit elsewhere.
+    /// Descriptors that the process may have open. The platform sets it; elsewhere the usual limit applies.
     pub sockets: usize,
-    /// How long a client of the line protocol may take for its first line. Some take 2 s; one that never
-    /// ends it is owed an end within 3 s, of which a busy relay may need some.
+    /// How long a client of the line protocol may take for its first line, in ms. Some clients take 2 s. A
+    /// connection whose first line never ends must be closed within 3 s, and a busy relay needs part of that.
     pub first_line: Millis,
 }
 
@@ -98,44 +99,44 @@
 /// The RTMP listener.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rtmp {
-    /// Where it listens.
+    /// Listening address.
     pub listen: SocketAddr,
-    /// What holds for all its connections.
+    /// Settings that all RTMP connections share.
     pub settings: RtmpSettings,
-    /// Addresses of fronts whose PROXY protocol headers are believed.
+    /// Addresses of proxies in front of the relay whose PROXY protocol headers are accepted.
     pub trusted: Vec<IpAddr>,
 }
 
 /// The SNMP agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snmp {
-    /// Where it listens, on loopback.
+    /// Listening address, a loopback address.
     pub listen: SocketAddr,
-    /// The community that may read.
+    /// The SNMP community that may read.
     pub community: String,
 }
 
-/// Where clients and groups are kept on a disk that lasts.
+/// The folder of the durable store of clients and groups.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StateFolder {
-    /// The folder. It is made if its parent is there; one relay alone may use it.
+    /// The folder. The relay creates it if its parent exists; only one relay may use it.
     pub folder: PathBuf,
-    /// How often what has changed is written.
+    /// Interval at which changes are written, in ms.
     pub flush: Millis,
 }
 
-/// Maintenance windows: what must be left, and how they are agreed on. The same at every relay of the tier.
+/// Capacity floors and agreement on maintenance windows. Every relay of the cluster must have the same.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Maintenance {
-    /// What must be left, and how much may be drained at once.
+    /// Capacity that must remain, and how much may be drained at once.
     pub floors: CapacityFloors,
-    /// How long things last.
+    /// Durations of leases, elections and retries.
     pub timing: Timing,
-    /// The relays that vote, by their numbers.
+    /// Numbers of the relays that are voters.
     pub voters: Vec<u32>,
-    /// Who may put a window over the floor.
+    /// Names of the operators whose windows may go below the floors.
     pub may_override: Vec<String>,
 }
 
-/// Variables of the environment, as the platform sets them.
+/// Environment variables, as the platform sets them.
 pub type Environment = BTreeMap<String, String>;
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -1,4 +1,4 @@
-//! Typed access to the keys of one table.
+//! Typed access to the keys of one table of a configuration file.
 
 use std::ops::RangeInclusive;
 use std::str::FromStr;
@@ -8,18 +8,18 @@
 
 use super::errors::{ConfigError, Fault, config_error};
 
-/// What an address and port is called in messages.
+/// Describes an address with a port in messages.
 pub(super) const ADDRESS: &str = "an address and a port";
-/// Base of the seed, where it is a text.
+/// Base of a seed that is given as a text.
 const SEED_RADIX: u32 = 16;
 
-/// Reads one table; what is wrong goes to the faults and reads as absent.
+/// Reads the keys of one table. An invalid value is reported as a fault and treated as absent.
 pub(super) struct Reader<'a> {
-    /// The file, as messages name it.
+    /// Name of the file, for messages.
     file: &'a str,
-    /// The table.
+    /// The table that is read.
     pub table: &'a Value,
-    /// What the table's keys begin with in messages.
+    /// Prefix of the table's keys in messages.
     prefix: &'static str,
     faults: &'a mut Vec<ConfigError>,
 }
@@ -38,17 +38,17 @@
         self.faults.push(config_error(self.file, &format!("{}{key}", self.prefix), fault));
     }
 
-    /// Reports keys that nothing reads: they are most likely misspelt.
-    pub fn known_keys(&mut self, keys: &[&str]) {
-        let written = self.table.as_object().into_iter().flat_map(|table| table.keys());
-        let unknown: Vec<String> = written.filter(|key| !keys.contains(&key.as_str())).cloned().collect();
+    /// Reports keys that are not among `keys`: they are most likely misspelt.
+    pub fn check_known_keys(&mut self, keys: &[&str]) {
+        let present = self.table.as_object().into_iter().flat_map(|table| table.keys());
+        let unknown: Vec<String> = present.filter(|key| !keys.contains(&key.as_str())).cloned().collect();
         for key in unknown {
-            self.fault(&key, Fault::Unknown { known: keys.join(", ") });
+            self.fault(&key, Fault::UnknownKey { known: keys.join(", ") });
         }
     }
 
-    /// Reports values that are no tables where tables are read.
-    pub fn tables(&mut self, keys: &[&str]) {
+    /// Reports those of `keys` whose values are not tables.
+    pub fn check_tables(&mut self, keys: &[&str]) {
         for key in keys {
             if !self.table[key].is_null() && !self.table[key].is_object() {
                 self.fault(key, Fault::NotTable);
@@ -67,26 +67,26 @@
         }
     }
 
-    /// A value from a text that is given; `wanted` is what it must be, for the message.
-    pub fn parse<T: FromStr>(&mut self, key: &str, text: &str, wanted: &'static str) -> Option<T> {
+    /// Parses a text, reporting a fault of `key` where that fails; `wanted` describes the expected format.
+    pub fn parse_text<T: FromStr>(&mut self, key: &str, text: &str, wanted: &'static str) -> Option<T> {
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            self.fault(key, Fault::Format { text: text.to_owned(), wanted });
+            self.fault(key, Fault::InvalidText { text: text.to_owned(), wanted });
         }
         parsed
     }
 
-    pub fn parsed<T: FromStr>(&mut self, key: &str, wanted: &'static str) -> Option<T> {
+    pub fn parse_key<T: FromStr>(&mut self, key: &str, wanted: &'static str) -> Option<T> {
         let text = self.text(key)?;
-        self.parse(key, &text, wanted)
+        self.parse_text(key, &text, wanted)
     }
 
-    /// As [`Self::parsed`]; it is a fault where the key is missing.
+    /// As [`Self::parse_key`], but a missing key is a fault.
     pub fn required<T: FromStr>(&mut self, key: &str, wanted: &'static str) -> Option<T> {
         if self.table[key].is_null() {
             self.fault(key, Fault::Missing);
         }
-        self.parsed(key, wanted)
+        self.parse_key(key, wanted)
     }
 
     pub fn list<T: FromStr>(&mut self, key: &str, wanted: &'static str) -> Option<Vec<T>> {
@@ -99,7 +99,7 @@
         };
         let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
         let texts: Vec<String> = values.iter().map(text).collect();
-        texts.iter().map(|text| self.parse(key, text, wanted)).collect()
+        texts.iter().map(|text| self.parse_text(key, text, wanted)).collect()
     }
 
     pub fn number(&mut self, key: &str, range: RangeInclusive<f64>) -> Option<f64> {
@@ -107,12 +107,13 @@
         let number = value.as_f64().filter(|number| range.contains(number));
         if number.is_none() && !value.is_null() {
             let (min, max) = range.into_inner();
-            self.fault(key, Fault::Number { value: value.clone(), min, max });
+            self.fault(key, Fault::OutOfRange { value: value.clone(), min, max });
         }
         number
     }
 
-    /// The seed of the random numbers. Where none is given, the time will do: it need not be secret.
+    /// Reads the seed of the random number generator. Without one the current time is used: the seed need not
+    /// be secret.
     pub fn seed(&mut self) -> u64 {
         let seed = match &self.table["seed"] {
             Value::Null => {
@@ -123,7 +124,7 @@
             other => other.as_u64(),
         };
         if seed.is_none() {
-            self.fault("seed", Fault::Seed);
+            self.fault("seed", Fault::InvalidSeed);
         }
         seed.unwrap_or(0)
     }
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,4 +1,4 @@
-//! What a configuration that was read anew may change under a running relay.
+//! Decides which keys of a newly read configuration a running relay applies.
 
 use super::errors::{ConfigError, Fault, config_error};
 use super::file::WHOLE_FILE;
@@ -6,35 +6,35 @@
 use crate::policy::api::Settings;
 
 impl Config {
-    /// Gives a newly read configuration back if its files are whole beside those in force: nothing that
-    /// they said is left out, and they don't end within a line. Cut short, a TOML file may well read as a
-    /// valid one.
+    /// Returns a newly read configuration if its files are complete compared with those in force: they have
+    /// all keys of the files in force, and don't end in the middle of a line. The check is necessary because
+    /// a truncated TOML file may still be valid.
     ///
     /// # Errors
     ///
-    /// A fault for each key that is missing and for each file that was cut.
+    /// A fault for each key that is missing, and for each file that ends in the middle of a line.
     pub fn whole(&self, new: Config) -> Result<Config, Vec<ConfigError>> {
         let mut faults = Vec::new();
-        for (old, new) in self.written.iter().zip(&new.written) {
+        for (old, new) in self.file_keys.iter().zip(&new.file_keys) {
             let missing = old.keys.difference(&new.keys);
-            faults.extend(missing.map(|key| config_error(&new.file, key, Fault::Lacking)));
+            faults.extend(missing.map(|key| config_error(&new.file, key, Fault::MissingOnReload)));
             if old.is_terminated && !new.is_terminated {
-                faults.push(config_error(&new.file, WHOLE_FILE, Fault::Cut));
+                faults.push(config_error(&new.file, WHOLE_FILE, Fault::Truncated));
             }
         }
         if faults.is_empty() { Ok(new) } else { Err(faults) }
     }
 
-    /// Takes what a newly read configuration may change under a running relay; names the keys that differ
-    /// but are taken at the next start only.
+    /// Applies the keys of a newly read configuration that may change while the relay runs. Returns the keys
+    /// that differ but take effect at the next start only.
     ///
-    /// Taken are `settings`, where to ask and whom to believe: `discovery`, `peers`,
-    /// `limits.first_line_ms`, `rtmp.class`, `rtmp.give_up_ms`, `rtmp.trusted` and `snmp.community`; what a
-    /// connection began with holds to its end. Not taken are the addresses listened on, since clients and
-    /// peers would still use the old ones, the name, the store, and the process's own limit of descriptors.
-    /// `known` and `seed` are for a start: the list held is newer than any in the file.
+    /// Applied are `settings`, `discovery`, `peers`, `limits.first_line_ms`, `rtmp.class`,
+    /// `rtmp.give_up_ms`, `rtmp.trusted` and `snmp.community`; a connection keeps the values that it began
+    /// with. Not applied are the listening addresses, since clients and peers would still use the old ones,
+    /// the name, the store, and the process's own limit of descriptors. `known` and `seed` matter at a start
+    /// only: the endpoint list that the relay holds is newer than any list in the file.
     pub fn reload(&mut self, new: Config) -> Vec<&'static str> {
-        let deferred = self.keys_of_next_start(&new);
+        let deferred = self.deferred_keys(&new);
         self.discovery = new.discovery;
         self.peers = new.peers;
         self.limits.first_line = new.limits.first_line;
@@ -43,7 +43,7 @@
         self.classes = new.classes;
         self.tenants = new.tenants;
         self.groups = new.groups;
-        self.written = new.written;
+        self.file_keys = new.file_keys;
         if let Some((running, new)) = self.rtmp.as_mut().zip(new.rtmp) {
             running.settings = new.settings;
             running.trusted = new.trusted;
@@ -54,8 +54,8 @@
         deferred
     }
 
-    /// Keys that differ and are not taken while the relay runs.
-    fn keys_of_next_start(&self, new: &Config) -> Vec<&'static str> {
+    /// Keys that differ from `new` and take effect at the next start only.
+    fn deferred_keys(&self, new: &Config) -> Vec<&'static str> {
         let rtmp_listen = |rtmp: &Option<Rtmp>| rtmp.as_ref().map(|rtmp| rtmp.listen);
         let snmp_listen = |snmp: &Option<Snmp>| snmp.as_ref().map(|snmp| snmp.listen);
         let differs = [
--- a/src/config/sections.rs
+++ b/src/config/sections.rs
@@ -1,4 +1,4 @@
-//! The sections of an application's file, one function each.
+//! Readers of the sections of an application's file, one function for each section.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,11 @@
 use crate::policy::api::{Millis, Settings};
 use crate::simulator::SettingFault;
 
-/// With fewer descriptors the program could not hold its own and a few connections.
+/// With fewer descriptors the process could not open its own sockets and files beside a few connections.
 const MIN_SOCKETS: f64 = 64.0;
 const MAX_SOCKETS: f64 = 1_048_576.0;
 const MIN_FIRST_LINE_MS: Millis = 100.0;
-/// The longest time-outs and flush intervals.
+/// Upper limit of time-outs and of the flush interval.
 const MAX_TIMEOUT_MS: Millis = 600_000.0;
 const MIN_FLUSH_MS: Millis = 100.0;
 const DEFAULT_FLUSH_MS: Millis = 1000.0;
@@ -42,7 +42,7 @@
 
 /// Reads whether tenants' quotas are enforced.
 pub(super) fn quotas(section: &mut Reader<'_>, settings: &mut Settings) {
-    section.known_keys(&["enforce"]);
+    section.check_known_keys(&["enforce"]);
     let value = &section.table["enforce"];
     if !value.is_null() && !value.is_boolean() {
         section.fault("enforce", SettingFault::Truth(value.clone()));
@@ -51,16 +51,17 @@
         settings.quotas.enforce = enforce;
     }
     if value.as_bool() == Some(true) && !settings.quotas.has_limits() {
-        section.fault("enforce", Fault::NoShare);
+        section.fault("enforce", Fault::NoQuota);
     }
 }
 
-/// Reads what the tables of clients and groups may take up, and the folder where one is named.
+/// Reads the limits of the tables of clients and groups, and the folder of their store if the section names
+/// one.
 pub(super) fn state_folder(
     section: &mut Reader<'_>,
     limits: &mut sandgw_affinity::Limits,
 ) -> Option<StateFolder> {
-    section.known_keys(&["folder", "flush_ms", "memory_kb", "max_age_s", "life_s", "peers_kb_s"]);
+    section.check_known_keys(&["folder", "flush_ms", "memory_kb", "max_age_s", "life_s", "peers_kb_s"]);
     if let Some(kib) = section.number("memory_kb", MIN_TABLE_KIB..=MAX_TABLE_KIB) {
         limits.bytes = (kib * BYTES_PER_KIB) as usize;
     }
@@ -81,9 +82,10 @@
     Some(StateFolder { folder: folder.into(), flush })
 }
 
-/// Reads up to which version shared state may be written; the newest where that is left out.
+/// Reads the newest schema version in which shared state may be written; by default the newest that this
+/// program supports.
 pub(super) fn schema_versions(section: &mut Reader<'_>) -> Option<SupportedVersions> {
-    section.known_keys(&["most"]);
+    section.check_known_keys(&["most"]);
     let newest = f64::from(SchemaVersion::NEWEST.number());
     let limit = section.number("most", 1.0..=newest).unwrap_or(newest);
     if limit.fract() != 0.0 {
@@ -92,7 +94,7 @@
     match SchemaVersion::new(limit as u64).and_then(SupportedVersions::up_to) {
         Ok(versions) => Some(versions),
         Err(error) => {
-            section.fault("most", Fault::Forms(error));
+            section.fault("most", Fault::SchemaVersion(error));
             None
         }
     }
@@ -100,11 +102,11 @@
 
 /// Reads the RTMP listener.
 pub(super) fn rtmp(section: &mut Reader<'_>, classes: &[String]) -> Option<Rtmp> {
-    section.known_keys(&["listen", "class", "give_up_ms", "trusted"]);
+    section.check_known_keys(&["listen", "class", "give_up_ms", "trusted"]);
     let listen = section.required("listen", ADDRESS);
     let class = section.text("class").or_else(|| classes.first().cloned()).unwrap_or_default();
     if !classes.is_empty() && !classes.contains(&class) {
-        section.fault("class", Fault::NoClass(class.clone()));
+        section.fault("class", Fault::UnknownClass(class.clone()));
     }
     let give_up = section.number("give_up_ms", MIN_GIVE_UP_MS..=MAX_TIMEOUT_MS);
     let settings = RtmpSettings { class, give_up: give_up.unwrap_or(DEFAULT_GIVE_UP_MS) };
@@ -114,10 +116,10 @@
 
 /// Reads the SNMP agent.
 pub(super) fn snmp(section: &mut Reader<'_>) -> Option<Snmp> {
-    section.known_keys(&["listen", "community"]);
+    section.check_known_keys(&["listen", "community"]);
     let listen: Option<SocketAddr> = section.required("listen", ADDRESS);
     if listen.is_some_and(|listen| !listen.ip().is_loopback()) {
-        // Version 2c has no more protection than a word in clear text.
+        // SNMP version 2c has no protection but the community, which is sent in clear text.
         section.fault("listen", Fault::NotLoopback);
     }
     let community = section.required::<String>("community", "a text");
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -1,5 +1,5 @@
-//! The messages between the two processes of a hand-over. They are encoded with postcard: the order of the
-//! variants, and the order and types of their fields, are the wire format.
+//! The messages between the two processes of a hand-over. They are encoded with postcard, so the order of the
+//! variants, and the order and types of their fields, define the wire format.
 
 use sandgw_affinity::Record;
 use serde::{Deserialize, Serialize};
@@ -10,23 +10,23 @@
 use crate::policy::learned_state::LearnedState;
 use crate::relay::TransferredConnection;
 
-/// A message of either process.
+/// A message from the predecessor process or the successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// First message of the new process.
+    /// The successor's first message.
     Hello {
-        /// The newest version of the messages that it speaks.
+        /// The newest protocol version that the successor speaks.
         version: u32,
-        /// Name of its relay.
+        /// Name of the successor's relay.
         relay_name: String,
     },
-    /// The relay can't be handed over now, with the reason.
+    /// The predecessor refuses to hand the relay over, for this reason.
     Refused(String),
-    /// A part of the list of endpoints, each entry as discovery wrote it.
+    /// A part of the endpoint list, each entry as discovery sent it.
     EndpointList {
-        /// Address of the discovery service that it is from.
+        /// Address of the discovery service that sent the list.
         discovery: String,
-        /// Its revision, where it is known.
+        /// Revision of the list, if it is known.
         revision: Option<u64>,
         /// The entries, as JSON.
         entries: Vec<String>,
@@ -35,54 +35,57 @@
     AffinityRecords(Vec<Record>),
     /// What the load balancer has learned.
     LearnedState(LearnedState),
-    /// Listening sockets, by their keys and addresses; the descriptors are passed beside it in this order.
+    /// Keys and addresses of the listening sockets. Their descriptors are passed with the message, in this
+    /// order.
     ListeningSockets(Vec<String>),
     /// The snapshot is complete.
     SnapshotComplete,
-    /// The new process has the snapshot and requests the relay.
+    /// The successor has received the snapshot and requests the relay.
     TakeoverRequest,
-    /// The old process has stopped accepting.
+    /// The predecessor has stopped accepting connections.
     AcceptingStopped {
-        /// Descriptors that it has open.
+        /// Number of descriptors that the predecessor has open.
         descriptors: u32,
-        /// For how many milliseconds it has been on standby, if it is.
+        /// For how many milliseconds the predecessor has been on standby, if it is on standby.
         standby: Option<Millis>,
         /// For how many milliseconds from now no new connection may go to an endpoint in slow start.
         slow_start_pause: Millis,
     },
-    /// The new process is ready to accept.
+    /// The successor is ready to accept connections.
     OwnershipClaim,
-    /// It may accept: the old process never accepts again while the new one lives.
+    /// The successor may accept connections: the predecessor accepts none while the successor runs.
     OwnershipGranted,
-    /// An established connection; its client's and its endpoint's descriptors are passed beside it.
+    /// An established connection. The descriptors to its client and to its endpoint are passed with the
+    /// message.
     Connection {
-        /// As the core has it.
+        /// The relay's state of the connection.
         connection: Box<TransferredConnection>,
-        /// As its protocol has it.
+        /// The protocol's state of the connection.
         protocol: Box<TransferredProtocol>,
-        /// Bytes that were read from the client and not written to the endpoint.
+        /// Bytes that were read from the client and are not yet written to the endpoint.
         up: Vec<u8>,
-        /// Bytes that were read from the endpoint and not written to the client.
+        /// Bytes that were read from the endpoint and are not yet written to the client.
         down: Vec<u8>,
     },
-    /// Descriptors that the old process has open now.
+    /// The predecessor's current use of descriptors.
     DescriptorsInUse {
-        /// How many.
+        /// Number of descriptors that the predecessor has open.
         descriptors: u32,
     },
-    /// From version 2 on, before anything else: the version that both speak, and what is known of the
-    /// cluster's schema versions.
+    /// The predecessor's first message from protocol version 2 on: the version that both processes speak, and
+    /// what the predecessor knows of the cluster's schema versions.
     VersionAgreement {
-        /// Version of the messages that follow.
+        /// Protocol version of the messages that follow.
         version: u32,
-        /// For how many milliseconds the old process has listened for relays of older schema versions.
+        /// For how many milliseconds the predecessor has listened for relays of older schema versions.
         listened: Millis,
-        /// Its schema version advertisement.
+        /// The predecessor's schema version advertisement.
         advertisement: String,
     },
 }
 
-/// The version to use with the sender of this message, for a process that speaks up to `newest`.
+/// The protocol version to use with the sender of this message, for a process whose newest version is
+/// `newest`.
 pub fn negotiate_version(hello: &Message, newest: u32) -> u32 {
     match hello {
         Message::Hello { version, .. } => newest.min(*version),
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -1,25 +1,26 @@
-//! The old process's side of a hand-over: it serves, sends what it has, stops accepting and gives the relay
-//! away.
+//! The predecessor's side of a hand-over: it sends its state, stops accepting and grants ownership of the
+//! relay to the successor.
 
 use thiserror::Error;
 
 use super::{FIRST_PROTOCOL_VERSION, Message, VERSION_MISMATCH};
 use crate::policy::api::Millis;
 
-/// How long a new process may take to say what it is.
+/// How long a connected process may take to send [`Message::Hello`].
 const HELLO_TIMEOUT_MS: Millis = 1000.0;
-/// How long it may take for the snapshot.
+/// How long the successor may take to receive the snapshot and request the relay.
 const SNAPSHOT_TIMEOUT_MS: Millis = 10_000.0;
-/// How long nobody accepts at the most: until the old process resumes.
+/// How long the successor may take to claim ownership. Neither process accepts in this period; after it the
+/// predecessor resumes.
 const CLAIM_TIMEOUT_MS: Millis = 1000.0;
 
-/// Why the old process refuses a hand-over.
+/// Why the predecessor refuses a hand-over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RefusalReason {
-    /// The new process speaks no version that this one speaks.
+    /// The successor speaks no protocol version that the predecessor speaks.
     #[error("{VERSION_MISMATCH}")]
     VersionMismatch,
-    /// The new process is of another relay.
+    /// The successor belongs to another relay.
     #[error("it is another relay")]
     OtherRelay,
     /// The message is not the next one of the protocol.
@@ -27,36 +28,36 @@
     OutOfTurn,
 }
 
-/// What the old process does next.
+/// What the predecessor does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PredecessorAction {
-    /// Send all that it has, then [`Message::SnapshotComplete`].
+    /// Send the whole state, then [`Message::SnapshotComplete`].
     SendSnapshot,
-    /// Stop accepting, then send what has changed and [`Message::AcceptingStopped`].
+    /// Stop accepting, then send the changes since the snapshot and [`Message::AcceptingStopped`].
     StopAccepting,
-    /// Send [`Message::OwnershipGranted`]; nothing is accepted here from now on.
+    /// Send [`Message::OwnershipGranted`], and accept nothing from now on.
     GrantOwnership,
-    /// Send the reason, and close.
+    /// Send the reason, and close the link.
     Refuse(RefusalReason),
 }
 
-/// State of the old process.
+/// State of the predecessor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PredecessorProcess {
-    /// A process has connected that has not said what it is.
+    /// A process has connected and has not yet sent [`Message::Hello`].
     #[default]
     AwaitingHello,
-    /// The snapshot is sent, and the new process has not requested the relay.
+    /// The snapshot is being sent, and the successor has not yet requested the relay.
     SendingSnapshot,
-    /// Accepting has stopped, and the new process has not claimed ownership.
+    /// Accepting has stopped, and the successor has not yet claimed ownership.
     AwaitingClaim,
-    /// The new process is the owner.
+    /// The successor owns the relay.
     HandedOver,
 }
 
 impl PredecessorProcess {
-    /// Takes a message of the new process to the relay of this name. A message that is refused changes no
-    /// state.
+    /// Handles a message of the successor; `relay_name` is the predecessor's relay. A refused message changes
+    /// no state.
     pub fn handle_message(&mut self, message: &Message, relay_name: &str) -> PredecessorAction {
         match (*self, message) {
             (PredecessorProcess::AwaitingHello, Message::Hello { version, relay_name: other }) => {
@@ -85,7 +86,7 @@
         PredecessorAction::SendSnapshot
     }
 
-    /// For how many milliseconds to wait for the next message; `None` without a limit.
+    /// How long to wait for the next message, in ms; `None` means without a limit.
     pub fn message_timeout_ms(self) -> Option<Millis> {
         match self {
             PredecessorProcess::AwaitingHello => Some(HELLO_TIMEOUT_MS),
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Whether this process is to accept again, now that the new one has ended or was given up. One that
-    /// was told to terminate finishes what it has, unless it is still the owner.
+    /// Whether the predecessor is to accept again after the successor has ended or was given up. A
+    /// predecessor that was told to terminate only finishes its connections, unless it still owns the relay.
     pub fn resumes_accepting(self, terminated: bool) -> bool {
         match self {
             PredecessorProcess::AwaitingHello | PredecessorProcess::SendingSnapshot => false,
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -1,56 +1,57 @@
-//! The new process's side of a hand-over: it takes the old one's state, requests the relay and serves once
-//! it owns it.
+//! The successor's side of a hand-over: it receives the predecessor's state, requests the relay and serves
+//! once it has ownership.
 
 use thiserror::Error;
 
 use super::Message;
 use crate::policy::api::Millis;
 
-/// How long the old process may take for each message.
+/// How long the predecessor may take for each message.
 const MESSAGE_TIMEOUT_MS: Millis = 2000.0;
 
-/// Why a relay was not taken over.
+/// Why the successor could not take the relay over.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TakeoverError {
-    /// The old process refuses, with its reason.
+    /// The predecessor refuses, with its reason.
     #[error("the running process refuses: {0}")]
     Refused(String),
     /// A message was not the next one of the protocol.
-    #[error("the running process speaks out of turn")]
+    #[error("the running process sent a message that does not fit the state of the hand-over")]
     OutOfTurn,
 }
 
-/// What the new process does next.
+/// What the successor does next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SuccessorAction {
-    /// Apply the message.
+    /// Apply the message to the successor's state.
     Apply,
     /// The snapshot is complete: send [`Message::TakeoverRequest`].
     RequestTakeover,
-    /// Apply the message, get ready, and send [`Message::OwnershipClaim`].
+    /// Apply the message, prepare to accept, and send [`Message::OwnershipClaim`].
     ClaimOwnership,
-    /// Accept.
+    /// Start to accept connections.
     Serve,
-    /// Give up.
+    /// Abandon the hand-over.
     Fail(TakeoverError),
 }
 
-/// State of the new process.
+/// State of the successor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SuccessorProcess {
-    /// It has said what it is, and receives the snapshot.
+    /// The successor has sent [`Message::Hello`], and receives the snapshot.
     #[default]
     ReceivingSnapshot,
-    /// It has requested the relay.
+    /// The successor has requested the relay, and waits until the predecessor stops accepting.
     AwaitingStop,
-    /// It has claimed ownership.
+    /// The successor has claimed ownership, and waits for the grant.
     AwaitingOwnership,
-    /// It accepts.
+    /// The successor owns the relay and accepts connections.
     Owner,
 }
 
 impl SuccessorProcess {
-    /// Takes a message of the old process. A message that fails changes no state.
+    /// Handles a message of the predecessor. A message that leads to [`SuccessorAction::Fail`] changes no
+    /// state.
     pub fn handle_message(&mut self, message: &Message) -> SuccessorAction {
         if let Message::Refused(reason) = message {
             return SuccessorAction::Fail(TakeoverError::Refused(reason.clone()));
@@ -99,7 +100,7 @@
         }
     }
 
-    /// What the old process still has, until it ends.
+    /// Handles what the predecessor still sends after the grant, until it ends.
     fn handle_remainder(message: &Message) -> SuccessorAction {
         match message {
             Message::AffinityRecords(_) | Message::Connection { .. } | Message::DescriptorsInUse { .. } => {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// For how many milliseconds to wait for the next message; `None` without a limit.
+    /// How long to wait for the next message, in ms; `None` means without a limit.
     pub fn message_timeout_ms(self) -> Option<Millis> {
         (self != SuccessorProcess::Owner).then_some(MESSAGE_TIMEOUT_MS)
     }
--- a/src/help/mod.rs
+++ b/src/help/mod.rs
@@ -1,13 +1,12 @@
-//! What an operator can do about an error.
+//! Advice for operators on errors.
 //!
-//! Owns two texts for each error: the part of its message that never varies, by which it is found in
-//! `docs/operators/errors.md`, and the advice listed there. An error's message says what happened and with
-//! which value; the caller that prints it adds file, key or peer, and the advice. Nothing here decides
-//! anything.
+//! Each error variant has two texts: the part of its message that never varies, by which an operator finds it
+//! in `docs/operators/errors.md`, and the advice that is listed there. An error's message says what happened
+//! and with which value. The caller that prints the message adds the file, key or peer, and the advice.
 
 use std::fmt;
 
-/// The texts of one variant of an error.
+/// The stable text and the advice of one error variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HelpEntry {
     /// The part of the error's message that never varies.
@@ -16,18 +15,18 @@
     pub help: &'static str,
 }
 
-/// An error with advice. Implemented by the `help!` macro, so that an error that gains a variant does not
-/// build until the variant has its texts.
+/// An error with advice. The `help!` macro implements this trait, so that an error type with a new variant
+/// does not compile until the variant has its texts.
 pub trait Help {
     /// The texts of all variants.
     const ALL: &'static [HelpEntry];
-    /// The part of this error's message that is the same whatever value it is about.
+    /// The part of this error's message that is the same for all values.
     fn stable_text(&self) -> &'static str;
     /// What an operator can do.
     fn help(&self) -> &'static str;
 }
 
-/// An error in one line, followed by its advice.
+/// Displays an error and its advice in one line.
 ///
 /// ```
 /// use sandgw::help::with_help;
@@ -40,7 +39,7 @@
     WithHelp(error)
 }
 
-/// The display of an error with its advice, from [`with_help`].
+/// Displays an error with its advice; created by [`with_help`].
 pub struct WithHelp<'a, E>(&'a E);
 
 impl<E: Help + fmt::Display> fmt::Display for WithHelp<'_, E> {
@@ -49,8 +48,8 @@
     }
 }
 
-/// Implements [`Help`]: each variant with its stable text and its advice; variants that contain an error
-/// with advice of its own are listed after `of`.
+/// Implements [`Help`] for an error type. Each variant is listed with its stable text and its advice;
+/// variants that wrap an error with its own advice are listed after `of`.
 macro_rules! help {
     ($error:ident { $($variant:ident: $text:literal => $help:literal,)* } $(of $($nested:ident),*)?) => {
         impl crate::help::Help for $error {
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,5 +1,5 @@
-//! The logger: writes each record as one line to standard error, where the platform reads it. Each line has the time
-//! in milliseconds since the epoch, the level and the message.
+//! Logger that writes each record as one line to standard error, where the platform reads it. Each line has
+//! the time in milliseconds since the epoch, the level and the message.
 
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -16,7 +16,7 @@
     fn log(&self, record: &Record) {
         if self.enabled(record.metadata()) {
             let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
-            // The relay goes on serving when the log can't be written.
+            // A relay continues to serve even if its log can't be written.
             let _ = writeln!(std::io::stderr().lock(), "{now_ms} {:5} {}", record.level(), record.args());
         }
     }
@@ -24,7 +24,7 @@
     fn flush(&self) {}
 }
 
-/// Starts logging at a level; a second call changes the level only.
+/// Starts logging at this level. A second call only changes the level.
 pub fn start(level: LevelFilter) {
     let _ = log::set_logger(&Logger);
     log::set_max_level(level);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The program: runs a relay, or writes and checks the configuration of one.
+//! The program `sandgw`: runs a relay, writes and checks configuration files, and maintains the folder in
+//! which a relay stores clients and groups.
 
 #![forbid(unsafe_code)]
 
@@ -133,7 +134,7 @@
                 Err(e) => Err(vec![e]),
             }
         }
-        Command::Config { command: ConfigCommand::Check { files } } => check(&environment, &files),
+        Command::Config { command: ConfigCommand::Check { files } } => check_files(&environment, &files),
         Command::State { command } => run_state_command(command).map_err(|e| vec![e]),
     };
     match result {
@@ -147,30 +148,31 @@
 
 fn run(environment: &Environment, file: Option<&Path>) -> Result<(), Vec<ConfigError>> {
     let config = Config::load(environment, file)?;
-    let failed = |e: std::io::Error| {
+    let start_error = |e: std::io::Error| {
         vec![ConfigError { file: "relay".into(), key: "start".into(), fault: Fault::Start(e) }]
     };
     let (environment, file) = (environment.clone(), file.map(Path::to_owned));
-    net::run(config, move || Config::load(&environment, file.as_deref())).map_err(failed)
+    net::run(config, move || Config::load(&environment, file.as_deref())).map_err(start_error)
 }
 
-fn check(environment: &Environment, files: &[PathBuf]) -> Result<(), Vec<ConfigError>> {
+fn check_files(environment: &Environment, files: &[PathBuf]) -> Result<(), Vec<ConfigError>> {
     let mut faults = Vec::new();
     for file in files {
         match Config::load(environment, Some(file)) {
             Ok(_) => println!("{}: no fault", file.display()),
-            Err(more) => faults.extend(more),
+            Err(file_faults) => faults.extend(file_faults),
         }
     }
     if faults.is_empty() { Ok(()) } else { Err(faults) }
 }
 
-/// An error of a command on a folder; `path` is the folder, or the file that is read or written beside it.
+/// Builds the error of a command on a state folder; `path` is the folder, or the file that the command
+/// imports or exports.
 fn folder_error(path: &Path, reason: impl Display) -> ConfigError {
     ConfigError {
         file: path.display().to_string(),
         key: "state.folder".into(),
-        fault: Fault::Folder(reason.to_string()),
+        fault: Fault::StateFolder(reason.to_string()),
     }
 }
 
@@ -178,7 +180,7 @@
     if json { println!("{value}") } else { println!("{text}") }
 }
 
-/// Runs a command on a folder.
+/// Runs a command on a state folder.
 fn run_state_command(command: StateCommand) -> Result<(), ConfigError> {
     match command {
         StateCommand::Show { folder, json, groups } => show(&folder, json, groups),
@@ -212,29 +214,34 @@
     let lines = match to {
         Some(path) => export_to_file(folder, path)?,
         None => {
-            let mut out = std::io::stdout().lock();
-            commands::export(folder, &mut out).map_err(|e| folder_error(folder, e))?
+            let mut output = std::io::stdout().lock();
+            commands::export(folder, &mut output).map_err(|e| folder_error(folder, e))?
         }
     };
     eprintln!("{lines} lines");
     Ok(())
 }
 
-/// Exports to a new file and returns the number of lines. The file gets its name only once it is complete,
-/// so that a partial export is never mistaken for a whole one.
+/// Exports to a new file and returns the number of lines. The file gets its name only after the export is
+/// complete, so that a partial export is never mistaken for a complete one.
 fn export_to_file(folder: &Path, path: &Path) -> Result<u64, ConfigError> {
-    let part = path.with_extension("part");
-    let file = std::fs::File::create_new(&part).map_err(|e| folder_error(&part, e))?;
-    let exported = export_and_link(folder, file, &part, path);
-    let _ = std::fs::remove_file(&part);
+    let partial = path.with_extension("part");
+    let file = std::fs::File::create_new(&partial).map_err(|e| folder_error(&partial, e))?;
+    let exported = export_and_link(folder, file, &partial, path);
+    let _ = std::fs::remove_file(&partial);
     exported
 }
 
-fn export_and_link(folder: &Path, file: std::fs::File, part: &Path, path: &Path) -> Result<u64, ConfigError> {
-    let mut out = std::io::BufWriter::new(file);
-    let lines = commands::export(folder, &mut out).map_err(|e| folder_error(folder, e))?;
-    out.flush().map_err(|e| folder_error(part, e))?;
-    std::fs::hard_link(part, path).map_err(|e| folder_error(path, e))?;
+fn export_and_link(
+    folder: &Path,
+    file: std::fs::File,
+    partial: &Path,
+    path: &Path,
+) -> Result<u64, ConfigError> {
+    let mut output = std::io::BufWriter::new(file);
+    let lines = commands::export(folder, &mut output).map_err(|e| folder_error(folder, e))?;
+    output.flush().map_err(|e| folder_error(partial, e))?;
+    std::fs::hard_link(partial, path).map_err(|e| folder_error(path, e))?;
     Ok(lines)
 }
 
@@ -271,25 +278,25 @@
     Ok(())
 }
 
-/// Formats a summary as text.
-fn format_summary(s: &commands::Summary) -> String {
+/// Formats the summary of a state folder as text.
+fn format_summary(summary: &commands::Summary) -> String {
     let age = |at: Option<f64>| {
-        at.map_or("none".into(), |at| format!("{:.1} s", (s.newest_ms.unwrap_or(at) - at) / 1000.0))
+        at.map_or("none".into(), |at| format!("{:.1} s", (summary.newest_ms.unwrap_or(at) - at) / 1000.0))
     };
     let mut text = format!(
         "{} clients, {} groups, {} damaged records, {} bytes; from the oldest entry to the newest {}\n",
-        s.clients,
-        s.groups,
-        s.damaged,
-        s.file_bytes,
-        age(s.oldest_ms)
+        summary.clients,
+        summary.groups,
+        summary.damaged,
+        summary.file_bytes,
+        age(summary.oldest_ms)
     );
     text += "\nstreamer                          clients   groups     load\n";
-    for row in &s.holders {
+    for row in &summary.holders {
         text += &format!("{:<32} {:>8} {:>8} {:>8.1}\n", row.endpoint, row.clients, row.groups, row.load);
     }
     text += "\ngroup                load  streamers\n";
-    for row in &s.largest {
+    for row in &summary.largest {
         text += &format!("{} {:>8.1}  {}\n", row.key, row.load, row.holders.join(" "));
     }
     text.trim_end().to_owned()
