--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,6 +1,6 @@
-//! The configuration tool through the real program.
+//! Tests of the configuration: `sandgw config` as a program, and loading and reloading of files.
 
-#![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
+#![allow(clippy::too_many_lines, reason = "each test is one scenario in order")]
 
 use sandgw::config::Config;
 use serde_json::{Value, json};
@@ -13,15 +13,17 @@
 }
 
 #[test]
-fn a_new_file_is_valid_and_never_overwritten() {
+fn new_application_file_is_valid_and_is_never_overwritten() {
     let folder = tempfile::tempdir().unwrap();
-    let new = || sandgw(folder.path(), &["config", "new", "vod"]);
-    assert!(new().status.success());
+    let create = || sandgw(folder.path(), &["config", "new", "vod"]);
+    assert!(create().status.success());
     assert!(sandgw(folder.path(), &["config", "check", "deploy/vod.toml"]).status.success());
     let path = folder.path().join("deploy/vod.toml");
     std::fs::write(&path, "mine").unwrap();
-    let again = new();
-    assert!(!again.status.success() && String::from_utf8_lossy(&again.stderr).contains("deploy/vod.toml"));
+    let repeated = create();
+    assert!(
+        !repeated.status.success() && String::from_utf8_lossy(&repeated.stderr).contains("deploy/vod.toml")
+    );
     assert_eq!(std::fs::read_to_string(path).unwrap(), "mine");
 }
 
@@ -37,14 +39,14 @@
     insta::assert_snapshot!(String::from_utf8(output.stderr).unwrap());
 }
 
-/// Figures that were taken once and deadly later: without a time to connect in, a connection that no
-/// endpoint could take was looked at again within itself until the stack was full; without a pause
-/// discovery was asked without end.
+/// Values that were once accepted and failed at run time: with a connect time-out of 0, a connection that no
+/// endpoint could take was placed again recursively until the stack overflowed; with a poll interval of 0,
+/// discovery was polled without end.
 #[test]
-fn settings_that_the_module_cannot_work_with_name_their_keys() {
+fn invalid_settings_are_reported_with_their_keys() {
     let folder = tempfile::tempdir().unwrap();
     let template = include_str!("../src/application.toml");
-    for (old, new, said) in [
+    for (old, new, message) in [
         ("connectTimeoutMs = 200.0", "connectTimeoutMs = 0", "limits.connectTimeoutMs: 0 is"),
         ("connectTimeoutMs = 200.0", "connectTimeoutMs = \"200\"", "limits.connectTimeoutMs: \"200\" is"),
         ("maxAttempts = 5", "maxAttempts = 0", "limits.maxAttempts: 0 is"),
@@ -67,16 +69,16 @@
         assert!(template.contains(old), "{old}");
         std::fs::write(folder.path().join("bad.toml"), template.replace(old, new)).unwrap();
         let output = sandgw(folder.path(), &["config", "check", "bad.toml"]);
-        let found = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success(), "{new} is taken");
-        assert_eq!(found.lines().count(), 1, "{found}");
-        assert!(found.contains(&format!("bad.toml: settings.{said}")), "{new}: {found}");
+        let errors = String::from_utf8(output.stderr).unwrap();
+        assert!(!output.status.success(), "{new} is accepted");
+        assert_eq!(errors.lines().count(), 1, "{errors}");
+        assert!(errors.contains(&format!("bad.toml: settings.{message}")), "{new}: {errors}");
     }
 }
 
-/// The platform's file while it is being written: no part of it is taken for the whole.
+/// A platform's file that is still being written: no prefix of the file is accepted as complete.
 #[test]
-fn half_a_platform_file_is_refused_wherever_it_ends() {
+fn truncated_platform_file_is_refused_at_every_length() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
     let settings = r#"{"discovery":"on_request","lanes":[{"name":"a","semantics":"safe"}]}"#;
@@ -97,10 +99,10 @@
     }
 }
 
-/// A TOML file that ends early at a line's end is whole to its reader. Beside the one in force it shows, by
-/// what it lacks; at a start there is nothing to hold it against (docs/release-review.md, finding 10).
+/// A TOML file that is truncated at the end of a line is still valid. At a reload the missing keys reveal the
+/// truncation; at a start there is no earlier file to compare with (docs/release-review.md, finding 10).
 #[test]
-fn half_an_application_file_is_refused_at_a_reload_wherever_it_ends() {
+fn truncated_application_file_is_refused_at_reload_at_every_length() {
     let folder = tempfile::tempdir().unwrap();
     let app = folder.path().join("app.toml");
     let whole = include_str!("../src/application.toml");
@@ -110,8 +112,8 @@
     };
     let running = load(whole).unwrap();
     for end in 0..whole.len() {
-        let taken = load(&whole[..end]).and_then(|new| running.whole(new));
-        let faults = taken.err().unwrap_or_else(|| panic!("the first {end} bytes are taken"));
+        let reloaded = load(&whole[..end]).and_then(|new| running.whole(new));
+        let faults = reloaded.err().unwrap_or_else(|| panic!("the first {end} bytes are accepted"));
         assert!(
             faults.iter().all(|f| f.file == app.display().to_string() && !f.key.is_empty()),
             "{faults:?}"
@@ -120,9 +122,10 @@
     assert!(load(whole).and_then(|new| running.whole(new)).is_ok());
 }
 
-/// Every key of the platform's file but what goes with other values: left out, it is named.
+/// A reload that lacks a key of the platform's file names that key, except for keys that depend on other
+/// values.
 #[test]
-fn a_reload_that_lacks_a_key_is_refused_and_one_that_adds_or_drops_a_class_is_not() {
+fn reload_is_refused_if_a_key_is_missing_and_accepted_if_classes_change() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
     let environment = [("PROXY_CONFIG".to_owned(), path.display().to_string())].into();
@@ -165,36 +168,36 @@
             "{path}: {faults:?}"
         );
     }
-    let lanes = |lanes: Value| {
+    let reload_lanes = |lanes: Value| {
         let mut value = whole.clone();
         value["settings"]["lanes"] = lanes;
         reload(&value)
     };
     for key in ["name", "semantics", "aimMs", "hardLimitMs", "worth"] {
-        let mut short = lane.clone();
-        short.as_object_mut().unwrap().remove(key).unwrap();
-        assert!(lanes(json!([lane, short])).is_err(), "a class without {key}");
+        let mut incomplete = lane.clone();
+        incomplete.as_object_mut().unwrap().remove(key).unwrap();
+        assert!(reload_lanes(json!([lane, incomplete])).is_err(), "a class without {key}");
     }
-    for wrong in [json!(0), json!(-5), json!("3000"), json!(null), json!([1]), json!(1e300)] {
+    for invalid in [json!(0), json!(-5), json!("3000"), json!(null), json!([1]), json!(1e300)] {
         let mut bad = lane.clone();
-        bad["hardLimitMs"] = wrong.clone();
-        assert!(lanes(json!([bad])).is_err(), "a deadline of {wrong}");
+        bad["hardLimitMs"] = invalid.clone();
+        assert!(reload_lanes(json!([bad])).is_err(), "a deadline of {invalid}");
         let mut value = whole.clone();
-        value["settings"]["limits"]["maxAttempts"] = wrong.clone();
-        assert!(reload(&value).is_err(), "{wrong} attempts");
+        value["settings"]["limits"]["maxAttempts"] = invalid.clone();
+        assert!(reload(&value).is_err(), "{invalid} attempts");
     }
     let keyed = json!({"name":"b","semantics":"keyed","group":"all","windowMs":900.0,"aimMs":1.0,"hardLimitMs":3.0,"worth":2.0});
-    assert!(lanes(json!([lane, keyed])).is_ok() && lanes(json!([keyed])).is_ok());
+    assert!(reload_lanes(json!([lane, keyed])).is_ok() && reload_lanes(json!([keyed])).is_ok());
 }
 
 #[test]
-fn faults_of_the_state_table_name_their_keys() {
+fn faults_in_the_state_and_forms_sections_are_reported_with_their_keys() {
     let folder = tempfile::tempdir().unwrap();
     let text = include_str!("../src/application.toml").to_owned()
         + "\n[state]\nfolder = \"\"\nflush_ms = 1\nmemory_kb = 1\nmax_age_s = \"x\"\nspeed = 1\n[forms]\nmost = 99\nleast = 1\n";
     std::fs::write(folder.path().join("bad.toml"), text).unwrap();
-    let said = sandgw(folder.path(), &["config", "check", "bad.toml"]).stderr;
-    let said = String::from_utf8(said).unwrap();
+    let stderr = sandgw(folder.path(), &["config", "check", "bad.toml"]).stderr;
+    let stderr = String::from_utf8(stderr).unwrap();
     for key in [
         "folder: must not be empty",
         "flush_ms: 1 is",
@@ -202,31 +205,31 @@
         "max_age_s: \"x\" is",
         "speed: is unknown",
     ] {
-        assert!(said.contains(&format!("bad.toml: state.{key}")), "{key} in {said}");
+        assert!(stderr.contains(&format!("bad.toml: state.{key}")), "{key} in {stderr}");
     }
     for key in ["most: 99 is no number from 1 to", "least: is unknown; known are most"] {
-        assert!(said.contains(&format!("bad.toml: forms.{key}")), "{key} in {said}");
+        assert!(stderr.contains(&format!("bad.toml: forms.{key}")), "{key} in {stderr}");
     }
 }
 
-/// What would be kept to in silence, or not at all, is told: shares without figures, and figures of the
-/// wrong members.
+/// Reports quota settings that would have no effect, or an unintended one: enforcement without any quota, and
+/// quotas that don't match the tenants.
 #[test]
-fn shares_are_checked_with_what_can_be_done() {
+fn quota_settings_are_checked() {
     let folder = tempfile::tempdir().unwrap();
-    let check = |shares: &str, settings: &str| {
+    let check = |enforce: &str, settings: &str| {
         let text = format!(
-            "[relay]\nlisten = \"127.0.0.1:1\"\ndiscovery = \"127.0.0.1:2\"\n[shares]\nenforce = {shares}\n[settings]\n\
+            "[relay]\nlisten = \"127.0.0.1:1\"\ndiscovery = \"127.0.0.1:2\"\n[shares]\nenforce = {enforce}\n[settings]\n\
              {settings}\nlanes = [{{ name = \"a\" }}]\n"
         );
         std::fs::write(folder.path().join("app.toml"), text).unwrap();
         let output = sandgw(folder.path(), &["config", "check", "app.toml"]);
         String::from_utf8(output.stderr).unwrap()
     };
-    let one = "realms = [{ name = \"x\", quotaPerS = 2.0 }]";
-    assert_eq!(check("true", one), "");
+    let one_quota = "realms = [{ name = \"x\", quotaPerS = 2.0 }]";
+    assert_eq!(check("true", one_quota), "");
     let cases = [
-        ("1", one, "shares.enforce: 1 is neither"),
+        ("1", one_quota, "shares.enforce: 1 is neither"),
         ("true", "realms = [{ name = \"x\" }]", "shares.enforce: is true, and the settings state no share"),
         ("false", "realms = [{ name = \"x\", quotaPerS = -1.0 }]", "realms[0].quotaPerS: -1.0 is no number"),
         (
@@ -240,8 +243,8 @@
             "domain.tenantQuotaConnections: 5 is no list; put the values in [ ]",
         ),
     ];
-    for (shares, settings, fault) in cases {
-        let said = check(shares, settings);
-        assert!(said.contains(fault), "{said}");
+    for (enforce, settings, fault) in cases {
+        let stderr = check(enforce, settings);
+        assert!(stderr.contains(fault), "{stderr}");
     }
 }
