--- a/src/listener/line/mod.rs
+++ b/src/listener/line/mod.rs
@@ -1,8 +1,9 @@
-//! The platform's line protocol: one text line a message, from client and endpoint.
+//! The platform's line protocol: each message of a client or an endpoint is one line of text.
 //!
-//! Owns what the settings say of lines, the ids of the open connections, and the state of each of them. It
-//! reads `OPEN` and `PING` of clients and the endpoint's answers, writes the attempt's `OPEN` with the time
-//! that is left, and observes the lines of established connections. Times are milliseconds.
+//! [`LineRules`] holds the names that requests may use and the ids of the open connections; [`LineProtocol`]
+//! holds the state of one connection. It reads `OPEN` and `PING` from the client and the endpoint's answers,
+//! writes the `OPEN` of each attempt with the time that is left, and observes the lines of the established
+//! connection. Times are milliseconds.
 
 mod open_line;
 
@@ -19,44 +20,46 @@
 use crate::relay::ServingMode;
 use crate::relay::{AcceptedClass, IncomingRequest, LocalReply};
 
-/// Longest line, with its end.
+/// Longest line, including its line end.
 const MAX_LINE_BYTES: usize = 4096;
-/// The health check of a load balancer in front of the relay.
+/// The health check that a load balancer in front of the relay sends.
 const PING: &str = "PING";
-/// How much of a malformed answer is logged.
+/// Longest part of a malformed answer that is logged.
 const MAX_LOGGED_BYTES: usize = 64;
-/// How much of the endpoint's line is stored: enough to tell `BYE` and `MOVE` from other lines.
+/// Longest part of the endpoint's current line that is stored: enough to tell `BYE`, `MOVE` and `LOAD` from
+/// other lines.
 const LINE_PREFIX_BYTES: usize = 8;
 
-/// What the settings in force say of lines.
+/// The names that the current settings accept in requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LineNames {
-    /// Whether `g` names a group, whose connections share work, or else the client.
+    /// Whether `g` names a group, whose connections share work. Otherwise it names the client.
     pub groups: bool,
-    /// Classes, each with the time until which new connections may name it, where it was dropped.
-    /// Connections that arrive mid-flow may name any: they began when it was in force.
+    /// The known classes. A class that was dropped from the settings has the time until which new connections
+    /// may name it. Connections that arrive mid-flow may name any of them, as they began when that class was
+    /// in the settings.
     pub classes: Vec<AcceptedClass>,
-    /// Tenants; any is accepted where there are none.
+    /// The known tenants. An empty list accepts any tenant.
     pub tenants: Vec<String>,
 }
 
-/// What all clients of the line protocol share.
+/// The state that all connections of the line protocol share.
 #[derive(Default)]
 pub struct LineRules {
     names: RefCell<LineNames>,
-    /// Tenants of the previous settings: connections of theirs may still arrive mid-flow.
+    /// Tenants of the previous settings, whose connections may still arrive mid-flow.
     previous_tenants: RefCell<Vec<String>>,
     /// Ids of the open connections, each with its client's key.
     open: RefCell<HashMap<String, String>>,
 }
 
 impl LineRules {
-    /// Rules with these names.
+    /// Creates rules that accept the given names.
     pub fn new(names: LineNames) -> Self {
         LineRules { names: RefCell::new(names), ..LineRules::default() }
     }
 
-    /// Replaces the names by those of new settings. Requests that were read before are not affected.
+    /// Replaces the accepted names when the settings change. Requests that were read before are not affected.
     pub fn apply_names(&self, names: LineNames) {
         let before = self.names.replace(names);
         if before.tenants != self.names.borrow().tenants {
@@ -77,8 +80,9 @@
             || mid_flow && contains(&self.previous_tenants.borrow())
     }
 
-    /// Registers an open connection; false where its id is open already. A mid-flow arrival whose packets
-    /// took another path before may still be open here: it replaces the one of the same id and key.
+    /// Registers an open connection; returns false where its id is already registered. A mid-flow arrival
+    /// whose packets were routed elsewhere meanwhile may still be registered here: it replaces the connection
+    /// with the same id and key.
     fn register(&self, id: &str, key: &str, mid_flow: bool) -> bool {
         let mut open = self.open.borrow_mut();
         if open.get(id).is_some_and(|other| !mid_flow || other != key) {
@@ -93,22 +97,23 @@
 pub struct LineProtocol {
     rules: Rc<LineRules>,
     handshake_timeout: Millis,
-    /// The connection's id, while it is registered as open.
+    /// The connection's id, while the connection is registered as open.
     id: Option<String>,
-    /// The client's `OPEN` without the line's end.
+    /// The client's `OPEN` line, without its line end.
     open_line: String,
     /// Start of the endpoint's current line.
     line_prefix: Vec<u8>,
     /// How many bytes of the endpoint's current line have been received.
     line_bytes: usize,
-    /// Outcome that the endpoint's last whole line announces.
+    /// Outcome that the endpoint's last complete line announces.
     announced: Option<Outcome>,
-    /// When the client sent the oldest line that is without an answer.
+    /// When the client sent the oldest line that the endpoint has not answered.
     unanswered_since: Option<Millis>,
 }
 
 impl LineProtocol {
-    /// The protocol of one connection, whose first line may take `handshake_timeout` milliseconds.
+    /// Creates the protocol of one connection, whose client has `handshake_timeout` milliseconds to send its
+    /// first line.
     pub fn new(rules: Rc<LineRules>, handshake_timeout: Millis) -> Self {
         LineProtocol {
             rules,
@@ -122,7 +127,7 @@
         }
     }
 
-    /// Resumes a connection that another process has handed over.
+    /// Resumes a connection that the predecessor process has handed over.
     pub fn resume(rules: Rc<LineRules>, now: Millis, transferred: TransferredProtocol) -> Self {
         rules.open.borrow_mut().insert(transferred.id.clone(), transferred.key);
         let outcome = |completed| if completed { Outcome::Ok } else { Outcome::Cancelled };
@@ -137,10 +142,10 @@
         protocol
     }
 
-    /// Parses `OPEN ID KEY name=value,...` and registers the connection; `None` where the line is
-    /// malformed, names an unknown class or tenant, or an id that is open already. Such a request is not
-    /// forwarded: an endpoint would refuse it or close on it, which says nothing of the endpoint, and the
-    /// load balancer would retry it elsewhere.
+    /// Parses `OPEN ID KEY name=value,...` and registers the connection. Returns `None` where the line is
+    /// malformed, or names an unknown class or tenant or an id that is open already. Such a request is not
+    /// forwarded: an endpoint would reject it or close the connection, and the load balancer would retry it
+    /// at another endpoint, although the failure says nothing about the endpoint.
     fn open(&mut self, now: Millis, line: &str) -> Option<IncomingRequest> {
         let open = OpenLine::parse(line)?;
         let groups = self.rules.names.borrow().groups;
@@ -157,21 +162,22 @@
         Some(request)
     }
 
-    /// Rejects a request of which nothing may reach an endpoint. The rest of the input is dropped unread.
+    /// Rejects an invalid request, no part of which may reach an endpoint. The rest of the input is
+    /// discarded.
     fn reject_request(&mut self, input: &mut BytesMut, reply: &mut BytesMut) -> ReadProgress {
         input.clear();
         self.write_local_reply(LocalReply::Failed, reply);
         ReadProgress::Close
     }
 
-    /// Takes the end of a line into account; returns a round-trip time when the line answers the client.
+    /// Processes the end of an endpoint's line; returns the round-trip time when the line answers the client.
     fn end_endpoint_line(&mut self, now: Millis) -> Option<Millis> {
         self.announced = match self.line_prefix.trim_ascii_end() {
             b"BYE" => Some(Outcome::Ok),
             b"MOVE" => Some(Outcome::Cancelled),
             _ => None,
         };
-        // An endpoint sends `LOAD` unasked: it answers nothing.
+        // An endpoint sends `LOAD` lines unsolicited: they answer no line of the client.
         let unsolicited = self.line_prefix.starts_with(b"LOAD ");
         self.line_bytes = 0;
         self.line_prefix.clear();
@@ -190,7 +196,7 @@
     }
 }
 
-/// Takes a whole line off the input, without its end.
+/// Removes one complete line from the input and returns it without its line end.
 fn take_line(input: &mut BytesMut) -> Option<BytesMut> {
     let end = input.iter().position(|b| *b == b'\n')?;
     let mut line = input.split_to(end + 1);
@@ -222,12 +228,12 @@
         reply: &mut BytesMut,
     ) -> ReadProgress {
         loop {
-            let ends = input.iter().take(MAX_LINE_BYTES).any(|b| *b == b'\n');
-            if !ends && input.len() < MAX_LINE_BYTES {
+            let line_complete = input.iter().take(MAX_LINE_BYTES).any(|b| *b == b'\n');
+            if !line_complete && input.len() < MAX_LINE_BYTES {
                 return ReadProgress::Incomplete;
             }
-            // A line that is too long is malformed like an empty one.
-            let line = if ends { take_line(input) } else { None };
+            // A line that is too long is rejected as malformed, as an empty line is.
+            let line = if line_complete { take_line(input) } else { None };
             let line = line.as_deref().and_then(|l| str::from_utf8(l).ok()).unwrap_or_default();
             if line == PING {
                 reply.extend_from_slice(ping_reply(mode));
@@ -237,7 +243,7 @@
                 return self.reject_request(input, reply);
             };
             self.open_line = line.to_owned();
-            // A client waits for the answer to its line: several lines at once are no request.
+            // A client must wait for the answer to its line: further bytes make the request invalid.
             if !input.is_empty() && !self.accepts_early_data() {
                 return self.reject_request(input, reply);
             }
@@ -318,7 +324,7 @@
     }
 
     fn incomplete_tail(&self) -> usize {
-        // Bytes of a line that is too long are passed on as they come.
+        // Bytes of a line that is too long are passed on as they arrive.
         if self.line_bytes < MAX_LINE_BYTES { self.line_bytes } else { 0 }
     }
 
--- a/src/listener/line/open_line.rs
+++ b/src/listener/line/open_line.rs
@@ -1,16 +1,16 @@
-//! The line by which a client asks for a connection: `OPEN ID KEY name=value,...`.
+//! The line with which a client requests a connection: `OPEN ID KEY name=value,...`.
 //!
-//! Takes the line without its end and the time in milliseconds, and returns the request that it describes.
-//! Whether class, tenant and id are acceptable is for the caller to check.
+//! The parser takes the line without its line end and the time in milliseconds, and returns the request that
+//! the line describes. The caller checks whether the class, the tenant and the id are acceptable.
 
 use std::sync::Arc;
 
 use crate::policy::api::{EndpointId, Key, Millis};
 use crate::relay::IncomingRequest;
 
-/// Shortest time that a client may say it waits for its answer.
+/// Shortest deadline that a client may state, counted from the arrival of its request.
 const MIN_DEADLINE_MS: Millis = 1.0;
-/// Longest time that a client may say it waits for its answer.
+/// Longest deadline that a client may state, counted from the arrival of its request.
 const MAX_DEADLINE_MS: Millis = 3_600_000.0;
 
 /// The fields of `OPEN ID KEY name=value,...`.
@@ -21,7 +21,7 @@
 }
 
 impl<'a> OpenLine<'a> {
-    /// Splits the line into its fields; `None` where it is no such line.
+    /// Splits the line into its fields; `None` where the line is not a valid `OPEN` line.
     pub(super) fn parse(line: &'a str) -> Option<Self> {
         let mut fields = line.split(' ');
         let command = fields.next()?;
@@ -33,8 +33,8 @@
         (complete && printable).then_some(OpenLine { id, key, options })
     }
 
-    /// The request that the options describe; `None` where one is malformed or repeated, or the deadline is
-    /// missing.
+    /// The request that the options describe; `None` where an option is malformed or repeated, or the
+    /// deadline is missing.
     pub(super) fn request(&self, now: Millis, groups: bool) -> Option<IncomingRequest> {
         let mut request = IncomingRequest {
             client: text_key(self.key),
@@ -43,13 +43,13 @@
             ..IncomingRequest::default()
         };
         let mut deadline_ms = None;
-        let mut seen = Vec::new();
+        let mut seen_names = Vec::new();
         for option in self.options.split(',') {
             let (name, value) = option.split_once('=')?;
-            if seen.contains(&name) {
+            if seen_names.contains(&name) {
                 return None;
             }
-            seen.push(name);
+            seen_names.push(name);
             match name {
                 "c" => request.class = value.to_owned(),
                 "d" => deadline_ms = Some(parse_deadline_ms(value)?),
@@ -72,7 +72,7 @@
     Some(Key(Arc::from(value)))
 }
 
-/// A number in plain decimal notation, without sign or exponent.
+/// Parses a number in plain decimal notation, without sign or exponent.
 fn parse_number(value: &str) -> Option<f64> {
     let decimal = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     value.parse::<f64>().ok().filter(|_| decimal)
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -1,9 +1,9 @@
-//! The protocols that clients speak: each is a state machine that is fed bytes and does no I/O.
+//! The protocols that clients speak. Each is a state machine that is fed bytes and does no I/O.
 //!
-//! A protocol owns what it has parsed of one client and of the endpoint's answer to it. It is given the
-//! bytes read from both sides and the time in milliseconds, and returns what to do next and the bytes to
-//! write. It never touches a socket, a timer or the load balancer: a driver in [`crate::net`] does that,
-//! alike for all protocols.
+//! A protocol holds the parsing state of one client's connection and of the endpoint's answer to its request.
+//! It is given the bytes read from both sides and the time in milliseconds, and returns what to do next and
+//! the bytes to write. It never touches a socket, a timer or the load balancer: the driver in [`crate::net`]
+//! does that in the same way for all protocols.
 
 pub mod line;
 pub mod rtmp;
@@ -19,18 +19,18 @@
 use crate::relay::ServingMode;
 use crate::relay::{IncomingRequest, LocalReply};
 
-/// What a client's bytes have amounted to before its request is placed.
+/// How far the client's request has been read, before the request is placed.
 #[derive(Debug, PartialEq)]
 pub enum ReadProgress {
     /// More bytes are needed.
     Incomplete,
     /// The client's request is complete and can be placed.
     Request(IncomingRequest),
-    /// The client is not served: write what is in the reply, then close.
+    /// The client is not served: the driver writes the reply and closes the connection.
     Close,
 }
 
-/// What an endpoint's bytes have amounted to before the connection is established.
+/// How far the endpoint's answer has been read, before the connection is established.
 #[derive(Debug, PartialEq)]
 pub enum AttemptAnswer {
     /// More bytes are needed.
@@ -41,32 +41,33 @@
     Ended(Outcome),
 }
 
-/// The protocol's state of an established connection, as sent to the process that takes it over.
+/// The protocol state of an established connection, as sent to the successor process.
 ///
-/// Encoded by position: the order and the types of the fields are part of the hand-over's format.
+/// The fields are encoded by position: their order and types are part of the hand-over format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredProtocol {
     /// Id of the connection.
     pub id: String,
-    /// Key of its client.
+    /// Key of the client.
     pub key: String,
     /// Start of the endpoint's current line.
     pub line_prefix: Vec<u8>,
     /// How many bytes of the endpoint's current line have been received.
     pub line_bytes: u64,
-    /// The end that the endpoint's last whole line announces: completed, or sent to another endpoint.
+    /// The end of the connection that the endpoint's last complete line announces, if any: `true` for a
+    /// completed connection, `false` for one that migrates to another endpoint.
     pub announced_completion: Option<bool>,
     /// How long the client's oldest line has been without an answer, in milliseconds.
     pub unanswered_ms: Option<Millis>,
 }
 
-/// One client's side of a connection and, during an attempt, its endpoint's.
+/// The protocol of one connection: the client's side and, during an attempt, the endpoint's side.
 pub trait ClientProtocol {
-    /// How long a client may take, from accept, until its request is complete.
+    /// How long after accept a client may take to complete its request.
     fn handshake_timeout(&self) -> Millis;
 
-    /// Reads bytes of a client whose request is not complete yet, and consumes those that it understands. A
-    /// health check is answered by the serving mode.
+    /// Reads bytes of a client whose request is not complete yet, and consumes the bytes that it parses. A
+    /// health check is answered with the serving mode.
     fn read_request(
         &mut self,
         now: Millis,
@@ -75,33 +76,34 @@
         reply: &mut BytesMut,
     ) -> ReadProgress;
 
-    /// Whether a client has sent a part of its request, of which `input` is not consumed yet.
+    /// Whether the client has sent a part of its request. `input` holds the bytes that are not consumed yet.
     fn request_begun(&self, input: &BytesMut) -> bool {
         !input.is_empty()
     }
 
-    /// Whether a client may send more before it has the answer to its request.
+    /// Whether the client may send further bytes before it receives the answer to its request.
     fn accepts_early_data(&self) -> bool {
         true
     }
 
-    /// Begins an attempt that is given up after `time_left`: writes the first bytes for the endpoint.
+    /// Begins an attempt that times out after `time_left`, and writes the first bytes for the endpoint.
     fn begin_attempt(&mut self, time_left: Millis, out: &mut BytesMut);
 
-    /// Whether the endpoint has the whole request, and so may act on it, once `out` is written.
+    /// Whether the endpoint has the complete request, and so may act on it, once the bytes written to `out`
+    /// are sent.
     fn request_complete(&self) -> bool;
 
-    /// Reads bytes of the endpoint until the connection is established or the attempt has ended. What is
-    /// left in `input` of an established connection goes to the client.
+    /// Reads bytes of the endpoint until the connection is established or the attempt has ended. For an
+    /// established connection, the bytes left in `input` go to the client.
     fn read_answer(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> AttemptAnswer;
 
-    /// After how long without a byte from an endpoint that has the whole request the connection counts as
+    /// How long an endpoint that has the complete request must send nothing for the connection to count as
     /// established; `None` where the endpoint has to answer.
     fn established_when_silent(&self) -> Option<Duration> {
         None
     }
 
-    /// Writes a reply of the relay itself.
+    /// Writes a local reply.
     fn write_local_reply(&mut self, response: LocalReply, reply: &mut BytesMut);
 
     /// Whether a reset is the only reply that this client understands.
@@ -112,26 +114,27 @@
     /// Observes bytes that the client of an established connection has sent.
     fn observe_client_bytes(&mut self, now: Millis, bytes: &[u8]);
 
-    /// Observes bytes that the endpoint of an established connection has sent; returns a round-trip time
-    /// when they complete one.
+    /// Observes bytes that the endpoint of an established connection has sent; returns the round-trip time
+    /// when they answer a message of the client.
     fn observe_endpoint_bytes(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis>;
 
-    /// Bytes of the endpoint since the last message boundary, at which the relay may insert a message of
-    /// its own; `None` where boundaries are not known.
+    /// Number of bytes from the endpoint since the last message boundary, where the relay may insert a
+    /// message of its own; `None` where boundaries are not known.
     fn bytes_since_boundary(&self) -> Option<usize>;
 
-    /// How many of the endpoint's last bytes are an incomplete message that should wait for its rest: the
-    /// relay may insert a message before them, and an endpoint that breaks off leaves no partial message at
-    /// the client.
+    /// How many of the last bytes from the endpoint belong to an incomplete message and should be held back
+    /// until it is complete. The relay may insert a message before them, and the client receives no partial
+    /// message when the endpoint closes in the middle of one.
     fn incomplete_tail(&self) -> usize {
         0
     }
 
-    /// Since when a message of the client is without an answer.
+    /// When the client sent the oldest message that the endpoint has not answered; `None` where there is
+    /// none.
     fn unanswered_since(&self) -> Option<Millis>;
 
-    /// How long an endpoint may leave bytes unacknowledged, for protocols without a message that shows that
-    /// it has vanished.
+    /// How long an endpoint may leave bytes unacknowledged before it counts as lost, for protocols that have
+    /// no message by which the loss shows.
     fn unacknowledged_timeout(&self) -> Option<Duration> {
         None
     }
@@ -139,15 +142,16 @@
     /// Writes the message that asks the client to reconnect.
     fn write_migration(&mut self, reply: &mut BytesMut);
 
-    /// The state that another process needs to take the connection over; `None` where it could not.
+    /// The state that the successor process needs to take the connection over; `None` where the connection
+    /// can't be transferred.
     fn export(&self, _now: Millis) -> Option<TransferredProtocol> {
         None
     }
 
-    /// The end that the endpoint's last whole message announces, if it does.
+    /// The outcome that the endpoint's last complete message announces, if any.
     fn announced_outcome(&self) -> Option<Outcome>;
 
-    /// The outcome if the endpoint closes the connection now, without a reset.
+    /// The outcome of the connection if the endpoint closes it now, without a reset.
     fn outcome_at_end(&self) -> Outcome {
         self.announced_outcome().unwrap_or(Outcome::Reset)
     }
--- a/src/listener/rtmp/handshake.rs
+++ b/src/listener/rtmp/handshake.rs
@@ -1,20 +1,21 @@
-//! RTMP's handshake, as either side: advances the library's state machine on the bytes of an input buffer.
+//! The RTMP handshake, as client or as server: feeds the bytes of an input buffer to the library's state
+//! machine.
 
 use bytes::BytesMut;
 use rml_rtmp::handshake::{Handshake, HandshakeProcessResult};
 
 use super::chunks::Malformed;
 
-/// Bytes of the relay's first handshake packets (version and first block). Its second block follows the
-/// client's.
+/// Length of the relay's first two handshake packets (P0, the version, and P1, the first block). The relay's
+/// second block follows once the client's first block has arrived.
 pub const HANDSHAKE_P0_P1_BYTES: usize = 1537;
 
-/// Feeds a handshake and writes its reply; returns whether it is complete. What follows it is left in the
-/// input.
+/// Feeds the input to a handshake and writes the reply; returns whether the handshake is complete. Bytes that
+/// follow a complete handshake are left in the input.
 ///
 /// # Errors
 ///
-/// [`Malformed`] where the bytes are not a handshake.
+/// [`Malformed`] where the bytes are not an RTMP handshake.
 pub fn advance_handshake(
     handshake: &mut Handshake,
     input: &mut BytesMut,
--- a/src/listener/rtmp/mod.rs
+++ b/src/listener/rtmp/mod.rs
@@ -1,11 +1,12 @@
-//! RTMP, for tenants' encoders and players.
+//! RTMP, for tenants' encoders and players. This module does no I/O.
 //!
-//! A connection is placed at its `connect` command. The path of its `app` is the group's key: the video and
-//! its language track. The connection's own key is `flow` in the query that may follow, which proxy and
-//! endpoint can see as well, else the client's address. The relay completes the handshake with both sides
-//! and forwards the client's `connect` and the endpoint's reply unchanged; from then on all bytes pass
-//! unchanged. It follows the chunks that the endpoint sends, so that it can ask the client to reconnect
-//! between two of them. Times are milliseconds where they are numbers. It does no I/O.
+//! A request is placed when its `connect` command has arrived. The path of `app` is the group's key: the
+//! video and its language track. The connection's own key is the parameter `flow` of the query that may
+//! follow the path, which the proxy and the endpoint see as well; without it, the key is the client's
+//! address. The relay completes the handshake with both sides and forwards the client's `connect` and the
+//! endpoint's reply unchanged; from then on all bytes pass unchanged. The relay parses the chunks that the
+//! endpoint sends, so that it can ask the client to reconnect between two of them. Times that are plain
+//! numbers are milliseconds.
 
 mod chunks;
 mod command;
@@ -23,100 +24,102 @@
 use rml_rtmp::handshake::{Handshake, PeerType};
 
 use self::chunks::{
-    COMMAND, DEFAULT_CHUNK_BYTES, FIRST_MESSAGE_STREAM, Malformed, Progress, Reader, write_command,
+    COMMAND, ChunkReader, DEFAULT_CHUNK_BYTES, FIRST_MESSAGE_STREAM, Malformed, Progress, write_command,
 };
-use self::command::{Command, FAILED, RECONNECT_REQUEST, REJECTED, encode, information};
+use self::command::{Command, FAILED, RECONNECT_REQUEST, REJECTED, encode_command, information_object};
 use self::handshake::{HANDSHAKE_P0_P1_BYTES, advance_handshake};
-use self::proxy::{MidStreamKeys, ParsedHeader};
+use self::proxy::{MidFlowKeys, ParsedHeader};
 use super::{AttemptAnswer, ClientProtocol, ReadProgress};
 use crate::policy::api::*;
 use crate::relay::ServingMode;
 use crate::relay::{IncomingRequest, LocalReply};
 
-/// Most bytes from a client up to the end of its `connect`.
+/// Most bytes that a client may send after the handshake, up to the end of its `connect`.
 const MAX_CONNECT_BYTES: usize = 4096;
-/// How long before the client gives up the reply to an incomplete request is sent.
+/// How long before the client's time-out the relay replies to an incomplete request.
 const REPLY_MARGIN_MS: Millis = 250.0;
-/// After how long without a reset a mid-stream connection counts as established: there is no reply to wait
-/// for, and an endpoint that does not have the connection resets it at once.
-const MID_STREAM_ESTABLISHED_AFTER: Duration = Duration::from_millis(100);
-/// How long an endpoint may leave bytes unacknowledged before it counts as vanished. RTMP has no message
-/// that is answered at once, so only TCP shows it.
+/// How long a mid-flow connection must go without a reset to count as established. There is no reply to
+/// wait for, and an endpoint that does not have the connection resets it at once.
+const MID_FLOW_ESTABLISHED_AFTER: Duration = Duration::from_millis(100);
+/// How long an endpoint may leave bytes unacknowledged before it counts as lost. RTMP has no message that is
+/// answered at once, so only TCP acknowledgements show the loss.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
-/// Transaction of a client's `connect`, as the specification fixes it.
+/// Transaction id of a client's `connect`, as fixed by the specification.
 const FIRST_TRANSACTION: f64 = 1.0;
-/// How much of an incomplete chunk waits for its end: the chunk size that most endpoints set, with the
-/// longest header.
+/// Longest incomplete chunk that is held back until its end arrives: the chunk size that most endpoints set,
+/// plus the longest header.
 const MAX_INCOMPLETE_CHUNK_BYTES: usize = 4096 + 18;
 
-/// What the listener's settings say of every connection.
+/// The listener's settings, which apply to every connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RtmpSettings {
-    /// The class of all its connections.
+    /// The class of all connections of the listener.
     pub class: String,
-    /// After how many milliseconds from accept clients give up.
+    /// How long after accept clients give up, in milliseconds.
     pub give_up: Millis,
 }
 
-/// The client's side.
-enum Stage {
-    /// It is not known yet whether a trusted proxy's header comes first.
+/// How far the client's side of the connection has got.
+enum ClientStage {
+    /// Nothing has been parsed. A trusted proxy's header may come first.
     Start,
     Handshake(Box<Handshake>),
-    /// The handshake is complete, the `connect` is not.
-    Connect(Reader),
+    /// The handshake is complete, the `connect` command is not.
+    Connect(ChunkReader),
     /// The request is complete.
     Requested {
-        /// Transaction of its `connect`.
+        /// Transaction id of its `connect`.
         transaction: f64,
     },
-    /// A mid-stream arrival. It has no handshake and no `connect`, and no chunk boundary is known.
-    MidStream(MidStreamKeys),
+    /// A connection that arrives mid-flow. It has no handshake and no `connect`, and its chunk boundaries
+    /// are not known.
+    MidFlow(MidFlowKeys),
 }
 
-/// The endpoint's side during an attempt.
+/// How far the endpoint's side has got during an attempt.
 enum AttemptStage {
     Handshake(Box<Handshake>),
-    /// The client's `connect` is written.
+    /// The client's `connect` is written, and the endpoint's reply is awaited.
     Reply {
-        reader: Reader,
-        /// How many bytes of the input the reader has consumed; they remain in it for the client.
+        reader: ChunkReader,
+        /// How many bytes of the input the reader has consumed. They remain in the input for the client.
         consumed: usize,
     },
 }
 
-/// One client that speaks RTMP.
+/// The RTMP protocol of one connection.
 pub struct RtmpProtocol {
     settings: RtmpSettings,
     client: SocketAddr,
-    /// Whether the address is a trusted proxy's.
+    /// Whether the address belongs to a trusted proxy.
     trusted: bool,
     accepted_at: Option<Millis>,
-    stage: Stage,
-    /// Whether all of the relay's handshake is written, so that a reply can follow it.
+    stage: ClientStage,
+    /// Whether the relay has written its whole handshake to the client, so that a reply can follow it.
     handshake_written: bool,
-    /// All chunks up to the end of `connect`, as received.
+    /// All chunks up to the end of `connect`, as received from the client.
     connect_bytes: Vec<u8>,
     attempt: Option<AttemptStage>,
-    /// Follows what the endpoint sends; an error once it was not a chunk stream.
-    endpoint_reader: Result<Reader, Malformed>,
+    /// Reads the chunks that the endpoint sends; an error once the endpoint's bytes were malformed, and for
+    /// mid-flow connections.
+    endpoint_reader: Result<ChunkReader, Malformed>,
     /// Whether the endpoint has asked the client to reconnect.
     migration_announced: bool,
 }
 
 impl RtmpProtocol {
-    /// The protocol of one connection from an address, which may be a trusted proxy's.
+    /// Creates the protocol of one connection from a client address, which may belong to a trusted proxy.
     pub fn new(settings: RtmpSettings, client: SocketAddr, trusted: bool) -> Self {
         RtmpProtocol {
             settings,
             client,
             trusted,
             accepted_at: None,
-            stage: Stage::Start,
+            stage: ClientStage::Start,
             handshake_written: false,
             connect_bytes: Vec::new(),
             attempt: None,
-            endpoint_reader: Ok(Reader::default()),
+            endpoint_reader: Ok(ChunkReader::default()),
             migration_announced: false,
         }
     }
@@ -133,8 +136,12 @@
         }
     }
 
-    /// Reads a trusted proxy's header, where there is one. `None` where the handshake follows.
-    fn read_start(&mut self, now: Millis, input: &mut BytesMut) -> Result<Option<ReadProgress>, Malformed> {
+    /// Reads a trusted proxy's header, if there is one. Returns `None` where the handshake follows.
+    fn read_proxy_header(
+        &mut self,
+        now: Millis,
+        input: &mut BytesMut,
+    ) -> Result<Option<ReadProgress>, Malformed> {
         let Some(first) = input.first() else { return Ok(Some(ReadProgress::Incomplete)) };
         if self.trusted && *first == proxy::SIGNATURE[0] {
             let parsed = proxy::read(input).map_err(|_| Malformed)?;
@@ -143,43 +150,43 @@
             };
             let _ = input.split_to(length);
             self.client = header.client.unwrap_or(self.client);
-            if let Some(keys) = header.mid_stream {
-                return Ok(Some(ReadProgress::Request(self.mid_stream_request(now, keys))));
+            if let Some(keys) = header.mid_flow {
+                return Ok(Some(ReadProgress::Request(self.mid_flow_request(now, keys))));
             }
         }
-        self.stage = Stage::Handshake(Box::new(Handshake::new(PeerType::Server)));
+        self.stage = ClientStage::Handshake(Box::new(Handshake::new(PeerType::Server)));
         Ok(None)
     }
 
-    fn mid_stream_request(&mut self, now: Millis, keys: MidStreamKeys) -> IncomingRequest {
+    fn mid_flow_request(&mut self, now: Millis, keys: MidFlowKeys) -> IncomingRequest {
         let request = self.request(now, keys.connection.clone(), keys.group.clone());
-        self.stage = Stage::MidStream(keys);
+        self.stage = ClientStage::MidFlow(keys);
         self.endpoint_reader = Err(Malformed);
         IncomingRequest { mid_flow: true, existing_endpoint_only: true, ..request }
     }
 
-    /// Reads the client's packets of the handshake. `None` where it is complete.
+    /// Reads the client's handshake packets. Returns `None` once the handshake is complete.
     fn read_handshake(
         &mut self,
         input: &mut BytesMut,
         reply: &mut BytesMut,
     ) -> Result<Option<ReadProgress>, Malformed> {
-        let Stage::Handshake(handshake) = &mut self.stage else { return Err(Malformed) };
+        let ClientStage::Handshake(handshake) = &mut self.stage else { return Err(Malformed) };
         let before = reply.len();
         let complete = advance_handshake(handshake, input, reply);
-        // The relay's second block is written once the client's first one is complete.
+        // The relay writes its second block once the client's first block is complete.
         let second_block_written = reply.len() > before + HANDSHAKE_P0_P1_BYTES;
         self.handshake_written |= second_block_written || complete == Ok(true);
         if !complete? {
             return Ok(Some(ReadProgress::Incomplete));
         }
-        self.stage = Stage::Connect(Reader::default());
+        self.stage = ClientStage::Connect(ChunkReader::default());
         Ok(None)
     }
 
-    /// Reads messages up to the `connect` command, which has to be the first command.
+    /// Reads messages up to the `connect` command, which has to be the client's first command.
     fn read_connect(&mut self, now: Millis, input: &mut BytesMut) -> Result<ReadProgress, Malformed> {
-        let Stage::Connect(reader) = &mut self.stage else { return Err(Malformed) };
+        let ClientStage::Connect(reader) = &mut self.stage else { return Err(Malformed) };
         loop {
             let progress = reader.next(input)?;
             self.connect_bytes.extend_from_slice(&input.split_to(progress.consumed));
@@ -188,27 +195,27 @@
             }
             let Some(message) = progress.message else { return Ok(ReadProgress::Incomplete) };
             if message.kind == COMMAND {
-                return self.request_of_connect(now, &message.body).map(ReadProgress::Request);
+                return self.parse_connect(now, &message.body).map(ReadProgress::Request);
             }
         }
     }
 
-    fn request_of_connect(&mut self, now: Millis, body: &[u8]) -> Result<IncomingRequest, Malformed> {
+    fn parse_connect(&mut self, now: Millis, body: &[u8]) -> Result<IncomingRequest, Malformed> {
         let mut command = Command::parse(body).ok_or(Malformed)?;
         let object = command.values.next().and_then(Amf0Value::get_object_properties).ok_or(Malformed)?;
         let Some(Amf0Value::Utf8String(app)) = object.get("app") else { return Err(Malformed) };
         if command.name != "connect" {
             return Err(Malformed);
         }
-        self.stage = Stage::Requested { transaction: command.transaction };
+        self.stage = ClientStage::Requested { transaction: command.transaction };
         let (path, query) = app.split_once('?').unwrap_or((app, ""));
-        let named = query.split('&').find_map(|parameter| parameter.strip_prefix("flow="));
-        let connection = named.map_or_else(|| self.client.to_string(), str::to_owned);
+        let key_parameter = query.split('&').find_map(|parameter| parameter.strip_prefix("flow="));
+        let connection = key_parameter.map_or_else(|| self.client.to_string(), str::to_owned);
         let group = path.trim_matches('/').to_owned();
         Ok(self.request(now, connection, group))
     }
 
-    /// Reads the endpoint's packets of the handshake and writes `connect` after it. `None` where it is
+    /// Reads the endpoint's handshake packets and then writes `connect`. Returns `None` once the handshake is
     /// complete.
     fn read_endpoint_handshake(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Option<AttemptAnswer> {
         let Some(AttemptStage::Handshake(handshake)) = &mut self.attempt else { return None };
@@ -216,7 +223,7 @@
             Ok(false) => Some(AttemptAnswer::Incomplete),
             Ok(true) => {
                 out.extend_from_slice(&self.connect_bytes);
-                self.attempt = Some(AttemptStage::Reply { reader: Reader::default(), consumed: 0 });
+                self.attempt = Some(AttemptStage::Reply { reader: ChunkReader::default(), consumed: 0 });
                 None
             }
             Err(Malformed) => Some(AttemptAnswer::Ended(Outcome::Error)),
@@ -224,7 +231,7 @@
     }
 }
 
-/// How a command of the endpoint answers `connect`; `None` for commands that do not.
+/// How a command of the endpoint answers `connect`; `None` for commands that are not an answer.
 fn connect_answer(command: Command) -> Option<AttemptAnswer> {
     match command.name.as_str() {
         "_result" => Some(AttemptAnswer::Established),
@@ -248,7 +255,7 @@
     }
 
     fn request_begun(&self, input: &BytesMut) -> bool {
-        !matches!(self.stage, Stage::Start) || !input.is_empty()
+        !matches!(self.stage, ClientStage::Start) || !input.is_empty()
     }
 
     fn read_request(
@@ -261,16 +268,19 @@
         self.accepted_at.get_or_insert(now);
         loop {
             let step = match &self.stage {
-                Stage::Start => self.read_start(now, input),
-                Stage::Handshake(_) => self.read_handshake(input, reply),
-                Stage::Connect(_) => self.read_connect(now, input).map(Some),
-                Stage::Requested { .. } | Stage::MidStream(_) => return ReadProgress::Incomplete,
+                ClientStage::Start => self.read_proxy_header(now, input),
+                ClientStage::Handshake(_) => self.read_handshake(input, reply),
+                ClientStage::Connect(_) => self.read_connect(now, input).map(Some),
+                ClientStage::Requested { .. } | ClientStage::MidFlow(_) => return ReadProgress::Incomplete,
             };
             match step {
                 Ok(Some(progress)) => return progress,
                 Ok(None) => {}
                 Err(Malformed) => {
-                    debug!("{}: not RTMP, or no connect command", self.client);
+                    debug!(
+                        "{}: closing: not RTMP, or no valid connect command within the length limit",
+                        self.client
+                    );
                     self.write_local_reply(LocalReply::Failed, reply);
                     return ReadProgress::Close;
                 }
@@ -279,25 +289,25 @@
     }
 
     fn begin_attempt(&mut self, _time_left: Millis, out: &mut BytesMut) {
-        if let Stage::MidStream(keys) = &self.stage {
-            return proxy::write_mid_stream(out, keys);
+        if let ClientStage::MidFlow(keys) = &self.stage {
+            return proxy::write_mid_flow(out, keys);
         }
         let mut handshake = Box::new(Handshake::new(PeerType::Client));
-        // It can't fail on a new handshake; if it did, the endpoint would answer nothing to an empty first
-        // packet.
+        // Generating the first packets can't fail on a new handshake. If it did, the endpoint would receive
+        // an empty first packet and not answer.
         out.extend_from_slice(&handshake.generate_outbound_p0_and_p1().unwrap_or_default());
         self.attempt = Some(AttemptStage::Handshake(handshake));
-        self.endpoint_reader = Ok(Reader::default());
+        self.endpoint_reader = Ok(ChunkReader::default());
         self.migration_announced = false;
     }
 
     fn request_complete(&self) -> bool {
-        let mid_stream = matches!(self.stage, Stage::MidStream(_));
-        mid_stream || matches!(self.attempt, Some(AttemptStage::Reply { .. }))
+        let mid_flow = matches!(self.stage, ClientStage::MidFlow(_));
+        mid_flow || matches!(self.attempt, Some(AttemptStage::Reply { .. }))
     }
 
     fn read_answer(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> AttemptAnswer {
-        if let Stage::MidStream(_) = self.stage {
+        if let ClientStage::MidFlow(_) = self.stage {
             return AttemptAnswer::Established;
         }
         if let Some(answer) = self.read_endpoint_handshake(input, out) {
@@ -321,32 +331,35 @@
     }
 
     fn established_when_silent(&self) -> Option<Duration> {
-        matches!(self.stage, Stage::MidStream(_)).then_some(MID_STREAM_ESTABLISHED_AFTER)
+        matches!(self.stage, ClientStage::MidFlow(_)).then_some(MID_FLOW_ESTABLISHED_AFTER)
     }
 
     fn write_local_reply(&mut self, response: LocalReply, reply: &mut BytesMut) {
-        // Before the end of the handshake a client could not tell a reply from it: the connection is only
-        // closed.
+        // Before the relay's handshake is written, a client would read a reply as part of the handshake, so
+        // nothing is written and the connection is only closed.
         if !self.handshake_written || self.closes_by_reset() {
             return;
         }
-        let transaction =
-            if let Stage::Requested { transaction } = self.stage { transaction } else { FIRST_TRANSACTION };
+        let transaction = if let ClientStage::Requested { transaction } = self.stage {
+            transaction
+        } else {
+            FIRST_TRANSACTION
+        };
         let object = match response {
             LocalReply::Rejected(after) => {
                 let text = after.map_or("busy".into(), |ms| format!("busy: come again after {ms:.0} ms"));
-                let mut object = information("error", REJECTED, &text);
+                let mut object = information_object("error", REJECTED, &text);
                 object.extend(after.map(|ms| ("retryAfterMs".to_owned(), Amf0Value::Number(ms))));
                 object
             }
-            LocalReply::Failed => information("error", FAILED, "no streamer answered"),
+            LocalReply::Failed => information_object("error", FAILED, "no streamer answered"),
         };
-        let body = encode("_error", transaction, object);
+        let body = encode_command("_error", transaction, object);
         write_command(reply, FIRST_MESSAGE_STREAM, DEFAULT_CHUNK_BYTES, &body);
     }
 
     fn closes_by_reset(&self) -> bool {
-        matches!(self.stage, Stage::MidStream(_))
+        matches!(self.stage, ClientStage::MidFlow(_))
     }
 
     fn observe_client_bytes(&mut self, _now: Millis, _bytes: &[u8]) {}
@@ -367,11 +380,11 @@
     }
 
     fn bytes_since_boundary(&self) -> Option<usize> {
-        self.endpoint_reader.as_ref().ok().map(Reader::bytes_since_boundary)
+        self.endpoint_reader.as_ref().ok().map(ChunkReader::bytes_since_boundary)
     }
 
     fn incomplete_tail(&self) -> usize {
-        // A longer chunk is passed on in parts: the buffer has no room for all of it.
+        // A longer chunk is passed on in parts, because it would not fit into the buffer.
         self.bytes_since_boundary().filter(|bytes| *bytes < MAX_INCOMPLETE_CHUNK_BYTES).unwrap_or(0)
     }
 
@@ -385,8 +398,8 @@
 
     fn write_migration(&mut self, reply: &mut BytesMut) {
         if let Ok(reader) = &self.endpoint_reader {
-            let object = information("status", RECONNECT_REQUEST, "the streamer is leaving");
-            let body = encode("onStatus", 0.0, object);
+            let object = information_object("status", RECONNECT_REQUEST, "the streamer is leaving");
+            let body = encode_command("onStatus", 0.0, object);
             write_command(reply, reader.idle_stream(), reader.chunk_size(), &body);
         }
     }
--- a/src/listener/rtmp/tests.rs
+++ b/src/listener/rtmp/tests.rs
@@ -1,13 +1,13 @@
-//! How the RTMP protocol reads an endpoint's reply, however it is split over reads.
+//! Tests that the RTMP protocol parses an endpoint's reply alike, however it is split over reads.
 
 use super::*;
 
-/// A protocol whose `connect` is written to an endpoint, after the handshake.
+/// A protocol that has completed the handshake with an endpoint and written `connect` to it.
 fn awaiting_reply() -> RtmpProtocol {
     let settings = RtmpSettings { class: "live".into(), give_up: 1000.0 };
     let mut protocol = RtmpProtocol::new(settings, ([127, 0, 0, 1], 1).into(), false);
-    protocol.stage = Stage::Requested { transaction: 1.0 };
-    protocol.attempt = Some(AttemptStage::Reply { reader: Reader::default(), consumed: 0 });
+    protocol.stage = ClientStage::Requested { transaction: 1.0 };
+    protocol.attempt = Some(AttemptStage::Reply { reader: ChunkReader::default(), consumed: 0 });
     protocol
 }
 
@@ -17,7 +17,7 @@
         &mut out,
         3,
         DEFAULT_CHUNK_BYTES,
-        &encode(name, 1.0, information("status", code, "of a test")),
+        &encode_command(name, 1.0, information_object("status", code, "of a test")),
     );
     out.to_vec()
 }
@@ -26,7 +26,7 @@
     let (mut protocol, mut input) = (awaiting_reply(), BytesMut::new());
     let mut answer = AttemptAnswer::Incomplete;
     for read in reads {
-        assert_eq!(answer, AttemptAnswer::Incomplete, "decided before its end");
+        assert_eq!(answer, AttemptAnswer::Incomplete, "the reply was decided before the last read");
         input.extend_from_slice(read);
         answer = protocol.read_answer(&mut input, &mut BytesMut::new());
     }
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_reply_is_the_same_wherever_it_is_cut_and_whatever_stands_behind_it() {
+fn a_reply_is_parsed_alike_wherever_it_is_split_and_whatever_follows_it() {
     let cases = [
         ("_result", "NetConnection.Connect.Success", AttemptAnswer::Established),
         ("_error", "NetConnection.Connect.Rejected", AttemptAnswer::Ended(Outcome::Rejected)),
@@ -44,22 +44,30 @@
         let bytes = reply(name, code);
         for at in 1..bytes.len() {
             let (head, tail) = bytes.split_at(at);
-            assert_eq!(read_all(&[head]).0, AttemptAnswer::Incomplete, "{code} cut at {at}");
-            assert_eq!(read_all(&[head, tail]).0, *answer, "{code} cut at {at}");
+            assert_eq!(read_all(&[head]).0, AttemptAnswer::Incomplete, "{code} split at {at}");
+            assert_eq!(read_all(&[head, tail]).0, *answer, "{code} split at {at}");
         }
         for (name, code, _) in &cases {
             let both = [&bytes[..], &reply(name, code)].concat();
             let (first, left) = read_all(&[&both]);
             assert_eq!(first, *answer);
-            assert!(first != AttemptAnswer::Established || left == both, "all of it is the client's");
+            assert!(
+                first != AttemptAnswer::Established || left == both,
+                "all bytes of the reply go to the client"
+            );
         }
     }
-    assert_eq!(read_all(&[&[0xff; 100]]).0, AttemptAnswer::Ended(Outcome::Error), "no chunk stream");
+    assert_eq!(
+        read_all(&[&[0xff; 100]]).0,
+        AttemptAnswer::Ended(Outcome::Error),
+        "bytes that are not a chunk stream"
+    );
 }
 
-/// Only a message tells how a connection ends that is then reset.
+/// Without an announcement, a close between two chunks is in order and a close inside a chunk counts as a
+/// reset. A request to reconnect announces the outcome, however the connection then ends.
 #[test]
-fn an_end_between_two_chunks_is_in_order_and_a_word_before_it_is_told() {
+fn a_close_between_two_chunks_is_ok_and_a_reconnect_request_announces_the_outcome() {
     let mut protocol = awaiting_reply();
     assert_eq!((protocol.announced_outcome(), protocol.outcome_at_end()), (None, Outcome::Ok));
     let bytes = reply("onStatus", "NetConnection.Connect.ReconnectRequest");
--- a/src/listener/tests.rs
+++ b/src/listener/tests.rs
@@ -1,4 +1,4 @@
-//! How the line protocol reads an endpoint's bytes, however they are split over reads.
+//! Tests that the line protocol parses an endpoint's bytes alike, however they are split over reads.
 
 use std::rc::Rc;
 
@@ -12,12 +12,12 @@
     LineProtocol::new(Rc::new(LineRules::default()), 1000.0)
 }
 
-/// The result of these reads, and the bytes that remain for the client.
+/// Feeds the reads to the protocol; returns its last answer and the bytes that remain for the client.
 fn read_all(reads: &[&[u8]]) -> (AttemptAnswer, Vec<u8>) {
     let (mut protocol, mut input) = (protocol(), BytesMut::new());
     let mut answer = AttemptAnswer::Incomplete;
     for read in reads {
-        assert_eq!(answer, AttemptAnswer::Incomplete, "{reads:?} was decided before its end");
+        assert_eq!(answer, AttemptAnswer::Incomplete, "{reads:?} was decided before the last read");
         input.extend_from_slice(read);
         answer = protocol.read_answer(&mut input, &mut BytesMut::new());
     }
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_answer_is_the_same_wherever_it_is_cut() {
+fn an_answer_is_parsed_alike_wherever_it_is_split() {
     use Outcome::{Cancelled, Error, Rejected, Reset};
     let cases = [
         ("UP 17", AttemptAnswer::Established),
@@ -46,19 +46,19 @@
                 assert_eq!(
                     read_all(&[head]).0,
                     AttemptAnswer::Incomplete,
-                    "{line:?} without its end, cut at {at}"
+                    "{line:?} without the end of the line, split at {at}"
                 );
-                assert_eq!(read_all(&[head, tail]).0, answer, "{line:?} cut at {at}");
+                assert_eq!(read_all(&[head, tail]).0, answer, "{line:?} split at {at}");
             }
             assert_eq!(read_all(&[line.as_bytes()]).0, answer, "{line:?}");
         }
     }
 }
 
-/// The first line decides, whatever stands behind it; all of the endpoint's bytes from `UP` on are the
-/// client's.
+/// The first line decides the attempt, whatever follows it. If that line is `UP`, all of the endpoint's
+/// bytes, including `UP`, go to the client.
 #[test]
-fn a_second_answer_behind_the_first_changes_nothing() {
+fn bytes_after_the_first_answer_do_not_change_it() {
     for second in ["UP 2\r\n", "BUSY\r\n", "ERR\r\n", "BYE\r\n", "half"] {
         let both = format!("UP 1\r\n{second}");
         assert_eq!(read_all(&[both.as_bytes()]), (AttemptAnswer::Established, both.clone().into_bytes()));
@@ -70,9 +70,10 @@
     }
 }
 
-/// An answer that never ends is one as soon as it is too long for a line, however much of it one read brings.
+/// An answer without a line end counts as an error as soon as it is too long for a line, however it is split
+/// over reads.
 #[test]
-fn an_answer_too_long_for_a_line_is_an_error_however_it_is_read() {
+fn an_overlong_answer_is_an_error_wherever_it_is_split() {
     let error = AttemptAnswer::Ended(Outcome::Error);
     assert_eq!(read_all(&[&[b'U'; 4095]]).0, AttemptAnswer::Incomplete);
     assert_eq!(read_all(&[&[b'U'; 4096]]).0, error);
@@ -81,14 +82,18 @@
     assert_eq!(read_all(&[&longest[..4000], &longest[4000..]]).0, AttemptAnswer::Established);
     let over = [b"UP ", &[b'1'; 4092][..], b"\r\n"].concat();
     assert_eq!(read_all(&[&over[..4096]]).0, error);
-    assert_eq!(read_all(&[&over[..4000], &over[4000..]]).0, error, "with its end in the second read");
-    assert_eq!(read_all(&[&over]).0, error, "in one read");
+    assert_eq!(
+        read_all(&[&over[..4000], &over[4000..]]).0,
+        error,
+        "the end of the line is in the second read"
+    );
+    assert_eq!(read_all(&[&over]).0, error, "the whole line is in one read");
 }
 
-/// A line without its end waits, so that the relay may insert a message before it; one that is too long is
-/// passed on as it comes.
+/// An incomplete line is held back so that the relay may insert a message before it. A line over the length
+/// limit is passed on as it arrives.
 #[test]
-fn half_a_line_is_held_and_an_endless_one_is_not() {
+fn an_incomplete_line_is_held_back_unless_it_is_overlong() {
     let mut protocol = protocol();
     let mut tail_after = |bytes: &[u8]| {
         protocol.observe_endpoint_bytes(0.0, bytes);
@@ -111,7 +116,7 @@
 }
 
 #[test]
-fn only_the_last_whole_line_announces_an_end() {
+fn only_the_last_complete_line_announces_an_outcome() {
     let mut protocol = protocol();
     let mut announced_after = |bytes: &[u8]| {
         protocol.observe_endpoint_bytes(0.0, bytes);
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,4 +1,4 @@
-//! The load balancers that one process hosts for the simulator, and the batches that it plays to them.
+//! The load balancers that one process hosts for the simulator, and the batches of events that they handle.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -13,50 +13,52 @@
 use crate::policy::LoadBalancer;
 use crate::policy::api::{Action, Millis};
 
+/// One load balancer of the simulation.
 struct Instance {
     load_balancer: LoadBalancer,
-    /// Names of the classes, by position.
+    /// Names of the classes, in the order of the settings.
     classes: Vec<String>,
 }
 
-/// A batch that has begun.
+/// The batch that is being read.
 #[derive(Clone, Copy)]
 struct Batch {
+    /// The simulation's time.
     now: Millis,
     number: u64,
 }
 
-/// All the load balancers that one process hosts; they share nothing but the stream.
+/// All load balancers that one process hosts. They share nothing but the input and the output.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<String, Instance>,
     batch: Option<Batch>,
-    /// Number of the latest batch, for errors.
+    /// Number of the latest batch, for error messages.
     latest_batch: Option<u64>,
     reply: String,
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    /// An adapter that hosts no instance yet.
+    /// Creates an adapter that hosts no instance.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes one line; gives the whole reply when the line closes a batch.
+    /// Processes one line; returns the complete reply when the line closes a batch.
     ///
     /// # Errors
     ///
-    /// What is wrong with the line, and in which batch. Nothing of the line has been taken.
+    /// The fault of the line and the batch that it belongs to. No part of the line has been applied.
     pub fn line(&mut self, line: &str) -> Result<Option<String>, WireError> {
-        self.read(line).map_err(|what| WireError { batch: self.latest_batch, what })
+        self.read_line(line).map_err(|what| WireError { batch: self.latest_batch, what })
     }
 
     /// Checks that the input ended between batches.
     ///
     /// # Errors
     ///
-    /// The input ended inside a batch.
+    /// [`WireFault::Ended`] where the input ended inside a batch.
     pub fn end(&self) -> Result<(), WireError> {
         match self.batch {
             Some(batch) => Err(WireError { batch: Some(batch.number), what: WireFault::Ended }),
@@ -64,7 +66,7 @@
         }
     }
 
-    fn read(&mut self, line: &str) -> Result<Option<String>, WireFault> {
+    fn read_line(&mut self, line: &str) -> Result<Option<String>, WireFault> {
         let value: Value = serde_json::from_str(line)?;
         let values = value.as_array().ok_or(WireFault::NotMessage("be an array"))?;
         let name = values.first().and_then(Value::as_str);
@@ -72,16 +74,16 @@
         let fields = Fields { name, values: &values[1..] };
         match (name, self.batch) {
             ("ROUND", None) => self.begin_batch(&fields).map(|()| None),
-            ("ROUND", Some(_)) => Err(misplaced(name, "before the last one's GO")),
+            ("ROUND", Some(_)) => Err(misplaced(name, "before the previous round's GO")),
             ("GO", Some(batch)) => Ok(Some(self.end_batch(batch))),
-            (_, Some(batch)) => self.message(batch.now, &fields).map(|()| None),
+            (_, Some(batch)) => self.handle_message(batch.now, &fields).map(|()| None),
             (_, None) => Err(misplaced(name, "outside of a round")),
         }
     }
 
     fn begin_batch(&mut self, fields: &Fields<'_>) -> Result<(), WireFault> {
         let now = fields.number(0)?;
-        let number = fields.whole(1)?;
+        let number = fields.integer(1)?;
         self.batch = Some(Batch { now, number });
         self.latest_batch = Some(number);
         Ok(())
@@ -93,10 +95,10 @@
         std::mem::take(&mut self.reply)
     }
 
-    fn message(&mut self, now: Millis, fields: &Fields<'_>) -> Result<(), WireFault> {
+    fn handle_message(&mut self, now: Millis, fields: &Fields<'_>) -> Result<(), WireFault> {
         let who = fields.text(0)?;
         if fields.name == "START" {
-            return self.start(now, who, fields);
+            return self.start_instance(now, who, fields);
         }
         let Some(instance) = self.instances.get_mut(who) else {
             return Err(WireFault::NotStarted { name: fields.name.to_owned(), who: who.to_owned() });
@@ -107,9 +109,9 @@
         }
         let Some(event) = decode_event(fields, &instance.classes)? else { return Ok(()) };
         self.actions.clear();
-        let handled = AssertUnwindSafe(|| instance.load_balancer.handle(now, event, &mut self.actions));
-        if let Err(cause) = catch_unwind(handled) {
-            push_line(&mut self.reply, &json!(["PANIC", who, panic_text(&*cause)]));
+        let handle_event = AssertUnwindSafe(|| instance.load_balancer.handle(now, event, &mut self.actions));
+        if let Err(cause) = catch_unwind(handle_event) {
+            push_line(&mut self.reply, &json!(["PANIC", who, panic_message(&*cause)]));
             return Ok(());
         }
         for action in self.actions.drain(..) {
@@ -118,16 +120,16 @@
         Ok(())
     }
 
-    fn start(&mut self, now: Millis, who: &str, fields: &Fields<'_>) -> Result<(), WireFault> {
-        let seed = fields.whole(1)?;
-        let written = fields.at(2)?;
-        let settings = read_settings(written).map_err(WireFault::Settings)?;
-        let classes = class_names(written);
+    fn start_instance(&mut self, now: Millis, who: &str, fields: &Fields<'_>) -> Result<(), WireFault> {
+        let seed = fields.integer(1)?;
+        let settings_value = fields.at(2)?;
+        let settings = read_settings(settings_value).map_err(WireFault::Settings)?;
+        let classes = class_names(settings_value);
         match catch_unwind(AssertUnwindSafe(|| LoadBalancer::new(settings, seed, now))) {
             Ok(load_balancer) => {
                 self.instances.insert(who.to_owned(), Instance { load_balancer, classes });
             }
-            Err(cause) => push_line(&mut self.reply, &json!(["PANIC", who, panic_text(&*cause)])),
+            Err(cause) => push_line(&mut self.reply, &json!(["PANIC", who, panic_message(&*cause)])),
         }
         Ok(())
     }
@@ -142,7 +144,7 @@
     out.push('\n');
 }
 
-fn panic_text(cause: &(dyn Any + Send)) -> String {
+fn panic_message(cause: &(dyn Any + Send)) -> String {
     let text = cause.downcast_ref::<&str>().map(|text| (*text).to_owned());
     text.or_else(|| cause.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".into())
 }
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -1,4 +1,5 @@
-//! The simulator's messages as events, and actions as its messages. Its field names stay here.
+//! Decodes the simulator's messages to events and encodes actions as the simulator's messages. The
+//! simulator's names for events and actions do not leave this module.
 
 use serde_json::{Value, json};
 
@@ -7,17 +8,17 @@
 use crate::peers;
 use crate::policy::api::*;
 
-/// Marks of a request: its load is known.
-const MARK_HAS_LOAD: u64 = 1;
-/// Marks of a request: its client retries, or reconnects after a break or a migration.
-const MARKS_RETURNED: u64 = 2 | 16;
-/// Marks of a request: packets of an established connection that now arrive here.
-const MARK_MID_FLOW: u64 = 8;
-/// Loads come in thousandths.
-const LOAD_UNITS: f64 = 1000.0;
+/// Request flag: the load of the request is known.
+const FLAG_HAS_LOAD: u64 = 1;
+/// Request flags: the client retries, or reconnects after its connection broke or was migrated.
+const FLAGS_RETURNED: u64 = 2 | 16;
+/// Request flag: the connection is established already, and its packets now arrive at this relay.
+const FLAG_MID_FLOW: u64 = 8;
+/// The simulator states measured loads in thousandths.
+const LOAD_SCALE: f64 = 1000.0;
 
-/// Reads an event; `None` of those that say nothing to the load balancer. `classes` are the names of the
-/// settings' classes, by position.
+/// Decodes an event; `None` for messages that do not concern the load balancer. `classes` are the names of
+/// the classes, in the order of the settings.
 pub(super) fn decode_event(fields: &Fields<'_>, classes: &[String]) -> Result<Option<Event>, WireFault> {
     let event = match fields.name {
         "KNOCK" => decode_request(fields, classes)?,
@@ -36,9 +37,9 @@
         },
         "EXPIRED" => Event::ClientGone(fields.request_id()?),
         "PROGRESS" => decode_measurement(fields)?,
-        "TICK_DUE" => Event::Timer(fields.whole(1)?),
-        "MEMBERSHIP" => decode_list(fields)?,
-        // Never asked for: the load balancer does not probe.
+        "TICK_DUE" => Event::Timer(fields.integer(1)?),
+        "MEMBERSHIP" => decode_endpoint_list(fields)?,
+        // The load balancer does not probe endpoints, so it never requests this message.
         "HEALTH" => return Ok(None),
         "MAIL" => return decode_peer_message(fields),
         other => return Err(WireFault::Unknown(other.to_owned())),
@@ -47,12 +48,12 @@
 }
 
 fn decode_request(fields: &Fields<'_>, classes: &[String]) -> Result<Event, WireFault> {
-    let marks = fields.number_or(4, 0.0)? as u64;
+    let flags = fields.number_or(4, 0.0)? as u64;
     Ok(Event::Request(Request {
         id: fields.request_id()?,
-        load: decode_load(fields.number_or(2, 0.0)?, marks),
-        mid_flow: marks & MARK_MID_FLOW != 0,
-        returned: marks & MARKS_RETURNED != 0,
+        load: decode_load(fields.number_or(2, 0.0)?, flags),
+        mid_flow: flags & FLAG_MID_FLOW != 0,
+        returned: flags & FLAGS_RETURNED != 0,
         deadline: fields.number(5)?,
         setup_time_used: 0.0,
         drained_by_endpoint: true,
@@ -63,7 +64,7 @@
 }
 
 fn decode_existing_connection(fields: &Fields<'_>, classes: &[String]) -> Result<Event, WireFault> {
-    let marks = fields.number_or(8, 0.0)? as u64;
+    let flags = fields.number_or(8, 0.0)? as u64;
     Ok(Event::ExistingConnection {
         request: Request {
             id: fields.request_id()?,
@@ -72,43 +73,43 @@
             deadline: fields.number(5)?,
             setup_time_used: 0.0,
             drained_by_endpoint: true,
-            load: decode_load(fields.number_or(6, 0.0)?, marks),
+            load: decode_load(fields.number_or(6, 0.0)?, flags),
             group: fields.key(7)?,
             mid_flow: false,
-            returned: marks & MARKS_RETURNED != 0,
+            returned: flags & FLAGS_RETURNED != 0,
         },
         endpoint: fields.endpoint(9)?,
     })
 }
 
-fn decode_load(hint: f64, marks: u64) -> Option<f64> {
-    (marks & MARK_HAS_LOAD != 0 && hint > 0.0).then_some(hint)
+fn decode_load(load_hint: f64, flags: u64) -> Option<f64> {
+    (flags & FLAG_HAS_LOAD != 0 && load_hint > 0.0).then_some(load_hint)
 }
 
 fn decode_measurement(fields: &Fields<'_>) -> Result<Event, WireFault> {
     let level = fields.number(5)?;
-    let measurement = match fields.whole(4)? {
-        1 => Measurement::Load(level / LOAD_UNITS),
+    let measurement = match fields.integer(4)? {
+        1 => Measurement::Load(level / LOAD_SCALE),
         2 => Measurement::MessageDelay(level),
-        _ => return Err(fields.wrong(4, "a known kind of note")),
+        _ => return Err(fields.invalid_value(4, "a known kind of measurement")),
     };
     Ok(Event::Measured { request: fields.request_id()?, measurement })
 }
 
-fn decode_list(fields: &Fields<'_>) -> Result<Event, WireFault> {
-    let kind = match fields.whole(1)? {
+fn decode_endpoint_list(fields: &Fields<'_>) -> Result<Event, WireFault> {
+    let kind = match fields.integer(1)? {
         0 => ListKind::Delta,
         1 => ListKind::Full,
         2 => ListKind::Cached,
         3 => ListKind::Failed,
-        _ => return Err(fields.wrong(1, "a known kind of list")),
+        _ => return Err(fields.invalid_value(1, "a known kind of endpoint list")),
     };
     let entries = fields.at(3)?.as_array().map(Vec::as_slice).unwrap_or_default();
-    let endpoints = entries.iter().map(decode_entry).collect::<Result<_, _>>()?;
+    let endpoints = entries.iter().map(decode_endpoint_entry).collect::<Result<_, _>>()?;
     Ok(Event::List { kind, endpoints })
 }
 
-fn decode_entry(value: &Value) -> Result<EndpointEntry, WireFault> {
+fn decode_endpoint_entry(value: &Value) -> Result<EndpointEntry, WireFault> {
     let values = value.as_array().ok_or(WireFault::Entry)?;
     let fields = Fields { name: "MEMBERSHIP entry", values };
     Ok(EndpointEntry {
@@ -116,28 +117,28 @@
         weight: fields.number_or(1, 1.0)?,
         id: fields.endpoint(3)?,
         started: fields.number_or(4, 0.0)?,
-        state: match fields.whole(5)? {
+        state: match fields.integer(5)? {
             0 => EndpointState::Removed,
             1 => EndpointState::Ready,
             2 => EndpointState::Draining,
-            _ => return Err(fields.wrong(5, "a known state")),
+            _ => return Err(fields.invalid_value(5, "a known endpoint state")),
         },
         zone: Zone(fields.at(6)?.as_str().unwrap_or_default().into()),
     })
 }
 
-/// Whatever a peer may send, it is no fault of the wire: what can't be read is passed over, as are reports
-/// of quotas, which are for the core.
+/// Decodes a message of a peer. A malformed message of a peer is no fault of the simulator's input: it is
+/// ignored. Quota reports are ignored too, as they are for the relay and not for the load balancer.
 fn decode_peer_message(fields: &Fields<'_>) -> Result<Option<Event>, WireFault> {
     let Some(message) = peers::decode(fields.text(2)?) else { return Ok(None) };
     if matches!(message, PeerMessage::Quota(_)) {
         return Ok(None);
     }
-    let peer = u32::try_from(fields.whole(1)?).unwrap_or(u32::MAX);
+    let peer = u32::try_from(fields.integer(1)?).unwrap_or(u32::MAX);
     Ok(Some(Event::PeerMessage { peer, message }))
 }
 
-/// Writes an action of an instance.
+/// Encodes an action of an instance.
 pub(super) fn encode_action(instance: &str, action: Action) -> Value {
     match action {
         Action::StartAttempt { request, endpoint, until, .. } => {
--- a/src/simulator/errors.rs
+++ b/src/simulator/errors.rs
@@ -1,17 +1,17 @@
-//! What can be wrong with the simulator's input.
+//! Errors in the simulator's input.
 
 use thiserror::Error;
 
 use super::settings_errors::SettingError;
 use crate::help::help;
 
-/// What was wrong with the input, and in which batch.
+/// A fault in the input and the batch in which it occurred.
 #[derive(Debug, Error)]
 #[error("{}: {what}", describe_batch(*batch))]
 pub struct WireError {
-    /// Number of the batch, when one had begun.
+    /// Number of the batch; `None` before the first batch.
     pub batch: Option<u64>,
-    /// What was wrong.
+    /// The fault.
     pub what: WireFault,
 }
 
@@ -19,66 +19,66 @@
     batch.map_or("before any round".into(), |n| format!("round {n}"))
 }
 
-/// What can be wrong with a line. Nothing of it has been taken.
+/// A fault of a line. No part of the line has been applied.
 #[derive(Debug, Error)]
 pub enum WireFault {
-    /// The line is no JSON.
+    /// The line is not valid JSON.
     #[error("not a JSON line: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The line is JSON, but no message.
+    /// The line is JSON, but not a message.
     #[error("a message must {0}")]
     NotMessage(&'static str),
-    /// A message that has to stand elsewhere in a batch.
+    /// A message at a place where it is not allowed, inside or outside of a batch.
     #[error("{name} {place}")]
     Order {
-        /// The message.
+        /// The name of the message.
         name: String,
-        /// Where it stands.
+        /// The place where the message occurs.
         place: &'static str,
     },
-    /// The input has ended early.
+    /// The input has ended inside a batch.
     #[error("the input ends inside the round")]
     Ended,
-    /// An instance is to start with settings that it can't work with.
-    #[error("START: {}", joined(.0))]
+    /// An instance is started with invalid settings.
+    #[error("START: {}", join_faults(.0))]
     Settings(Vec<SettingError>),
-    /// An event of an instance that there is not.
+    /// An event for an instance that has not started.
     #[error("{name} for {who}, which has not started")]
     NotStarted {
-        /// The message.
+        /// The name of the message.
         name: String,
-        /// The instance.
+        /// The name of the instance.
         who: String,
     },
-    /// An event that this form of the wire does not have.
+    /// An event that this version of the simulator's protocol does not have.
     #[error("unknown event {0}")]
     Unknown(String),
-    /// A message that is too short.
+    /// A message with too few values.
     #[error("{name} has too few values: {given} given, value {needed} is needed")]
     TooFew {
-        /// The message.
+        /// The name of the message.
         name: String,
-        /// How many values it has.
+        /// How many values the message has.
         given: usize,
-        /// The number of the value that is read, from 1.
+        /// The number of the missing value, counted from 1.
         needed: usize,
     },
     /// A value that can't be read.
     #[error("{name}: value {number} must be {wanted}")]
     Value {
-        /// The message.
+        /// The name of the message.
         name: String,
-        /// The number of the value, from 1.
+        /// The number of the value, counted from 1.
         number: usize,
-        /// What it must be.
+        /// What the value must be.
         wanted: &'static str,
     },
-    /// An entry of a list of endpoints that can't be read.
+    /// An entry of an endpoint list that can't be read.
     #[error("MEMBERSHIP: an entry must be an array")]
     Entry,
 }
 
-fn joined(faults: &[SettingError]) -> String {
+fn join_faults(faults: &[SettingError]) -> String {
     faults.iter().map(SettingError::to_string).collect::<Vec<_>>().join("; ")
 }
 
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -1,4 +1,4 @@
-//! Typed access to the values of one message, by position.
+//! Typed access to the values of one message by their position.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use super::errors::WireFault;
 use crate::policy::api::*;
 
-/// The values of one message behind its name.
+/// The values of one message, without its name.
 pub(super) struct Fields<'a> {
     /// The message's name.
     pub name: &'a str,
@@ -16,7 +16,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// A value, whatever it is.
+    /// The value at a position, of any type.
     pub fn at(&self, position: usize) -> Result<&'a Value, WireFault> {
         self.values.get(position).ok_or_else(|| WireFault::TooFew {
             name: self.name.to_owned(),
@@ -25,32 +25,32 @@
         })
     }
 
-    /// The fault of a value that can't be read.
-    pub fn wrong(&self, position: usize, wanted: &'static str) -> WireFault {
+    /// The fault for a value that can't be read as `wanted`.
+    pub fn invalid_value(&self, position: usize, wanted: &'static str) -> WireFault {
         WireFault::Value { name: self.name.to_owned(), number: position + 1, wanted }
     }
 
-    /// A number.
+    /// The number at a position.
     pub fn number(&self, position: usize) -> Result<f64, WireFault> {
-        self.at(position)?.as_f64().ok_or_else(|| self.wrong(position, "a number"))
+        self.at(position)?.as_f64().ok_or_else(|| self.invalid_value(position, "a number"))
     }
 
-    /// A number, or `default` in place of null.
+    /// The number at a position, or `default` where the value is null.
     pub fn number_or(&self, position: usize, default: f64) -> Result<f64, WireFault> {
         if self.at(position)?.is_null() { Ok(default) } else { self.number(position) }
     }
 
-    /// A whole number.
-    pub fn whole(&self, position: usize) -> Result<u64, WireFault> {
-        self.at(position)?.as_u64().ok_or_else(|| self.wrong(position, "a whole number"))
+    /// The non-negative integer at a position.
+    pub fn integer(&self, position: usize) -> Result<u64, WireFault> {
+        self.at(position)?.as_u64().ok_or_else(|| self.invalid_value(position, "a whole number"))
     }
 
-    /// A text.
+    /// The string at a position.
     pub fn text(&self, position: usize) -> Result<&'a str, WireFault> {
-        self.at(position)?.as_str().ok_or_else(|| self.wrong(position, "a text"))
+        self.at(position)?.as_str().ok_or_else(|| self.invalid_value(position, "a text"))
     }
 
-    /// A key; `None` in place of null.
+    /// The key at a position; `None` where the value is null.
     pub fn key(&self, position: usize) -> Result<Option<Key>, WireFault> {
         if self.at(position)?.is_null() {
             return Ok(None);
@@ -58,32 +58,32 @@
         self.text(position).map(|text| Some(Key(Arc::from(text))))
     }
 
-    /// True or false; false in place of null.
+    /// The Boolean at a position; false where the value is null.
     pub fn flag(&self, position: usize) -> Result<bool, WireFault> {
         match self.at(position)? {
             Value::Null => Ok(false),
-            value => value.as_bool().ok_or_else(|| self.wrong(position, "true or false")),
+            value => value.as_bool().ok_or_else(|| self.invalid_value(position, "true or false")),
         }
     }
 
-    /// The request that most messages name behind the instance.
+    /// The request id, which follows the instance's name in most messages.
     pub fn request_id(&self) -> Result<RequestId, WireFault> {
-        self.whole(1).map(RequestId)
+        self.integer(1).map(RequestId)
     }
 
-    /// An endpoint.
+    /// The endpoint id at a position.
     pub fn endpoint(&self, position: usize) -> Result<EndpointId, WireFault> {
         self.text(position).map(|text| EndpointId(Arc::from(text)))
     }
 
-    /// The number of an attempt.
+    /// The attempt number at a position.
     pub fn attempt(&self, position: usize) -> Result<AttemptId, WireFault> {
-        self.whole(position).map(|number| AttemptId(u32::try_from(number).unwrap_or(u32::MAX)))
+        self.integer(position).map(|number| AttemptId(u32::try_from(number).unwrap_or(u32::MAX)))
     }
 
-    /// How an attempt ended.
+    /// The outcome of an attempt at a position.
     pub fn outcome(&self, position: usize) -> Result<Outcome, WireFault> {
-        Ok(match self.whole(position)? {
+        Ok(match self.integer(position)? {
             10 => Outcome::Ok,
             20 => Outcome::Error,
             30 => Outcome::Rejected,
@@ -92,11 +92,12 @@
             60 => Outcome::Reset,
             70 => Outcome::Cancelled,
             80 => Outcome::NotSent,
-            _ => return Err(self.wrong(position, "a known outcome")),
+            _ => return Err(self.invalid_value(position, "a known outcome")),
         })
     }
 
-    /// The class that a text names, by its position among these; `None` where they do not name it.
+    /// The class whose name is at a position, as an index into `classes`; `None` where the name is not among
+    /// them.
     pub fn class(&self, position: usize, classes: &[String]) -> Result<Option<ClassId>, WireFault> {
         let name = self.text(position)?;
         Ok(classes.iter().position(|class| class == name).map(ClassId))
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,8 @@
-//! Translation between the simulator's wire and the load balancer's interface; no decisions.
+//! Translates between the simulator's protocol and the load balancer's interface. It makes no decisions.
 //!
-//! One JSON array a line: a batch opens with `ROUND`, holds one event a line and closes with `GO`; the
-//! reply holds one action a line and closes with `FINISHED`. The wire's field names meet ours here and
-//! nowhere else.
+//! Each line is one JSON array. A batch opens with `ROUND`, holds one event on each line and closes with
+//! `GO`; the reply holds one action on each line and closes with `FINISHED`. The names of the simulator's
+//! protocol are used in this module only.
 
 mod adapter;
 mod codec;
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -1,5 +1,5 @@
-//! The load balancer's settings, read from the simulator's START message. The relay on sockets is given
-//! them in the same shape in its configuration. The keys' names stay here.
+//! The load balancer's settings, read from the simulator's START message. The relay's configuration holds
+//! them in the same shape. The names of their keys are used in this module only.
 
 use std::ops::RangeInclusive;
 
@@ -9,45 +9,46 @@
 use super::settings_errors::{SettingError, SettingFault};
 use crate::policy::api::*;
 
-/// No span of the settings is longer.
-const MAX_SPAN_MS: Millis = 3_600_000.0;
-/// The longest connect time-out.
+/// The longest duration that the settings may state.
+const MAX_DURATION_MS: Millis = 3_600_000.0;
+/// The longest connection time-out.
 const MAX_CONNECT_TIMEOUT_MS: Millis = 60_000.0;
-/// The longest spacing of clock readings.
+/// The coarsest clock resolution.
 const MAX_RESOLUTION_MS: Millis = 1000.0;
-/// The least span after which a list without a subscription is stale.
-const MIN_LIST_AGE_MS: Millis = 100.0;
-/// Where a class states no limit of its set-up time.
+/// The shortest time after which an endpoint list without a subscription may count as stale.
+const MIN_LIST_MAX_AGE_MS: Millis = 100.0;
+/// The limit of the set-up time for a class that states none.
 const DEFAULT_SETUP_LIMIT_MS: Millis = 1000.0;
-/// Where a class states no objective for its messages.
+/// The latency objective for messages of a class whose stated objective is invalid.
 const DEFAULT_MESSAGE_OBJECTIVE_MS: Millis = 1000.0;
-/// The largest weight, and the largest quota.
+/// The largest weight and the largest quota.
 const MAX_AMOUNT: f64 = 1e9;
-/// The most relays of a cluster.
+/// Most relays in a cluster.
 const MAX_RELAYS: u32 = 65_536;
-/// The most attempts of a request.
+/// Most attempts for one request.
 const MAX_ATTEMPTS: u32 = 1000;
 
-/// A table of the settings, with the path of its keys.
+/// A table of the settings and the path that precedes its keys.
 #[derive(Clone, Copy)]
 struct Table<'a> {
     value: &'a Value,
     path: &'a str,
 }
 
-/// Reads values of the settings. What is wrong goes to the faults and reads as absent: a figure misread, or
-/// one that the load balancer can't work with, would break a rule in silence or stop the relay much later.
+/// Reads values of the settings and collects their faults. An invalid value is reported as a fault and
+/// replaced by its default. If it were used, a misread value, or one that the load balancer can't work with,
+/// would silently break a rule or stop the relay much later.
 #[derive(Default)]
 struct SettingsReader {
     faults: Vec<SettingError>,
 }
 
-/// Names of the settings' classes, by position.
+/// Names of the classes, in the order of the settings.
 pub(crate) fn class_names(settings: &Value) -> Vec<String> {
     list(settings, "lanes").iter().map(name).collect()
 }
 
-/// Names of the settings' tenants, by position.
+/// Names of the tenants, in the order of the settings.
 pub(crate) fn tenant_names(settings: &Value) -> Vec<String> {
     list(settings, "realms").iter().map(name).collect()
 }
@@ -56,7 +57,7 @@
 ///
 /// # Errors
 ///
-/// All faults, each with its key and reason; then nothing of the settings is to be used.
+/// All faults of the settings, each with its key and reason. No part of faulty settings may be used.
 pub(crate) fn read_settings(value: &Value) -> Result<Settings, Vec<SettingError>> {
     if !value.is_object() {
         return Err(vec![SettingError { key: "the settings".into(), fault: SettingFault::NotObject }]);
@@ -64,39 +65,40 @@
     let mut reader = SettingsReader::default();
     reader.check_tables(value);
     let defaults = Settings::default();
-    let top = Table { value, path: "" };
+    let root = Table { value, path: "" };
     let limits = Table { value: &value["limits"], path: "limits." };
     let rules = Table { value: &value["rules"], path: "rules." };
     let classes = reader.classes(value);
     let retry_budget = reader.retry_budget(rules.value);
-    let discovery = reader.discovery(top);
-    let relay_count = reader.whole(top, "nInstances", 1, 1..=MAX_RELAYS);
+    let discovery = reader.discovery(root);
+    let relay_count = reader.integer(root, "nInstances", 1, 1..=MAX_RELAYS);
     let max_retry_after = reader.max_retry_after(limits);
     let settings = Settings {
         classes,
         discovery,
         relay_count,
-        local_index: reader.whole(top, "me", 0, 0..=relay_count - 1),
+        local_index: reader.integer(root, "me", 0, 0..=relay_count - 1),
         peer_messages: reader.flag(limits, "peerMessages"),
         packet_passthrough: value["domain"]["mode"].as_str() == Some("pass"),
-        max_attempts: reader.whole(limits, "maxAttempts", defaults.max_attempts, 1..=MAX_ATTEMPTS),
-        // A request without an endpoint is looked at again after a part of it: with 0 that would never end.
+        max_attempts: reader.integer(limits, "maxAttempts", defaults.max_attempts, 1..=MAX_ATTEMPTS),
+        // A request without an endpoint is examined again after a fraction of this time-out: with 0 that
+        // would never end.
         connect_timeout: reader.number(
             limits,
             "connectTimeoutMs",
             defaults.connect_timeout,
             1.0..=MAX_CONNECT_TIMEOUT_MS,
         ),
-        resolution: reader.number(top, "resolutionMs", defaults.resolution, 0.0..=MAX_RESOLUTION_MS),
+        resolution: reader.number(root, "resolutionMs", defaults.resolution, 0.0..=MAX_RESOLUTION_MS),
         max_retry_after,
         list_max_age: reader.number(
             rules,
             "askEveryMs",
             defaults.list_max_age,
-            MIN_LIST_AGE_MS..=MAX_SPAN_MS,
+            MIN_LIST_MAX_AGE_MS..=MAX_DURATION_MS,
         ),
         cold_capacity_fraction: reader.number(rules, "coldFrom", defaults.cold_capacity_fraction, 0.0..=1.0),
-        warm_up_time: reader.number(rules, "warmWithinMs", defaults.warm_up_time, 0.0..=MAX_SPAN_MS),
+        warm_up_time: reader.number(rules, "warmWithinMs", defaults.warm_up_time, 0.0..=MAX_DURATION_MS),
         overload_multiple: reader.number(rules, "tipMultiple", defaults.overload_multiple, 0.01..=1e6),
         retry_budget,
         affinity_limits: defaults.affinity_limits,
@@ -110,7 +112,8 @@
         self.faults.push(SettingError { key: format!("{path}{key}"), fault });
     }
 
-    /// Reports tables and lists that are none: what they hold would read as absent.
+    /// Reports values that should be tables or lists but are not. Otherwise their contents would silently
+    /// read as absent.
     fn check_tables(&mut self, settings: &Value) {
         for table in ["limits", "rules", "domain"] {
             if !settings[table].is_null() && !settings[table].is_object() {
@@ -143,7 +146,7 @@
         number.unwrap_or(default)
     }
 
-    fn whole(&mut self, table: Table<'_>, key: &str, default: u32, range: RangeInclusive<u32>) -> u32 {
+    fn integer(&mut self, table: Table<'_>, key: &str, default: u32, range: RangeInclusive<u32>) -> u32 {
         let range = f64::from(*range.start())..=f64::from(*range.end());
         let number = self.number(table, key, default.into(), range);
         if number.fract() != 0.0 {
@@ -160,10 +163,11 @@
         value.as_bool().unwrap_or(false)
     }
 
-    /// The position of a word among these; `None` where it is missing or none of them.
-    fn word(&mut self, table: Table<'_>, key: &str, words: &[&str]) -> Option<usize> {
+    /// The position of the key's word in `words`; `None` where the key is missing or its word is not in
+    /// `words`.
+    fn keyword(&mut self, table: Table<'_>, key: &str, words: &[&str]) -> Option<usize> {
         let value = &table.value[key];
-        let known = value.as_str().and_then(|text| words.iter().position(|word| *word == text));
+        let known = value.as_str().and_then(|text| words.iter().position(|keyword| *keyword == text));
         if known.is_none() && !value.is_null() {
             let fault = SettingFault::Word { value: value.clone(), words: words.join(", ") };
             self.fault(table.path, key, fault);
@@ -172,7 +176,7 @@
     }
 
     fn discovery(&mut self, table: Table<'_>) -> Discovery {
-        match self.word(table, "discovery", &["on_request", "pushed"]) {
+        match self.keyword(table, "discovery", &["on_request", "pushed"]) {
             Some(0) => Discovery::OnRequest,
             _ => Discovery::Pushed,
         }
@@ -180,7 +184,7 @@
 
     fn max_retry_after(&mut self, limits: Table<'_>) -> Option<Millis> {
         let reaches_clients = self.flag(limits, "retryAfter");
-        let longest = self.number(limits, "maxRetryAfterMs", 0.0, 0.0..=MAX_SPAN_MS);
+        let longest = self.number(limits, "maxRetryAfterMs", 0.0, 0.0..=MAX_DURATION_MS);
         reaches_clients.then_some(longest)
     }
 
@@ -193,22 +197,22 @@
         let path = format!("lanes[{position}].");
         let table = Table { value, path: &path };
         let idempotency = self.idempotency(table);
-        let setup_limit = self.number(table, "hardLimitMs", DEFAULT_SETUP_LIMIT_MS, 1.0..=MAX_SPAN_MS);
+        let setup_limit = self.number(table, "hardLimitMs", DEFAULT_SETUP_LIMIT_MS, 1.0..=MAX_DURATION_MS);
         let message_objectives = list(&settings["domain"], "messageAimMs");
         let message_objective = message_objectives.get(position).filter(|objective| !objective.is_null());
         Class {
             idempotency,
             message_latency_objective: message_objective.map(|objective| {
-                let range = 1.0..=MAX_SPAN_MS;
+                let range = 1.0..=MAX_DURATION_MS;
                 self.number_at(objective, "domain.", "messageAimMs", DEFAULT_MESSAGE_OBJECTIVE_MS, range)
             }),
-            latency_objective: self.number(table, "aimMs", setup_limit, 1.0..=MAX_SPAN_MS),
+            latency_objective: self.number(table, "aimMs", setup_limit, 1.0..=MAX_DURATION_MS),
             priority_weight: self.number(table, "worth", 1.0, 0.0..=MAX_AMOUNT),
         }
     }
 
     fn idempotency(&mut self, class: Table<'_>) -> Idempotency {
-        match self.word(class, "semantics", &["safe", "keyed", "unsafe"]) {
+        match self.keyword(class, "semantics", &["safe", "keyed", "unsafe"]) {
             Some(0) => Idempotency::Safe,
             Some(1) => Idempotency::Keyed { scope: self.scope(class), window: self.window(class) },
             _ => Idempotency::Unsafe,
@@ -216,7 +220,7 @@
     }
 
     fn scope(&mut self, class: Table<'_>) -> DeduplicationScope {
-        match self.word(class, "group", &["all", "zone", "cell"]) {
+        match self.keyword(class, "group", &["all", "zone", "cell"]) {
             Some(0) => DeduplicationScope::All,
             Some(1) => DeduplicationScope::Zone,
             _ => DeduplicationScope::Cell,
@@ -227,16 +231,16 @@
         if class.value["windowMs"].is_null() {
             self.fault(class.path, "windowMs", SettingFault::NoWindow);
         }
-        self.number(class, "windowMs", 0.0, 0.0..=MAX_SPAN_MS)
+        self.number(class, "windowMs", 0.0, 0.0..=MAX_DURATION_MS)
     }
 
-    /// The budget of attempts beyond the first; `None` where its window is not stated. A limit misread
-    /// would break a rule in silence: nothing but a number from 0 up will do.
+    /// The retry budget; `None` where its window is not stated. Only numbers from 0 up are accepted, because
+    /// a misread limit would silently break a rule.
     fn retry_budget(&mut self, rules: &Value) -> Option<RetryBudget> {
         let read = || -> Result<Option<RetryBudget>, SettingError> {
-            let min_retries = amount(rules, "spareAttempts")?.unwrap_or(0.0);
-            let retry_ratio = amount(rules, "furtherRatio")?.unwrap_or(0.0);
-            let window = amount(rules, "resendSpanMs")?;
+            let min_retries = non_negative(rules, "spareAttempts")?.unwrap_or(0.0);
+            let retry_ratio = non_negative(rules, "furtherRatio")?.unwrap_or(0.0);
+            let window = non_negative(rules, "resendSpanMs")?;
             Ok(window.map(|window| RetryBudget { window, min_retries, retry_ratio }))
         };
         read().unwrap_or_else(|fault| {
@@ -245,8 +249,8 @@
         })
     }
 
-    /// Tenants and their quotas. A figure that is missing is no limit, and so is a rate of nothing: what is
-    /// stated in whole numbers reads so for a tenant that is small.
+    /// The tenants and their quotas. A missing quota means no limit, and so does a rate of 0: rates are
+    /// stated in whole numbers, so the rate of a small tenant is rounded to 0.
     fn quotas(&mut self, settings: &Value, defaults: QuotaSettings) -> QuotaSettings {
         let connections = &settings["domain"]["tenantQuotaConnections"];
         if !connections.is_null() && !connections.is_array() {
@@ -258,36 +262,36 @@
             self.fault("", "realms", SettingFault::Tenants(fault));
             Tenants::default()
         });
-        let top = Table { value: settings, path: "" };
-        let over_quota_weight = self.number(top, "overShareWorth", 0.0, 0.0..=MAX_AMOUNT);
+        let root = Table { value: settings, path: "" };
+        let over_quota_weight = self.number(root, "overShareWorth", 0.0, 0.0..=MAX_AMOUNT);
         QuotaSettings { tenants, over_quota_weight, ..defaults }
     }
 
     fn tenant(&mut self, value: &Value, position: usize, connections: &Value) -> Tenant {
         let path = format!("realms[{position}].");
         let table = Table { value, path: &path };
-        let rate = self.number(table, "quotaPerS", f64::INFINITY, 0.0..=MAX_AMOUNT);
+        let max_per_s = self.number(table, "quotaPerS", f64::INFINITY, 0.0..=MAX_AMOUNT);
         self.number(table, "fraction", 0.0, 0.0..=1.0);
         let key = format!("tenantQuotaConnections[{position}]");
-        let open = self.number_at(connections, "domain.", &key, f64::INFINITY, 0.0..=MAX_AMOUNT);
+        let max_connections = self.number_at(connections, "domain.", &key, f64::INFINITY, 0.0..=MAX_AMOUNT);
         let is_limit = |quota: &f64| quota.is_finite();
         Tenant {
             name: name(value),
-            connections: Some(open).filter(is_limit),
-            per_s: Some(rate).filter(is_limit).filter(|rate| *rate > 0.0),
+            connections: Some(max_connections).filter(is_limit),
+            per_s: Some(max_per_s).filter(is_limit).filter(|max_per_s| *max_per_s > 0.0),
         }
     }
 }
 
-/// A number from 0 up; `None` where there is none.
-fn amount(table: &Value, key: &str) -> Result<Option<f64>, SettingError> {
+/// Reads a number from 0 up; `None` where the key is missing.
+fn non_negative(table: &Value, key: &str) -> Result<Option<f64>, SettingError> {
     let value = &table[key];
     if value.is_null() {
         return Ok(None);
     }
-    let amount = value.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
+    let non_negative = value.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
     let wrong = || SettingError { key: format!("rules.{key}"), fault: SettingFault::FromZero };
-    amount.map(Some).ok_or_else(wrong)
+    non_negative.map(Some).ok_or_else(wrong)
 }
 
 fn list<'a>(table: &'a Value, key: &str) -> &'a [Value] {
--- a/src/simulator/settings_errors.rs
+++ b/src/simulator/settings_errors.rs
@@ -1,60 +1,60 @@
-//! What can be wrong with the settings.
+//! Errors in the settings.
 
 use serde_json::Value;
 use thiserror::Error;
 
 use crate::help::help;
 
-/// A fault of the settings.
+/// A fault of the settings and the key that it concerns.
 #[derive(Debug, PartialEq, Error)]
 #[error("{key} {fault}")]
 pub struct SettingError {
-    /// The path of the key.
+    /// The full path of the key.
     pub key: String,
-    /// The reason.
+    /// What is wrong with the value.
     pub fault: SettingFault,
 }
 
-/// What can be wrong with a value of the settings.
+/// A fault of a value in the settings.
 #[derive(Debug, PartialEq, Error)]
 pub enum SettingFault {
-    /// A value where a table is read.
+    /// The value must be a table, but is not.
     #[error("must be an object")]
     NotObject,
-    /// A value where a list is read.
+    /// The value must be a list, but is not.
     #[error("{0} is no list")]
     NotList(Value),
-    /// No number, or one that the load balancer can't work with.
+    /// The value is not a number, or is outside the range that the load balancer can work with.
     #[error("{value} is no number from {min} to {max}")]
     Number {
-        /// What stands there.
+        /// The value.
         value: Value,
-        /// The least that it may be.
+        /// The smallest value that is allowed.
         min: f64,
-        /// The most that it may be.
+        /// The largest value that is allowed.
         max: f64,
     },
-    /// A part of what can't be parted.
+    /// The number must be an integer, but is not.
     #[error("{0} is no whole number")]
     Whole(f64),
-    /// A limit that would break a rule in silence.
+    /// A limit that is not a non-negative number. Used as it is, it would silently break a rule.
     #[error("must be a number from 0 up")]
     FromZero,
-    /// Neither of two values.
+    /// The value must be a Boolean, but is not.
     #[error("{0} is neither true nor false")]
     Truth(Value),
-    /// None of some words.
+    /// The value is not one of the allowed words.
     #[error("{value} is none of {words}")]
     Word {
-        /// What stands there.
+        /// The value.
         value: Value,
-        /// What may stand there.
+        /// The allowed words, separated by commas.
         words: String,
     },
-    /// A class whose repeats are dropped for nobody knows how long.
+    /// A keyed class does not state for how long repeated requests are dropped.
     #[error("is missing, and the class is keyed")]
     NoWindow,
-    /// Members that can't be told apart.
+    /// The tenants' names are not valid as a set, for example because two tenants share a name.
     #[error("members: {0}")]
     Tenants(sandgw_quota::tenants::TenantsError),
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -123,8 +123,11 @@
         (round(&knock(1, "a").replace("balancer_0", "balancer_9")), "round 7: KNOCK for balancer_9"),
         (round(r#"["WHISPER","balancer_0",1]"#), "round 7: unknown event WHISPER"),
         (round(r#"["START","balancer_1",1,null]"#), "round 7: START: the settings must be an object"),
-        (round(r#"["ROUND",1002.0,8]"#), "round 7: ROUND before the last one's GO"),
-        (round(r#"["MEMBERSHIP","balancer_0",0,2,[[0,1,"k","s",0,9,"z"]]]"#), "must be a known state"),
+        (round(r#"["ROUND",1002.0,8]"#), "round 7: ROUND before the previous round's GO"),
+        (
+            round(r#"["MEMBERSHIP","balancer_0",0,2,[[0,1,"k","s",0,9,"z"]]]"#),
+            "must be a known endpoint state",
+        ),
         (start() + "[\"GO\"]\n", "GO outside of a round"),
         (start() + "[\"ROUND\",1001.0,7]\n" + &knock(1, "a"), "round 7: the input ends inside the round"),
     ];
