--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,4 +1,5 @@
-//! Accepts clients, while this process is the one that serves.
+//! Accepts clients' connections while this process, and not its predecessor or successor, is the one that
+//! serves.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,21 +12,22 @@
 
 use super::admission::{Admission, DescriptorPermit};
 
-/// Pause before the next accept when there is no descriptor for it, though they are counted: the process
-/// has fewer than its configuration says.
+/// Pause before the next accept after an accept has failed for want of a descriptor. Since descriptors are
+/// counted, that happens only if the process may open fewer than its configuration says.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// A shortage of descriptors is over when there has been none for so long.
-const SHORTAGE_OVER: Duration = Duration::from_secs(5);
+/// A shortage of descriptors counts as over when no accept has failed for this long.
+const SHORTAGE_END_DELAY: Duration = Duration::from_secs(5);
 
-/// Waits until this process accepts, or no longer does.
+/// Waits until this process accepts (`expected` is true) or no longer accepts (`expected` is false).
 pub async fn wait_for_accepting(accepting: &mut watch::Receiver<bool>, expected: bool) {
     if accepting.wait_for(|is_accepting| *is_accepting == expected).await.is_err() {
-        // The sender is gone, so it can't change any more.
+        // The sender has been dropped, so the value can't change any more.
         std::future::pending().await
     }
 }
 
-/// Waits for some work while this process accepts; `None` where it stopped accepting first.
+/// Waits until this process accepts, then carries out `work`. Returns `None` if the process stops accepting
+/// before `work` is done.
 pub async fn while_accepting<T>(
     accepting: &mut watch::Receiver<bool>,
     work: impl Future<Output = T>,
@@ -38,7 +40,7 @@
     }
 }
 
-/// Accepts whenever this process is to, for as long as the program runs.
+/// Accepts connections whenever this process is the one that serves, for as long as the program runs.
 pub async fn accept(
     admission: Rc<Admission>,
     mut accepting: watch::Receiver<bool>,
@@ -52,10 +54,11 @@
             Ok((client, from)) => serve(client, from, admission.acquire().await),
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
             Err(e) => {
-                // Logged once for each shortage, so that clients can't fill the log. A client accepted now
-                // and then, for which another made room, does not end the shortage.
-                let is_new =
-                    last_shortage.replace(Instant::now()).is_none_or(|last| last.elapsed() > SHORTAGE_OVER);
+                // The error is logged once for each shortage, so that clients can't fill the log. A client
+                // that is accepted in between, because another was evicted for it, does not end the shortage.
+                let is_new = last_shortage
+                    .replace(Instant::now())
+                    .is_none_or(|last| last.elapsed() > SHORTAGE_END_DELAY);
                 if is_new {
                     warn!("accept: {e}");
                 }
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -1,10 +1,11 @@
-//! Admits connections by descriptors: every connection's are counted before they are opened.
+//! Admits connections by file descriptors, which are counted before they are opened.
 //!
 //! A client that has not sent its request holds one descriptor, an admitted connection two: the client's
 //! and the endpoint's. Since anybody can connect without sending anything, clients without a request get
-//! only what is left. When nothing is, the one that is least likely to send its request soon is evicted:
-//! recent progress counts, not age. A descriptor is opened only once that of the evicted client is closed,
-//! however many need one at the same time.
+//! only the descriptors that admitted connections leave. When none is left, the client that is least likely
+//! to send its request soon is evicted; what counts is its recent progress, not how long it has been
+//! connected. A new descriptor is opened only once that of the evicted client is closed, however many
+//! connections need one at the same time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,38 +14,39 @@
 use tokio::sync::Notify;
 use tokio::time::{Duration, Instant};
 
-/// Descriptors of the program itself: standard streams (3), poller, waker and signals (4), listeners (2),
-/// datagrams (2), discovery's call, a file that is read, one accepted client for each listener (2), the
-/// operators' address with a reserve (2) and its callers ([`MAX_OPERATOR_CALLERS`]), and some for what is
-/// being closed.
+/// Descriptors that the process itself needs: standard streams (3), poller, waker and signals (4), listeners
+/// (2), datagram sockets (2), the call to discovery, a file that is being read, one accepted client for each
+/// listener (2), the operators' listener with a reserve descriptor (2) and its callers
+/// ([`MAX_OPERATOR_CALLERS`]), and some for descriptors that are being closed.
 const PROCESS_DESCRIPTORS: usize = 32;
-/// Clients that are accepted however many descriptors another process of this relay holds. Without them
-/// nobody could even be rejected.
+/// Number of clients that are accepted however many descriptors another process of this relay holds. Without
+/// them the relay could not even reject a client.
 const MIN_CLIENTS: usize = 8;
-/// What a process that can hand over holds besides: the socket that it is found by, a link to the other
-/// process, the sockets that are handed over (4), and some in transfer.
+/// Further descriptors of a process that can hand over: the socket at which the other process finds it, the
+/// link to that process, the sockets that are handed over (4), and some for connections in transfer.
 pub const HANDOVER_DESCRIPTORS: usize = 8;
-/// Most callers of the operators' address at a time.
+/// Most callers that the operators' listener serves at a time.
 pub const MAX_OPERATOR_CALLERS: usize = 8;
-/// One part in so many is never given to admitted connections: a new client has to be read before it can be
-/// rejected.
+/// One in this many descriptors is never given to admitted connections, since the relay has to read from a
+/// new client before it can reject it.
 const HANDSHAKE_RESERVE_DIVISOR: usize = 8;
-/// Descriptors are short when less than one part in so many is left for connections.
+/// Descriptors are short when less than one in this many is left for further connections.
 const SHORTAGE_DIVISOR: usize = 8;
-/// A client that has connected or sent bytes within this time has most likely the rest of its request on
-/// its way.
+/// If a client has connected or sent bytes within this time, the rest of its request is most likely on its
+/// way.
 const RECENT_ACTIVITY: Duration = Duration::from_millis(100);
 
-/// How far a client has come with its request.
+/// A client's progress in sending its request.
 #[derive(Clone, Copy)]
-struct Progress {
-    /// It has sent a part of its request.
+struct RequestProgress {
+    /// The client has sent a part of its request.
     has_begun: bool,
-    /// When it connected, or last sent bytes.
+    /// When the client connected or last sent bytes.
     last_activity: Instant,
 }
 
-/// Where a client comes in the order of eviction: by these fields, the lowest first.
+/// A client's place in the order of eviction. The fields are compared in this order, and the lowest comes
+/// first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionOrder {
     is_recent: bool,
@@ -52,13 +54,14 @@
     last_activity: Instant,
 }
 
-impl Progress {
+impl RequestProgress {
     fn now(has_begun: bool) -> Self {
-        Progress { has_begun, last_activity: Instant::now() }
+        RequestProgress { has_begun, last_activity: Instant::now() }
     }
 
-    /// First those that have sent nothing, then those that are stalled, each by how long they have been
-    /// inactive; recent ones come last.
+    /// Clients that have sent no part of their request and show no recent activity are evicted first, then
+    /// clients that are stalled within their request; in both groups the longest inactive first. Clients with
+    /// recent activity that have sent no part of their request come last.
     fn eviction_order(&self, now: Instant) -> EvictionOrder {
         EvictionOrder {
             is_recent: !self.has_begun && now - self.last_activity < RECENT_ACTIVITY,
@@ -68,35 +71,37 @@
     }
 }
 
-/// A client that can be evicted: it has no request, or its reply.
+/// A client that can be evicted: it has not sent its whole request yet, or its upstream connection is closed.
 struct IdleClient {
-    progress: Progress,
+    progress: RequestProgress,
     eviction: Rc<Notify>,
 }
 
-/// Counts descriptors.
+/// Counts the descriptors of connections, and evicts clients when there are too few.
 pub struct Admission {
-    /// What the process may hold besides [`PROCESS_DESCRIPTORS`].
+    /// How many descriptors the process may hold besides [`PROCESS_DESCRIPTORS`].
     capacity: usize,
-    /// What another process of this relay holds of the capacity.
+    /// How many descriptors of the capacity another process of this relay holds.
     other_process: Cell<usize>,
     used: Cell<usize>,
-    /// Clients that were accepted and wait for a permit.
+    /// Number of clients that were accepted and wait for a permit.
     waiting: Cell<usize>,
-    /// Connections with a descriptor for their endpoint.
+    /// Number of connections that hold a descriptor for their endpoint.
     connections: Cell<usize>,
     next_id: Cell<u64>,
     idle: RefCell<BTreeMap<u64, IdleClient>>,
-    /// Clients that were evicted and are not closed yet.
+    /// Number of clients that were evicted and are not closed yet.
     evicting: Cell<usize>,
-    /// Notified for each descriptor that is released.
+    /// Notified for each descriptor that is released, to wake a client that waits for a permit.
     released: Notify,
-    /// Notified when a connection that waits for its second descriptor may get it, or never will.
+    /// Wakes the connections that wait for their upstream descriptor, when they may get it now or can never
+    /// get it.
     upstream_changed: Notify,
 }
 
 impl Admission {
-    /// For a process that may hold so many descriptors, and needs `reserved` besides what every process does.
+    /// The admission of a process that may hold `descriptors` in all, and needs `reserved` of them besides
+    /// [`PROCESS_DESCRIPTORS`].
     pub fn new(descriptors: usize, reserved: usize) -> Rc<Self> {
         let capacity = descriptors.saturating_sub(PROCESS_DESCRIPTORS + reserved).max(PROCESS_DESCRIPTORS);
         Rc::new(Admission {
@@ -113,7 +118,8 @@
         })
     }
 
-    /// Takes note of what another process of this relay holds: the two have one limit.
+    /// Records how many descriptors another process of this relay holds, since both processes share one
+    /// limit.
     pub fn set_other_process(&self, descriptors: usize) {
         if self.other_process.replace(descriptors) > descriptors {
             self.released.notify_waiters();
@@ -121,12 +127,12 @@
         }
     }
 
-    /// What this process holds, with its own descriptors.
+    /// How many descriptors this process holds, with [`PROCESS_DESCRIPTORS`].
     pub fn descriptors_in_use(&self) -> usize {
         self.used.get() + PROCESS_DESCRIPTORS
     }
 
-    /// Whether no client is connected.
+    /// Whether no client is connected or waits for a permit.
     pub fn is_empty(&self) -> bool {
         self.used.get() == 0 && self.waiting.get() == 0
     }
@@ -135,22 +141,23 @@
         self.capacity.saturating_sub(self.other_process.get()).max(MIN_CLIENTS)
     }
 
-    /// Connections that there are descriptors for.
+    /// How many connections can hold two descriptors each at the same time.
     fn max_connections(&self) -> usize {
         (self.limit() - self.limit() / HANDSHAKE_RESERVE_DIVISOR) / 2
     }
 
-    fn take_id(&self) -> u64 {
+    fn allocate_id(&self) -> u64 {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         id
     }
 
-    /// A permit for a client that was just accepted, once there is one.
+    /// Waits until a client that was just accepted may hold a descriptor, and returns its permit.
     pub async fn acquire(self: &Rc<Self>) -> DescriptorPermit {
         self.waiting.set(self.waiting.get() + 1);
         while self.used.get() >= self.limit() {
-            // Connections leave room for clients, so there is one to evict, or one that is being closed.
+            // Admitted connections never use all descriptors, so there is a client that can be evicted or one
+            // that is being closed.
             self.evict_idle();
             self.released.notified().await;
         }
@@ -158,7 +165,7 @@
         self.used.set(self.used.get() + 1);
         let permit = DescriptorPermit {
             admission: self.clone(),
-            id: self.take_id(),
+            id: self.allocate_id(),
             has_upstream: Cell::new(false),
             eviction: Rc::default(),
         };
@@ -174,13 +181,13 @@
         self.connections.set(self.connections.get() + 1);
         DescriptorPermit {
             admission: self.clone(),
-            id: self.take_id(),
+            id: self.allocate_id(),
             has_upstream: Cell::new(true),
             eviction: Rc::default(),
         }
     }
 
-    /// Evicts the idle client that comes first in the order, if there is any.
+    /// Evicts the idle client that comes first in the order of eviction, if there is any.
     pub fn evict_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
@@ -192,7 +199,8 @@
         }
     }
 
-    /// Waits until no more is used than the limit allows; whether that can be reached.
+    /// Waits until no more descriptors are in use than the limit allows. Returns false if evictions can't
+    /// achieve that.
     async fn wait_within_limit(&self) -> bool {
         while self.used.get() > self.limit() {
             if self.used.get() - self.evicting.get() > self.limit() {
@@ -201,7 +209,7 @@
             if self.evicting.get() == 0 {
                 return false;
             }
-            // An evicted client is closed at once.
+            // An evicted client is closed without delay, so this wait is short.
             self.upstream_changed.notified().await;
         }
         true
@@ -210,14 +218,14 @@
     fn release(&self, count: usize) {
         self.used.set(self.used.get() - count);
         self.released.notify_one();
-        // Before that nothing has changed for those that wait.
+        // Otherwise the connections that wait for an upstream descriptor would only wait again.
         if self.used.get() <= self.limit() || self.evicting.get() == 0 {
             self.upstream_changed.notify_waiters();
         }
     }
 }
 
-/// One connection's descriptors; released when dropped.
+/// The right of one connection to hold its descriptors; they are released when the permit is dropped.
 pub struct DescriptorPermit {
     admission: Rc<Admission>,
     id: u64,
@@ -226,24 +234,24 @@
 }
 
 impl DescriptorPermit {
-    /// What is notified when this connection is to be closed for another. It never is while it has an
-    /// upstream descriptor.
+    /// The notification that this connection is evicted and has to close. No connection is evicted while it
+    /// holds an upstream descriptor.
     pub fn eviction(&self) -> Rc<Notify> {
         self.eviction.clone()
     }
 
-    /// The client has sent bytes; whether a part of its request is among them.
+    /// Records that the client has sent bytes; `has_begun` says whether a part of its request is among them.
     pub fn record_activity(&self, has_begun: bool) {
         let mut idle = self.admission.idle.borrow_mut();
-        idle.entry(self.id).and_modify(|client| client.progress = Progress::now(has_begun));
+        idle.entry(self.id).and_modify(|client| client.progress = RequestProgress::now(has_begun));
     }
 
-    /// Requests a descriptor for the connection's endpoint; whether it gets one, which is free once this
-    /// returns.
+    /// Requests a descriptor for the upstream connection. Returns whether the connection gets one; it may be
+    /// opened as soon as this function returns.
     pub async fn acquire_upstream(&self) -> bool {
         let admission = &self.admission;
         let max_connections = admission.max_connections();
-        // One that was evicted is about to be closed.
+        // A client that is no longer idle was evicted, and is about to be closed.
         if admission.connections.get() >= max_connections
             || admission.idle.borrow_mut().remove(&self.id).is_none()
         {
@@ -255,18 +263,19 @@
         if admission.wait_within_limit().await {
             return true;
         }
-        // Another process of this relay holds what was left.
+        // Another process of this relay holds the descriptors that were left.
         self.release_upstream();
         false
     }
 
-    /// Whether hardly another connection would get a descriptor.
-    pub fn is_short(&self) -> bool {
+    /// Whether descriptors are short: less than one in [`SHORTAGE_DIVISOR`] is left for further connections.
+    pub fn are_descriptors_short(&self) -> bool {
         let max_connections = self.admission.max_connections();
         self.admission.connections.get() * SHORTAGE_DIVISOR > max_connections * (SHORTAGE_DIVISOR - 1)
     }
 
-    /// The upstream connection has ended; the client's last reply is still to be written.
+    /// Releases the upstream descriptor once the upstream connection has closed, and makes the client
+    /// evictable while its last reply is still being written.
     pub fn release_upstream(&self) {
         if self.has_upstream.replace(false) {
             let admission = &self.admission;
@@ -277,7 +286,7 @@
     }
 
     fn become_idle(&self) {
-        let client = IdleClient { progress: Progress::now(false), eviction: self.eviction.clone() };
+        let client = IdleClient { progress: RequestProgress::now(false), eviction: self.eviction.clone() };
         self.admission.idle.borrow_mut().insert(self.id, client);
     }
 }
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,38 +1,40 @@
-//! The clock of the drivers: Unix time in milliseconds, as the core takes it, and the runtime's instants.
+//! The drivers' clock, which converts between Unix time in milliseconds, as the core uses it, and the
+//! runtime's instants.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use crate::policy::api::Millis;
 
-/// The longest duration that a number of milliseconds is converted to, where it has no other.
-const MAX_SPAN: Duration = Duration::MAX.checked_div(4).unwrap();
+/// The duration for a number of milliseconds that no [`Duration`] can represent, such as infinity.
+const MAX_DURATION: Duration = Duration::MAX.checked_div(4).unwrap();
 
-/// Unix time in milliseconds that never goes back, whatever is done to the system's clock.
+/// A clock of Unix time in milliseconds that never goes back, even if the system's clock is set.
 pub struct Clock {
-    /// Unix time at the start.
-    base: Millis,
+    /// The Unix time in milliseconds at which the clock was created.
+    unix_start: Millis,
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts at the system's time.
+    /// Creates a clock that starts at the system's present time.
     pub fn new() -> Self {
-        let base = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
-        Clock { base, start: Instant::now() }
+        let unix_start =
+            SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
+        Clock { unix_start, start: Instant::now() }
     }
 
     /// The Unix time in milliseconds.
     pub fn now(&self) -> Millis {
-        self.base + self.start.elapsed().as_secs_f64() * 1000.0
+        self.unix_start + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
     /// The runtime's instant for a Unix time in milliseconds.
     pub fn at(&self, time: Millis) -> tokio::time::Instant {
-        (self.start + span(time - self.base)).into()
+        (self.start + span(time - self.unix_start)).into()
     }
 }
 
-/// The duration of a number of milliseconds; zero for a negative one.
+/// Converts a number of milliseconds to a duration, which is zero for a negative number.
 pub fn span(millis: Millis) -> Duration {
-    Duration::try_from_secs_f64(millis.max(0.0) / 1000.0).unwrap_or(MAX_SPAN)
+    Duration::try_from_secs_f64(millis.max(0.0) / 1000.0).unwrap_or(MAX_DURATION)
 }
--- a/src/net/connection/attempt.rs
+++ b/src/net/connection/attempt.rs
@@ -1,8 +1,8 @@
 //! Carries out the attempts that the core starts for a request, one at a time.
 //!
-//! Input: [`ConnectionCommand`]s. Output: an established upstream connection, a reply for the client, or
-//! the client's end; and each attempt's outcome to the core. Whether another attempt follows is the core's
-//! decision.
+//! Input: the core's [`ConnectionCommand`]s. Output: an established upstream connection, a local reply for
+//! the client, or a report that the client has disconnected. Each attempt's outcome is reported to the core,
+//! which decides whether another attempt follows.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,46 +19,49 @@
 
 use super::{ClientConnection, read_more};
 use crate::listener::{AttemptAnswer, ClientProtocol};
-use crate::net::pool::Pooled;
-use crate::net::{Shared, local_shortage, span};
+use crate::net::pool::PooledBuffer;
+use crate::net::{Shared, is_local_shortage, span};
 use crate::policy::api::{Millis, Outcome, RequestId};
 use crate::relay::{Attempt, ConnectionCommand, LocalReply};
 
-/// How often a client is checked for its end while its full buffer keeps the end from being read.
+/// How often the relay checks whether a client has disconnected while the client's buffer is full. With a
+/// full buffer the relay cannot read on to the end of the stream.
 const CLIENT_END_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What has become of a request.
+/// The result of a request's attempts.
 pub(super) enum Placement {
-    /// An endpoint has taken it: the stream to it, and its first bytes for the client.
-    Established { upstream: TcpStream, first: Pooled },
-    /// No endpoint takes it.
+    /// An endpoint has accepted the request: the stream to the endpoint, and the first bytes that the
+    /// endpoint has sent for the client.
+    Established { upstream: TcpStream, first_bytes: PooledBuffer },
+    /// No endpoint has accepted the request; the client gets this local reply.
     Answered(LocalReply),
-    /// The client has ended the connection, or its sending, or has sent before it may.
-    ClientGone,
+    /// The client has closed the connection or its sending side, or has sent bytes before its protocol allows
+    /// it.
+    ClientDisconnected,
 }
 
-/// An endpoint that an attempt has connected to.
+/// A transport connection to an attempt's endpoint, before the request is sent.
 struct ConnectedUpstream {
     address: SocketAddr,
     stream: TcpStream,
 }
 
-/// An endpoint that has accepted the request, with its first bytes for the client.
+/// A stream to an endpoint that has accepted the request, with the endpoint's first bytes for the client.
 struct AcceptedUpstream {
     stream: TcpStream,
-    first: Pooled,
+    first_bytes: PooledBuffer,
 }
 
-/// How a step of an attempt has ended while the client waits for its reply.
-enum StepEnd<T> {
+/// The result of one step of an attempt, or the reason why the step was abandoned.
+enum StepResult<T> {
     Done(T),
-    ClientGone,
+    ClientDisconnected,
     Answered(LocalReply),
     DeadlinePassed,
 }
 
 impl<F: ClientProtocol> ClientConnection<F> {
-    /// Carries out attempts until one succeeds, or a reply is given, or the client has gone.
+    /// Carries out attempts until one succeeds, the core gives a local reply, or the client disconnects.
     pub(super) async fn run_attempts(
         &mut self,
         id: RequestId,
@@ -67,12 +70,14 @@
     ) -> io::Result<Placement> {
         let shared = self.shared.clone();
         let limit = shared.clock.at(deadline);
-        let speaks_early = self.protocol.accepts_early_data();
+        let accepts_early_data = self.protocol.accepts_early_data();
         loop {
-            // Of several events at once the client's end counts first: no attempt may begin after it.
+            // When several events are ready at once, the client's disconnection is handled first, since no
+            // attempt may begin after it.
             let command = tokio::select! {
                 biased;
-                () = client_gone(&self.client, &mut self.input, speaks_early) => return Ok(Placement::ClientGone),
+                () = wait_for_disconnect(&self.client, &mut self.input, accepts_early_data) =>
+                    return Ok(Placement::ClientDisconnected),
                 command = commands.recv() => command,
                 () = sleep_until(limit) => {
                     shared.core(|relay, now| relay.deadline_passed(now, id));
@@ -83,97 +88,103 @@
                 Some(ConnectionCommand::StartAttempt(attempt)) => attempt,
                 Some(ConnectionCommand::Reply(response)) => return Ok(Placement::Answered(response)),
                 Some(ConnectionCommand::Migrate | ConnectionCommand::Transfer) => continue,
-                None => return Ok(Placement::ClientGone),
+                None => return Ok(Placement::ClientDisconnected),
             };
             let started = shared.clock.now();
-            match self.run_attempt(&attempt, speaks_early, limit, commands).await {
-                StepEnd::ClientGone => return Ok(Placement::ClientGone),
-                StepEnd::Answered(response) => return Ok(Placement::Answered(response)),
-                // The core replies to a request whose deadline has passed.
-                StepEnd::DeadlinePassed => shared.core(|relay, now| relay.deadline_passed(now, id)),
-                StepEnd::Done(Ok(AcceptedUpstream { stream, first })) => {
+            match self.run_attempt(&attempt, accepts_early_data, limit, commands).await {
+                StepResult::ClientDisconnected => return Ok(Placement::ClientDisconnected),
+                StepResult::Answered(response) => return Ok(Placement::Answered(response)),
+                // The core answers the report with a reply command, which the next turn of the loop receives.
+                StepResult::DeadlinePassed => shared.core(|relay, now| relay.deadline_passed(now, id)),
+                StepResult::Done(Ok(AcceptedUpstream { stream, first_bytes })) => {
                     let endpoint = &attempt.endpoint.0;
                     let elapsed = shared.clock.now() - started;
-                    debug!("connection {}: established with {endpoint} after {elapsed:.0} ms", id.0);
+                    debug!("connection {}: established with endpoint {endpoint} after {elapsed:.0} ms", id.0);
                     shared.core(|relay, now| relay.connection_established(now, id, now - started));
-                    return Ok(Placement::Established { upstream: stream, first });
+                    return Ok(Placement::Established { upstream: stream, first_bytes });
                 }
-                StepEnd::Done(Err(outcome)) => {
-                    debug!("connection {}: attempt at {} ended: {outcome:?}", id.0, attempt.endpoint.0);
+                StepResult::Done(Err(outcome)) => {
+                    debug!(
+                        "connection {}: attempt at endpoint {} failed: {outcome:?}",
+                        id.0, attempt.endpoint.0
+                    );
                     shared.core(|relay, now| relay.attempt_ended(now, id, outcome));
                 }
             }
         }
     }
 
-    /// Carries out one attempt: connects, checks that it may still begin, and exchanges the request.
+    /// Carries out one attempt: connects to the endpoint, checks that the attempt may still begin, sends the
+    /// request and reads the answer.
     async fn run_attempt(
         &mut self,
         attempt: &Attempt,
-        speaks_early: bool,
+        accepts_early_data: bool,
         limit: Instant,
         commands: &mut UnboundedReceiver<ConnectionCommand>,
-    ) -> StepEnd<Result<AcceptedUpstream, Outcome>> {
+    ) -> StepResult<Result<AcceptedUpstream, Outcome>> {
         let shared = self.shared.clone();
         let input = &mut self.input;
-        let mut waiting = WaitingClient { client: &self.client, input, speaks_early, commands, limit };
+        let mut waiting = WaitingClient { client: &self.client, input, accepts_early_data, commands, limit };
         let connected = match waiting.run(connect(&shared, attempt)).await {
-            StepEnd::Done(Ok(_)) if waiting.has_gone() => return StepEnd::ClientGone,
-            StepEnd::Done(Ok(connected)) => connected,
-            StepEnd::Done(Err(outcome)) => return StepEnd::Done(Err(outcome)),
-            StepEnd::ClientGone => return StepEnd::ClientGone,
-            StepEnd::Answered(response) => return StepEnd::Answered(response),
-            StepEnd::DeadlinePassed => return StepEnd::DeadlinePassed,
+            StepResult::Done(Ok(_)) if waiting.has_disconnected() => return StepResult::ClientDisconnected,
+            StepResult::Done(Ok(connected)) => connected,
+            StepResult::Done(Err(outcome)) => return StepResult::Done(Err(outcome)),
+            StepResult::ClientDisconnected => return StepResult::ClientDisconnected,
+            StepResult::Answered(response) => return StepResult::Answered(response),
+            StepResult::DeadlinePassed => return StepResult::DeadlinePassed,
         };
-        if let Err(outcome) = may_begin(&shared, attempt, connected.address) {
-            return StepEnd::Done(Err(outcome));
+        if let Err(outcome) = check_may_begin(&shared, attempt, connected.address) {
+            return StepResult::Done(Err(outcome));
         }
-        waiting.run(exchange(&shared, &mut self.protocol, connected.stream, attempt.until)).await
+        waiting.run(exchange_request(&shared, &mut self.protocol, connected.stream, attempt.until)).await
     }
 }
 
 /// A client that waits for its reply while a step of an attempt is carried out.
 struct WaitingClient<'a> {
     client: &'a TcpStream,
-    input: &'a mut Pooled,
-    speaks_early: bool,
+    input: &'a mut PooledBuffer,
+    accepts_early_data: bool,
     commands: &'a mut UnboundedReceiver<ConnectionCommand>,
-    /// The request's deadline.
+    /// The request's deadline, as an instant of the runtime.
     limit: Instant,
 }
 
 impl WaitingClient<'_> {
-    /// Carries out a step while the client is there, has not been answered and its deadline has not passed.
-    async fn run<T>(&mut self, step: impl Future<Output = T>) -> StepEnd<T> {
+    /// Carries out a step of an attempt. Abandons the step when the client disconnects, the core answers the
+    /// client, or the request's deadline passes.
+    async fn run<T>(&mut self, step: impl Future<Output = T>) -> StepResult<T> {
         let mut step = pin!(step);
         loop {
             tokio::select! {
                 biased;
-                () = client_gone(self.client, self.input, self.speaks_early) => return StepEnd::ClientGone,
+                () = wait_for_disconnect(self.client, self.input, self.accepts_early_data) =>
+                    return StepResult::ClientDisconnected,
                 command = self.commands.recv() => match command {
-                    Some(ConnectionCommand::Reply(response)) => return StepEnd::Answered(response),
-                    None => return StepEnd::ClientGone,
-                    // No other command concerns a connection whose attempt is in progress.
+                    Some(ConnectionCommand::Reply(response)) => return StepResult::Answered(response),
+                    None => return StepResult::ClientDisconnected,
+                    // The other commands do not apply while an attempt is in progress.
                     Some(_) => {}
                 },
-                done = &mut step => return StepEnd::Done(done),
-                () = sleep_until(self.limit) => return StepEnd::DeadlinePassed,
+                done = &mut step => return StepResult::Done(done),
+                () = sleep_until(self.limit) => return StepResult::DeadlinePassed,
             }
         }
     }
 
-    /// Whether the client has gone by now.
-    fn has_gone(&mut self) -> bool {
-        has_client_gone(self.client, self.input, self.speaks_early)
+    /// Whether the client has disconnected by now; see [`has_client_disconnected`].
+    fn has_disconnected(&mut self) -> bool {
+        has_client_disconnected(self.client, self.input, self.accepts_early_data)
     }
 }
 
-/// Waits until a client that waits for its reply ends the connection, or sends before it may. What it may
-/// send early is kept in the buffer.
-async fn client_gone(client: &TcpStream, input: &mut Pooled, speaks_early: bool) {
+/// Waits until a client whose request is not answered yet disconnects, or sends bytes although its protocol
+/// does not accept early data. Early data that the protocol accepts is kept in the buffer.
+async fn wait_for_disconnect(client: &TcpStream, input: &mut PooledBuffer, accepts_early_data: bool) {
     loop {
         if input.spare_capacity() > 0 {
-            if !matches!(read_more(client, input).await, Ok(read) if read > 0 && speaks_early) {
+            if !matches!(read_more(client, input).await, Ok(read) if read > 0 && accepts_early_data) {
                 return;
             }
         } else if client.ready(Interest::READABLE).await.is_ok_and(|ready| !ready.is_read_closed()) {
@@ -184,20 +195,24 @@
     }
 }
 
-/// Whether [`client_gone`] holds now, by a system call: the poller may not have reported the client's end
-/// yet.
-pub(super) fn has_client_gone(client: &TcpStream, input: &mut Pooled, speaks_early: bool) -> bool {
+/// Whether the condition that [`wait_for_disconnect`] waits for holds now. The socket is read by a system
+/// call, since the poller may not have reported the client's disconnection yet.
+pub(super) fn has_client_disconnected(
+    client: &TcpStream,
+    input: &mut PooledBuffer,
+    accepts_early_data: bool,
+) -> bool {
     while input.spare_capacity() > 0 {
         match input.fill_unpolled(client) {
             Ok(None) => return false,
-            Ok(Some(read)) if read > 0 && speaks_early => {}
+            Ok(Some(read)) if read > 0 && accepts_early_data => {}
             Ok(_) | Err(_) => return true,
         }
     }
     false
 }
 
-/// Connects to an attempt's endpoint at its present address.
+/// Connects to an attempt's endpoint at the address that the endpoint list gives for it now.
 async fn connect(shared: &Rc<Shared>, attempt: &Attempt) -> Result<ConnectedUpstream, Outcome> {
     let address = shared.endpoint_list.borrow().address(&attempt.endpoint).ok_or(Outcome::NotSent)?;
     let now = shared.clock.now();
@@ -206,29 +221,30 @@
     let limit = span(shared.config.borrow().settings.connect_timeout).min(remaining);
     match timeout(limit.min(begin_within), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(ConnectedUpstream { address, stream }),
-        Ok(Err(e)) if local_shortage(&e) => Err(Outcome::NotSent),
-        // The time to begin has passed before the connect timeout: that says nothing of the endpoint.
+        Ok(Err(e)) if is_local_shortage(&e) => Err(Outcome::NotSent),
+        // The attempt's time to begin passed before the connect timeout, which shows no failure of the
+        // endpoint.
         Err(_) if begin_within < limit => Err(Outcome::NotSent),
         Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
     }
 }
 
-/// Whether an attempt may still begin, now that it is connected: the list or the endpoint's state may have
-/// changed since the core decided. Nothing is awaited between this check and the first byte that is
-/// written.
-fn may_begin(shared: &Shared, attempt: &Attempt, address: SocketAddr) -> Result<(), Outcome> {
+/// Checks whether an attempt whose transport is connected may still send its request: the endpoint list or
+/// the endpoint's state may have changed since the core decided. Nothing may be awaited between this check
+/// and the write of the first byte.
+fn check_may_begin(shared: &Shared, attempt: &Attempt, address: SocketAddr) -> Result<(), Outcome> {
     let now = shared.clock.now();
     let in_time = now < attempt.until.min(attempt.begin_by);
     let same_address = shared.endpoint_list.borrow().address(&attempt.endpoint) == Some(address);
-    // An endpoint that has begun to drain since takes nothing new. One that was draining already gets back
-    // the connections that it had.
+    // An endpoint that has begun to drain since the decision takes no new connections. An endpoint that was
+    // already draining at the decision was chosen because it gets back a connection that it had.
     let began_draining = attempt.was_ready && !shared.relay.borrow().is_ready(&attempt.endpoint);
     if in_time && same_address && !began_draining { Ok(()) } else { Err(Outcome::NotSent) }
 }
 
 /// Sends the request to a connected endpoint and reads its answer, until `until` in Unix milliseconds.
-/// Dropped, it gives the attempt up.
-async fn exchange<F: ClientProtocol>(
+/// Dropping the future cancels the attempt.
+async fn exchange_request<F: ClientProtocol>(
     shared: &Rc<Shared>,
     protocol: &mut F,
     mut upstream: TcpStream,
@@ -236,23 +252,23 @@
 ) -> Result<AcceptedUpstream, Outcome> {
     let _ = upstream.set_nodelay(true);
     if let Some(silence) = protocol.unacknowledged_timeout() {
-        // Where it can't be set, a vanished endpoint is noticed later.
+        // If the option can't be set, the relay only notices later that an endpoint has vanished.
         let _ = SockRef::from(&upstream).set_tcp_user_timeout(Some(silence));
     }
     let mut input = shared.pool.get();
     let mut output = shared.pool.get();
     protocol.begin_attempt(until - shared.clock.now(), &mut output);
     let mut is_sent = false;
-    let exchanged = async {
+    let exchange = async {
         loop {
-            // Before its last byte is written the endpoint can't have acted on the request.
-            let broken = |is_sent| if is_sent { Outcome::Reset } else { Outcome::ConnectFailed };
-            upstream.write_all_buf(&mut *output).await.map_err(|_| broken(is_sent))?;
+            // The endpoint can't have acted on the request before the request's last byte is written.
+            let outcome_if_broken = |is_sent| if is_sent { Outcome::Reset } else { Outcome::ConnectFailed };
+            upstream.write_all_buf(&mut *output).await.map_err(|_| outcome_if_broken(is_sent))?;
             is_sent |= protocol.request_complete();
-            let quiet = protocol.established_when_silent().unwrap_or(Duration::MAX);
-            match timeout(quiet, read_more(&upstream, &mut input)).await {
+            let silence_timeout = protocol.established_when_silent().unwrap_or(Duration::MAX);
+            match timeout(silence_timeout, read_more(&upstream, &mut input)).await {
                 Ok(Ok(read)) if read > 0 => {}
-                Ok(_) => return Err(broken(is_sent)),
+                Ok(_) => return Err(outcome_if_broken(is_sent)),
                 Err(_) => return Ok(()),
             }
             match protocol.read_answer(&mut input, &mut output) {
@@ -263,6 +279,6 @@
             }
         }
     };
-    timeout_at(shared.clock.at(until), exchanged).await.unwrap_or(Err(Outcome::TimedOut))?;
-    Ok(AcceptedUpstream { stream: upstream, first: input })
+    timeout_at(shared.clock.at(until), exchange).await.unwrap_or(Err(Outcome::TimedOut))?;
+    Ok(AcceptedUpstream { stream: upstream, first_bytes: input })
 }
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -1,14 +1,14 @@
 //! Drives one client's connection and the upstream connection to its endpoint.
 //!
-//! A connection passes through these phases, a file each:
-//! - `handshake`: the client is read until its request is known to the core.
-//! - `attempt`: the attempts that the core starts are carried out, until one succeeds or a reply is due.
-//! - `tunnel`: bytes are forwarded both ways until both sides have ended, the client migrates, or the
-//!   connection is transferred to another process.
-//! - `close`: the last reply is written, and the client is read to its end.
+//! A connection passes through these phases, each in a file of its own:
+//! - `handshake`: reads from the client until its request is complete and registered with the core.
+//! - `attempt`: carries out the attempts that the core starts, until one succeeds or a local reply is due.
+//! - `tunnel`: forwards bytes both ways until both sides have closed, the client migrates, or the connection
+//!   is transferred to another process.
+//! - `close`: writes the last reply, and reads from the client until it closes.
 //!
-//! `adopt` enters the tunnel with a connection that another process established. The core decides; these
-//! drivers read, write and wait. Nothing here borrows the core's state across an await.
+//! `adopt` enters the tunnel phase with a connection that the predecessor process established. The core makes
+//! the decisions; these drivers read, write and wait. Nothing here borrows the core's state across an await.
 
 mod adopt;
 mod attempt;
@@ -29,12 +29,12 @@
 use self::attempt::Placement;
 use super::Shared;
 use super::admission::DescriptorPermit;
-use super::pool::Pooled;
+use super::pool::PooledBuffer;
 use crate::listener::ClientProtocol;
 use crate::policy::api::{Millis, Outcome, RequestId};
 use crate::relay::{ConnectionCommand, LocalReply};
 
-/// Serves a client until its connection has ended, or has to make room for another.
+/// Serves a client until its connection has ended, or is evicted to free its descriptor for another client.
 pub async fn serve<F: ClientProtocol>(
     shared: Rc<Shared>,
     client: TcpStream,
@@ -59,70 +59,71 @@
         ended = connection.run(accepted_at) => ended,
     };
     if let Err(e) = ended {
-        debug!("client: {e}");
+        debug!("client connection failed: {e}");
     }
 }
 
-/// A client's connection, with the buffers of both directions until the tunnel takes them over.
+/// A client's connection, with its input and reply buffers. The tunnel takes the input buffer over.
 struct ClientConnection<F> {
     shared: Rc<Shared>,
     client: TcpStream,
     protocol: F,
-    /// Bytes from the client that are not parsed or forwarded yet.
-    input: Pooled,
-    /// Bytes for the client.
-    reply: Pooled,
+    /// Bytes that were read from the client and are not parsed or forwarded yet.
+    input: PooledBuffer,
+    /// Bytes that are still to be written to the client.
+    reply: PooledBuffer,
     permit: DescriptorPermit,
-    /// The client has its final reply.
+    /// Whether the client's final reply has been decided, so that an eviction adds no other reply.
     is_answered: bool,
 }
 
 impl<F: ClientProtocol> ClientConnection<F> {
-    /// Takes the connection through its phases.
+    /// Takes the connection through its phases, from the handshake to the close.
     async fn run(&mut self, accepted_at: Millis) -> io::Result<()> {
         let Some(request) = self.read_request(accepted_at).await? else { return Ok(()) };
         let deadline = request.deadline;
         let (registration, mut commands) = self.register(request);
         let id = registration.id;
-        self.shared.settle();
+        self.shared.run_pending_commands();
         match self.run_attempts(id, deadline, &mut commands).await? {
-            Placement::Established { upstream, first } => {
+            Placement::Established { upstream, first_bytes } => {
                 let now = self.shared.clock.now();
                 self.protocol.observe_client_bytes(now, &self.input);
-                self.protocol.observe_endpoint_bytes(now, &first);
-                self.run_tunnel(id, upstream, first, &mut commands).await
+                self.protocol.observe_endpoint_bytes(now, &first_bytes);
+                self.run_tunnel(id, upstream, first_bytes, &mut commands).await
             }
             Placement::Answered(response) => {
                 debug!("connection {}: local reply {response:?}", id.0);
                 self.protocol.write_local_reply(response, &mut self.reply);
                 self.close().await
             }
-            Placement::ClientGone => {
-                // The core frees its place now, not once the close has finished.
+            Placement::ClientDisconnected => {
+                // The core frees the request's place now and not only when the close has finished.
                 self.shared.core(|relay, now| relay.client_gone(now, id));
-                // The client may have ended its sending only, and still read.
+                // The client may have closed only its sending side, and may still read.
                 self.protocol.write_local_reply(LocalReply::Failed, &mut self.reply);
                 self.close().await
             }
         }
     }
 
-    /// Writes to the reply that the relay takes no connection now.
+    /// Appends to the reply buffer the local reply that the relay accepts no connection now.
     fn reply_rejected(&mut self) {
         let retry_after = self.shared.retry_after();
         self.protocol.write_local_reply(LocalReply::Rejected(retry_after), &mut self.reply);
     }
 }
 
-/// A connection's entry in the table that the core's commands are sent by. Dropped, however the driver
-/// ends, it takes the entry out and reports the end to the core.
+/// A connection's entry in the table through which the core's commands are sent. Dropping the registration,
+/// which happens however the driver ends, removes the entry and reports the connection's end to the core.
 struct Registration {
     shared: Rc<Shared>,
     id: RequestId,
 }
 
 impl Registration {
-    /// Enters a connection that the core knows by this identifier; with it, the core's commands to it.
+    /// Registers a connection that the core knows by `id`. Returns the registration and the receiver of the
+    /// core's commands for the connection.
     fn new(shared: &Rc<Shared>, id: RequestId) -> (Self, UnboundedReceiver<ConnectionCommand>) {
         let (sender, commands) = unbounded_channel();
         shared.connections.borrow_mut().insert(id, sender);
@@ -140,8 +141,8 @@
     }
 }
 
-/// Waits for more bytes; 0 at the connection's end.
-async fn read_more(stream: &TcpStream, buffer: &mut Pooled) -> io::Result<usize> {
+/// Waits for more bytes and reads them into the buffer; returns their number, 0 at the end of the stream.
+async fn read_more(stream: &TcpStream, buffer: &mut PooledBuffer) -> io::Result<usize> {
     loop {
         stream.readable().await?;
         if let Some(read) = buffer.fill(stream)? {
--- a/src/net/connection/pipe.rs
+++ b/src/net/connection/pipe.rs
@@ -7,56 +7,57 @@
 use tokio::net::TcpStream;
 
 use crate::net::Shared;
-use crate::net::pool::Pooled;
+use crate::net::pool::PooledBuffer;
 
-/// One direction of a tunnel. It holds a buffer only while it has bytes, and reads no more while the
-/// receiver is slower than the sender.
+/// One direction of a tunnel, from a sender to a receiver. The pipe holds a buffer only while bytes are
+/// buffered, and reads no more from the sender while the buffer is full because the receiver is slower.
 pub struct Pipe {
-    buffer: Option<Pooled>,
-    /// The sender has ended.
+    buffer: Option<PooledBuffer>,
+    /// The sender has closed its sending side, and all its bytes have been read.
     pub eof: bool,
-    /// The end has been passed on to the receiver.
+    /// The sender's end of stream has been passed on to the receiver.
     pub is_shut: bool,
-    /// The receiver takes nothing any more.
+    /// The receiver accepts no more bytes, so they are discarded.
     pub is_discarding: bool,
 }
 
 impl Pipe {
-    /// A direction whose first bytes have been read.
-    pub fn with(buffer: Pooled) -> Self {
+    /// A direction whose first bytes are already in `buffer`.
+    pub fn with_buffer(buffer: PooledBuffer) -> Self {
         Pipe { buffer: Some(buffer), eof: false, is_shut: false, is_discarding: false }
     }
 
-    /// The bytes that are not forwarded yet.
+    /// The bytes that have been read and are not forwarded yet.
     pub fn bytes(&self) -> &[u8] {
         self.buffer.as_ref().map_or(&[], |buffer| &buffer[..])
     }
 
-    /// How many bytes are not forwarded yet.
+    /// The number of bytes that have been read and are not forwarded yet.
     pub fn len(&self) -> usize {
         self.bytes().len()
     }
 
-    /// The last `count` bytes that were read.
-    pub fn last(&self, count: usize) -> &[u8] {
+    /// The last `count` buffered bytes.
+    pub fn last_bytes(&self, count: usize) -> &[u8] {
         let bytes = self.bytes();
         &bytes[bytes.len() - count..]
     }
 
-    /// Whether the sender is to be read.
+    /// Whether bytes should be read from the sender now.
     pub fn can_read(&self) -> bool {
         !self.eof
             && !self.is_discarding
             && self.buffer.as_ref().is_none_or(|buffer| buffer.spare_capacity() > 0)
     }
 
-    /// Drops what the receiver no longer takes.
+    /// Discards the buffered bytes and stops reading, since the receiver accepts no more bytes.
     pub fn discard(&mut self) {
         self.is_discarding = true;
         self.buffer = None;
     }
 
-    /// Reads what the sender has sent; the number of bytes, 0 where there are none or the sender has ended.
+    /// Reads the bytes that the sender has sent. Returns their number, which is 0 if there are none or the
+    /// stream has ended.
     ///
     /// # Errors
     /// The sender's connection is broken.
@@ -67,7 +68,7 @@
         Ok(read.unwrap_or(0))
     }
 
-    /// Writes what the receiver takes now, but for the last `withheld` bytes.
+    /// Writes as many buffered bytes as the receiver takes now, but never the last `withheld` bytes.
     ///
     /// # Errors
     /// The receiver's connection is broken.
@@ -80,12 +81,13 @@
         Ok(())
     }
 
-    /// Passes the sender's end on once all before it has been written; whether it did so now.
+    /// Passes the sender's end of stream on to the receiver once all bytes before it have been written.
+    /// Returns whether this call has passed it on.
     pub fn shut_if_drained(&mut self, to: &TcpStream) -> bool {
         let is_due = self.eof && !self.is_shut && !self.is_discarding && self.len() == 0;
         if is_due {
             self.is_shut = true;
-            // It fails only where the receiver has ended as well.
+            // The shutdown fails only if the receiver has closed the connection as well.
             let _ = SockRef::from(to).shutdown(Shutdown::Write);
         }
         is_due
--- a/src/net/connection/response_timer.rs
+++ b/src/net/connection/response_timer.rs
@@ -1,14 +1,16 @@
-//! When a message that an endpoint has not answered counts as slow, and when its endpoint counts as silent.
+//! Decides when a message that an endpoint has not answered is reported as slow, and when the endpoint counts
+//! as silent.
 
 use crate::policy::api::Millis;
 
-/// An endpoint that has left a message unanswered for so long is silent: its client is asked to reconnect.
-/// A client has to be asked within 7 s of the silence, and clients send a message only every 2 s.
+/// An endpoint that leaves a message unanswered for this long counts as silent, and its client is asked to
+/// reconnect. The client has to be asked within 7 s after the endpoint falls silent, and clients send a
+/// message only every 2 s.
 pub const SILENCE_TIMEOUT_MS: Millis = 4500.0;
-/// How often the age of an unanswered message is reported as a round trip.
+/// How often the age of an unanswered message is reported to the core as a round-trip time.
 const SLOW_REPORT_INTERVAL_MS: Millis = 1000.0;
 
-/// When the age of the oldest unanswered message is next due for a report.
+/// Schedules reports of the age of the oldest unanswered message.
 #[derive(Default)]
 pub struct ResponseTimer {
     unanswered_since: Millis,
@@ -16,7 +18,8 @@
 }
 
 impl ResponseTimer {
-    /// When the next report is due for a message unanswered since `unanswered`; `None` where there is none.
+    /// When the next report is due for a message unanswered since `unanswered`; `None` if there is no such
+    /// message.
     pub fn next_report(&mut self, unanswered: Option<Millis>) -> Option<Millis> {
         let since = unanswered?;
         if since != self.unanswered_since {
@@ -26,8 +29,8 @@
         Some(self.next_report)
     }
 
-    /// Whether a report is due; if so, the next one is scheduled, and one for the moment of
-    /// [`SILENCE_TIMEOUT_MS`].
+    /// Whether a report is due. If so, schedules the next report, or an earlier one for the moment at which
+    /// the message's age reaches [`SILENCE_TIMEOUT_MS`].
     pub fn is_due(&mut self, now: Millis) -> bool {
         let is_due = now >= self.next_report;
         if is_due {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The drivers: sockets, timers and buffers round the core. They read, write and wait; they decide nothing.
+//! The drivers, which connect the core ([`crate::relay`]) to sockets and timers. They read, write and wait;
+//! the core makes the decisions.
 //!
 //! Everything runs on one thread. The core's state is one [`RefCell`](std::cell::RefCell), borrowed for the
 //! length of one call and never across an await.
@@ -30,22 +31,23 @@
 use self::shared::Shared;
 use crate::config::{Config, ConfigError};
 
-/// Runs a relay; returns when it cannot start, or has handed over and has nothing left. `load` reads its
-/// configuration anew.
+/// Runs a relay. Returns when the relay can't start, or when it has handed over to a successor process and
+/// has no work left. `load` reads the relay's configuration again.
 ///
 /// # Errors
-/// What keeps it from starting.
+/// The relay can't start, for the reason that the error gives.
 pub fn run(config: Config, load: impl Fn() -> Result<Config, Vec<ConfigError>> + 'static) -> io::Result<()> {
-    // Before anything opens a descriptor, which could have the same number.
+    // The passed socket is taken before anything opens a descriptor, which could otherwise get the same
+    // number.
     let passed = config.passed_socket.map(sandgw_socket_activation::take).transpose();
     let passed = passed.map_err(|e| io::Error::new(e.kind(), format!("PROXY_PASSED_SOCKET: {e}")))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, startup::serve(config, passed, load))
 }
 
-/// Whether a socket could not be had or connected for want of something here: descriptors, memory, ports.
-/// It is no fault of the other side, and nothing was sent.
-fn local_shortage(e: &io::Error) -> bool {
+/// Whether a socket could not be opened or connected because this host lacks a resource, such as descriptors,
+/// memory or ports. Then the other side is not at fault, and nothing was sent.
+fn is_local_shortage(e: &io::Error) -> bool {
     use libc::{EADDRNOTAVAIL, EAGAIN, EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC};
     matches!(e.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM | EADDRNOTAVAIL | EAGAIN | ENOSPC))
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,4 +1,4 @@
-//! A pool of buffers of one size, and reading and writing sockets by them.
+//! A pool of buffers of one size, which read from and write to sockets.
 
 use std::cell::RefCell;
 use std::io::{self, Read};
@@ -9,41 +9,42 @@
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-/// Size of a buffer: holds the longest line twice.
+/// Size of a buffer, which holds the longest line of the line protocol twice.
 pub const BUFFER_BYTES: usize = 8192;
-/// Most bytes that are read at once without the poller: mostly there are none.
+/// Most bytes that one read without the poller takes. It is small since such a read mostly finds no bytes.
 const UNPOLLED_READ_BYTES: usize = 512;
-/// Most free buffers that are kept for later.
+/// Most free buffers that the pool keeps; further ones are deallocated.
 const MAX_FREE_BUFFERS: usize = 1024;
 
-/// Buffers that are not in use.
+/// A pool of buffers that are free to be used again.
 #[derive(Default)]
-pub struct Pool {
+pub struct BufferPool {
     free: RefCell<Vec<BytesMut>>,
 }
 
-impl Pool {
-    /// An empty buffer.
-    pub fn get(self: &Rc<Self>) -> Pooled {
+impl BufferPool {
+    /// Takes an empty buffer from the pool, or allocates one if none is free.
+    pub fn get(self: &Rc<Self>) -> PooledBuffer {
         let free = self.free.borrow_mut().pop();
         let bytes = free.unwrap_or_else(|| BytesMut::with_capacity(BUFFER_BYTES));
-        Pooled { bytes, pool: self.clone() }
+        PooledBuffer { bytes, pool: self.clone() }
     }
 }
 
-/// A buffer that goes back to its pool when dropped.
-pub struct Pooled {
+/// A buffer that returns to its pool when it is dropped.
+pub struct PooledBuffer {
     bytes: BytesMut,
-    pool: Rc<Pool>,
+    pool: Rc<BufferPool>,
 }
 
-impl Pooled {
-    /// How many more bytes it may take from a socket.
+impl PooledBuffer {
+    /// How many more bytes the buffer may take from a socket.
     pub fn spare_capacity(&self) -> usize {
         BUFFER_BYTES.saturating_sub(self.bytes.len())
     }
 
-    /// Reads what a socket has; 0 at its end. Gives `None` where nothing is there to read.
+    /// Reads the bytes that a socket has received, as many as the buffer has room for. Returns their number,
+    /// 0 at the end of the stream, and `None` if there is nothing to read.
     ///
     /// # Errors
     /// The connection is broken.
@@ -57,15 +58,15 @@
         }
     }
 
-    /// As [`Pooled::fill`], but by a system call whatever the poller has reported: its latest report may
-    /// not have been processed yet.
+    /// Reads as [`PooledBuffer::fill`] does, but always makes the system call, whatever the poller has
+    /// reported. The poller's latest report may not have been processed yet.
     ///
     /// # Errors
     /// The connection is broken.
     pub fn fill_unpolled(&mut self, stream: &TcpStream) -> io::Result<Option<usize>> {
         let mut bytes = [0; UNPOLLED_READ_BYTES];
-        let max = self.spare_capacity().min(UNPOLLED_READ_BYTES);
-        match (&*SockRef::from(stream)).read(&mut bytes[..max]) {
+        let max_bytes = self.spare_capacity().min(UNPOLLED_READ_BYTES);
+        match (&*SockRef::from(stream)).read(&mut bytes[..max_bytes]) {
             Ok(read) => {
                 self.bytes.extend_from_slice(&bytes[..read]);
                 Ok(Some(read))
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Writes as much as a socket takes now.
+    /// Writes as many bytes as the socket takes now.
     ///
     /// # Errors
     /// The connection is broken.
@@ -83,7 +84,7 @@
         self.flush_except(stream, 0)
     }
 
-    /// Writes as much as a socket takes now, but for the last `withheld` bytes.
+    /// Writes as many bytes as the socket takes now, but never the last `withheld` bytes.
     ///
     /// # Errors
     /// The connection is broken.
@@ -99,7 +100,7 @@
     }
 }
 
-impl Deref for Pooled {
+impl Deref for PooledBuffer {
     type Target = BytesMut;
 
     fn deref(&self) -> &BytesMut {
@@ -107,13 +108,13 @@
     }
 }
 
-impl DerefMut for Pooled {
+impl DerefMut for PooledBuffer {
     fn deref_mut(&mut self) -> &mut BytesMut {
         &mut self.bytes
     }
 }
 
-impl Drop for Pooled {
+impl Drop for PooledBuffer {
     fn drop(&mut self) {
         let mut free = self.pool.free.borrow_mut();
         if free.len() < MAX_FREE_BUFFERS {
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -3,44 +3,51 @@
 
 use super::*;
 
-/// Bytes and the end that the poller has not told of yet: what a relay that is about to send has to know.
+/// A relay that is about to send to an endpoint has to know whether the client has sent bytes or closed, even
+/// if the poller has not reported that yet.
 #[tokio::test]
-async fn a_look_sees_what_the_poller_has_not_told_yet() {
+async fn fill_unpolled_reads_bytes_and_end_before_the_poller_reports_them() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (mut there, here) =
+    let (mut sender, receiver) =
         tokio::join!(TcpStream::connect(listener.local_addr().unwrap()), listener.accept());
-    let (there, here) = (there.as_mut().unwrap(), here.unwrap().0);
-    let mut buffer = Rc::new(Pool::default()).get();
-    assert_eq!(buffer.fill_unpolled(&here).unwrap(), None);
-    // What it told at first is used up; from here on there is no turn of it in between.
-    assert_eq!(buffer.fill(&here).unwrap(), None);
-    there.try_write(&[b'x'; UNPOLLED_READ_BYTES + 7]).unwrap();
-    assert_eq!(buffer.fill(&here).unwrap(), None, "the poller has been heard: this shows nothing");
-    assert_eq!(buffer.fill_unpolled(&here).unwrap(), Some(UNPOLLED_READ_BYTES));
-    assert_eq!(buffer.fill_unpolled(&here).unwrap(), Some(7));
-    assert_eq!(buffer.fill_unpolled(&here).unwrap(), None);
-    there.shutdown().await.unwrap();
-    assert_eq!(buffer.fill_unpolled(&here).unwrap(), Some(0));
+    let (sender, receiver) = (sender.as_mut().unwrap(), receiver.unwrap().0);
+    let mut buffer = Rc::new(BufferPool::default()).get();
+    assert_eq!(buffer.fill_unpolled(&receiver).unwrap(), None);
+    // This read uses up the poller's first report. The test does not yield to the poller again until it calls
+    // `shutdown`.
+    assert_eq!(buffer.fill(&receiver).unwrap(), None);
+    sender.try_write(&[b'x'; UNPOLLED_READ_BYTES + 7]).unwrap();
+    assert_eq!(
+        buffer.fill(&receiver).unwrap(),
+        None,
+        "the poller has already reported the bytes, so this test proves nothing"
+    );
+    assert_eq!(buffer.fill_unpolled(&receiver).unwrap(), Some(UNPOLLED_READ_BYTES));
+    assert_eq!(buffer.fill_unpolled(&receiver).unwrap(), Some(7));
+    assert_eq!(buffer.fill_unpolled(&receiver).unwrap(), None);
+    sender.shutdown().await.unwrap();
+    assert_eq!(buffer.fill_unpolled(&receiver).unwrap(), Some(0));
     assert_eq!(buffer.len(), UNPOLLED_READ_BYTES + 7);
-    // A poller that is heard later finds nothing left, and the end.
+    // Once the poller reports, no bytes are left to read, only the end of the stream.
     tokio::time::timeout(std::time::Duration::from_secs(10), async {
-        while buffer.fill(&here).unwrap() != Some(0) {
-            here.readable().await.unwrap();
+        while buffer.fill(&receiver).unwrap() != Some(0) {
+            receiver.readable().await.unwrap();
         }
     })
     .await
-    .expect("the end is read");
+    .expect("the buffer did not read the end of the stream within 10 s");
 }
 
-/// A look takes no more than there is room for.
+/// A read without the poller takes no more bytes than the buffer has room for.
 #[tokio::test]
-async fn a_look_is_bounded_by_the_room() {
+async fn fill_unpolled_reads_at_most_the_spare_capacity() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (there, here) = tokio::join!(TcpStream::connect(listener.local_addr().unwrap()), listener.accept());
-    let (there, here) = (there.unwrap(), here.unwrap().0);
-    let mut buffer = Rc::new(Pool::default()).get();
+    let (sender, receiver) =
+        tokio::join!(TcpStream::connect(listener.local_addr().unwrap()), listener.accept());
+    let (sender, receiver) = (sender.unwrap(), receiver.unwrap().0);
+    let mut buffer = Rc::new(BufferPool::default()).get();
     buffer.extend_from_slice(&[b'x'; BUFFER_BYTES - 3]);
-    there.try_write(b"abcdef").unwrap();
-    assert_eq!(buffer.fill_unpolled(&here).unwrap(), Some(3));
+    sender.try_write(b"abcdef").unwrap();
+    assert_eq!(buffer.fill_unpolled(&receiver).unwrap(), Some(3));
     assert_eq!((buffer.spare_capacity(), &buffer[BUFFER_BYTES - 3..]), (0, &b"abc"[..]));
 }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -1,4 +1,4 @@
-//! What the drivers share, and the way from the core's commands to the drivers.
+//! The state that the drivers share, and the dispatch of the core's commands to the drivers.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::HashMap;
@@ -14,7 +14,7 @@
 
 use super::admission::Admission;
 use super::clock::{Clock, span};
-use super::pool::Pool;
+use super::pool::BufferPool;
 use crate::config::Config;
 use crate::discovery::EndpointList;
 use crate::handover::Message;
@@ -22,19 +22,19 @@
 use crate::policy::api::{Millis, RequestId};
 use crate::relay::{Command, ConnectionCommand, Relay};
 
-/// An established connection on its way to the successor process.
+/// An established connection that is being transferred to the successor process.
 pub struct OutgoingTransfer {
-    /// The message that describes it.
+    /// The message that describes the connection to the successor process.
     pub message: Message,
-    /// Its sockets: the client's and the endpoint's.
+    /// The connection's sockets: the client's and the endpoint's.
     pub sockets: [OwnedFd; 2],
 }
 
-/// Established connections on their way to the successor process.
+/// The queue of established connections that are to be transferred to the successor process.
 pub struct TransferQueue {
-    /// The end that connections put themselves into.
+    /// The sending end, which the connections' drivers use.
     pub sender: mpsc::UnboundedSender<OutgoingTransfer>,
-    /// The other end; `None` while a hand-over has it, and once there can be no successor.
+    /// The receiving end; `None` while a hand-over uses it, and once no successor process can follow.
     pub receiver: RefCell<Option<mpsc::UnboundedReceiver<OutgoingTransfer>>>,
 }
 
@@ -46,78 +46,81 @@
     }
 }
 
-/// A bound socket that one process hands to the next.
+/// A bound socket that a process hands over to its successor.
 pub struct InheritableSocket {
-    /// The key of the setting that it was bound for, and its address.
+    /// The key of the setting that the socket was bound for, and the socket's address.
     pub key: String,
     /// The socket.
     pub socket: OwnedFd,
 }
 
-/// What the drivers share. Each [`RefCell`] is borrowed for the length of one call and never across an await.
+/// The state that the drivers share. Each [`RefCell`] is borrowed for the length of one call and never across
+/// an await.
 pub struct Shared {
-    /// The time.
+    /// The clock that the drivers and the core use.
     pub clock: Clock,
-    /// The core.
+    /// The core, which makes all decisions.
     pub relay: RefCell<Relay>,
-    /// Where the core's commands for each connection go.
+    /// For each connection, the sender through which its driver receives the core's commands.
     pub connections: RefCell<HashMap<RequestId, mpsc::UnboundedSender<ConnectionCommand>>>,
-    /// Discovery's list as it was received.
+    /// The endpoint list as it was received from discovery.
     pub endpoint_list: RefCell<EndpointList>,
-    /// Buffers for connections.
-    pub pool: Rc<Pool>,
-    /// The load balancer requests the list.
+    /// The pool of the connections' buffers.
+    pub pool: Rc<BufferPool>,
+    /// Notified when the load balancer requests the endpoint list.
     pub list_requested: Notify,
-    /// Discovery is at another address.
+    /// Notified when the configured address of discovery has changed.
     pub discovery_address_changed: Notify,
     /// The socket for datagrams between relays.
     pub peers: OnceCell<UdpSocket>,
-    /// Translates between peers' messages and datagrams, where the configuration turns schema versions on.
+    /// Translates between peers' messages and datagrams; `None` if the configuration does not turn schema
+    /// versions on.
     pub peer_channel: Option<RefCell<VersionedChannel>>,
-    /// The version that the cluster writes may have changed.
+    /// Notified when the schema version that the cluster writes may have changed.
     pub version_changed: Notify,
-    /// It is logged that the cluster has finalized a version that this process can't read.
+    /// Whether the log already says that the cluster has finalized a schema version that this process can't
+    /// read.
     pub is_unreadable_version_logged: Cell<bool>,
     /// Counts the descriptors of connections.
     pub admission: Rc<Admission>,
-    /// Whether this process takes clients and datagrams, or another one does.
+    /// Whether this process accepts clients and datagrams; if not, another process of this relay does.
     pub accepting: watch::Sender<bool>,
-    /// The predecessor process still finishes what it has.
+    /// Whether the predecessor process still serves its remaining connections.
     pub is_predecessor_running: Cell<bool>,
-    /// SIGTERM was received.
+    /// Whether SIGTERM was received.
     pub is_terminated: Cell<bool>,
-    /// Nothing is left to do for a process that has handed over.
+    /// Notified when a process that has handed over has nothing left to do.
     pub finished: Notify,
-    /// Established connections on their way to the successor process.
+    /// The established connections that are to be transferred to the successor process.
     pub transfers: TransferQueue,
-    /// The sockets that a successor process gets.
+    /// The sockets that a successor process inherits.
     pub inheritable_sockets: RefCell<Vec<InheritableSocket>>,
-    /// Writes affinity to the store, where there is a folder for it.
+    /// Writes client affinity to the store; `None` if no folder is configured for the store.
     pub store_writer: Option<Writer>,
-    /// Maintenance windows, where the configuration has a section for them.
+    /// The maintenance windows; `None` if the configuration has no section for them.
     pub maintenance: Option<RefCell<MaintenanceService>>,
-    /// The configuration as it was read last, less what takes effect only at the next start.
+    /// The configuration as it was last read, without the changes that take effect only at the next start.
     pub config: RefCell<Config>,
-    /// What the line protocol accepts.
+    /// The rules of the line protocol, with the names that it accepts.
     pub line_rules: Rc<LineRules>,
 }
 
 impl Shared {
-    /// Calls the core and carries out its commands.
+    /// Calls the core, then carries out the commands that the call has produced.
     pub fn core<T>(self: &Rc<Self>, call: impl FnOnce(&mut Relay, Millis) -> T) -> T {
         let now = self.clock.now();
         let result = call(&mut self.relay.borrow_mut(), now);
-        self.settle();
+        self.run_pending_commands();
         result
     }
 
-    /// When a client that is rejected for want of descriptors is to retry.
+    /// After how long a client that is rejected for want of descriptors should retry.
     pub fn retry_after(&self) -> Option<Millis> {
         self.config.borrow().settings.max_retry_after
     }
 
-    /// Carries out the core's commands.
-    pub fn settle(self: &Rc<Self>) {
+    /// Carries out the commands that the core has produced and not yet given out.
+    pub fn run_pending_commands(self: &Rc<Self>) {
         let commands = self.relay.borrow_mut().take_commands();
         for command in commands {
             self.run_command(command);
@@ -127,7 +130,7 @@
     fn run_command(self: &Rc<Self>, command: Command) {
         match command {
             Command::Connection(id, command) => {
-                // A connection whose driver has ended needs no command.
+                // A command for a connection whose driver has ended is dropped.
                 let _ = self.connections.borrow().get(&id).map(|connection| connection.send(command));
             }
             Command::SetTimer { after, token } => {
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -1,7 +1,7 @@
-//! Opens the sockets that clients, relays and managers reach this relay by.
+//! Opens the sockets at which clients, other relays and SNMP managers reach this relay.
 //!
-//! A socket is inherited from the predecessor process where it had one at the same address, passed by the
-//! platform, or bound.
+//! A socket is inherited from the predecessor process if that process had a socket for the same setting and
+//! address; otherwise it is bound. The platform may pass the line protocol's listener to the process instead.
 
 use std::cell::Ref;
 use std::io;
@@ -15,23 +15,23 @@
 use super::shared::{InheritableSocket, Shared};
 use crate::config::Config;
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1024;
+/// Most connections that the system queues until they are accepted.
+const LISTEN_BACKLOG: u32 = 1024;
 
-/// The sockets that are opened; the one for datagrams between relays is shared.
+/// The opened sockets, except for the socket for datagrams between relays, which is in [`Shared`].
 pub struct Sockets {
-    /// Clients of the line protocol.
+    /// Listener for clients of the line protocol.
     pub line: Option<TcpListener>,
-    /// Clients of RTMP.
+    /// Listener for clients of RTMP.
     pub rtmp: Option<TcpListener>,
-    /// The SNMP agent's managers.
+    /// The SNMP agent's socket, at which managers send their queries.
     pub agent: Option<UdpSocket>,
 }
 
-/// Opens all sockets but the operators'.
+/// Opens all sockets except for the operators' listener.
 ///
 /// # Errors
-/// One of them can't be bound or used; the text names the setting.
+/// A socket can't be bound or used; the error's text names the setting.
 pub fn open(
     shared: &Rc<Shared>,
     passed: Option<std::net::TcpListener>,
@@ -43,23 +43,24 @@
     let rtmp_address = opener.config.rtmp.as_ref().map(|rtmp| rtmp.listen);
     let rtmp = rtmp_address.map(|address| opener.listener("rtmp.listen", address)).transpose()?;
     let agent_address = opener.config.snmp.as_ref().map(|snmp| snmp.listen);
-    let agent = agent_address.map(|address| opener.datagrams("snmp.listen", address)).transpose()?;
+    let agent = agent_address.map(|address| opener.datagram_socket("snmp.listen", address)).transpose()?;
     if let Some(address) = opener.config.peer_listen {
-        let _ = shared.peers.set(opener.datagrams("peer_listen", address)?);
+        let _ = shared.peers.set(opener.datagram_socket("peer_listen", address)?);
     }
     Ok(Sockets { line, rtmp, agent })
 }
 
-/// Binds and listens.
+/// Binds a listener at an address.
 ///
 /// # Errors
 /// The system refuses the address.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A planned restart comes back to the same address while old connections still linger.
+    // After a planned restart the relay binds the same address again while the system still holds old
+    // connections at it.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 struct SocketOpener<'a> {
@@ -69,7 +70,8 @@
 }
 
 impl SocketOpener<'_> {
-    /// The line protocol's listener; one that the platform passed goes before the configured address.
+    /// Opens the line protocol's listener. A socket that the platform passed takes precedence over the
+    /// configured address.
     fn line(&mut self, passed: Option<std::net::TcpListener>) -> io::Result<Option<TcpListener>> {
         let configured = self.config.listen;
         let Some(passed) = passed else {
@@ -92,7 +94,7 @@
         Ok(listener)
     }
 
-    fn datagrams(&mut self, setting: &str, address: SocketAddr) -> io::Result<UdpSocket> {
+    fn datagram_socket(&mut self, setting: &str, address: SocketAddr) -> io::Result<UdpSocket> {
         let socket = match self.take_inherited(setting, address) {
             Some(socket) => socket.into(),
             None => std::net::UdpSocket::bind(address).map_err(|e| with_setting(setting, e))?,
@@ -122,7 +124,7 @@
     format!("{setting} {address}")
 }
 
-/// The error with the setting that it is of.
+/// Adds the key of the setting that an error concerns to its text.
 pub fn with_setting(setting: &str, error: io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{setting}: {error}"))
 }
