--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -1,5 +1,5 @@
-//! Drives the durable store of clients and groups: opens and reads it before anything is served, then
-//! writes behind.
+//! Drives the durable affinity store of clients and groups: opens and reads the store before anything is
+//! served, and writes later changes to it in the background (write-behind).
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,26 +16,27 @@
 use crate::policy::api::Millis;
 use crate::relay::Relay;
 
-/// Most entries taken from the core at a time, so that it is not blocked for longer than that takes.
+/// Most entries that are taken from the core at a time: the core is blocked while they are taken.
 const BATCH_ENTRIES: usize = 4096;
 /// Interval between removals of old entries from the store.
 const PRUNE_INTERVAL_MS: Millis = 600_000.0;
 
-/// A folder and its store, as it was opened.
+/// A folder and the store that was opened in it.
 pub struct OpenedFolder {
     folder: PathBuf,
-    /// `None` where the disk failed.
+    /// `None` where the store could not be opened because the disk failed.
     store: Option<Store>,
-    /// The version below which the store may not go.
+    /// The schema version at which the store is finalized: its file may not be migrated below it.
     pub finalized: SchemaVersion,
 }
 
-/// Opens the store. A damaged file is set aside, and a disk that fails is retried later: the relay starts
-/// without what they hold.
+/// Opens the store. A damaged file is set aside, and a disk that fails is retried later: in both cases the
+/// relay starts without the stored entries.
 ///
 /// # Errors
-/// Where the operator has to act: the folder can't be used or is in use, or the file is of a newer version,
-/// or finalized at a version over `newest_allowed`. The file is left as it is.
+/// Cases in which the operator has to act: the folder can't be used, another process has the store open, or
+/// the file has a schema version that this program can't read or is finalized at one above `newest_allowed`.
+/// The file is left unchanged.
 pub fn open(folder: &Path, newest_allowed: SchemaVersion) -> io::Result<OpenedFolder> {
     let opened = |store, finalized| OpenedFolder { folder: folder.to_owned(), store, finalized };
     match open_store(folder, newest_allowed) {
@@ -47,13 +48,13 @@
             | StoreError::Finalized { .. }),
         ) => Err(io::Error::other(format!("{}: {e}; {}", folder.display(), e.help()))),
         Err(e) => {
-            error!("state.folder: {}: {e}; starting without it", folder.display());
+            error!("state.folder: {}: {e}; starting without the store's entries", folder.display());
             Ok(opened(None, SchemaVersion::FIRST))
         }
     }
 }
 
-/// Opens the store and reads the version at which it is finalized.
+/// Opens the store and reads the schema version at which it is finalized.
 fn open_store(folder: &Path, newest_allowed: SchemaVersion) -> Result<(Store, SchemaVersion), StoreError> {
     let store = Store::open(folder).map(Opened::log_set_aside)?;
     let finalized = check_finalized(&store, newest_allowed)?;
@@ -69,13 +70,13 @@
     supported.ok_or(StoreError::Finalized { finalized, newest_allowed: newest_allowed.number().into() })
 }
 
-/// Hands the store's content to the core and starts the writing thread.
+/// Loads the store's entries into the core and starts the thread that writes to the store.
 ///
 /// # Errors
-/// Where the thread can't be started.
+/// The thread can't be started.
 pub fn restore(opened: OpenedFolder, relay: &mut Relay, now: Millis) -> io::Result<Writer> {
     let mut restored = RestoreSummary::default();
-    // One record at a time: a folder may hold more than fits into memory.
+    // Records are restored one at a time: a store may hold more of them than fit into memory.
     let load =
         |store: &Store| store.load(|record| restored += relay.restore_affinity(now, std::iter::once(record)));
     if let Some(loaded) = opened.store.as_ref().map(load) {
@@ -93,13 +94,13 @@
             warn!("state.folder: {} damaged entries are passed over", loaded.damaged);
         }
         Ok(_) => {}
-        Err(e) => error!("state.folder: {e}; starting with what could be read"),
+        Err(e) => error!("state.folder: {e}; starting with the entries that could be read"),
     }
 }
 
 fn log_restored(restored: &RestoreSummary) {
     info!(
-        "state.folder: {} entries taken, {} too old, {} without room; they count once their endpoints are listed",
+        "state.folder: {} entries taken, {} too old, {} without room; an entry counts once its endpoint is listed",
         restored.accepted, restored.expired, restored.rejected
     );
     if restored.in_future > 0 {
@@ -110,7 +111,8 @@
     }
 }
 
-/// Writes behind for as long as the program runs.
+/// Writes the core's changes to the store at the configured interval and removes old entries from it, for as
+/// long as the program runs. Does nothing where the configuration names no store.
 pub async fn write_behind(shared: Rc<Shared>) {
     let Some(writer) = &shared.store_writer else { return };
     let Some(flush) = shared.config.borrow().state.as_ref().map(|state| state.flush) else { return };
@@ -133,8 +135,8 @@
     }
 }
 
-/// Hands all changes to the writer. A batch that its queue has no room for is kept in `unsent` for the next
-/// time, and later changes stay in the tables meanwhile.
+/// Passes all changes to the writer, batch by batch. Where the writer's queue is full, the batch is kept in
+/// `unsent` for the next call, and later changes stay in the core's tables until then.
 async fn write_changes(shared: &Shared, writer: &Writer, unsent: &mut Option<Changes>, now: Millis) {
     loop {
         let batch = unsent
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,7 +1,8 @@
-//! Drives the subscription to discovery's list: calls it whenever the load balancer requests the list.
+//! Drives the subscription to the endpoint list: calls discovery whenever the load balancer requests the
+//! list.
 //!
-//! The answers go to the core; when a call follows a failed one is decided by `crate::discovery` and by the
-//! core. Each call has a connection of its own.
+//! Answers are passed to the core. `crate::discovery` and the core decide when a failed call is followed by
+//! another. Each call uses a new connection.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -18,61 +19,62 @@
 use crate::policy::api::{Discovery, EndpointEntry, ListKind, Millis};
 use crate::relay::Relay;
 
-/// Shortest time between two subscriptions that broke and were renewed without the load balancer's pause.
-/// Otherwise a service that answers calls and breaks every subscription would be called without end.
+/// Shortest time between two renewals of a broken subscription that skip the load balancer's backoff. Without
+/// this limit, a discovery service that answers calls but breaks every subscription would be called in a
+/// loop.
 const MIN_RENEWAL_INTERVAL_MS: Millis = 3000.0;
 
-/// A call that fails sooner than this after it was made did not wait for its turn: there is no service.
+/// A call that fails sooner than this was not queued by an overloaded service: discovery is unreachable.
 const MIN_QUEUED_MS: Millis = 100.0;
 
-/// The entries of an answer.
+/// An answer of discovery: a part of the endpoint list, or all of it.
 struct ListAnswer {
     kind: ListKind,
     entries: Vec<EndpointEntry>,
 }
 
-/// How a call has ended.
-enum CallEnd {
+/// How a call ended.
+enum CallOutcome {
     Answered(ListAnswer),
     Failed(FailedCall),
-    /// Discovery is at another address: the call is given up, since it would go on for seconds at the old
-    /// one.
+    /// The address of discovery has changed. The call is cancelled, since it could last for seconds more at
+    /// the old address.
     AddressChanged,
 }
 
-/// A call without a list.
+/// A call that brought no list.
 struct FailedCall {
     error: CallError,
-    /// Whether the call was a watch.
+    /// Whether discovery was to hold the call until the list changes.
     is_watch: bool,
-    /// The connection came up.
+    /// Whether the connection to discovery was opened.
     has_connected: bool,
     elapsed: Millis,
 }
 
 impl FailedCall {
-    /// Whether discovery could not be reached: the connection did not come up or was turned away at once,
-    /// or a call that discovery was not to hold had no answer at all. One that is turned away after a wait
-    /// has reached a service that is crowded.
-    fn shows_outage(&self) -> bool {
-        let is_turned_away =
+    /// Whether the failure means that discovery is unreachable: no connection was opened, the call broke off
+    /// or was refused at once, or a call that discovery was not to hold got no answer within its time limit.
+    /// A call that is refused only after a wait has reached a service that is overloaded.
+    fn indicates_outage(&self) -> bool {
+        let is_broken_or_refused =
             matches!(self.error, CallError::Io(_) | CallError::Cut(_) | CallError::Status(_));
         let is_unanswered = matches!(self.error, CallError::Late) && !self.is_watch;
-        !self.has_connected || is_turned_away && self.elapsed < MIN_QUEUED_MS || is_unanswered
+        !self.has_connected || is_broken_or_refused && self.elapsed < MIN_QUEUED_MS || is_unanswered
     }
 }
 
-/// What follows a call.
+/// What the driver does after a call.
 #[derive(PartialEq)]
 enum NextStep {
     CallAgain,
-    /// The load balancer decides when the next call is made.
+    /// The load balancer requests the list when the next call is due.
     WaitForRequest,
 }
 
-/// Calls whenever the load balancer requests the list, until a call fails; and at once where discovery has
-/// moved. Where lists are pushed the load balancer requests nothing: an agent on this machine has the list,
-/// and is called all the time.
+/// Calls discovery whenever the load balancer requests the list, and at once when the address of discovery
+/// changes. Calls follow each other until one fails. Where lists are pushed, the load balancer requests none:
+/// an agent on this machine has the list, and is called continuously.
 pub async fn watch(shared: Rc<Shared>) {
     let mut subscription = Subscription::new(shared);
     if subscription.is_pushed() {
@@ -83,16 +85,17 @@
             () = subscription.shared.list_requested.notified() => false,
             () = subscription.shared.discovery_address_changed.notified() => true,
         };
-        // The next call follows an answer at once: within 200 ms it continues the same subscription.
+        // The next call is made as soon as an answer is handled: within 200 ms, the call continues the same
+        // subscription.
         while subscription.call_once().await == NextStep::CallAgain {}
     }
 }
 
 struct Subscription {
     shared: Rc<Shared>,
-    /// Discovery is at another address, and has not answered there yet.
+    /// Whether the address of discovery has changed and discovery has not answered at the new one yet.
     is_address_new: bool,
-    /// When a subscription was renewed last without the load balancer's pause.
+    /// When a subscription was last renewed without the load balancer's backoff.
     last_renewal: Millis,
 }
 
@@ -105,7 +108,7 @@
         self.shared.config.borrow().settings.discovery == Discovery::Pushed
     }
 
-    /// Makes one call and takes its answer.
+    /// Makes one call and handles its answer or its failure.
     async fn call_once(&mut self) -> NextStep {
         let address = self.shared.config.borrow().discovery;
         let request = self.shared.endpoint_list.borrow_mut().next_request();
@@ -113,13 +116,13 @@
         let is_watch = self.shared.endpoint_list.borrow().is_watch();
         let requested_at = self.shared.clock.now();
         let has_connected = Cell::new(false);
-        let ended = tokio::select! {
+        let outcome = tokio::select! {
             biased;
-            () = self.shared.discovery_address_changed.notified() => CallEnd::AddressChanged,
+            () = self.shared.discovery_address_changed.notified() => CallOutcome::AddressChanged,
             answer = timeout(limit, call(&self.shared, address, &request, &has_connected)) => {
                 match answer.unwrap_or(Err(CallError::Late)) {
-                    Ok(answer) => CallEnd::Answered(answer),
-                    Err(error) => CallEnd::Failed(FailedCall {
+                    Ok(answer) => CallOutcome::Answered(answer),
+                    Err(error) => CallOutcome::Failed(FailedCall {
                         error,
                         is_watch,
                         has_connected: has_connected.get(),
@@ -128,20 +131,20 @@
                 }
             }
         };
-        match ended {
-            CallEnd::AddressChanged => {
+        match outcome {
+            CallOutcome::AddressChanged => {
                 self.is_address_new = true;
                 NextStep::CallAgain
             }
-            CallEnd::Answered(answer) => {
+            CallOutcome::Answered(answer) => {
                 self.is_address_new = false;
                 self.handle_answer(answer, requested_at);
                 NextStep::CallAgain
             }
-            CallEnd::Failed(failed) => {
+            CallOutcome::Failed(failed) => {
                 let FailedCall { error, elapsed, .. } = &failed;
                 warn!("discovery at {address}: {error}, after {elapsed:.0} ms; {}", error.help());
-                let poll_failed = if failed.shows_outage() {
+                let poll_failed = if failed.indicates_outage() {
                     Relay::discovery_unreachable
                 } else {
                     Relay::discovery_poll_failed
@@ -155,9 +158,12 @@
     fn handle_answer(&self, answer: ListAnswer, requested_at: Millis) {
         let ListAnswer { kind, entries } = answer;
         let elapsed = self.shared.clock.now() - requested_at;
-        debug!("list: {kind:?}, {} entries after {elapsed:.0} ms", entries.len());
+        debug!("endpoint list: {kind:?}, {} entries after {elapsed:.0} ms", entries.len());
         for entry in &entries {
-            debug!("list: {} {:?} size {} in {}", entry.id.0, entry.state, entry.weight, entry.zone.0);
+            debug!(
+                "endpoint list: {} {:?}, size {}, zone {}",
+                entry.id.0, entry.state, entry.weight, entry.zone.0
+            );
         }
         self.shared.handle_list_update(kind, entries, requested_at);
         self.shared.core(Relay::discovery_answered);
@@ -166,28 +172,29 @@
     async fn handle_failure(&mut self, error: &CallError) -> NextStep {
         let was_subscribed = self.shared.endpoint_list.borrow_mut().poll_failed();
         if self.is_address_new || self.is_pushed() {
-            // An agent's list counts as known. After a move, the load balancer may have backed off from the
-            // old address for longer than there is time.
+            // The list of an agent counts as known, so the load balancer requests no call after a failure.
+            // After a change of address, the load balancer's backoff from failures at the old address may be
+            // longer than the relay can wait for a list.
             sleep(span(RETRY_MS)).await;
             return NextStep::CallAgain;
         }
-        // A call that has timed out has taken its time already.
-        let is_silent = matches!(error, CallError::Late);
+        // The time limit of a call is already a pause, so `MIN_RENEWAL_INTERVAL_MS` is not applied after it.
+        let is_timeout = matches!(error, CallError::Late);
         let now = self.shared.clock.now();
-        if was_subscribed && (is_silent || now - self.last_renewal > MIN_RENEWAL_INTERVAL_MS) {
+        if was_subscribed && (is_timeout || now - self.last_renewal > MIN_RENEWAL_INTERVAL_MS) {
             self.last_renewal = now;
-            self.renew(is_silent).await;
+            self.pause_before_renewal(is_timeout).await;
             return NextStep::CallAgain;
         }
         self.shared.core(|relay, now| relay.apply_list(now, ListKind::Failed, Vec::new()));
         NextStep::WaitForRequest
     }
 
-    /// Begins a subscription anew after a pause. The service may be well: a change that a silent or broken
-    /// subscription hides has to be known soon.
-    async fn renew(&mut self, is_silent: bool) {
+    /// Pauses before the subscription is renewed. Discovery may well be healthy, and the relay has to learn
+    /// soon of list changes that a silent or broken subscription did not deliver.
+    async fn pause_before_renewal(&mut self, is_timeout: bool) {
         let relay_count = self.shared.config.borrow().settings.relay_count;
-        let pause = span(self.shared.endpoint_list.borrow_mut().renewal_delay(relay_count, is_silent));
+        let pause = span(self.shared.endpoint_list.borrow_mut().renewal_delay(relay_count, is_timeout));
         self.shared.core(Relay::subscription_lost);
         tokio::select! {
             () = self.shared.discovery_address_changed.notified() => self.is_address_new = true,
@@ -196,14 +203,15 @@
     }
 }
 
-/// Calls discovery; says beside the answer whether the connection has come up.
+/// Makes one call to discovery, and sets `has_connected` once the connection is open.
 async fn call(
     shared: &Shared,
     address: SocketAddr,
     path: &str,
     has_connected: &Cell<bool>,
 ) -> Result<ListAnswer, CallError> {
-    // A connection for each call: a reused one that discovery has dropped would fail a call needlessly.
+    // Each call opens a connection: a call over a reused connection that discovery has closed would fail
+    // needlessly.
     let stream = TcpStream::connect(address).await?;
     has_connected.set(true);
     let body = fetch(stream, &address.to_string(), path).await?;
--- a/src/net/http_call.rs
+++ b/src/net/http_call.rs
@@ -1,8 +1,8 @@
-//! One call of discovery: HTTP/1.1 by hyper, over any stream of bytes and on the caller's task.
+//! One HTTP/1.1 call to discovery, made with hyper over any byte stream and on the caller's task.
 //!
-//! Given a connection that is open and a path, it gives the body of the response, whole and of bounded
-//! length, or says why there is none. It opens no connection, keeps none, and starts no task; time limits
-//! are the caller's.
+//! [`fetch`] takes an open connection and a path, and returns the complete body of the response, up to a
+//! length limit, or the error. This module opens no connection, keeps none open, and starts no task. The
+//! caller applies time limits.
 
 use std::error::Error;
 use std::io;
@@ -18,11 +18,11 @@
 
 use crate::discovery::{ANSWER_BYTES, CallError};
 
-/// Makes one call over a new connection; the body of the response, once it is whole.
+/// Makes one call over a new connection and returns the complete body of the response.
 ///
 /// # Errors
-/// Why there is no such body: the connection broke, or what was received is cut, too long, or no good
-/// response.
+/// The connection broke, or the response is truncated, longer than [`ANSWER_BYTES`], not HTTP, or has a
+/// status other than 200.
 pub(crate) async fn fetch(
     stream: impl AsyncRead + AsyncWrite + Unpin,
     host: &str,
@@ -38,13 +38,14 @@
             return Err(CallError::Status(response.status().as_u16()));
         }
         let body = Limited::new(response.into_body(), ANSWER_BYTES).collect().await;
-        body.map(|whole| whole.to_bytes()).map_err(|e| match e.downcast_ref::<hyper::Error>() {
+        body.map(|collected| collected.to_bytes()).map_err(|e| match e.downcast_ref::<hyper::Error>() {
             Some(e) => call_error(e, "body"),
             None if e.is::<LengthLimitError>() => CallError::TooLong,
             None => CallError::NotHttp(e.to_string()),
         })
     });
-    // The connection carries the bytes, and its error reaches the call.
+    // Polling the connection moves the bytes. Its error is ignored here, since `response` returns the same
+    // error.
     tokio::select! {
         biased;
         response = &mut response => return response,
@@ -53,12 +54,12 @@
     response.await
 }
 
-/// Distinguishes a response that was cut, one that is not HTTP, and a connection that broke.
+/// Converts an error of hyper: the response was truncated or is not HTTP, or the connection broke.
 fn call_error(e: &hyper::Error, part: &'static str) -> CallError {
-    if cause::<hyper::Error>(e, hyper::Error::is_incomplete_message).is_some() {
+    if find_source::<hyper::Error>(e, hyper::Error::is_incomplete_message).is_some() {
         return CallError::Cut(part);
     }
-    let Some(io) = cause::<io::Error>(e, |_| true) else {
+    let Some(io) = find_source::<io::Error>(e, |_| true) else {
         return CallError::NotHttp(e.to_string());
     };
     match io.kind() {
@@ -68,8 +69,8 @@
     }
 }
 
-/// The first of an error and its sources that is of a type and matches.
-fn cause<'a, E: Error + 'static>(
+/// Returns the first in the chain of an error and its sources that has type `E` and matches.
+fn find_source<'a, E: Error + 'static>(
     e: &'a (dyn Error + 'static),
     matches: impl Fn(&E) -> bool,
 ) -> Option<&'a E> {
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -1,6 +1,6 @@
-//! Drives the service for maintenance windows: it is fed the list of endpoints, datagrams,
-//! operators' calls and the time, and its messages are sent and its events logged. Nothing of it
-//! runs where the configuration has no section for it.
+//! Drives the maintenance service, which grants maintenance windows: passes the endpoint list, datagrams,
+//! operators' calls and the time to the service, sends its messages and logs its events. Where the
+//! configuration has no section for maintenance, there is no service.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,18 +18,20 @@
 use crate::policy::api::{EndpointEntry, EndpointState, ListKind, Millis};
 use crate::relay::operator_calls::OperatorCallError;
 
-/// How long a call waits at most for the leader's decision. Its reply says so where there is none by then.
-const MAX_CALL_WAIT_MS: Millis = 3000.0;
-/// How often it is checked meanwhile whether the leader has decided.
+/// Longest time that a call waits for the leader's decision. After it, the reply says that the window is
+/// still undecided.
+const MAX_DECISION_WAIT_MS: Millis = 3000.0;
+/// How often a waiting call checks whether the leader has decided.
 const DECISION_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The number of ticks in a lease.
+/// The number of ticks of the service in a lease.
 const TICKS_PER_LEASE: WholeMillis = 60;
-/// The shortest and the longest time between ticks.
+/// The shortest and the longest interval between ticks.
 const MIN_TICK_MS: WholeMillis = 10;
 const MAX_TICK_MS: WholeMillis = 500;
 
-/// The service, where the configuration has a section for it. `now` is in milliseconds.
-pub fn service(config: &Config, now: Millis) -> Option<MaintenanceService> {
+/// Creates the maintenance service; `None` where the configuration has no section for it. `now` is in
+/// milliseconds.
+pub fn create_service(config: &Config, now: Millis) -> Option<MaintenanceService> {
     let section = config.maintenance.as_ref()?;
     let service_config = ServiceConfig {
         local_index: config.settings.local_index,
@@ -43,8 +45,8 @@
 }
 
 impl Shared {
-    /// Runs a step of the service, then sends its messages and logs its events; `None` where there
-    /// is no service.
+    /// Runs a step of the service, then sends its messages and logs its events. Returns `None` where there is
+    /// no service.
     fn with_maintenance<T>(&self, step: impl FnOnce(&mut MaintenanceService, WholeMillis) -> T) -> Option<T> {
         let mut service = self.maintenance.as_ref()?.borrow_mut();
         let result = step(&mut service, self.clock.now() as WholeMillis);
@@ -57,8 +59,8 @@
         Some(result)
     }
 
-    /// Passes an update of the list to the service and to the core; `requested_at` is when the call
-    /// was made that it answers.
+    /// Passes an update of the endpoint list to the maintenance service and to the core. `requested_at` is
+    /// when discovery was called for the update.
     pub(super) fn handle_list_update(
         self: &Rc<Self>,
         kind: ListKind,
@@ -78,7 +80,7 @@
         });
     }
 
-    /// Handles a datagram if it is about maintenance windows. Returns whether it was.
+    /// Handles a datagram if it is about maintenance windows, and returns whether it is.
     pub(super) fn handle_maintenance_datagram(&self, peer: u32, datagram: &[u8]) -> bool {
         let text = std::str::from_utf8(datagram).ok().filter(|text| text.starts_with(codec::PREFIX));
         let Some(text) = text.filter(|_| self.maintenance.is_some()) else { return false };
@@ -87,11 +89,11 @@
         true
     }
 
-    /// Carries out an operator's call. A request or an extension waits a little for the leader's
-    /// decision, so that most replies have it.
+    /// Carries out an operator's call about maintenance windows. The reply to a request or an extension is
+    /// held until the leader has decided, for `MAX_DECISION_WAIT_MS` at most, so that most replies state the
+    /// decision.
     ///
     /// # Errors
-    ///
     /// The reason why the call was not carried out.
     pub(super) async fn window_call(&self, call: Call) -> Result<String, OperatorCallError> {
         if self.relay.borrow().is_handed_over() {
@@ -101,27 +103,27 @@
         let handled = self.with_maintenance(|service, now| service.handle_call(now, call));
         let window =
             handled.ok_or(OperatorCallError::Unknown)?.map_err(OperatorCallError::MaintenanceWindow)?;
-        let Some(id) = window else { return Ok(self.all_windows()) };
+        let Some(id) = window else { return Ok(self.describe_all_windows()) };
         if awaits_decision {
             self.wait_for_decision(id).await;
         }
-        Ok(self.one_window(id))
+        Ok(self.describe_window(id))
     }
 
     async fn wait_for_decision(&self, id: WindowId) {
-        let deadline = self.clock.now() + MAX_CALL_WAIT_MS;
+        let deadline = self.clock.now() + MAX_DECISION_WAIT_MS;
         let is_undecided = || self.with_maintenance(|service, _| service.is_undecided(id)).unwrap_or(false);
         while self.clock.now() < deadline && is_undecided() {
             tokio::time::sleep(DECISION_POLL_INTERVAL).await;
         }
     }
 
-    fn one_window(&self, id: WindowId) -> String {
+    fn describe_window(&self, id: WindowId) -> String {
         let row = self.with_maintenance(|service, now| service.window_row(id, now)).flatten();
         row.map_or_else(|| format!("{id} closed"), |row| format_row(&row))
     }
 
-    fn all_windows(&self) -> String {
+    fn describe_all_windows(&self) -> String {
         let reply = self.with_maintenance(|service, now| {
             let mut parts = vec![service.describe_remaining(now)];
             parts.extend(service.alarms(now));
@@ -146,13 +148,13 @@
             _ => plan.upsert_endpoint(&planned_endpoint(entry)),
         }
     }
-    // A stored list may be old.
+    // A cached list may be out of date, so the plan does not count as confirmed by it.
     if matches!(kind, ListKind::Full | ListKind::Delta) {
         plan.confirm_list(now);
     }
 }
 
-/// An entry of the list as the plan takes it, with its capacity in thousandths.
+/// Converts an entry of the endpoint list for the capacity plan, which counts capacity in thousandths.
 fn planned_endpoint(entry: &EndpointEntry) -> Endpoint {
     Endpoint {
         id: entry.id.0.to_string(),
@@ -163,7 +165,7 @@
     }
 }
 
-/// Ticks the service for as long as the program runs, while it serves.
+/// Ticks the maintenance service whenever this process accepts clients, for as long as the program runs.
 pub async fn run_ticks(shared: Rc<Shared>) {
     let lease = shared.config.borrow().maintenance.as_ref().map(|section| section.timing.lease);
     let Some(lease) = lease else { return };
--- a/src/net/operators.rs
+++ b/src/net/operators.rs
@@ -1,7 +1,8 @@
-//! Drives the operators' address: a few callers at a time, each with one line in and one line out.
+//! Serves the operators' address: each caller sends one line, the call, and gets one line, the reply. Only a
+//! few callers are served at a time.
 //!
-//! Operators are answered also when the process has no descriptor left: one is kept in reserve, and a
-//! caller that is least likely to send its call soon makes room for another.
+//! Operators get replies even when the process has no descriptor left: one descriptor is kept in reserve, and
+//! the caller that is least likely to send its call soon is evicted to make room for another.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,33 +29,33 @@
 
 /// How long a caller may take to send its call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long the reply may take to be written, and the caller to close after it.
-const LINGER: Duration = Duration::from_millis(500);
-/// Most bytes that are read of a caller that has to make room.
+/// How long writing the reply and waiting for the caller to close may take together.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Most bytes that are read from an evicted caller after its reply.
 const MAX_DRAIN_BYTES: usize = 16 * MAX_CALL_BYTES;
 
-/// How far a caller has come, in the order in which callers make room.
+/// How far a caller has got with its call. Callers are evicted in the order of these variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Progress {
     Answered,
-    Silent,
-    Begun,
+    NothingReceived,
+    PartlyReceived,
 }
 
-/// A caller that is connected.
+/// A connected caller.
 struct Caller {
     progress: Progress,
     eviction: Rc<Notify>,
 }
 
-/// The callers that are connected, by the order in which they came.
+/// The connected callers, keyed by ids that grow in the order of their arrival.
 #[derive(Default)]
 struct Callers(RefCell<BTreeMap<u64, Caller>>);
 
 impl Callers {
     fn insert(&self, id: u64) -> Rc<Notify> {
         let eviction = Rc::new(Notify::new());
-        let caller = Caller { progress: Progress::Silent, eviction: eviction.clone() };
+        let caller = Caller { progress: Progress::NothingReceived, eviction: eviction.clone() };
         self.0.borrow_mut().insert(id, caller);
         eviction
     }
@@ -71,8 +72,8 @@
         self.0.borrow().len() >= MAX_OPERATOR_CALLERS
     }
 
-    /// Evicts one: a caller that has its reply, or else the oldest that has sent nothing, or a part of a
-    /// call.
+    /// Evicts one caller: the oldest of those that have their reply, else of those that have sent nothing,
+    /// else of those that have sent a part of their call.
     fn evict(&self) {
         let mut callers = self.0.borrow_mut();
         let first = callers.iter().min_by_key(|(id, caller)| (caller.progress, **id)).map(|(id, _)| *id);
@@ -82,7 +83,7 @@
     }
 }
 
-/// A descriptor that is closed when the process has none left for a caller.
+/// A spare descriptor, which is closed to accept a caller when the process has no other descriptor left.
 #[derive(Default)]
 struct Reserve(RefCell<Option<OwnedFd>>);
 
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Closes the descriptor; whether there was one.
+    /// Closes the spare descriptor. Returns whether there was one.
     fn close(&self) -> bool {
         self.0.take().is_some()
     }
@@ -104,8 +105,8 @@
     }
 }
 
-/// Answers for as long as the program runs.
-pub async fn answer(shared: Rc<Shared>, listener: TcpListener) {
+/// Accepts and serves operators' callers for as long as the program runs.
+pub async fn serve_callers(shared: Rc<Shared>, listener: TcpListener) {
     let callers = Rc::new(Callers::default());
     let reserve = Rc::new(Reserve::default());
     let listener = Rc::new(listener);
@@ -125,22 +126,23 @@
         let reserve = reserve.clone();
         let listener = listener.clone();
         spawn_local(async move {
-            serve(&shared, &callers, id, &eviction, stream).await;
+            serve_caller(&shared, &callers, id, &eviction, stream).await;
             callers.remove(id);
-            // With the descriptor that was just closed, before a client gets it.
+            // Takes the descriptor that the caller's connection has just freed, before a client's connection
+            // gets it.
             reserve.refill(&listener);
         });
     }
 }
 
-/// Accepts a caller, with the reserve's descriptor if there is no other; `None` where that fails.
+/// Accepts a caller, with the spare descriptor where no other is left. Returns `None` where that fails.
 async fn accept_caller(listener: &TcpListener, callers: &Callers, reserve: &Reserve) -> Option<TcpStream> {
     reserve.refill(listener);
     let error = match listener.accept().await {
         Ok((stream, _)) => return Some(stream),
         Err(e) => e,
     };
-    debug!("ops: {error}");
+    debug!("operators: accepting a caller failed: {error}");
     if !reserve.close() {
         tokio::time::sleep(ACCEPT_PAUSE).await;
         reserve.refill(listener);
@@ -149,19 +151,25 @@
         }
         return None;
     }
-    // The system reports a shortage even when no caller waits. Then the descriptor goes back to the
-    // reserve, before anybody else opens one.
+    // The system reports a shortage even when no caller waits. In that case nothing is accepted, and the next
+    // call refills the reserve before any other task opens a descriptor.
     let accepted = poll_fn(|context| Poll::Ready(listener.poll_accept(context))).await;
     let Poll::Ready(Ok((stream, _))) = accepted else { return None };
     Some(stream)
 }
 
-async fn serve(shared: &Rc<Shared>, callers: &Callers, id: u64, eviction: &Notify, mut stream: TcpStream) {
+async fn serve_caller(
+    shared: &Rc<Shared>,
+    callers: &Callers,
+    id: u64,
+    eviction: &Notify,
+    mut stream: TcpStream,
+) {
     let mut parser = CallParser::default();
     let call = tokio::select! {
         biased;
         () = eviction.notified() => {
-            // It fails where the caller has sent no call, or has gone.
+            // This fails where the caller has sent no complete call or has closed its connection.
             let _ = close_evicted(shared, parser, &stream);
             return;
         }
@@ -183,12 +191,13 @@
     callers.set_progress(id, Progress::Answered);
     tokio::select! {
         biased;
-        _ = timeout(LINGER, write_reply(&mut stream, &reply)) => {}
+        _ = timeout(REPLY_TIMEOUT, write_reply(&mut stream, &reply)) => {}
         () = eviction.notified() => {}
     }
 }
 
-/// Writes the reply and reads the caller to its end: a close with unread bytes could destroy the reply.
+/// Writes the reply, then reads until the caller closes: closing a connection with unread bytes resets it,
+/// and the caller could lose the reply.
 async fn write_reply(stream: &mut TcpStream, reply: &str) -> io::Result<()> {
     stream.write_all(reply.as_bytes()).await?;
     stream.shutdown().await?;
@@ -197,8 +206,9 @@
     Ok(())
 }
 
-/// Closes a caller at once. A call that has arrived by now is answered, though it was not read yet; a
-/// caller that has sent none, or one that may have to be waited for, gets no reply.
+/// Closes an evicted caller at once. A call that has arrived but was not read yet is carried out and
+/// answered. There is no reply where the call is incomplete or about maintenance windows, which may need
+/// waiting.
 fn close_evicted(shared: &Rc<Shared>, mut parser: CallParser, stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let mut buffer = [0; MAX_CALL_BYTES];
@@ -216,7 +226,7 @@
     };
     (&*socket).write_all(reply.as_bytes())?;
     socket.shutdown(Shutdown::Write)?;
-    // A close with unread bytes could destroy the reply.
+    // Closing a connection with unread bytes resets it, and the caller could lose the reply.
     let mut total = 0;
     while total < MAX_DRAIN_BYTES {
         match (&*socket).read(&mut buffer) {
@@ -240,7 +250,7 @@
         if let Some(call) = parser.feed(&buffer[..read]) {
             return Some(call);
         }
-        callers.set_progress(id, Progress::Begun);
+        callers.set_progress(id, Progress::PartlyReceived);
     }
 }
 
@@ -253,14 +263,15 @@
         OperatorCall::SchemaVersions => return schema_version::status(shared),
         OperatorCall::Finalize => return schema_version::finalize(shared),
         OperatorCall::Status if !is_ready(shared) => return Err(OperatorCallError::NotReady),
-        // A call about maintenance windows is carried out where it may be waited for.
+        // Calls about maintenance windows do not get here: `Shared::window_call` carries them out, since they
+        // may wait.
         OperatorCall::Status | OperatorCall::MaintenanceWindow(_) => {}
         OperatorCall::Standby => {
-            warn!("operators: standby");
+            warn!("operators: standby was called");
             shared.core(|relay, now| relay.enter_standby(now));
         }
         OperatorCall::Active => {
-            info!("operators: active");
+            info!("operators: active was called");
             shared.core(|relay, _| relay.activate());
         }
     }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,4 +1,4 @@
-//! Drives the datagrams between relays.
+//! Sends and receives the datagrams between relays.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use crate::policy::api::PeerMessage;
 
 impl Shared {
-    /// Sends a message, in the schema version that the relay reads.
+    /// Sends a cluster message to a peer, in a schema version that the peer reads.
     pub(super) fn send_to_peer(&self, peer: u32, message: &PeerMessage) {
         let text = peers::encode(message);
         let Some(channel) = &self.peer_channel else { return self.send_text_to_peer(peer, &text) };
@@ -19,22 +19,23 @@
         datagrams.iter().for_each(|datagram| self.send_text_to_peer(datagram.peer, &datagram.text));
     }
 
-    /// Sends a datagram of text. One that can't be sent now is lost, as any datagram may be.
+    /// Sends a datagram of text. Where the socket can't take the datagram now, it is lost, as any datagram
+    /// may be.
     pub(super) fn send_text_to_peer(&self, peer: u32, text: &str) {
         self.send_datagram_to_peer(peer, text.as_bytes());
     }
 
-    /// Sends a datagram, which may be lost.
+    /// Sends a datagram of bytes, which may be lost.
     pub(super) fn send_datagram_to_peer(&self, peer: u32, datagram: &[u8]) {
         let Some(socket) = self.peers.get() else { return };
         if let Some(address) = self.config.borrow().peers.get(peer as usize)
             && let Err(e) = socket.try_send_to(datagram, *address)
         {
-            warn!("sending to relay {peer}: {e}");
+            warn!("sending a datagram to relay {peer} failed: {e}");
         }
     }
 
-    /// Handles a datagram of another relay. One that is no message is ignored.
+    /// Handles a datagram from another relay. A datagram that holds no valid message is ignored.
     fn handle_datagram(self: &Rc<Self>, peer: u32, datagram: &[u8]) {
         if self.handle_maintenance_datagram(peer, datagram) {
             return;
@@ -47,13 +48,14 @@
     }
 }
 
-/// Receives other relays' datagrams while this process accepts. One from elsewhere is ignored.
+/// Receives other relays' datagrams while this process accepts clients. Datagrams from addresses that are no
+/// peer's are ignored.
 pub async fn receive(shared: Rc<Shared>) {
     let Some(socket) = shared.peers.get() else { return };
     let mut accepting = shared.accepting.subscribe();
     let mut buffer = [0; peers::BUFFER];
     loop {
-        // A datagram that arrives while another process serves is for that one.
+        // While another process of this relay serves, datagrams are left for that process to receive.
         let received = while_accepting(&mut accepting, socket.recv_from(&mut buffer)).await;
         let Some(received) = received else { continue };
         match received {
@@ -63,8 +65,8 @@
                     shared.handle_datagram(peer as u32, &buffer[..length]);
                 }
             }
-            // An error here is of an earlier send: its peer does not listen.
-            Err(e) => debug!("receiving from relays: {e}"),
+            // The system reports the error of an earlier send here: the peer did not listen.
+            Err(e) => debug!("receiving a datagram from a relay failed: {e}"),
         }
     }
 }
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -1,5 +1,6 @@
-//! Drives the versions of shared state: sends advertisements when they are due, moves the store's file to
-//! the cluster's version, and answers the operators' calls. The decisions are in `sandgw-schema-version`.
+//! Drives the schema versions of shared state: sends version advertisements when they are due, migrates the
+//! store's file to the cluster's version, and answers the operators' calls. `sandgw-schema-version` makes the
+//! decisions.
 
 use std::cell::RefCell;
 use std::io;
@@ -19,15 +20,17 @@
 use crate::policy::api::{Millis, PeerMessage, Settings};
 use crate::relay::operator_calls::OperatorCallError;
 
-/// How long a starting process waits for replies after each round of requests for what is finalized.
-const DISCOVERY_ROUNDS_MS: [Millis; 3] = [100.0, 100.0, 200.0];
-/// Most relays that get such a request: several, as neighbours are often restarted together.
-const MAX_DISCOVERY_PEERS: u32 = 8;
+/// How long a starting process waits for replies after each round of requests for the finalized version.
+const REPLY_WAITS_MS: [Millis; 3] = [100.0, 100.0, 200.0];
+/// Most relays that get such a request in a round. Several are asked, spread over the cluster, because relays
+/// with neighbouring indexes are often restarted together.
+const MAX_QUERIED_RELAYS: u32 = 8;
 
-/// The channel between messages and datagrams; `None` where the configuration has no `[forms]`.
+/// Creates the channel that translates between messages and datagrams; `None` where the configuration has no
+/// `[forms]`.
 ///
 /// # Errors
-/// Where the store is finalized at a version that this process does not support.
+/// The store is finalized at a version that this process does not support.
 pub fn open_channel(
     config: &Config,
     finalized: SchemaVersion,
@@ -36,26 +39,27 @@
     let Some(supported) = config.forms else { return Ok(None) };
     let position = relay_position(&config.settings);
     let negotiator = VersionNegotiator::new(supported, finalized, position, config.seed, clock.now());
-    Ok(Some(RefCell::new(VersionedChannel::new(negotiator.map_err(refused)?))))
+    Ok(Some(RefCell::new(VersionedChannel::new(negotiator.map_err(startup_error)?))))
 }
 
-/// This relay's place in its cluster.
+/// This relay's position in its cluster.
 pub(super) fn relay_position(settings: &Settings) -> RelayPosition {
     RelayPosition { local_index: settings.local_index, relay_count: settings.relay_count }
 }
 
-fn refused(error: SchemaVersionError) -> io::Error {
+fn startup_error(error: SchemaVersionError) -> io::Error {
     io::Error::other(format!("forms: {error}; {}", error.help()))
 }
 
-/// Reads a relay's datagram, and replies where it asks for an advertisement; `None` of what is no message.
+/// Decodes a relay's datagram, and replies to a request for an advertisement. Returns `None` where the
+/// datagram holds no message.
 pub(super) fn decode(shared: &Shared, peer: u32, text: &str) -> Option<PeerMessage> {
     let Some(channel) = &shared.peer_channel else { return peers::decode(text) };
     match receive(shared, channel, peer, text) {
         Ok(message) => message,
         Err(e @ SchemaVersionError::Finalized { .. }) => {
-            // The cluster was finalized while this process ran, or it reached nobody at its start. It is
-            // logged once.
+            // The cluster was finalized while this process ran, or this process reached no relay when it
+            // started. The error is logged once only.
             if !shared.is_unreadable_version_logged.replace(true) {
                 error!("forms: relay {peer}: {e}; {}", e.help());
             }
@@ -75,10 +79,10 @@
     text: &str,
 ) -> Result<Option<PeerMessage>, SchemaVersionError> {
     let now = shared.clock.now();
-    let mut out = Vec::new();
+    let mut datagrams_out = Vec::new();
     let version_before = channel.borrow().negotiator.version(now);
-    let received = channel.borrow_mut().receive(now, peer, text, &mut out);
-    send_all(shared, &out);
+    let received = channel.borrow_mut().receive(now, peer, text, &mut datagrams_out);
+    send_all(shared, &datagrams_out);
     if channel.borrow().negotiator.version(now) != version_before {
         shared.version_changed.notify_one();
     }
@@ -89,16 +93,16 @@
     datagrams.iter().for_each(|datagram| shared.send_text_to_peer(datagram.peer, &datagram.text));
 }
 
-/// Asks other relays what is finalized, before anything is served.
+/// Asks other relays for the finalized version, before anything is served.
 ///
 /// # Errors
-/// Where the cluster is finalized at a version that this process does not support.
-pub async fn discover_finalized(shared: &Rc<Shared>) -> io::Result<()> {
+/// The cluster is finalized at a version that this process does not support.
+pub async fn query_finalized_version(shared: &Rc<Shared>) -> io::Result<()> {
     let (Some(channel), Some(socket)) = (&shared.peer_channel, shared.peers.get()) else { return Ok(()) };
-    for wait in DISCOVERY_ROUNDS_MS {
+    for wait in REPLY_WAITS_MS {
         request_advertisements(shared, channel);
         let deadline = Instant::now() + span(wait);
-        receive_until(shared, channel, socket, deadline).await.map_err(refused)?;
+        receive_until(shared, channel, socket, deadline).await.map_err(startup_error)?;
     }
     Ok(())
 }
@@ -106,13 +110,14 @@
 fn request_advertisements(shared: &Shared, channel: &RefCell<VersionedChannel>) {
     let RelayPosition { local_index, relay_count } = relay_position(&shared.config.borrow().settings);
     let request = channel.borrow().negotiator.advertisement(shared.clock.now()).encode() + "|?";
-    let step = ((relay_count - 1) / MAX_DISCOVERY_PEERS).max(1);
-    for n in 0..MAX_DISCOVERY_PEERS.min(relay_count - 1) {
-        shared.send_text_to_peer((local_index + 1 + n * step) % relay_count, &request);
+    let step = ((relay_count - 1) / MAX_QUERIED_RELAYS).max(1);
+    for nth in 0..MAX_QUERIED_RELAYS.min(relay_count - 1) {
+        shared.send_text_to_peer((local_index + 1 + nth * step) % relay_count, &request);
     }
 }
 
-/// Handles relays' datagrams until a deadline; stops at one that says this process is too old.
+/// Handles relays' datagrams until the deadline. Returns early with the error where a datagram shows that the
+/// cluster is finalized at a version that this process does not support.
 async fn receive_until(
     shared: &Rc<Shared>,
     channel: &RefCell<VersionedChannel>,
@@ -121,7 +126,7 @@
 ) -> Result<(), SchemaVersionError> {
     let mut buffer = [0; peers::BUFFER];
     while let Ok(received) = timeout_at(deadline, socket.recv_from(&mut buffer)).await {
-        // An error is of an earlier send: its receiver does not listen.
+        // The system reports the error of an earlier send here: the relay did not listen.
         let Ok((length, from)) = received else { continue };
         let peer = shared.config.borrow().peers.iter().position(|address| *address == from);
         let text = std::str::from_utf8(&buffer[..length]).ok();
@@ -137,18 +142,18 @@
     Ok(())
 }
 
-/// Sends advertisements when they are due and moves the store with the cluster, for as long as the program
-/// runs.
+/// Sends version advertisements when they are due and migrates the store to the cluster's version, for as
+/// long as the program runs.
 pub async fn run(shared: Rc<Shared>) {
     let Some(channel) = &shared.peer_channel else { return };
     let mut applied = None;
     loop {
         let now = shared.clock.now();
-        let mut out = Vec::new();
+        let mut datagrams_out = Vec::new();
         if *shared.accepting.borrow() {
-            channel.borrow_mut().poll(now, &mut out);
+            channel.borrow_mut().poll(now, &mut datagrams_out);
         }
-        send_all(&shared, &out);
+        send_all(&shared, &datagrams_out);
         apply_version(&shared, channel, &mut applied, now);
         let wait = channel.borrow().next_poll_in_ms(now);
         tokio::select! {
@@ -158,7 +163,7 @@
     }
 }
 
-/// The cluster's version as it was last logged and ordered from the store's writer.
+/// The cluster's version as it was last logged and passed to the store's writer.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct AppliedVersion {
     version: SchemaVersion,
@@ -176,7 +181,8 @@
     }
 }
 
-/// Logs the cluster's version where it has changed and, once it is settled, has the store's file moved to it.
+/// Logs the cluster's version when it has changed and, once the version is settled, orders the migration of
+/// the store's file to it.
 fn apply_version(
     shared: &Shared,
     channel: &RefCell<VersionedChannel>,
@@ -199,20 +205,20 @@
     if let Some(writer) = shared.store_writer.as_ref().filter(|_| is_settled)
         && !writer.migrate(version.number().into(), finalized.number().into())
     {
-        // The writer's queue is full: ordered again at the next poll.
+        // The writer's queue is full: the migration is ordered again at the next poll.
         *applied = None;
     }
 }
 
-/// What the next process of this relay is to know.
+/// The state of the version negotiation that a hand-over passes to the successor process.
 pub(super) struct TakeoverState {
-    /// How long this process has listened for older ones.
+    /// How long this process has listened for advertisements of older versions.
     pub listening_ms: Millis,
-    /// Its encoded advertisement.
+    /// The encoded version advertisement of this process.
     pub advertisement: String,
 }
 
-/// What to hand to the next process of this relay; `None` where versions are off.
+/// Returns the state for the successor process; `None` where the configuration turns schema versions off.
 pub(super) fn takeover_state(shared: &Shared) -> Option<TakeoverState> {
     let now = shared.clock.now();
     let channel = shared.peer_channel.as_ref()?.borrow();
@@ -222,36 +228,37 @@
     })
 }
 
-/// Applies what the predecessor process knew.
+/// Continues from the predecessor process's state.
 ///
 /// # Errors
-/// Where its advertisement can't be read, or names a finalized version that this process does not support.
+/// The predecessor's advertisement can't be read, or names a finalized version that this process does not
+/// support.
 pub(super) fn resume(shared: &Shared, listening_ms: Millis, advertisement: &str) -> io::Result<()> {
     let Some(channel) = &shared.peer_channel else { return Ok(()) };
-    let head = VersionAdvertisement::decode(advertisement).map_err(refused)?;
+    let decoded = VersionAdvertisement::decode(advertisement).map_err(startup_error)?;
     let now = shared.clock.now();
-    channel.borrow_mut().negotiator.resume(now, listening_ms, &head.advertisement).map_err(refused)
+    channel.borrow_mut().negotiator.resume(now, listening_ms, &decoded.advertisement).map_err(startup_error)
 }
 
-/// The reply to the operators' call `forms`.
+/// Returns the reply to the operators' call `forms`.
 ///
 /// # Errors
-/// [`OperatorCallError::Unknown`] where versions are off.
+/// [`OperatorCallError::Unknown`] where the configuration turns schema versions off.
 pub(super) fn status(shared: &Shared) -> Result<String, OperatorCallError> {
     let channel = shared.peer_channel.as_ref().ok_or(OperatorCallError::Unknown)?;
     Ok(crate::schema_status::status(&channel.borrow(), shared.clock.now()))
 }
 
-/// Handles the operators' call `finalize`: ends the possibility to go back.
+/// Handles the operators' call `finalize`: from then on, the cluster can't return to an older version.
 ///
 /// # Errors
-/// [`OperatorCallError::Unknown`] where versions are off, [`OperatorCallError::SchemaVersion`] while an
-/// older process may be alive.
+/// [`OperatorCallError::Unknown`] where the configuration turns schema versions off, and
+/// [`OperatorCallError::SchemaVersion`] while a process of an older version may be alive.
 pub(super) fn finalize(shared: &Shared) -> Result<String, OperatorCallError> {
     let channel = shared.peer_channel.as_ref().ok_or(OperatorCallError::Unknown)?;
     let finalized = channel.borrow_mut().negotiator.finalize(shared.clock.now());
     let version = finalized.map_err(OperatorCallError::SchemaVersion)?;
-    warn!("operators: finalize: nothing is written below form {version} any more");
+    warn!("operators: finalize was called: forms below {version} are no longer written");
     shared.version_changed.notify_one();
     Ok(format!("finalized {version}"))
 }
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGHUP, each handled by a task of its own.
+//! Handles SIGTERM and SIGHUP, each in a task of its own, and keeps SIGXFSZ from ending the program.
 
 use std::io;
 use std::rc::Rc;
@@ -12,11 +12,12 @@
 use crate::help::with_help;
 use crate::relay::Relay;
 
-/// The signals that the program receives from its start on. Left to its default, each would end the program.
+/// The signals that the program receives from its start on. The default action of each would end the program.
 pub struct Signals {
     hangup: Signal,
     terminate: Signal,
-    /// A file at its size limit, be it the store's or the log: only the write is to fail.
+    /// SIGXFSZ: a write would exceed the size limit of a file, such as the store's file or the log. Receiving
+    /// the signal makes only that write fail.
     file_too_large: Signal,
 }
 
@@ -24,7 +25,7 @@
     /// Registers for the signals.
     ///
     /// # Errors
-    /// The system refuses to register for one.
+    /// The system refuses to register for a signal.
     pub fn register() -> io::Result<Self> {
         let hangup = signal(SignalKind::hangup())?;
         let terminate = signal(SignalKind::terminate())?;
@@ -32,8 +33,8 @@
         Ok(Signals { hangup, terminate, file_too_large })
     }
 
-    /// Starts the tasks that handle SIGTERM and SIGHUP; `load` reads the configuration. SIGXFSZ needs none:
-    /// it is enough that what is returned is kept.
+    /// Starts the tasks that handle SIGTERM and SIGHUP; `load` reads the configuration. Returns the receiver
+    /// of SIGXFSZ, which needs no task: the caller only has to keep the receiver.
     pub fn handle(
         self,
         shared: &Rc<Shared>,
@@ -45,17 +46,17 @@
     }
 }
 
-/// Goes on serving after SIGTERM: the platform kills the program once its clients have had their time, and
-/// connections that are still established are served until then. A process that has handed over ends once
-/// it has none.
+/// Records SIGTERM, after which the process goes on serving. The platform kills the program at the end of the
+/// time that clients have to leave, and connections that are still established are served until then. A
+/// process that has handed over ends once no connection is left.
 async fn handle_terminate(shared: Rc<Shared>, mut signal: Signal) {
     while signal.recv().await.is_some() {
         shared.is_terminated.set(true);
-        info!("SIGTERM: serving on until killed");
+        info!("SIGTERM: this process goes on serving until it is killed");
     }
 }
 
-/// Reads the configuration at every SIGHUP, and takes all of it or nothing.
+/// Reads the configuration at every SIGHUP, and applies all of it or, where it has faults, nothing.
 async fn handle_hangup(
     shared: Rc<Shared>,
     mut signal: Signal,
@@ -67,13 +68,13 @@
             Ok(new) => reload(&shared, new),
             Err(faults) => {
                 faults.iter().for_each(|e| error!("{}", with_help(e)));
-                error!("SIGHUP: the configuration has faults, and the old one is kept");
+                error!("SIGHUP: the new configuration has faults; the current configuration stays in force");
             }
         }
     }
 }
 
-/// Puts a new configuration in force. Connections stay.
+/// Puts a new configuration in force. Connections are kept.
 fn reload(shared: &Rc<Shared>, new: Config) {
     let old_discovery = shared.config.borrow().discovery;
     let needs_restart = shared.config.borrow_mut().reload(new);
@@ -90,7 +91,7 @@
     }
 }
 
-/// Gives the configuration's settings to the core, to the channel between relays and to the line protocol.
+/// Applies the configuration's settings to the core, the channel between relays and the line protocol.
 fn apply_settings(shared: &Rc<Shared>) {
     let settings = shared.config.borrow().settings.clone();
     let classes = shared.config.borrow().classes.clone();
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,8 +1,8 @@
-//! Starts a relay: the store, the core, the hand-over from a predecessor process, the sockets, and then the
-//! drivers.
+//! Starts a relay: opens the store, sets up the core, requests the state of a predecessor process, opens the
+//! sockets, takes over from the predecessor, and starts the drivers.
 //!
 //! Nothing is served before all sockets are open and the predecessor process, where there is one, has stopped
-//! accepting.
+//! accepting clients.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::io;
@@ -33,25 +33,27 @@
 use crate::policy::api::{EndpointEntry, ListKind};
 use crate::relay::Relay;
 
-/// How often round trips are summed up for the load balancer.
+/// How often the core reports endpoints with slow round trips to the load balancer and logs quota rejections.
 const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The list as the configuration has it, for as long as discovery has not answered.
+/// The endpoint list of the configuration, which is used until discovery answers.
 struct ConfiguredList {
     endpoint_list: EndpointList,
     entries: Vec<EndpointEntry>,
 }
 
-/// Starts a relay and serves; returns when it can't start, or has handed over and has nothing left.
+/// Starts a relay and serves. Returns when the relay can't start, or when the process has handed over and has
+/// no connection left.
 ///
 /// # Errors
-/// The store, a socket or the predecessor process keeps it from starting.
+/// The store, a socket or the predecessor process keeps the relay from starting.
 pub async fn serve(
     mut config: Config,
-    passed: Option<std::net::TcpListener>,
+    passed_listener: Option<std::net::TcpListener>,
     load: impl Fn() -> Result<Config, Vec<ConfigError>> + 'static,
 ) -> io::Result<()> {
-    // Before anything listens: a signal's default action would end a program that others already use.
+    // Signals are registered before anything listens: their default action would end a program that clients
+    // or operators already use.
     let signals = Signals::register()?;
     let entries = std::mem::take(&mut config.known);
     let endpoint_list = std::mem::take(&mut config.endpoint_list);
@@ -61,18 +63,18 @@
     let folder = shared.config.borrow().handover.clone();
     let mut inherited = Vec::new();
     let predecessor = request_snapshot(&shared, folder.as_deref(), &mut inherited).await?;
-    // All addresses are taken before anything is served: a relay that lacks one does not start.
-    let sockets = sockets::open(&shared, passed, inherited)?;
+    // All addresses are bound before anything is served: a relay that can't bind an address does not start.
+    let sockets = sockets::open(&shared, passed_listener, inherited)?;
     if let Some(socket) = shared.peers.get() {
-        // Until it has been waited for once, the runtime does not know it as writable: the first datagram
-        // would be lost.
+        // The runtime treats a socket as not writable until a task has waited for it once. Without this wait,
+        // the first datagram would be lost.
         socket.writable().await?;
     }
     load_configured_list(&shared, ConfiguredList { endpoint_list, entries });
     let is_takeover = predecessor.is_some();
     take_over(&shared, predecessor, folder.as_deref()).await?;
     if !is_takeover {
-        schema_version::discover_finalized(&shared).await?;
+        schema_version::query_finalized_version(&shared).await?;
     }
     start_drivers(&shared, sockets.agent);
     if let Some(listener) = sockets.rtmp {
@@ -87,24 +89,26 @@
     Ok(())
 }
 
-/// Opens the store and sets up what the drivers share.
+/// Opens the store and sets up the state that the drivers share.
 fn open_shared(config: Config) -> io::Result<Rc<Shared>> {
     let clock = Clock::new();
     let newest_version = config.forms.map_or(SchemaVersion::FIRST, SupportedVersions::newest);
-    let stored = config
+    let opened_folder = config
         .state
         .as_ref()
         .map(|state| affinity_store::open(&state.folder, newest_version))
         .transpose()
         .map_err(|e| with_setting("state.folder", e))?;
-    let finalized = stored.as_ref().map_or(SchemaVersion::FIRST, |stored| stored.finalized);
+    let finalized =
+        opened_folder.as_ref().map_or(SchemaVersion::FIRST, |opened_folder| opened_folder.finalized);
     let peer_channel = schema_version::open_channel(&config, finalized, &clock)?;
     let handover_descriptors = if config.handover.is_some() { HANDOVER_DESCRIPTORS } else { 0 };
     let mut relay = Relay::new(config.settings.clone(), config.classes.clone(), config.seed, clock.now());
-    let store_writer =
-        stored.map(|stored| affinity_store::restore(stored, &mut relay, clock.now())).transpose()?;
+    let store_writer = opened_folder
+        .map(|opened_folder| affinity_store::restore(opened_folder, &mut relay, clock.now()))
+        .transpose()?;
     let names = line_names(&relay, &config);
-    let maintenance = maintenance::service(&config, clock.now()).map(RefCell::new);
+    let maintenance = maintenance::create_service(&config, clock.now()).map(RefCell::new);
     Ok(Rc::new(Shared {
         clock,
         relay: RefCell::new(relay),
@@ -131,18 +135,19 @@
     }))
 }
 
-/// Answers operators from the first moment on, also while this process is not ready.
+/// Starts to serve operators, who get replies even before this process is ready to serve clients.
 fn start_operators(shared: &Rc<Shared>) -> io::Result<()> {
     let address = shared.config.borrow().ops;
     let listener = address.map(listen).transpose().map_err(|e| with_setting("ops", e))?;
     if let Some(listener) = listener {
         info!("operators call at {}", listener.local_addr()?);
-        spawn_local(operators::answer(shared.clone(), listener));
+        spawn_local(operators::serve_callers(shared.clone(), listener));
     }
     Ok(())
 }
 
-/// Requests the state and the sockets of the process that runs in a folder; `None` where there is none.
+/// Requests the state and the sockets of the process that offers a hand-over in the folder. Returns `None`
+/// where no process does, or where no folder is configured.
 async fn request_snapshot(
     shared: &Rc<Shared>,
     folder: Option<&Path>,
@@ -154,9 +159,10 @@
     }
 }
 
-/// Takes the configured list where no predecessor process had one.
+/// Applies the configured endpoint list where no predecessor process has handed over a list.
 fn load_configured_list(shared: &Rc<Shared>, configured: ConfiguredList) {
-    // First, so that the first poll is made soon where nothing is placed before it.
+    // The lease is tracked before the list is loaded, so that the first poll is made soon where no request
+    // can be placed before it.
     shared.core(Relay::track_list_lease);
     if !shared.relay.borrow().has_endpoint_list() {
         *shared.endpoint_list.borrow_mut() = configured.endpoint_list;
@@ -166,7 +172,8 @@
     shared.endpoint_list.borrow_mut().reseed(seed);
 }
 
-/// Takes over from the predecessor process. Where it breaks the link, it is asked again if it still runs.
+/// Takes over from the predecessor process. Where the predecessor breaks the link and still runs, its state
+/// is requested again.
 async fn take_over(
     shared: &Rc<Shared>,
     mut predecessor: Option<Predecessor>,
@@ -177,8 +184,8 @@
             Ok(()) => drop(spawn_local(takeover::follow_predecessor(shared.clone(), running))),
             Err(TakeoverError::Refused(e)) => return Err(e),
             Err(TakeoverError::LinkBroken(e)) => {
-                warn!("hand-over: the running process has broken off: {e}");
-                // Where it has ended, all that it had was received with the snapshot.
+                warn!("hand-over: the running process broke the link: {e}");
+                // Where the running process has ended, the snapshot held all of its state.
                 let folder = folder.unwrap_or(Path::new(""));
                 predecessor = takeover::request_snapshot(shared, folder, &mut Vec::new()).await?;
             }
@@ -206,7 +213,7 @@
     let accepting = shared.accepting.subscribe();
     let shared = shared.clone();
     spawn_local(accept(admission, accepting, listener, move |client, from, permit| {
-        // Read for each connection: all of it but the address may have been reloaded.
+        // The RTMP settings are read for each connection: all but the address may have been reloaded.
         let Some(rtmp) = shared.config.borrow().rtmp.clone() else { return };
         let protocol = RtmpProtocol::new(rtmp.settings, from, rtmp.trusted.contains(&from.ip()));
         spawn_local(connection::serve(shared.clone(), client, protocol, permit));
@@ -227,7 +234,7 @@
     Ok(())
 }
 
-/// Offers the relay to a successor process, where there is a folder for it.
+/// Offers the relay to a successor process, where a folder for hand-overs is configured.
 fn start_handover_offer(shared: &Rc<Shared>, folder: Option<PathBuf>) {
     if let Some(folder) = folder {
         spawn_local(takeover::offer(shared.clone(), folder));
--- a/src/net/takeover/link.rs
+++ b/src/net/takeover/link.rs
@@ -1,4 +1,4 @@
-//! Sends and receives messages with descriptors over the Unix socket between two processes.
+//! Sends and receives hand-over messages and descriptors over the Unix socket between two processes.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -16,32 +16,33 @@
 use super::SEND_TIMEOUT;
 use crate::handover::{MAX_PASSED_SOCKETS, Message, MessageDecoder, encode};
 
-/// Most bytes that are read at once.
+/// Most bytes that are read in one system call.
 const READ_CHUNK_BYTES: usize = 4096;
-/// Most received descriptors that wait for their message.
+/// Most received descriptors that are kept until their message is complete. Further descriptors are closed.
 const MAX_PENDING_SOCKETS: usize = 2 * MAX_PASSED_SOCKETS;
 
-/// A descriptor that was received before the message that it belongs to was whole.
+/// A received descriptor whose message is not yet complete.
 struct PendingSocket {
-    /// How many bytes were read by then. A read ends behind the first bytes of the message.
+    /// The total of bytes read when the descriptor was received. The read that returns a descriptor ends
+    /// after the first bytes of its message.
     received_at: u64,
     socket: OwnedFd,
 }
 
-/// A connection to the other process.
+/// A connection to the other process of the hand-over.
 pub struct Link {
     stream: UnixStream,
     decoder: MessageDecoder,
-    /// How many bytes were read.
+    /// The total of bytes read from the stream.
     total_read: u64,
     pending_sockets: VecDeque<PendingSocket>,
-    /// Those that belong to the latest message. They may be fewer than it names: the system drops one that
-    /// it has no room for.
+    /// The descriptors of the latest message. There may be fewer than the message names: the system drops
+    /// descriptors that it has no room for.
     message_sockets: Vec<OwnedFd>,
 }
 
 impl Link {
-    /// A link over a stream that is connected.
+    /// Creates a link over a connected stream.
     pub fn new(stream: UnixStream) -> Self {
         Link {
             stream,
@@ -52,10 +53,10 @@
         }
     }
 
-    /// The next message. It loses nothing when dropped on the way.
+    /// Receives the next message. Dropping the future before it is ready loses no data.
     ///
     /// # Errors
-    /// The link is broken, or what was received is no message.
+    /// The link is broken, or the bytes received are no valid message.
     pub async fn next(&mut self) -> io::Result<Message> {
         loop {
             let message = self.decoder.next_message().map_err(|e| io::Error::other(e.to_string()))?;
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Assigns the descriptors that were received by the end of the latest message to it.
+    /// Assigns to the latest message the pending descriptors that were received up to its end.
     fn assign_sockets(&mut self) {
         let end = self.total_read - self.decoder.buffered_bytes() as u64;
         let count = self.pending_sockets.iter().take_while(|pending| pending.received_at <= end).count();
         self.message_sockets = self.pending_sockets.drain(..count).map(|pending| pending.socket).collect();
     }
 
-    /// Reads what is there.
+    /// Reads the bytes and descriptors that are available now, in one system call.
     fn receive(&mut self) -> io::Result<()> {
         let mut bytes = [0; READ_CHUNK_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_SOCKETS))];
@@ -115,10 +116,11 @@
         self.send_with_sockets(message, &[]).await
     }
 
-    /// Sends a message with duplicates of descriptors.
+    /// Sends a message and duplicates of the descriptors.
     ///
     /// # Errors
-    /// The link is broken, the other process does not read, or there are too many descriptors.
+    /// The link is broken, the other process does not read, or there are more than [`MAX_PASSED_SOCKETS`]
+    /// descriptors.
     pub async fn send_with_sockets(
         &mut self,
         message: &Message,
@@ -129,19 +131,20 @@
             let mut written = 0;
             while written == 0 {
                 self.stream.writable().await?;
-                written = self.write_first(&bytes, sockets)?;
+                written = self.write_with_sockets(&bytes, sockets)?;
             }
             self.stream.write_all(&bytes[written..]).await
         };
         timeout(SEND_TIMEOUT, sent).await?
     }
 
-    /// Writes a message's first bytes and its descriptors; 0 where the socket takes nothing now.
-    fn write_first(&self, bytes: &[u8], sockets: &[BorrowedFd<'_>]) -> io::Result<usize> {
+    /// Writes the first bytes of a message together with its descriptors. Returns how many bytes were
+    /// written, which is 0 where the socket can take none now.
+    fn write_with_sockets(&self, bytes: &[u8], sockets: &[BorrowedFd<'_>]) -> io::Result<usize> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_SOCKETS))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         if !sockets.is_empty() && !control.push(SendAncillaryMessage::ScmRights(sockets)) {
-            return Err(io::Error::other("too many sockets"));
+            return Err(io::Error::other("too many descriptors for one message"));
         }
         let written = self.stream.try_io(Interest::WRITABLE, || {
             let parts = [IoSlice::new(bytes)];
--- a/src/net/takeover/mod.rs
+++ b/src/net/takeover/mod.rs
@@ -1,10 +1,12 @@
-//! Drives the hand-over between two processes of a relay: a Unix socket in a folder that both know.
+//! Drives the hand-over between two processes of a relay, over a Unix socket in a folder that both are
+//! configured with.
 //!
-//! - `link`: messages and descriptors over the socket.
-//! - `successor`: the process that starts, and takes the relay over.
-//! - `predecessor`: the process that runs, offers the relay, and finishes what it has.
+//! - `link`: sends and receives messages and descriptors over the socket.
+//! - `successor`: the side of the starting process, which takes the relay over.
+//! - `predecessor`: the side of the running process, which offers the relay and afterwards transfers its
+//!   connections or serves them to their end.
 //!
-//! What each side does next is decided by the state machines in `crate::handover`.
+//! The state machines in `crate::handover` decide what each side does next.
 
 mod link;
 mod predecessor;
@@ -17,12 +19,12 @@
 use super::Shared;
 use crate::handover::FIRST_PROTOCOL_VERSION;
 
-/// The socket's name in the folder.
+/// File name of the socket in the folder.
 const SOCKET_NAME: &str = "sandgw-handover";
 /// How long the other process may take to read a message.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The newest version of messages that this process speaks.
+/// Returns the newest protocol version of hand-over messages that this process supports.
 fn newest_version(shared: &Shared) -> u32 {
     let Some(channel) = &shared.peer_channel else { return FIRST_PROTOCOL_VERSION };
     channel.borrow().negotiator.supported().newest().number().into()
--- a/src/net/takeover/predecessor.rs
+++ b/src/net/takeover/predecessor.rs
@@ -1,4 +1,5 @@
-//! The predecessor's side of a hand-over: offers the relay, sends its state, and transfers its connections.
+//! The predecessor's side of a hand-over: offers the relay to a successor process, sends the relay's state,
+//! and transfers its connections.
 
 use std::io;
 use std::os::fd::AsFd;
@@ -25,31 +26,34 @@
 use crate::net::shared::{InheritableSocket, OutgoingTransfer, Shared};
 use crate::net::{schema_version, span};
 
-/// How often the successor is sent what has changed.
+/// How often the successor is sent affinity changes and the descriptor count, and, after SIGTERM,
+/// connections.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Hands the relay to the next process that requests it, for as long as the program runs.
+/// Offers the relay to successor processes, for as long as the program runs.
 pub async fn offer(shared: Rc<Shared>, folder: PathBuf) {
     let path = folder.join(SOCKET_NAME);
     loop {
         let listener = match bind(&path) {
             Ok(listener) => listener,
             Err(e) => {
-                // The relay serves all the same; a new version can only be had by a restart.
+                // The relay serves without hand-overs: a new version of the program then needs a restart.
                 return error!("hand-over: {}: {e}; it is off", path.display());
             }
         };
         serve_successors(&shared, &listener, &path).await;
-        // The path was the successor's: the socket is bound anew, if this process still may hand over.
+        // The successor has bound its own socket at the path. Where this process may still hand over, the
+        // loop binds the path again.
         if shared.relay.borrow().is_handed_over() {
-            // There is no successor to transfer connections to: they migrate before they would be lost.
+            // No successor is left to transfer connections to. Standby makes them migrate before this process
+            // ends.
             shared.core(|relay, now| relay.enter_standby(now));
             return wait_until_finished(&shared).await;
         }
     }
 }
 
-/// Serves one successor after the other until one has taken the relay over and has gone.
+/// Serves one successor after another until a successor has taken the relay over and its link has ended.
 async fn serve_successors(shared: &Rc<Shared>, listener: &UnixListener, path: &Path) {
     let owner = std::fs::metadata(path).map(|metadata| metadata.uid());
     loop {
@@ -60,7 +64,7 @@
         let is_same_user =
             stream.peer_cred().is_ok_and(|peer| owner.as_ref().is_ok_and(|owner| peer.uid() == *owner));
         if !is_same_user {
-            warn!("hand-over: refused to another user's process");
+            warn!("hand-over: refused a process of another user");
             continue;
         }
         let mut state = PredecessorProcess::default();
@@ -78,7 +82,7 @@
     }
 }
 
-/// Serves one successor, and refuses all others meanwhile.
+/// Serves one successor, and refuses all others until its hand-over ends.
 async fn serve_successor(
     shared: &Rc<Shared>,
     state: &mut PredecessorProcess,
@@ -96,9 +100,9 @@
     }
 }
 
-/// Waits until nothing is left of a process that has no successor to report to any more.
+/// Waits until this process is finished, once no successor is left to transfer connections to.
 async fn wait_until_finished(shared: &Rc<Shared>) {
-    // A connection that is to be transferred from now on stays here.
+    // Without a receiver, a connection can't be queued for transfer, and stays in this process.
     drop(shared.transfers.receiver.borrow_mut().take());
     while !is_finished(shared) {
         tokio::time::sleep(REPORT_INTERVAL).await;
@@ -113,7 +117,7 @@
 fn bind(path: &Path) -> io::Result<UnixListener> {
     match std::fs::symlink_metadata(path) {
         Ok(old) if old.file_type().is_socket() => std::fs::remove_file(path)?,
-        Ok(_) => return Err(io::Error::other("is there, and no socket")),
+        Ok(_) => return Err(io::Error::other("the path exists and is not a socket")),
         Err(_) => {}
     }
     let listener = UnixListener::bind(path)?;
@@ -121,8 +125,8 @@
     Ok(listener)
 }
 
-/// Receives the connections that are to be transferred while there is a successor; dropped, it returns the
-/// queue.
+/// Takes the receiving end of the transfer queue for the time of one hand-over, and puts it back when
+/// dropped.
 struct OutgoingTransfers<'a> {
     shared: &'a Shared,
     receiver: Option<mpsc::UnboundedReceiver<OutgoingTransfer>>,
@@ -144,22 +148,23 @@
 
 impl Drop for OutgoingTransfers<'_> {
     fn drop(&mut self) {
-        // There is no successor for those that wait: they are closed, so that their clients do not wait in
-        // vain.
+        // The connections still in the queue have no successor to go to: they are closed, so that their
+        // clients do not wait in vain.
         while self.receiver.as_mut().is_some_and(|receiver| receiver.try_recv().is_ok()) {}
         *self.shared.transfers.receiver.borrow_mut() = self.receiver.take();
     }
 }
 
-/// One hand-over to one successor.
+/// A hand-over to one successor.
 struct HandOver<'a> {
     shared: &'a Rc<Shared>,
     state: &'a mut PredecessorProcess,
     report_interval: Interval,
-    // Dropped before the link: waiting transfers are closed before the successor sees the end.
+    // Declared before `link`, so that it is dropped first: waiting transfers are closed before the successor
+    // sees the end of the link.
     transfers: OutgoingTransfers<'a>,
     link: Link,
-    /// The number of descriptors that the successor was sent last.
+    /// The number of descriptors in use that the successor was last sent.
     reported_descriptors: usize,
 }
 
@@ -175,7 +180,8 @@
         }
     }
 
-    /// Returns when the successor has gone or is given up.
+    /// Runs the hand-over until the link to the successor ends, the successor misses a time limit, or the
+    /// successor is refused.
     async fn run(mut self) -> io::Result<()> {
         let relay_name = self.shared.config.borrow().name.clone();
         loop {
@@ -209,7 +215,7 @@
         self.link.send_with_sockets(&transfer.message, &sockets).await
     }
 
-    /// Reports to the successor and, after SIGTERM, transfers connections.
+    /// Sends changes to the successor and, after SIGTERM, transfers connections.
     async fn handle_report_tick(&mut self) -> io::Result<()> {
         self.send_affinity_changes().await?;
         self.report_descriptors().await?;
@@ -217,7 +223,7 @@
             self.shared.core(|relay, _| relay.transfer_connections(MAX_TRANSFERS_AT_A_TIME));
         }
         if self.transfers.is_empty() && is_finished(self.shared) {
-            info!("hand-over: nothing is left here, ending");
+            info!("hand-over: no connection is left in this process; it ends");
             self.shared.finished.notify_one();
         }
         Ok(())
@@ -231,7 +237,7 @@
         Ok(())
     }
 
-    /// Agrees on a version and sends the snapshot, while this process serves on.
+    /// Agrees on a protocol version and sends the snapshot, while this process continues to serve.
     async fn handle_hello(&mut self, hello: &Message) -> io::Result<()> {
         if self.shared.is_predecessor_running.get() {
             return refuse(&mut self.link, "the process before has not ended").await;
@@ -298,9 +304,9 @@
         duplicates.collect()
     }
 
-    /// Stops accepting, and sends what has changed since the snapshot.
+    /// Stops accepting clients, and sends the changes since the snapshot.
     async fn stop_accepting(&mut self) -> io::Result<()> {
-        info!("hand-over: a new process takes the relay");
+        info!("hand-over: a new process takes the relay over");
         self.shared.accepting.send_replace(false);
         self.send_affinity_changes().await?;
         let now = self.shared.clock.now();
@@ -313,11 +319,12 @@
     async fn grant_ownership(&mut self) -> io::Result<()> {
         self.shared.core(|relay, now| relay.hand_over(now));
         self.link.send(&Message::OwnershipGranted).await?;
-        info!("hand-over: done; this process finishes what it has");
+        info!("hand-over: done; this process serves its remaining connections");
         Ok(())
     }
 
-    /// Sends where clients were placed since. Groups are left out: sent twice, their load would count twice.
+    /// Sends the sessions that have changed since the last message. Groups are left out: a group that is sent
+    /// twice would count its load twice.
     async fn send_affinity_changes(&mut self) -> io::Result<()> {
         while let Some(mut records) = next_affinity_changes(self.shared) {
             records.retain(|record| matches!(record, Record::Session { .. }));
@@ -329,21 +336,21 @@
     }
 }
 
-/// Affinity that has changed since the last call; `None` once that is all.
+/// Takes the next batch of affinity records that have changed; `None` where no changes are left.
 fn next_affinity_changes(shared: &Shared) -> Option<Vec<Record>> {
     let now = shared.clock.now();
     let changes = shared.relay.borrow_mut().take_affinity_changes(now, MAX_RECORDS_PER_MESSAGE);
     Some(changes.updated).filter(|records| !records.is_empty())
 }
 
-/// Refuses a second successor. Its first message is read, since a close with unread bytes would destroy the
-/// reply.
+/// Refuses a second successor. Its first message is read before, since closing a socket with unread bytes
+/// would discard the reply.
 async fn refuse_second_successor(mut link: Link) {
     let _ = timeout(SEND_TIMEOUT, link.next()).await;
     let _ = refuse(&mut link, "another process is taking over").await;
 }
 
-/// Sends the reason of a refusal, and returns it as the error that ends the hand-over.
+/// Sends the reason of the refusal to the successor, and returns it as the error that ends the hand-over.
 async fn refuse(link: &mut Link, reason: &str) -> io::Result<()> {
     link.send(&Message::Refused(reason.into())).await?;
     Err(io::Error::other(format!("refused: {reason}")))
--- a/src/net/takeover/successor.rs
+++ b/src/net/takeover/successor.rs
@@ -1,5 +1,5 @@
-//! The successor's side of a hand-over: receives the running process's state, takes over, and adopts its
-//! connections.
+//! The successor's side of a hand-over: receives the running process's state, takes the relay over, and
+//! adopts the connections of the running process.
 
 use std::io;
 use std::os::fd::OwnedFd;
@@ -27,8 +27,8 @@
 use crate::policy::learned_state::LearnedState;
 use crate::relay::TransferredConnection;
 
-/// How often the relay is requested where the running process breaks the link.
-const MAX_REQUESTS: u32 = 3;
+/// How often the snapshot is requested at the most where the running process breaks the link.
+const MAX_SNAPSHOT_REQUESTS: u32 = 3;
 
 /// The running process, which has sent its state and still serves.
 pub struct Predecessor {
@@ -36,11 +36,11 @@
     state: SuccessorProcess,
 }
 
-/// Why the relay was not had from the running process.
+/// Why the relay could not be taken over from the running process.
 pub enum TakeoverError {
     /// The link broke.
     LinkBroken(io::Error),
-    /// It was refused, or what was received can't be used.
+    /// The running process refused, did not answer in time, or sent data that can't be used.
     Refused(io::Error),
 }
 
@@ -48,20 +48,20 @@
     TakeoverError::Refused(io::Error::other(format!("hand-over: {}", reason.to_string())))
 }
 
-/// A message of the running process, and what is to be done after it.
-struct Received {
+/// A message from the running process, and the action that follows it.
+struct ReceivedMessage {
     message: Message,
     action: SuccessorAction,
 }
 
-/// Discovery's list, as far as the running process has sent it.
+/// The part of the endpoint list that the running process has sent so far.
 struct ReceivedList {
-    /// Its revision, where this process uses the same discovery.
+    /// The list's revision, where this process uses the same discovery service.
     revision: Option<u64>,
     entries: Vec<Value>,
 }
 
-/// An established connection as a message describes it.
+/// An established connection, as described by a message.
 struct ReceivedConnection {
     connection: TransferredConnection,
     protocol: TransferredProtocol,
@@ -74,7 +74,7 @@
         Predecessor { link: Link::new(stream), state: SuccessorProcess::default() }
     }
 
-    async fn next(&mut self) -> Result<Received, TakeoverError> {
+    async fn next(&mut self) -> Result<ReceivedMessage, TakeoverError> {
         let received = match self.state.message_timeout_ms() {
             Some(timeout_ms) => timeout(span(timeout_ms), self.link.next()).await,
             None => Ok(self.link.next().await),
@@ -83,7 +83,7 @@
         let message = received.map_err(TakeoverError::LinkBroken)?;
         match self.state.handle_message(&message) {
             SuccessorAction::Fail(reason) => Err(refused(reason)),
-            action => Ok(Received { message, action }),
+            action => Ok(ReceivedMessage { message, action }),
         }
     }
 
@@ -95,19 +95,20 @@
 /// Requests the running process's state and sockets; `None` where no process runs.
 ///
 /// # Errors
-/// The running process refuses, sends what can't be used, or breaks the link each time.
+/// The running process refuses, does not answer in time, sends data that can't be used, or breaks the link
+/// `MAX_SNAPSHOT_REQUESTS` times, or its socket can't be connected to.
 pub async fn request_snapshot(
     shared: &Rc<Shared>,
     folder: &Path,
     inherited: &mut Vec<InheritableSocket>,
 ) -> io::Result<Option<Predecessor>> {
     let mut version = newest_version(shared);
-    for _ in 0..MAX_REQUESTS {
+    for _ in 0..MAX_SNAPSHOT_REQUESTS {
         let stream = match UnixStream::connect(folder.join(SOCKET_NAME)).await {
             Ok(stream) => stream,
             Err(e) => {
                 use io::ErrorKind::{ConnectionRefused, NotFound};
-                // There never was a process, or it has ended without removing its socket.
+                // No process has ever run here, or the last process has ended without removing its socket.
                 let is_absent = matches!(e.kind(), ConnectionRefused | NotFound);
                 return if is_absent { Ok(None) } else { Err(e) };
             }
@@ -115,7 +116,8 @@
         let mut predecessor = Predecessor::new(stream);
         match receive_snapshot(shared, &mut predecessor, inherited, version).await {
             Ok(()) => return Ok(Some(predecessor)),
-            // A process from before there were versions: requested again in the one that it speaks.
+            // The running process predates protocol versions: the snapshot is requested again in the only
+            // version that it supports.
             Err(TakeoverError::Refused(e))
                 if version > FIRST_PROTOCOL_VERSION && e.to_string().ends_with(VERSION_MISMATCH) =>
             {
@@ -123,7 +125,7 @@
             }
             Err(TakeoverError::Refused(e)) => return Err(e),
             Err(TakeoverError::LinkBroken(e)) => {
-                warn!("hand-over: the running process has broken off: {e}");
+                warn!("hand-over: the running process broke the link: {e}");
             }
         }
     }
@@ -140,7 +142,7 @@
     predecessor.send(&Message::Hello { version, relay_name }).await?;
     let mut list: Option<ReceivedList> = None;
     loop {
-        let Received { message, action } = predecessor.next().await?;
+        let ReceivedMessage { message, action } = predecessor.next().await?;
         match message {
             Message::EndpointList { discovery, revision, entries } => {
                 let is_same_discovery = discovery == shared.config.borrow().discovery.to_string();
@@ -159,7 +161,7 @@
                 let sockets = keys.into_iter().zip(predecessor.link.take_sockets());
                 inherited.extend(sockets.map(|(key, socket)| InheritableSocket { key, socket }));
             }
-            // The list comes first: the state that was learned is of its endpoints.
+            // The endpoint list is applied first, since the learned state refers to its endpoints.
             Message::LearnedState(learned) => {
                 apply_list(shared, list.take()).map_err(refused)?;
                 shared.core(|relay, now| relay.import_learned_state(now, learned));
@@ -172,7 +174,7 @@
     }
 }
 
-/// Takes the list as the running process has it. Discovery is not asked for it again.
+/// Applies the running process's endpoint list, so that discovery need not send the whole list again.
 fn apply_list(shared: &Rc<Shared>, list: Option<ReceivedList>) -> Result<(), ListError> {
     let Some(ReceivedList { revision, entries }) = list else { return Ok(()) };
     let entries = shared.endpoint_list.borrow_mut().import(revision, entries)?;
@@ -192,14 +194,14 @@
     shared.core(|relay, now| relay.restore_affinity(now, records.into_iter()));
 }
 
-/// Takes the relay over: when this returns, the running process has stopped accepting for good.
+/// Takes the relay over. When this succeeds, the running process has stopped accepting clients for good.
 ///
 /// # Errors
-/// The link broke, or the running process refuses.
+/// The link broke, or the running process refuses, does not answer in time, or sends data that can't be used.
 pub async fn take_over(shared: &Rc<Shared>, predecessor: &mut Predecessor) -> Result<(), TakeoverError> {
     predecessor.send(&Message::TakeoverRequest).await?;
     loop {
-        let Received { message, action } = predecessor.next().await?;
+        let ReceivedMessage { message, action } = predecessor.next().await?;
         match message {
             Message::AffinityRecords(records) => restore_affinity(shared, records),
             Message::AcceptingStopped { descriptors, standby, slow_start_pause } => {
@@ -216,7 +218,8 @@
     }
 }
 
-/// Continues the running process's slow-start pause, and its standby that has lasted for `standby_elapsed`.
+/// Continues the slow-start pause of the running process, and its standby, which has lasted for
+/// `standby_elapsed`.
 fn continue_pauses(shared: &Rc<Shared>, standby_elapsed: Option<Millis>, slow_start_pause: Millis) {
     shared.core(|relay, now| {
         relay.import_learned_state(now, LearnedState::pause(slow_start_pause));
@@ -226,11 +229,12 @@
     });
 }
 
-/// Receives the connections and descriptor counts of the predecessor process until it has ended.
+/// Receives connections, affinity changes and descriptor counts from the predecessor process until that
+/// process has ended.
 pub async fn follow_predecessor(shared: Rc<Shared>, mut predecessor: Predecessor) {
     info!("hand-over: this process serves");
     shared.is_predecessor_running.set(true);
-    while let Ok(Received { message, .. }) = predecessor.next().await {
+    while let Ok(ReceivedMessage { message, .. }) = predecessor.next().await {
         match message {
             Message::DescriptorsInUse { descriptors } => {
                 shared.admission.set_other_process(descriptors as usize)
@@ -250,12 +254,12 @@
             _ => {}
         }
     }
-    info!("hand-over: the process before has ended");
+    info!("hand-over: the predecessor process has ended");
     shared.admission.set_other_process(0);
     shared.is_predecessor_running.set(false);
 }
 
-/// Continues an established connection of the predecessor process.
+/// Adopts an established connection of the predecessor process.
 fn adopt(shared: &Rc<Shared>, sockets: Vec<OwnedFd>, received: ReceivedConnection) -> io::Result<()> {
     let mut sockets = sockets.into_iter();
     let (Some(client), Some(upstream)) = (sockets.next(), sockets.next()) else {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -157,7 +157,7 @@
     drop(connect(&new.rtmp));
     assert!(stand(&new).send("on\r\n").line() == "on" && new.status().starts_with("done active"));
     // And so on: the next version finds this one.
-    until("it says so", || new.log().contains("the process before has ended"));
+    until("it says so", || new.log().contains("the predecessor process has ended"));
     let third = new.beside();
     until("the third serves", || third.status().starts_with("done active"));
     assert!(stand(&third).send("on\r\n").line() == "on");
@@ -320,7 +320,7 @@
     std::fs::write(&path, "mine").unwrap();
     let new = fleet.relay.beside();
     until("it starts", || new.status().starts_with("done active"));
-    until("it says so", || new.log().contains("no socket"));
+    until("it says so", || new.log().contains("is not a socket"));
     assert_eq!(std::fs::read_to_string(&path).unwrap(), "mine");
 }
 
