--- a/crates/schema-version/src/versioned_channel.rs
+++ b/crates/schema-version/src/versioned_channel.rs
@@ -213,7 +213,7 @@
     }
 
     /// Adds the datagrams that are due without a text to `out`: advertisements, and rows that have waited for
-    /// at least [`ROWS_DELAY_MS`].
+    /// at least `ROWS_DELAY_MS`.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Datagram>) {
         for due in self.negotiator.poll(now) {
             self.advertise(now, due, out);
