--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -33,5 +33,5 @@
 
 pub use cluster_position::{ClusterPosition, FULL_MESH_RELAYS};
 pub use grant_client::Ticket;
-pub use manager::{Arrival, Decided, QuotaManager, Rejections};
+pub use manager::{Arrival, DelayedDecision, QuotaManager, Rejections};
 pub use sandgw_units::Millis;
--- a/crates/quota/src/manager.rs
+++ b/crates/quota/src/manager.rs
@@ -33,12 +33,12 @@
     /// Whether the client was counted before.
     pub is_returning: bool,
     /// How long the connection can wait for a decision, in milliseconds.
-    pub patience: Millis,
+    pub max_wait: Millis,
 }
 
 /// A connection that waited, and the decision on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Decided {
+pub struct DelayedDecision {
     /// The connection.
     pub ticket: Ticket,
     /// The decision: [`Verdict::Admit`] or [`Verdict::Reject`].
@@ -50,8 +50,8 @@
 pub struct Rejections {
     /// Connections rejected for [`RejectReason::OverQuota`].
     pub over_quota: u64,
-    /// Connections rejected for [`RejectReason::OverPart`].
-    pub over_part: u64,
+    /// Connections rejected for [`RejectReason::OverLocalPart`].
+    pub over_local_part: u64,
     /// Connections rejected for [`RejectReason::NotGranted`].
     pub not_granted: u64,
 }
@@ -59,13 +59,13 @@
 impl Rejections {
     /// The number of rejected connections, whatever the reason.
     pub fn total(self) -> u64 {
-        self.over_quota + self.over_part + self.not_granted
+        self.over_quota + self.over_local_part + self.not_granted
     }
 
     fn count(&mut self, reason: RejectReason) {
         match reason {
             RejectReason::OverQuota => self.over_quota += 1,
-            RejectReason::OverPart => self.over_part += 1,
+            RejectReason::OverLocalPart => self.over_local_part += 1,
             RejectReason::NotGranted => self.not_granted += 1,
         }
     }
@@ -83,7 +83,7 @@
 /// let mut quotas = QuotaManager::new(Tenants::new(vec![acme]).unwrap(), position, 1.0);
 /// let full = ScarcitySignals { endpoints: true, ..ScarcitySignals::default() };
 /// let free = ScarcitySignals::default();
-/// let arrival = Arrival { tenant: "acme", is_returning: false, patience: 400.0 };
+/// let arrival = Arrival { tenant: "acme", is_returning: false, max_wait: 400.0 };
 /// assert_eq!(quotas.admit(10.0, arrival, full), Verdict::Admit);
 /// assert_eq!(quotas.admit(20.0, arrival, full), Verdict::Reject(RejectReason::OverQuota), "at the limit");
 /// assert_eq!(quotas.admit(9000.0, arrival, free), Verdict::Admit, "capacity is not scarce");
@@ -92,7 +92,7 @@
     usage: UsageTable,
     policy: QuotaPolicy,
     grants: GrantClient,
-    decided: Vec<Decided>,
+    decided: Vec<DelayedDecision>,
     /// When the coordinator is to be notified of connections that have ended.
     prompt_report_at: Option<Millis>,
     last_prompt_report: Millis,
@@ -135,12 +135,12 @@
             Assessment::Reject(reason) => self.rejected(reason),
             // The client was counted before: admitting it adds nothing to the cluster's usage.
             Assessment::NeedsGrant if arrival.is_returning => self.admitted(index),
-            Assessment::NeedsGrant => self.decide_by_grant(now, index, &view, arrival.patience),
+            Assessment::NeedsGrant => self.decide_by_grant(now, index, &view, arrival.max_wait),
         }
     }
 
     /// Decides about a connection that is within its tenant's quota as far as this relay knows.
-    fn decide_by_grant(&mut self, now: Millis, index: usize, view: &UsageView, patience: Millis) -> Verdict {
+    fn decide_by_grant(&mut self, now: Millis, index: usize, view: &UsageView, max_wait: Millis) -> Verdict {
         if self.usage.is_coordinator(now) {
             return self.decide_as_coordinator(now, index, view);
         }
@@ -151,7 +151,7 @@
         if self.grants.is_refused(now, index) {
             return self.rejected(RejectReason::OverQuota);
         }
-        Verdict::Wait(self.grants.enqueue(now, index, patience))
+        Verdict::Wait(self.grants.enqueue(now, index, max_wait))
     }
 
     fn admitted(&mut self, index: usize) -> Verdict {
@@ -166,7 +166,7 @@
     }
 
     /// Returns the decisions made since the last call on connections that waited.
-    pub fn take_decided(&mut self) -> Vec<Decided> {
+    pub fn take_decided(&mut self) -> Vec<DelayedDecision> {
         std::mem::take(&mut self.decided)
     }
 
@@ -176,7 +176,7 @@
         for (index, ticket) in self.grants.take_expired(now) {
             let view = self.usage.view(now, index);
             let verdict = self.decide_without_grant(now, index, &view);
-            self.decided.push(Decided { ticket, verdict });
+            self.decided.push(DelayedDecision { ticket, verdict });
         }
         if self.usage.is_coordinator(now) {
             self.decide_waiting_as_coordinator(now);
@@ -205,7 +205,7 @@
         for (index, ticket) in self.grants.take_all() {
             let view = self.usage.view(now, index);
             let verdict = self.decide_as_coordinator(now, index, &view);
-            self.decided.push(Decided { ticket, verdict });
+            self.decided.push(DelayedDecision { ticket, verdict });
         }
     }
 
@@ -247,11 +247,11 @@
     fn apply_grant_outcome(&mut self, index: usize, outcome: GrantOutcome) {
         for ticket in outcome.admitted {
             let verdict = self.admitted(index);
-            self.decided.push(Decided { ticket, verdict });
+            self.decided.push(DelayedDecision { ticket, verdict });
         }
         for ticket in outcome.rejected {
             let verdict = self.rejected(RejectReason::OverQuota);
-            self.decided.push(Decided { ticket, verdict });
+            self.decided.push(DelayedDecision { ticket, verdict });
         }
     }
 
--- a/crates/quota/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ScarcitySignals {
     /// The concurrency limit is reduced, or connections are queued for it.
-    pub window: bool,
+    pub concurrency_limit_reduced: bool,
     /// Endpoints are at their limit.
     pub endpoints: bool,
     /// File descriptors are nearly used up.
@@ -58,7 +58,7 @@
     OverQuota,
     /// The tenant has used up the part of its quota that this relay may decide about while it receives
     /// reports from no more than half of the cluster.
-    OverPart,
+    OverLocalPart,
     /// The coordinator did not answer in time whether the connection is within the quota.
     NotGranted,
 }
@@ -243,7 +243,8 @@
             return Assessment::Admit;
         }
         if view.remaining() < 1.0 {
-            let reason = if view.is_limit_partial { RejectReason::OverPart } else { RejectReason::OverQuota };
+            let reason =
+                if view.is_limit_partial { RejectReason::OverLocalPart } else { RejectReason::OverQuota };
             return Assessment::Reject(reason);
         }
         // A relay that receives no reports decides by itself about its own part of the limit.
--- a/crates/quota/tests/burst.rs
+++ b/crates/quota/tests/burst.rs
@@ -11,7 +11,7 @@
 /// Connections that arrive at the same time.
 const BURST: usize = 240;
 const ENDPOINTS_FULL: ScarcitySignals =
-    ScarcitySignals { window: false, endpoints: true, descriptors: false };
+    ScarcitySignals { concurrency_limit_reduced: false, endpoints: true, descriptors: false };
 
 /// The relays that a burst reaches.
 #[derive(Clone, Copy, Debug)]
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use sandgw_quota::usage_gossip::UsageReport;
 use sandgw_quota::usage_table::OutgoingReport;
 use sandgw_quota::usage_view::UsageView;
-use sandgw_quota::{Arrival, ClusterPosition, Decided, QuotaManager, Ticket};
+use sandgw_quota::{Arrival, ClusterPosition, DelayedDecision, QuotaManager, Ticket};
 
 /// Step of the virtual clock, in milliseconds.
 pub const STEP_MS: f64 = 20.0;
@@ -192,7 +192,7 @@
         let (now, relay) = (self.now, &mut self.relays[at]);
         let Some(quotas) = &mut relay.quotas else { return Outcome::Rejected(RejectReason::NotGranted) };
         let name = tenant_name(tenant);
-        let arrival = Arrival { tenant: &name, is_returning, patience: MAX_WAIT_MS };
+        let arrival = Arrival { tenant: &name, is_returning, max_wait: MAX_WAIT_MS };
         match quotas.admit(now, arrival, signals) {
             Verdict::Admit => {
                 quotas.established(&name);
@@ -222,7 +222,7 @@
     fn take_decisions(&mut self, at: usize) {
         let relay = &mut self.relays[at];
         let Some(quotas) = &mut relay.quotas else { return };
-        for Decided { ticket, verdict } in quotas.take_decided() {
+        for DelayedDecision { ticket, verdict } in quotas.take_decided() {
             let Some((tenant, arrived_at)) = relay.waiting.remove(&ticket) else { continue };
             let is_admitted = verdict == Verdict::Admit;
             if is_admitted {
--- a/crates/quota/tests/policy.rs
+++ b/crates/quota/tests/policy.rs
@@ -136,7 +136,7 @@
         }
         // The tenant has twenty times its quota of connections and ten times its rate, so it is rejected as
         // soon as capacity is scarce.
-        let full = ScarcitySignals { window: true, ..ScarcitySignals::default() };
+        let full = ScarcitySignals { concurrency_limit_reduced: true, ..ScarcitySignals::default() };
         assert!(matches!(cluster.open_at(0, 0, false, full), Outcome::Rejected(_)), "{relays}");
         // Connections are admitted again once capacity has not been scarce for five seconds.
         cluster.run(4900.0, |_| {});
--- a/src/policy/scarcity.rs
+++ b/src/policy/scarcity.rs
@@ -17,7 +17,7 @@
             endpoint.is_some_and(|known| known.load + 1.0 <= known.load_limit.current(now, load_per_endpoint))
         };
         ScarcitySignals {
-            window: !self.queue.is_empty() || self.concurrency_limit.fault_is_common(now),
+            concurrency_limit_reduced: !self.queue.is_empty() || self.concurrency_limit.fault_is_common(now),
             endpoints: !ready.iter().any(has_headroom) || endpoints.is_widely_slow(now),
             descriptors: false,
         }
--- a/src/relay/quota_accounting.rs
+++ b/src/relay/quota_accounting.rs
@@ -7,7 +7,7 @@
 use log::{debug, warn};
 use sandgw_quota::policy::{RejectReason, ScarcitySignals, Verdict};
 use sandgw_quota::usage_table::OutgoingReport;
-use sandgw_quota::{Arrival, Decided, Rejections, Ticket};
+use sandgw_quota::{Arrival, DelayedDecision, Rejections, Ticket};
 
 use super::Relay;
 use super::commands::{Command, LocalReply};
@@ -144,7 +144,7 @@
     }
 
     fn apply_quota_decisions(&mut self, now: Millis) {
-        for Decided { ticket, verdict } in self.quota.tenant_quotas.take_decided() {
+        for DelayedDecision { ticket, verdict } in self.quota.tenant_quotas.take_decided() {
             if let Some(undecided) = self.quota.undecided.remove(&ticket) {
                 self.apply_quota_decision(now, undecided, verdict);
             }
@@ -171,7 +171,7 @@
         debug!("connection {}: request rejected because of its tenant's quota: {reason:?}", id.0);
         let max_retry_after = self.load_balancer.settings().max_retry_after;
         let retry_after = match reason {
-            RejectReason::OverQuota | RejectReason::OverPart => max_retry_after,
+            RejectReason::OverQuota | RejectReason::OverLocalPart => max_retry_after,
             RejectReason::NotGranted => max_retry_after.map(|longest| longest.min(NOT_GRANTED_RETRY_MS)),
         };
         self.reply(id, LocalReply::Rejected(retry_after));
@@ -197,8 +197,8 @@
         let load_balancer = &self.load_balancer;
         let descriptors = incoming.descriptors_short;
         let scarcity = || ScarcitySignals { descriptors, ..load_balancer.scarcity_signals(now) };
-        let patience = (incoming.deadline - now) * DECISION_WAIT_FRACTION;
-        let arrival = Arrival { tenant: &tenant.0, is_returning: incoming.returned, patience };
+        let max_wait = (incoming.deadline - now) * DECISION_WAIT_FRACTION;
+        let arrival = Arrival { tenant: &tenant.0, is_returning: incoming.returned, max_wait };
         self.quota.tenant_quotas.decide(now, arrival, scarcity)
     }
 
@@ -243,7 +243,7 @@
                 "quota: capacity is short, and {rejected} connections of tenants over their quota were rejected: \
                  {} over the quota, {} over this relay's part of it, {} since no grant came in time",
                 total.over_quota.saturating_sub(logged.over_quota),
-                total.over_part.saturating_sub(logged.over_part),
+                total.over_local_part.saturating_sub(logged.over_local_part),
                 total.not_granted.saturating_sub(logged.not_granted),
             );
         }
--- a/src/relay/quotas.rs
+++ b/src/relay/quotas.rs
@@ -4,7 +4,7 @@
 
 use sandgw_quota::policy::{ScarcitySignals, Verdict};
 use sandgw_quota::usage_table::OutgoingReport;
-use sandgw_quota::{Arrival, ClusterPosition, Decided, QuotaManager, Rejections};
+use sandgw_quota::{Arrival, ClusterPosition, DelayedDecision, QuotaManager, Rejections};
 
 use crate::policy::api::*;
 
@@ -46,7 +46,7 @@
     }
 
     /// Takes the decisions since the last call about connections that waited.
-    pub fn take_decided(&mut self) -> Vec<Decided> {
+    pub fn take_decided(&mut self) -> Vec<DelayedDecision> {
         self.0.as_mut().map(QuotaManager::take_decided).unwrap_or_default()
     }
 
