--- a/crates/cluster/src/concurrency_limit.rs
+++ b/crates/cluster/src/concurrency_limit.rs
@@ -43,13 +43,13 @@
 /// assert_eq!(limit.time_until_slot(0.0, 100, 500.0), 0.0, "there is no limit yet");
 /// // Set-ups are late at one endpoint after another: the fault is common to all.
 /// (1..=3).for_each(|endpoint| limit.record_late(1000.0, endpoint, 8, 500.0));
-/// assert!(limit.fault_is_common(0.0) && limit.latest_met_queue());
+/// assert!(limit.fault_is_common(0.0) && limit.latest_setup_was_queued());
 /// assert_eq!(limit.time_until_slot(1000.0, 4, 500.0), f64::INFINITY, "until one of the four has ended");
 /// // A connection that waits behind others can be given a time to retry.
 /// assert!(limit.expected_wait(1000.0, 4, 10, 500.0) > 500.0);
 /// // A quick set-up raises the limit again.
 /// limit.record_in_time(1010.0, 0.1);
-/// assert!(!limit.latest_met_queue());
+/// assert!(!limit.latest_setup_was_queued());
 /// ```
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
@@ -58,7 +58,7 @@
     late_fraction: f64,
     /// Endpoint of the latest late set-up: a common fault shows at several endpoints.
     latest_late_endpoint: Option<u64>,
-    latest_met_queue: bool,
+    latest_setup_was_queued: bool,
     /// Set-ups that may be in flight; a value below one is the fraction of the time in which one set-up may
     /// be in flight.
     limit: f64,
@@ -83,7 +83,7 @@
         ConcurrencyLimit {
             late_fraction: 0.0,
             latest_late_endpoint: None,
-            latest_met_queue: false,
+            latest_setup_was_queued: false,
             limit: f64::INFINITY,
             limit_updated_at: now,
             peer_warned_at: f64::NEG_INFINITY,
@@ -100,8 +100,8 @@
 
     /// Whether the latest set-up took long enough to have waited in a queue, either a local one or one behind
     /// all endpoints.
-    pub fn latest_met_queue(&self) -> bool {
-        self.latest_met_queue
+    pub fn latest_setup_was_queued(&self) -> bool {
+        self.latest_setup_was_queued
     }
 
     /// Records a peer's warning that set-ups are late at several endpoints. `in_flight` is the number of
@@ -136,9 +136,9 @@
     /// Records a set-up that ended within the latency objective, of which it took `fraction_of_objective`.
     pub fn record_in_time(&mut self, now: Millis, fraction_of_objective: f64) {
         self.late_fraction -= self.late_fraction / LATE_FRACTION_DIVISOR;
-        self.latest_met_queue = fraction_of_objective >= UNQUEUED_FRACTION_OF_OBJECTIVE;
+        self.latest_setup_was_queued = fraction_of_objective >= UNQUEUED_FRACTION_OF_OBJECTIVE;
         // Where set-ups do not wait in a queue, one set-up at a time needs no pause.
-        let min_limit = if self.latest_met_queue || self.peer_warning_counts(now) { 0.0 } else { 1.0 };
+        let min_limit = if self.latest_setup_was_queued || self.peer_warning_counts(now) { 0.0 } else { 1.0 };
         let limit = self.current_limit(now);
         // The limit rises by one in each round trip; below one it doubles with each set-up.
         let increase = (1.0 / limit).min(limit);
@@ -151,7 +151,7 @@
     /// them, the fault is common to all. `in_flight` is the number of other set-ups in flight; a cut of the
     /// limit takes `settle_time` to show an effect.
     pub fn record_late(&mut self, now: Millis, endpoint: u64, in_flight: u32, settle_time: Millis) {
-        self.latest_met_queue = true;
+        self.latest_setup_was_queued = true;
         if self.latest_late_endpoint != Some(endpoint) {
             self.late_fraction += (1.0 - self.late_fraction) / LATE_FRACTION_DIVISOR;
             self.latest_late_endpoint = Some(endpoint);
--- a/crates/cluster/src/drain_gossip/mod.rs
+++ b/crates/cluster/src/drain_gossip/mod.rs
@@ -122,7 +122,7 @@
 
     /// Starts to query other relays: the first poll is pending, a poll has failed, or a subscription has
     /// broken, and no change arrives until another poll is answered.
-    pub fn discovery_failed(&mut self, now: Millis, position: ClusterPosition) {
+    pub fn start_querying_peers(&mut self, now: Millis, position: ClusterPosition) {
         if position.is_large() && self.next_query_at.is_none() {
             let jitter = 0.5 + self.random.next_fraction();
             self.next_query_at = Some(now + FIRST_QUERY_DELAY_MS * jitter);
@@ -135,7 +135,7 @@
         self.revision = None;
         // The first answer of the new service supersedes the reports.
         self.departures.retain_reported();
-        self.discovery_failed(now, position);
+        self.start_querying_peers(now, position);
     }
 
     /// Applies an answer from discovery. Returns the endpoints that are no longer treated as draining and
--- a/crates/cluster/src/poll_scheduler/mod.rs
+++ b/crates/cluster/src/poll_scheduler/mod.rs
@@ -42,27 +42,30 @@
 /// random number from 0 to 1.
 ///
 /// ```
-/// use sandgw_cluster::poll_scheduler::delay_after_silent_watch;
+/// use sandgw_cluster::poll_scheduler::delay_after_silent_subscription;
 ///
-/// assert_eq!(delay_after_silent_watch(4, 0.9), 0.0, "a small cluster polls at once");
-/// assert!(delay_after_silent_watch(300, 0.1) < delay_after_silent_watch(300, 0.9));
-/// assert!(delay_after_silent_watch(300, 1.0) <= 1500.0);
+/// assert_eq!(delay_after_silent_subscription(4, 0.9), 0.0, "a small cluster polls at once");
+/// assert!(delay_after_silent_subscription(300, 0.1) < delay_after_silent_subscription(300, 0.9));
+/// assert!(delay_after_silent_subscription(300, 1.0) <= 1500.0);
 /// ```
-pub fn delay_after_silent_watch(relay_count: u32, draw: f64) -> Millis {
+pub fn delay_after_silent_subscription(relay_count: u32, draw: f64) -> Millis {
     spread_delay(relay_count, draw, MAX_SILENT_SUBSCRIPTION_SPREAD_MS)
 }
 
 /// Returns the delay until the next poll after an established subscription was reset, cut or turned away.
 /// Only if that poll fails too is discovery considered down or overloaded. `draw` is as in
-/// [`delay_after_silent_watch`].
+/// [`delay_after_silent_subscription`].
 ///
 /// ```
-/// use sandgw_cluster::poll_scheduler::delay_after_broken_watch;
+/// use sandgw_cluster::poll_scheduler::delay_after_broken_subscription;
 ///
-/// assert_eq!(delay_after_broken_watch(4, 0.9), 0.0, "a small cluster polls at once");
-/// assert!(delay_after_broken_watch(100, 1.0) <= 2000.0 && delay_after_broken_watch(300, 1.0) <= 3500.0);
+/// assert_eq!(delay_after_broken_subscription(4, 0.9), 0.0, "a small cluster polls at once");
+/// assert!(
+///     delay_after_broken_subscription(100, 1.0) <= 2000.0
+///         && delay_after_broken_subscription(300, 1.0) <= 3500.0
+/// );
 /// ```
-pub fn delay_after_broken_watch(relay_count: u32, draw: f64) -> Millis {
+pub fn delay_after_broken_subscription(relay_count: u32, draw: f64) -> Millis {
     spread_delay(relay_count, draw, MAX_BROKEN_SUBSCRIPTION_SPREAD_MS)
 }
 
@@ -130,10 +133,10 @@
     }
 
     /// Schedules the first poll of a relay that takes no clients before that poll has ended.
-    pub fn start_soon(&mut self, now: Millis, settings: &PollSettings) {
+    pub fn start_before_serving(&mut self, now: Millis, settings: &PollSettings) {
         let draw = self.random.next_fraction();
         self.started_at = now;
-        self.next_poll_at = Some(now + delay_after_silent_watch(settings.position.relay_count, draw));
+        self.next_poll_at = Some(now + delay_after_silent_subscription(settings.position.relay_count, draw));
     }
 
     /// Records that a poll has failed or a subscription has broken, and schedules the next poll. The backoff
--- a/crates/cluster/tests/drain_simulation/mod.rs
+++ b/crates/cluster/tests/drain_simulation/mod.rs
@@ -10,7 +10,7 @@
 use sandgw_cluster::ClusterPosition;
 use sandgw_cluster::drain_gossip::{DiscoveryAnswer, DrainGossip, ListChange};
 use sandgw_cluster::poll_scheduler::{
-    PollScheduler, PollSettings, delay_after_broken_watch, delay_after_silent_watch,
+    PollScheduler, PollSettings, delay_after_broken_subscription, delay_after_silent_subscription,
 };
 
 /// The simulation's time step.
@@ -121,7 +121,7 @@
     fn poll_failed(&mut self, now: f64, scenario: &Scenario, local_index: u32, out: &mut Outbox) {
         self.poll_state = PollState::Scheduled;
         self.scheduler.record_failure(now, &scenario.settings(local_index), out);
-        self.gossip.discovery_failed(now, scenario.gossip_position(local_index));
+        self.gossip.start_querying_peers(now, scenario.gossip_position(local_index));
     }
 }
 
@@ -257,9 +257,9 @@
             let relay = &mut self.relays[local_index as usize];
             match scenario.fault {
                 Fault::Refuses(_) | Fault::Resets => {
-                    let delay = delay_after_broken_watch(scenario.relays, self.rng.random());
+                    let delay = delay_after_broken_subscription(scenario.relays, self.rng.random());
                     relay.poll_state = PollState::Delayed(now + delay);
-                    relay.gossip.discovery_failed(now, scenario.gossip_position(local_index));
+                    relay.gossip.start_querying_peers(now, scenario.gossip_position(local_index));
                 }
                 Fault::Silent(_) | Fault::SubscriptionsSilent => {
                     let noticed_at = now + MAX_SILENCE_MS * self.rng.random_range(0.6..1.0);
@@ -269,7 +269,7 @@
                     *relay = scenario.relay(local_index, 1, self.changes.len());
                     relay.poll_state = PollState::Scheduled;
                     relay.scheduler.start(now, &scenario.settings(local_index));
-                    relay.gossip.discovery_failed(now, scenario.gossip_position(local_index));
+                    relay.gossip.start_querying_peers(now, scenario.gossip_position(local_index));
                 }
                 Fault::Restarts => {}
             }
@@ -292,9 +292,9 @@
                 false
             }
             PollState::Subscribed { silence_noticed_at: Some(at) } if at <= now => {
-                let delay = delay_after_silent_watch(scenario.relays, self.rng.random());
+                let delay = delay_after_silent_subscription(scenario.relays, self.rng.random());
                 relay.poll_state = PollState::Delayed(now + delay);
-                relay.gossip.discovery_failed(now, scenario.gossip_position(local_index));
+                relay.gossip.start_querying_peers(now, scenario.gossip_position(local_index));
                 false
             }
             PollState::Subscribed { silence_noticed_at: None } if has_changes => {
--- a/crates/cluster/tests/poll_scheduler.rs
+++ b/crates/cluster/tests/poll_scheduler.rs
@@ -8,7 +8,7 @@
 use sandgw_affinity::codec::ClusterMessage;
 use sandgw_affinity::outbox::Outbox;
 use sandgw_cluster::ClusterPosition;
-use sandgw_cluster::poll_scheduler::{PollScheduler, PollSettings, delay_after_silent_watch};
+use sandgw_cluster::poll_scheduler::{PollScheduler, PollSettings, delay_after_silent_subscription};
 
 /// The service fails a poll that has waited this long; the poll takes up service time all the same.
 const SERVICE_TIMEOUT_MS: f64 = 2000.0;
@@ -324,7 +324,7 @@
         assert!(scheduler.take_due(now) && !scheduler.take_due(now + 10_000.0));
     }
     assert!(out.is_empty(), "a small cluster announces nothing");
-    assert_eq!(delay_after_silent_watch(4, 0.9), 0.0);
+    assert_eq!(delay_after_silent_subscription(4, 0.9), 0.0);
 }
 
 /// Guards against relays that serve nobody for seconds after they have started.
@@ -332,7 +332,7 @@
 fn relays_that_take_no_clients_before_their_first_poll_poll_soon() {
     for seed in 0..300 {
         let mut scheduler = PollScheduler::new(u64::from(seed));
-        scheduler.start_soon(1000.0, &settings(seed, 300));
+        scheduler.start_before_serving(1000.0, &settings(seed, 300));
         let delay = scheduler.timer(1000.0).unwrap_or(0.0);
         assert!((0.0..=1500.0).contains(&delay), "relay {seed} polls after {delay} ms");
     }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -136,9 +136,9 @@
     pub fn renewal_delay(&mut self, relay_count: u32, is_silent: bool) -> Millis {
         let draw = self.draw();
         if is_silent {
-            poll_scheduler::delay_after_silent_watch(relay_count, draw)
+            poll_scheduler::delay_after_silent_subscription(relay_count, draw)
         } else {
-            poll_scheduler::delay_after_broken_watch(relay_count, draw)
+            poll_scheduler::delay_after_broken_subscription(relay_count, draw)
         }
     }
 
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -97,7 +97,7 @@
             }
             ListKind::Cached if self.polls_discovery => {
                 if self.serves_after_first_poll {
-                    self.poll_scheduler.start_soon(now, &self.poll_settings);
+                    self.poll_scheduler.start_before_serving(now, &self.poll_settings);
                 } else {
                     self.poll_scheduler.start(now, &self.poll_settings);
                 }
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -49,7 +49,7 @@
         let min_reported_load = own_load * MIN_REPORTED_FRACTION * f64::from(self.settings.relay_count);
         let covers_enough_relays = self.placements.endpoints.cluster_load >= min_reported_load;
         covers_enough_relays
-            && !self.concurrency_limit.latest_met_queue()
+            && !self.concurrency_limit.latest_setup_was_queued()
             && self.placements.endpoints.all_ready()
     }
 }
--- a/src/relay/drain_exchange.rs
+++ b/src/relay/drain_exchange.rs
@@ -35,7 +35,7 @@
     /// The subscription was lost and the list is requested anew: changes are unknown until that request is
     /// answered.
     pub fn subscription_lost(&mut self, now: Millis) {
-        self.drain_gossip.discovery_failed(now, self.gossip_cluster());
+        self.drain_gossip.start_querying_peers(now, self.gossip_cluster());
         self.send_drain_gossip(now, Outbox::new());
     }
 
