--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -118,7 +118,7 @@
         connect_timeout: 200.0,
         resolution: 2.0,
         max_retry_after: Some(1500.0),
-        cold_capacity_fraction: 0.31,
+        initial_capacity_fraction: 0.31,
         warm_up_time: 8600.0,
         overload_multiple: 3.0,
         ..Settings::default()
--- a/src/config/maintenance.rs
+++ b/src/config/maintenance.rs
@@ -62,7 +62,7 @@
         max_windows: max_windows as usize,
         max_window_duration: (max_window_s * MILLIS_PER_UNIT) as WholeMillis,
         slow_start: SlowStart {
-            initial_fraction: (settings.cold_capacity_fraction * MILLIS_PER_UNIT) as u64,
+            initial_fraction: (settings.initial_capacity_fraction * MILLIS_PER_UNIT) as u64,
             warm_up_time: settings.warm_up_time as WholeMillis,
         },
     };
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -18,7 +18,7 @@
 
 use self::entry::ListedEndpoint;
 use crate::policy::api::*;
-use crate::policy::hashing::unit_of_hash;
+use crate::policy::hashing::unit_fraction_of_hash;
 
 /// Shortest time for which discovery may hold a watch, in ms. The wait of each watch is drawn at random, so
 /// that relays whose watches were all answered by one change do not go on in step.
@@ -149,7 +149,7 @@
 
     fn draw(&mut self) -> f64 {
         self.seed = xxh3_64_with_seed(&[], self.seed);
-        unit_of_hash(self.seed)
+        unit_fraction_of_hash(self.seed)
     }
 
     /// The address of an endpoint; `None` once the endpoint is removed, since nothing is sent to it any more.
--- a/src/listener/line/open_line.rs
+++ b/src/listener/line/open_line.rs
@@ -56,7 +56,7 @@
                 "t" => request.tenant = text_key(value),
                 "g" if groups => request.group = text_key(value),
                 "g" => request.client = text_key(value),
-                "r" | "again" => request.returned |= value == "1",
+                "r" | "again" => request.is_returning |= value == "1",
                 "mid" => request.mid_flow = value == "1",
                 "at" => request.existing_endpoint = Some(EndpointId(Arc::from(value))),
                 "h" => request.load = Some(parse_number(value)?).filter(|load| *load > 0.0),
--- a/src/net/connection/handshake.rs
+++ b/src/net/connection/handshake.rs
@@ -113,6 +113,6 @@
     let group = key_or_dash(&request.group);
     format!(
         "client {client}, group {group}, mid-flow {}, returning client {}",
-        request.mid_flow, request.returned
+        request.mid_flow, request.is_returning
     )
 }
--- a/src/net/takeover/successor.rs
+++ b/src/net/takeover/successor.rs
@@ -222,7 +222,7 @@
 /// `standby_elapsed`.
 fn continue_pauses(shared: &Rc<Shared>, standby_elapsed: Option<Millis>, slow_start_pause: Millis) {
     shared.core(|relay, now| {
-        relay.import_learned_state(now, LearnedState::pause(slow_start_pause));
+        relay.import_learned_state(now, LearnedState::with_slow_start_pause(slow_start_pause));
         if let Some(elapsed) = standby_elapsed.filter(|elapsed| *elapsed >= 0.0) {
             relay.enter_standby(now - elapsed);
         }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -65,7 +65,7 @@
         while let Some(id) = self.highest_priority_queued() {
             let requests = &self.placements.requests;
             let objective = requests.by_id.get(&id).map_or(0.0, |tracked| self.latency_objective(tracked));
-            if self.concurrency_limit.time_until_slot(now, requests.attempts_out, objective) > 0.0 {
+            if self.concurrency_limit.time_until_slot(now, requests.attempts_in_flight, objective) > 0.0 {
                 return;
             }
             self.queue.remove(&id);
@@ -101,8 +101,8 @@
         if tracked.continues_mid_flow() {
             return 0.0;
         }
-        let attempts_out = self.placements.requests.attempts_out;
-        self.concurrency_limit.time_until_slot(now, attempts_out, self.latency_objective(tracked))
+        let attempts_in_flight = self.placements.requests.attempts_in_flight;
+        self.concurrency_limit.time_until_slot(now, attempts_in_flight, self.latency_objective(tracked))
     }
 
     /// Holds a request until the concurrency limit admits it, provided that this is expected early enough for
@@ -120,9 +120,9 @@
         let Some(tracked) = self.pending_request(id) else { return };
         let deadline = tracked.request.deadline;
         let objective = self.latency_objective(tracked);
-        let attempts_out = self.placements.requests.attempts_out;
+        let attempts_in_flight = self.placements.requests.attempts_in_flight;
         let expected_wait =
-            self.concurrency_limit.expected_wait(now, attempts_out, self.queue.len(), objective);
+            self.concurrency_limit.expected_wait(now, attempts_in_flight, self.queue.len(), objective);
         if now + expected_wait + objective > deadline {
             return self.send_local_reply(id, is_safe_to_reject, actions);
         }
--- a/src/policy/api/events.rs
+++ b/src/policy/api/events.rs
@@ -65,7 +65,7 @@
         finished: bool,
     },
     /// The client has disconnected; the request needs no answer any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A measurement of an established connection.
     Measured {
         /// The request.
--- a/src/policy/api/request.rs
+++ b/src/policy/api/request.rs
@@ -28,7 +28,7 @@
     pub mid_flow: bool,
     /// Whether the client has sent a request before: it retries, or reconnects after its connection broke or
     /// was migrated.
-    pub returned: bool,
+    pub is_returning: bool,
     /// Whether the endpoint itself notifies this client when it drains.
     pub drained_by_endpoint: bool,
 }
--- a/src/policy/api/settings.rs
+++ b/src/policy/api/settings.rs
@@ -94,7 +94,7 @@
     /// Time after which a list without a subscription counts as stale, in ms.
     pub list_max_age: Millis,
     /// Minimum fraction of its capacity that an endpoint has when it starts.
-    pub cold_capacity_fraction: f64,
+    pub initial_capacity_fraction: f64,
     /// Time after which an endpoint is warm at the latest, in ms.
     pub warm_up_time: Millis,
     /// Load, as a multiple of its present capacity, above which an endpoint that is warming up fails.
@@ -122,7 +122,7 @@
             resolution: 1.0,
             max_retry_after: None,
             list_max_age: 10_000.0,
-            cold_capacity_fraction: 0.1,
+            initial_capacity_fraction: 0.1,
             warm_up_time: 20_000.0,
             overload_multiple: 2.0,
             retry_budget: None,
--- a/src/policy/attempt_outcome.rs
+++ b/src/policy/attempt_outcome.rs
@@ -21,7 +21,7 @@
 /// and also takes at least twice the median.
 const SLOW_SETUP_OBJECTIVE_FRACTION: f64 = 0.1;
 /// When an endpoint drops connections, its load limit is cut to this fraction of its present load.
-pub(super) const OVERLOAD_DECREASE: f64 = 0.75;
+pub(super) const OVERLOAD_DECREASE_FACTOR: f64 = 0.75;
 /// Fraction by which the endpoint fault score moves toward its target for each established connection that
 /// was reset or cancelled.
 const FAULT_SCORE_STEP: f64 = 1.0 / 8.0;
@@ -120,8 +120,13 @@
     /// notice to the other relays.
     fn record_late_setup(&mut self, now: Millis, endpoint: &EndpointId) {
         let endpoint_hash = key_hash(endpoint.0.as_bytes());
-        let attempts_out = self.placements.requests.attempts_out;
-        self.concurrency_limit.record_late(now, endpoint_hash, attempts_out, self.settings.connect_timeout);
+        let attempts_in_flight = self.placements.requests.attempts_in_flight;
+        self.concurrency_limit.record_late(
+            now,
+            endpoint_hash,
+            attempts_in_flight,
+            self.settings.connect_timeout,
+        );
         self.cluster.report_late_setup(now, endpoint);
     }
 
@@ -146,7 +151,7 @@
     /// are reported too, since a single odd set-up of an endpoint that has just started would starve it.
     fn detect_slow_setup(&mut self, now: Millis, id: &EndpointId, objective: Millis) {
         let ready = &self.assignment.ready_endpoints;
-        let median_setup_time = self.placements.endpoints.median_setup(ready, now - SETUP_TIME_TTL_MS);
+        let median_setup_time = self.placements.endpoints.median_setup_time(ready, now - SETUP_TIME_TTL_MS);
         let load_per_endpoint = self.placements.requests.capped_load_per_endpoint(ready.len());
         let Some(endpoint) = self.placements.endpoints.by_id.get_mut(id) else { return };
         let excess = endpoint.quickest_setup.elapsed - median_setup_time;
@@ -195,7 +200,12 @@
         let fault_is_common = self.concurrency_limit.fault_is_common(now);
         let Some(endpoint) = self.placements.endpoints.by_id.get_mut(&end.endpoint) else { return };
         if end.outcome == Outcome::Reset {
-            endpoint.load_limit.record_overload(now, load_per_endpoint, endpoint.load, OVERLOAD_DECREASE);
+            endpoint.load_limit.record_overload(
+                now,
+                load_per_endpoint,
+                endpoint.load,
+                OVERLOAD_DECREASE_FACTOR,
+            );
         }
         endpoint.refuses_connections |= end.outcome == Outcome::ConnectFailed && !was_established;
         if is_endpoint_failure(end.outcome, was_established, fault_is_common) {
--- a/src/policy/cluster_state.rs
+++ b/src/policy/cluster_state.rs
@@ -115,7 +115,7 @@
     }
 
     /// Handles a failed poll of the endpoint list, or a watch that broke off.
-    pub fn list_poll_failed(&mut self, now: Millis) {
+    pub fn record_list_poll_failure(&mut self, now: Millis) {
         self.poll_scheduler.record_failure(now, &self.poll_settings, &mut self.outbox);
     }
 
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -62,7 +62,7 @@
     /// Cell of the endpoint.
     pub cell: u64,
     /// This relay's requests that are placed at the endpoint: attempts in flight and established connections.
-    pub placed: BTreeSet<RequestId>,
+    pub placed_requests: BTreeSet<RequestId>,
     /// Load of the placed requests, in mean connections.
     pub load: f64,
     /// When this relay last sent an attempt to the endpoint.
@@ -93,7 +93,7 @@
             started: entry.started,
             zone: entry.zone.clone(),
             cell: entry.cell,
-            placed: BTreeSet::new(),
+            placed_requests: BTreeSet::new(),
             load: 0.0,
             last_attempt_at: f64::NEG_INFINITY,
             cluster_load: 0.0,
@@ -108,8 +108,8 @@
     /// The same endpoint after its process has restarted. What was learned about the old process no longer
     /// holds. The old process's connections stay counted; each of them ends by itself.
     fn after_restart(&mut self, entry: &EndpointEntry) -> Self {
-        let placed = std::mem::take(&mut self.placed);
-        Endpoint { placed, load: self.load, ..Endpoint::new(entry) }
+        let placed_requests = std::mem::take(&mut self.placed_requests);
+        Endpoint { placed_requests, load: self.load, ..Endpoint::new(entry) }
     }
 }
 
@@ -151,8 +151,9 @@
                 None => drop(self.by_id.insert(entry.id.clone(), Endpoint::new(&entry))),
             }
         }
-        let is_needed =
-            |endpoint: &Endpoint| endpoint.state != EndpointState::Removed || !endpoint.placed.is_empty();
+        let is_needed = |endpoint: &Endpoint| {
+            endpoint.state != EndpointState::Removed || !endpoint.placed_requests.is_empty()
+        };
         self.by_id.retain(|_, endpoint| is_needed(endpoint));
         weight_changed
     }
@@ -173,7 +174,7 @@
 
     /// This relay's load by endpoint tag, for a load report to other relays.
     pub fn load_report(&self) -> Vec<(Tag, f64)> {
-        let used = self.by_id.values().filter(|endpoint| !endpoint.placed.is_empty());
+        let used = self.by_id.values().filter(|endpoint| !endpoint.placed_requests.is_empty());
         used.map(|endpoint| (endpoint.tag, endpoint.load)).collect()
     }
 
@@ -194,7 +195,7 @@
     /// Whether over a third of the endpoints that hold connections of this relay are slow. The load is then
     /// too high for all endpoints, and moving load to others would only make them slow too.
     pub fn is_widely_slow(&self, now: Millis) -> bool {
-        let used = self.by_id.values().filter(|endpoint| !endpoint.placed.is_empty());
+        let used = self.by_id.values().filter(|endpoint| !endpoint.placed_requests.is_empty());
         let vote = |endpoint: &Endpoint| {
             if endpoint.load_limit.is_healthy(now) { 1 } else { -SLOW_ENDPOINT_VOTES }
         };
@@ -203,7 +204,7 @@
 
     /// The median of the quickest set-up times at these endpoints, in ms, among those measured after `since`.
     /// It is infinite if there is no such measurement.
-    pub fn median_setup(&self, ids: &[EndpointId], since: Millis) -> Millis {
+    pub fn median_setup_time(&self, ids: &[EndpointId], since: Millis) -> Millis {
         let known = ids.iter().filter_map(|id| self.by_id.get(id)).map(|endpoint| endpoint.quickest_setup);
         let recent = known.filter(|setup| setup.span_started_at > since);
         let mut times: Vec<Millis> = recent.map(|setup| setup.elapsed).collect();
--- a/src/policy/group_assignment.rs
+++ b/src/policy/group_assignment.rs
@@ -16,7 +16,7 @@
 
 use super::api::*;
 use super::group_sample::GroupSample;
-use super::hashing::{DRAW_SEED, slot_of_key, unit_of_hash};
+use super::hashing::{KEY_RANDOM_SEED, slot_of_key, unit_fraction_of_hash};
 use super::load_balancer::LoadBalancer;
 use super::maglev::MaglevTable;
 
@@ -62,7 +62,7 @@
     pub positions: Vec<usize>,
     /// How many of these endpoints, from the first, the request's group is assigned to; 0 for a request
     /// without a group.
-    pub assigned: usize,
+    pub assigned_count: usize,
 }
 
 /// The current assignment, and the Maglev table that it follows.
@@ -74,7 +74,7 @@
     pub total_weight: f64,
     /// Total capacity of the ready endpoints when groups were last assigned: the sum over weight times
     /// warm-up factor.
-    pub capacity: f64,
+    pub ready_capacity: f64,
     table: MaglevTable,
     parts_by_group: BTreeMap<u32, Vec<GroupPart>>,
     /// When groups were last assigned; negative infinity if they must be assigned again.
@@ -112,18 +112,18 @@
         let Some(group) = &request.group else {
             return CandidateOrder {
                 positions: self.probe_order(slot_of_key(&client)).collect(),
-                assigned: 0,
+                assigned_count: 0,
             };
         };
         let group = slot_of_key(group.0.as_bytes());
         let mut positions: Vec<usize> = self.probe_order(group).collect();
         let Some(parts) = self.parts_by_group.get(&group) else {
-            return CandidateOrder { positions, assigned: 1 };
+            return CandidateOrder { positions, assigned_count: 1 };
         };
         let client_position = position_of_client(parts, &client);
         let is_assigned = |position: &usize| parts.iter().any(|part| part.position == *position);
         positions.sort_by_cached_key(|position| (Some(*position) != client_position, !is_assigned(position)));
-        CandidateOrder { positions, assigned: parts.len().max(1) }
+        CandidateOrder { positions, assigned_count: parts.len().max(1) }
     }
 }
 
@@ -135,7 +135,7 @@
     let mut cumulative_load = 0.0;
     for (index, part) in parts.iter().enumerate() {
         cumulative_load += part.load;
-        let draw = || unit_of_hash(xxh3_64_with_seed(client, DRAW_SEED + index as u64));
+        let draw = || unit_fraction_of_hash(xxh3_64_with_seed(client, KEY_RANDOM_SEED + index as u64));
         if index == 0 || draw() * cumulative_load < part.load {
             client_position = Some(part.position);
         }
@@ -187,7 +187,7 @@
         };
         let parts_by_group = groups.into_iter().map(assign).collect();
         self.assignment.parts_by_group = parts_by_group;
-        self.assignment.capacity = capacity;
+        self.assignment.ready_capacity = capacity;
         self.assignment.assigned_at = now;
     }
 
@@ -222,7 +222,7 @@
     /// arrivals.
     fn merged_arrivals(&self, own_total: f64) -> MergedArrivals {
         let mut sample = self.group_sample.clone();
-        let merged = &self.merged_sample.sum;
+        let merged = &self.merged_sample.merged_sizes;
         // A sum that is smaller than this relay's sample comes from a collector that has just started.
         let smallest_in_sum = merged.groups.last().filter(|_| merged.total > own_total);
         let Some(smallest_in_sum) = smallest_in_sum else {
--- a/src/policy/group_sample.rs
+++ b/src/policy/group_sample.rs
@@ -60,7 +60,7 @@
     /// When this relay sent the collector the sample that is still unanswered; `None` if there is none.
     unanswered_since: Option<Millis>,
     /// The collector's latest answer, or the sum that this relay has made as the collector.
-    pub sum: GroupSizes,
+    pub merged_sizes: GroupSizes,
     /// Samples that other relays have sent to this one, by relay.
     received: BTreeMap<u32, Vec<GroupArrivals>>,
     /// Arrivals at this relay since it last sent a sample.
@@ -75,7 +75,7 @@
         let own_total = own.total();
         // The sample is large enough by itself once it has one arrival for each relay of the cluster.
         if own_total > f64::from(settings.relay_count) {
-            self.sum = GroupSizes::default();
+            self.merged_sizes = GroupSizes::default();
             return None;
         }
         if !settings.peer_messages || !self.is_report_due(now, own_total, settings.connect_timeout) {
@@ -114,7 +114,7 @@
     ) -> Option<Action> {
         if message.is_sum {
             if peer == self.collector {
-                self.sum = message;
+                self.merged_sizes = message;
                 self.unanswered_since = None;
             }
             return None;
@@ -127,7 +127,7 @@
         for received in self.received.values().flatten() {
             *sum.arrivals.entry(received.group_slot).or_default() += received.arrivals;
         }
-        self.sum = sum.to_message(true);
-        Some(Action::SendToPeer { peer, message: PeerMessage::GroupSizes(self.sum.clone()) })
+        self.merged_sizes = sum.to_message(true);
+        Some(Action::SendToPeer { peer, message: PeerMessage::GroupSizes(self.merged_sizes.clone()) })
     }
 }
--- a/src/policy/hashing.rs
+++ b/src/policy/hashing.rs
@@ -10,7 +10,7 @@
 /// Seed of the hash that determines where a key or an endpoint starts in the Maglev table.
 pub(crate) const SLOT_SEED: u64 = 0x70_6570_7065_7231;
 /// Seed of the hash for all other pseudo-random numbers that are derived from a key.
-pub(crate) const DRAW_SEED: u64 = 0x6a_756e_6374_696f;
+pub(crate) const KEY_RANDOM_SEED: u64 = 0x6a_756e_6374_696f;
 
 /// Number of bits of a 64-bit hash that fit the mantissa of an `f64`.
 const MANTISSA_BITS: u32 = 53;
@@ -34,19 +34,19 @@
 }
 
 /// A pseudo-random number in `[0, 1)` derived from a key, identical at every relay.
-pub(crate) fn unit_of_key(key: &[u8]) -> f64 {
-    unit_of_hash(xxh3_64_with_seed(key, DRAW_SEED))
+pub(crate) fn unit_fraction_of_key(key: &[u8]) -> f64 {
+    unit_fraction_of_hash(xxh3_64_with_seed(key, KEY_RANDOM_SEED))
 }
 
 /// Maps a hash to a number in `[0, 1)`.
-pub(crate) fn unit_of_hash(hash: u64) -> f64 {
+pub(crate) fn unit_fraction_of_hash(hash: u64) -> f64 {
     (hash >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
 }
 
 /// The point in `[0, 1)` with number `index` of a low-discrepancy sequence: the first points of the sequence
 /// are spread evenly, however many are used (a Kronecker sequence whose start is derived from the seed).
 pub(crate) fn evenly_spread_point(seed: u64, index: u32) -> f64 {
-    (unit_of_hash(seed) + f64::from(index) * GOLDEN_RATIO_FRACTION).fract()
+    (unit_fraction_of_hash(seed) + f64::from(index) * GOLDEN_RATIO_FRACTION).fract()
 }
 
 /// The short tag that identifies an endpoint in the load reports that relays exchange.
--- a/src/policy/learned_state.rs
+++ b/src/policy/learned_state.rs
@@ -55,7 +55,7 @@
 impl LearnedState {
     /// A state that holds only how long from now no new connection may go to an endpoint that is warming up,
     /// in ms.
-    pub fn pause(slow_start_pause: Millis) -> Self {
+    pub fn with_slow_start_pause(slow_start_pause: Millis) -> Self {
         LearnedState { slow_start_pause, ..LearnedState::default() }
     }
 }
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -16,7 +16,7 @@
 use super::estimates::RunningMean;
 use super::group_assignment::GroupAssignment;
 use super::group_sample::{GroupSample, MergedSample, SAMPLE_SIZE};
-use super::hashing::{slot_of_key, unit_of_hash};
+use super::hashing::{slot_of_key, unit_fraction_of_hash};
 use super::placements::Placements;
 use super::request_table::{Stage, TrackedRequest};
 use super::retry::RetryBudgetUse;
@@ -95,7 +95,7 @@
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Actions) {
         match event {
             Event::Settings(settings) => self.handle_settings(*settings, actions),
-            Event::List { kind: ListKind::Failed, .. } => self.cluster.list_poll_failed(now),
+            Event::List { kind: ListKind::Failed, .. } => self.cluster.record_list_poll_failure(now),
             Event::List { kind, endpoints } => self.handle_list(now, kind, endpoints, actions),
             Event::ListValidUntil(valid_until) => self.handle_list_lease(now, valid_until, actions),
             Event::Request(request) => self.handle_request(now, request, actions),
@@ -109,7 +109,7 @@
                 let end = AttemptEnd { request, attempt, endpoint, outcome, finished };
                 self.handle_attempt_ended(now, end, actions);
             }
-            Event::ClientGone(id) => self.forget(id),
+            Event::ClientDisconnected(id) => self.forget(id),
             Event::Measured { request, measurement } => {
                 self.handle_measurement(now, request, measurement, actions);
             }
@@ -184,7 +184,7 @@
                     let settle_time = NOTICE_SETTLE_CONNECT_TIMEOUTS * self.settings.connect_timeout;
                     self.concurrency_limit.record_peer_warning(
                         now,
-                        self.placements.requests.attempts_out,
+                        self.placements.requests.attempts_in_flight,
                         settle_time,
                     );
                 }
@@ -217,7 +217,7 @@
     /// Counts an arrival for its group. Clients that return are not counted: they would make groups with
     /// failures appear larger than they are.
     fn record_group_arrival(&mut self, now: Millis, request: &Request, actions: &mut Actions) {
-        let Some(group) = request.group.as_ref().filter(|_| !request.returned) else { return };
+        let Some(group) = request.group.as_ref().filter(|_| !request.is_returning) else { return };
         self.group_sample.record(slot_of_key(group.0.as_bytes()));
         self.assignment.invalidate();
         let report = self.merged_sample.record_arrival(now, &self.group_sample, &self.settings);
@@ -260,7 +260,7 @@
     /// The next pseudo-random number in `[0, 1)`.
     pub(super) fn random(&mut self) -> f64 {
         self.random_state = xxh3_64_with_seed(&[], self.random_state);
-        unit_of_hash(self.random_state)
+        unit_fraction_of_hash(self.random_state)
     }
 
     /// The settings in effect.
--- a/src/policy/maglev.rs
+++ b/src/policy/maglev.rs
@@ -7,7 +7,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::hashing::{DRAW_SEED, TABLE_SLOTS, slot_of_key};
+use super::hashing::{KEY_RANDOM_SEED, TABLE_SLOTS, slot_of_key};
 
 const WORD_BITS: usize = u64::BITS as usize;
 
@@ -60,7 +60,7 @@
     fn new(id: &str, slots_per_round: f64) -> Self {
         Claimant {
             preferred_slot: u64::from(slot_of_key(id.as_bytes())),
-            skip: xxh3_64_with_seed(id.as_bytes(), DRAW_SEED) % (TABLE_SLOTS as u64 - 1) + 1,
+            skip: xxh3_64_with_seed(id.as_bytes(), KEY_RANDOM_SEED) % (TABLE_SLOTS as u64 - 1) + 1,
             slots_per_round,
             credit: 0.0,
         }
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -5,7 +5,7 @@
 //! endpoints, and from time to time a client that is asked to reconnect because its endpoint is overloaded.
 
 use super::api::*;
-use super::attempt_outcome::OVERLOAD_DECREASE;
+use super::attempt_outcome::OVERLOAD_DECREASE_FACTOR;
 use super::estimates::move_toward;
 use super::load_balancer::LoadBalancer;
 use super::request_table::TrackedRequest;
@@ -64,7 +64,7 @@
         endpoint.load_limit.record_slow(now, load_per_endpoint, endpoint.load, true);
         if delay > objective {
             // The limit is reduced further the more the delay exceeds the objective.
-            let factor = OVERLOAD_DECREASE.min(2.0 * objective / delay);
+            let factor = OVERLOAD_DECREASE_FACTOR.min(2.0 * objective / delay);
             endpoint.load_limit.record_overload(now, load_per_endpoint, endpoint.load, factor);
             let own_load = endpoint.load;
             self.shed_client(&endpoint_id, own_load, actions);
--- a/src/policy/placements.rs
+++ b/src/policy/placements.rs
@@ -21,7 +21,7 @@
     pub fn assign(&mut self, id: RequestId, endpoint_id: EndpointId) {
         let Some(tracked) = self.requests.by_id.get_mut(&id) else { return };
         if let Some(endpoint) = self.endpoints.by_id.get_mut(&endpoint_id) {
-            endpoint.placed.insert(id);
+            endpoint.placed_requests.insert(id);
             endpoint.load += tracked.load;
             endpoint.cluster_load += tracked.load;
         }
@@ -47,9 +47,9 @@
         let Some(tracked) = self.requests.by_id.get_mut(&id) else { return };
         let Some(endpoint_id) = tracked.endpoint.take() else { return };
         if let Some(endpoint) = self.endpoints.by_id.get_mut(&endpoint_id) {
-            endpoint.placed.remove(&id);
+            endpoint.placed_requests.remove(&id);
             // A sum of many small numbers accumulates rounding errors, so an empty endpoint is reset to zero.
-            let is_empty = endpoint.placed.is_empty();
+            let is_empty = endpoint.placed_requests.is_empty();
             endpoint.load = if is_empty { 0.0 } else { (endpoint.load - tracked.load).max(0.0) };
             if is_empty && endpoint.state == EndpointState::Removed {
                 self.endpoints.by_id.remove(&endpoint_id);
@@ -79,7 +79,8 @@
 
     /// Requests of this relay that are placed at an endpoint and match `predicate`.
     pub fn placed_at(&self, id: &EndpointId, predicate: impl Fn(&TrackedRequest) -> bool) -> Vec<RequestId> {
-        let placed = self.endpoints.by_id.get(id).into_iter().flat_map(|endpoint| &endpoint.placed).copied();
+        let placed =
+            self.endpoints.by_id.get(id).into_iter().flat_map(|endpoint| &endpoint.placed_requests).copied();
         placed.filter(|id| self.requests.by_id.get(id).is_some_and(&predicate)).collect()
     }
 
@@ -94,7 +95,7 @@
                 endpoint.draining_since = None;
             } else if endpoint.draining_since.is_none() {
                 endpoint.draining_since = Some(now);
-                has_clients_to_notify |= endpoint.placed.iter().any(needs_notice);
+                has_clients_to_notify |= endpoint.placed_requests.iter().any(needs_notice);
             }
         }
         has_clients_to_notify
--- a/src/policy/request_table.rs
+++ b/src/policy/request_table.rs
@@ -96,7 +96,7 @@
     /// Load of all requests that are placed at an endpoint, in mean connections.
     pub placed_load: f64,
     /// Number of attempts in flight.
-    pub attempts_out: u32,
+    pub attempts_in_flight: u32,
     /// The recent peak of the established load, which decays over time.
     pub recent_peak_load: f64,
     recent_peak_at: Millis,
@@ -106,7 +106,7 @@
     /// Updates the recent peak of the established load: the peak rises at once and decays with this time
     /// constant, in ms.
     pub fn update_recent_peak(&mut self, now: Millis, time_constant: Millis) {
-        let established = self.placed_load - f64::from(self.attempts_out);
+        let established = self.placed_load - f64::from(self.attempts_in_flight);
         let decay = (-(now - self.recent_peak_at) / time_constant).exp();
         self.recent_peak_load = established.max(self.recent_peak_load * decay);
         self.recent_peak_at = now;
@@ -125,8 +125,8 @@
     /// Moves a request to another stage, and updates the number of attempts in flight.
     pub fn set_stage(&mut self, id: RequestId, stage: Stage) {
         let Some(tracked) = self.by_id.get_mut(&id) else { return };
-        self.attempts_out -= u32::from(tracked.stage == Stage::Attempting);
-        self.attempts_out += u32::from(stage == Stage::Attempting);
+        self.attempts_in_flight -= u32::from(tracked.stage == Stage::Attempting);
+        self.attempts_in_flight += u32::from(stage == Stage::Attempting);
         tracked.stage = stage;
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -29,7 +29,7 @@
 use super::api::*;
 use super::endpoint_table::Endpoint;
 use super::group_assignment::{CandidateOrder, bounded_load};
-use super::hashing::{SLOT_SEED, unit_of_key};
+use super::hashing::{SLOT_SEED, unit_fraction_of_key};
 use super::load_balancer::LoadBalancer;
 use super::request_table::TrackedRequest;
 
@@ -75,7 +75,7 @@
             now,
             tracked,
             idempotency,
-            key_draw: unit_of_key(&tracked.request.client_key()),
+            key_draw: unit_fraction_of_key(&tracked.request.client_key()),
             load_per_endpoint: self
                 .placements
                 .requests
@@ -103,7 +103,7 @@
             return first_eligible;
         };
         let preferred_ranks =
-            if first.rank < order.assigned { order.assigned } else { order.positions.len() };
+            if first.rank < order.assigned_count { order.assigned_count } else { order.positions.len() };
         candidates.retain(|candidate| self.is_within_load_limit(candidate.endpoint));
         self.retain_preferred(&mut candidates, preferred_ranks);
         self.best(&candidates).map(|candidate| candidate.id.clone())
@@ -118,12 +118,12 @@
         let request = &self.tracked.request;
         let mut order = self.balancer.assignment.candidate_order(request);
         let changes_order =
-            request.returned && !request.mid_flow && self.balancer.endpoint_fault_score >= 0.0;
+            request.is_returning && !request.mid_flow && self.balancer.endpoint_fault_score >= 0.0;
         if changes_order && order.positions.len() > 1 && !self.is_widely_slow() {
             let draw = xxh3_64_with_seed(&request.id.0.to_le_bytes(), SLOT_SEED);
             let first_rank = (draw.trailing_ones() as usize).min(order.positions.len() - 1);
             order.positions[..=first_rank].rotate_right(1);
-            order.assigned = order.assigned.max(first_rank + 1);
+            order.assigned_count = order.assigned_count.max(first_rank + 1);
         }
         order
     }
@@ -166,8 +166,11 @@
     /// requests until it has worked off what it holds. A limit of less than one connection admits a fraction
     /// of the keys: otherwise many relays would send one connection each.
     fn is_within_load_limit(&self, endpoint: &Endpoint) -> bool {
-        let required_headroom =
-            if endpoint.placed.is_empty() { self.tracked.load * self.key_draw } else { self.tracked.load };
+        let required_headroom = if endpoint.placed_requests.is_empty() {
+            self.tracked.load * self.key_draw
+        } else {
+            self.tracked.load
+        };
         endpoint.load + required_headroom <= endpoint.load_limit.current(self.now, self.load_per_endpoint)
     }
 
@@ -212,7 +215,7 @@
             return true;
         }
         let cluster_load = self.balancer.placements.endpoints.cluster_load;
-        let fair_load = cluster_load / self.balancer.assignment.capacity
+        let fair_load = cluster_load / self.balancer.assignment.ready_capacity
             * endpoint.weight
             * self.balancer.warm_up_factor(self.now, endpoint);
         endpoint.cluster_load + self.tracked.load <= bounded_load(fair_load)
@@ -226,7 +229,7 @@
             return true;
         }
         let placed_load = self.balancer.placements.requests.placed_load.max(1.0);
-        let load_per_capacity = placed_load / self.balancer.assignment.capacity;
+        let load_per_capacity = placed_load / self.balancer.assignment.ready_capacity;
         let warm_up_factor = self.balancer.warm_up_factor(self.now, endpoint);
         endpoint.load <= EVEN_LOAD_FACTOR * load_per_capacity * endpoint.weight * warm_up_factor + 1.0
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -34,10 +34,10 @@
 }
 
 impl LoadBalancer {
-    /// The least fraction of its capacity that an endpoint has now: from `cold_capacity_fraction` at its
+    /// The least fraction of its capacity that an endpoint has now: from `initial_capacity_fraction` at its
     /// start up to 1 when it is warm.
     pub(super) fn warm_up_factor(&self, now: Millis, endpoint: &Endpoint) -> f64 {
-        let initial = self.settings.cold_capacity_fraction.min(1.0);
+        let initial = self.settings.initial_capacity_fraction.min(1.0);
         let warm_up_time = self.settings.warm_up_time.max(MIN_WARM_UP_TIME_MS);
         let progress = if endpoint.started > 0.0 { (now - endpoint.started) / warm_up_time } else { 1.0 };
         (initial + (1.0 - initial) * progress).clamp(initial, 1.0)
--- a/src/policy/tests/drain.rs
+++ b/src/policy/tests/drain.rs
@@ -12,7 +12,7 @@
     for (id, drained_by_endpoint) in [(1, false), (2, true), (3, false)] {
         let request = RequestId(id);
         let (class, client, deadline) = (Some(ClassId(0)), None, world.now + 2000.0);
-        let (setup_time_used, load, mid_flow, returned, group) = (0.0, None, false, false, None);
+        let (setup_time_used, load, mid_flow, is_returning, group) = (0.0, None, false, false, None);
         let connection = Request {
             id: request,
             class,
@@ -22,7 +22,7 @@
             setup_time_used,
             load,
             mid_flow,
-            returned,
+            is_returning,
             drained_by_endpoint,
         };
         world.arrive(connection);
--- a/src/policy/tests/placement.rs
+++ b/src/policy/tests/placement.rs
@@ -79,7 +79,7 @@
         drained_by_endpoint: true,
         load: None,
         mid_flow: true,
-        returned: false,
+        is_returning: false,
     });
     assert_eq!(other.sends(2), [holder]);
 }
@@ -101,7 +101,7 @@
                 drained_by_endpoint: true,
                 load: None,
                 mid_flow,
-                returned: true,
+                is_returning: true,
             });
             used.extend(world.sends(id));
             if !world.sends(id).is_empty() {
--- a/src/policy/tests/rebalance.rs
+++ b/src/policy/tests/rebalance.rs
@@ -22,7 +22,7 @@
         setup_time_used: 0.0,
         load: None,
         mid_flow: false,
-        returned: false,
+        is_returning: false,
         drained_by_endpoint: false,
     };
     for id in 0..40 {
--- a/src/policy/tests/world.rs
+++ b/src/policy/tests/world.rs
@@ -14,9 +14,10 @@
     /// Nothing is counted of any connection any more.
     pub(crate) fn at_rest(&self) -> bool {
         let (endpoints, requests) = (&self.placements.endpoints, &self.placements.requests);
-        let empty = |s: &Endpoint| s.placed.is_empty() && s.load == 0.0 && s.state != EndpointState::Removed;
+        let empty =
+            |s: &Endpoint| s.placed_requests.is_empty() && s.load == 0.0 && s.state != EndpointState::Removed;
         requests.by_id.is_empty()
-            && requests.attempts_out == 0
+            && requests.attempts_in_flight == 0
             && endpoints.by_id.values().all(empty)
             && requests.placed_load.abs() < 1e-6
     }
@@ -138,7 +139,7 @@
             drained_by_endpoint: true,
             load: None,
             mid_flow: false,
-            returned: false,
+            is_returning: false,
         });
     }
 
@@ -275,7 +276,7 @@
 
     pub(crate) fn expire(&mut self, id: RequestId) {
         self.asks.get_mut(&id).unwrap().over = true;
-        self.handle(Event::ClientGone(id));
+        self.handle(Event::ClientDisconnected(id));
     }
 
     /// Lets time pass in readings of the clock: time-outs and timers come due.
--- a/src/properties/clients.rs
+++ b/src/properties/clients.rs
@@ -31,7 +31,7 @@
     }
 
     /// A client sends a request to a relay, or to another where that does not run.
-    pub(super) fn send_request(&mut self, relay: usize, client: u32, returned: bool) {
+    pub(super) fn send_request(&mut self, relay: usize, client: u32, is_returning: bool) {
         let relay = self.running_relay(relay);
         let class = DRAWN_CLASSES[self.random.random_range(0..DRAWN_CLASSES.len())];
         let deadline = self.now + self.random_span(300.0, 3_000.0);
@@ -42,7 +42,7 @@
             // Some groups are far larger than others.
             group: numbered_key("group", (client % 12) * (client % 5)),
             deadline,
-            returned,
+            is_returning,
             drained_by_endpoint,
             ..IncomingRequest::default()
         };
@@ -103,7 +103,7 @@
         if class < RETRIED_CLASSES || matches!(reply, LocalReply::Rejected(_)) {
             let pause = RETRY_AFTER_MS + self.random_span(0.0, 200.0);
             let to = self.random_relay();
-            self.after(pause, ScheduledEvent::Request { relay: to, client, returned: true });
+            self.after(pause, ScheduledEvent::Request { relay: to, client, is_returning: true });
         }
     }
 
@@ -120,14 +120,14 @@
         let pause = self.random_span(20.0, 200.0);
         self.after(pause, ScheduledEvent::Close { request, outcome: Outcome::Cancelled });
         let to = self.random_relay();
-        self.after(pause + 100.0, ScheduledEvent::Request { relay: to, client, returned: true });
+        self.after(pause + 100.0, ScheduledEvent::Request { relay: to, client, is_returning: true });
     }
 
     /// A client whose connection broke comes again after a while.
-    pub(super) fn reconnect(&mut self, client: u32, returned: bool) {
+    pub(super) fn reconnect(&mut self, client: u32, is_returning: bool) {
         let relay = self.random_relay();
         let pause = self.random_span(50.0, 400.0);
-        self.after(pause, ScheduledEvent::Request { relay, client, returned });
+        self.after(pause, ScheduledEvent::Request { relay, client, is_returning });
     }
 
     pub(super) fn pass_deadline(&mut self, request: RequestRef) {
@@ -168,7 +168,7 @@
         }
         connection.client_gone = true;
         connection.attempting = None;
-        self.call(relay, |relay, now| relay.client_gone(now, id));
+        self.call(relay, |relay, now| relay.client_disconnected(now, id));
         self.check_client_gone(request);
     }
 
--- a/src/properties/internals.rs
+++ b/src/properties/internals.rs
@@ -27,9 +27,9 @@
     BalancerState {
         tracked: requests.by_id.keys().copied().collect(),
         queued: load_balancer.queue.iter().copied().collect(),
-        attempting: requests.attempts_out as usize,
+        attempting: requests.attempts_in_flight as usize,
         load: requests.placed_load,
-        placed: endpoints.values().map(|endpoint| endpoint.placed.len()).sum(),
+        placed: endpoints.values().map(|endpoint| endpoint.placed_requests.len()).sum(),
         at_rest: load_balancer.at_rest(),
     }
 }
--- a/src/properties/timeline.rs
+++ b/src/properties/timeline.rs
@@ -25,7 +25,7 @@
     Request {
         relay: usize,
         client: u32,
-        returned: bool,
+        is_returning: bool,
     },
     Established(AttemptRef),
     AttemptEnds {
--- a/src/properties/world.rs
+++ b/src/properties/world.rs
@@ -128,7 +128,7 @@
         connect_timeout: 200.0,
         resolution: 2.0,
         max_retry_after: Some(RETRY_AFTER_MS),
-        cold_capacity_fraction: COLD_CAPACITY_FRACTION,
+        initial_capacity_fraction: COLD_CAPACITY_FRACTION,
         warm_up_time: WARM_UP_MS,
         overload_multiple: OVERLOAD_MULTIPLE,
         ..settings()
@@ -265,8 +265,8 @@
         let faults = self.now < START + FAULTS_MS;
         match event {
             ScheduledEvent::NewClient if faults => self.add_client(),
-            ScheduledEvent::Request { relay, client, returned } if faults => {
-                self.send_request(relay, client, returned);
+            ScheduledEvent::Request { relay, client, is_returning } if faults => {
+                self.send_request(relay, client, is_returning);
             }
             ScheduledEvent::Established(attempt) => self.establish(attempt),
             ScheduledEvent::AttemptEnds { attempt, outcome } => self.end_attempt(attempt, outcome),
--- a/src/relay/incoming.rs
+++ b/src/relay/incoming.rs
@@ -22,7 +22,7 @@
     pub mid_flow: bool,
     /// Whether the client was here before: it retries, or reconnects after its connection broke or was
     /// migrated.
-    pub returned: bool,
+    pub is_returning: bool,
     /// Whether the endpoint migrates the connection by itself when the endpoint drains.
     pub drained_by_endpoint: bool,
     /// Whether the connection can go on without this process: the network reroutes its packets where packets
--- a/src/relay/list_lease/tests.rs
+++ b/src/relay/list_lease/tests.rs
@@ -22,7 +22,7 @@
     let id = relay.accept_request(now, incoming);
     let is_start = |command: &Command| matches!(command, Command::Connection(connection, ConnectionCommand::StartAttempt(_)) if *connection == id);
     let is_placed = relay.take_commands().iter().any(is_start);
-    relay.client_gone(now, id);
+    relay.client_disconnected(now, id);
     is_placed
 }
 
--- a/src/relay/quota_accounting.rs
+++ b/src/relay/quota_accounting.rs
@@ -198,7 +198,7 @@
         let descriptors = incoming.descriptors_short;
         let scarcity = || ScarcitySignals { descriptors, ..load_balancer.scarcity_signals(now) };
         let max_wait = (incoming.deadline - now) * DECISION_WAIT_FRACTION;
-        let arrival = Arrival { tenant: &tenant.0, is_returning: incoming.returned, max_wait };
+        let arrival = Arrival { tenant: &tenant.0, is_returning: incoming.is_returning, max_wait };
         self.quota.tenant_quotas.decide(now, arrival, scarcity)
     }
 
--- a/src/relay/requests.rs
+++ b/src/relay/requests.rs
@@ -61,7 +61,7 @@
             setup_time_used: incoming.setup_time_used,
             load: incoming.load,
             mid_flow: incoming.mid_flow,
-            returned: incoming.returned,
+            is_returning: incoming.is_returning,
             drained_by_endpoint: incoming.drained_by_endpoint,
         }
     }
@@ -132,14 +132,14 @@
     }
 
     /// The client has left without a final reply, or got one that the core did not command.
-    pub fn client_gone(&mut self, now: Millis, id: RequestId) {
+    pub fn client_disconnected(&mut self, now: Millis, id: RequestId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.answered {
             return;
         }
         connection.answered = true;
         let queued = connection.stage == ConnectionStage::Queued;
-        self.events.push_back(Event::ClientGone(id));
+        self.events.push_back(Event::ClientDisconnected(id));
         if queued {
             self.remove_connection(now, id);
         }
@@ -158,7 +158,7 @@
                 id.0
             );
             self.reply(id, LocalReply::Failed);
-            self.client_gone(now, id);
+            self.client_disconnected(now, id);
         }
     }
 
--- a/src/relay/transfer.rs
+++ b/src/relay/transfer.rs
@@ -36,7 +36,7 @@
             // client.
             load: self.load.filter(|load| load.is_finite() && *load > 0.0),
             mid_flow: false,
-            returned: false,
+            is_returning: false,
             drained_by_endpoint: self.drained_by_endpoint,
         }
     }
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -97,7 +97,12 @@
             defaults.list_max_age,
             MIN_LIST_MAX_AGE_MS..=MAX_DURATION_MS,
         ),
-        cold_capacity_fraction: reader.number(rules, "coldFrom", defaults.cold_capacity_fraction, 0.0..=1.0),
+        initial_capacity_fraction: reader.number(
+            rules,
+            "coldFrom",
+            defaults.initial_capacity_fraction,
+            0.0..=1.0,
+        ),
         warm_up_time: reader.number(rules, "warmWithinMs", defaults.warm_up_time, 0.0..=MAX_DURATION_MS),
         overload_multiple: reader.number(rules, "tipMultiple", defaults.overload_multiple, 0.01..=1e6),
         retry_budget,
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -38,7 +38,7 @@
         relay.tick(now.get());
         let placed = clients.filter_map(|client| {
             let (id, endpoint) = place(relay, client);
-            relay.client_gone(now.get(), id);
+            relay.client_disconnected(now.get(), id);
             endpoint
         });
         placed.filter(|at| *at == endpoint(0)).count()
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -72,7 +72,7 @@
             }
             _ => None,
         }));
-        relay.client_gone(now, id);
+        relay.client_disconnected(now, id);
         relay.take_commands();
     }
     all
