--- a/src/discovery/errors.rs
+++ b/src/discovery/errors.rs
@@ -89,7 +89,7 @@
     Io(#[from] std::io::Error),
     /// No answer came within [`EndpointList::timeout`](super::EndpointList::timeout).
     #[error("no answer in time")]
-    Late,
+    TimedOut,
     /// The answer is not HTTP.
     #[error("not HTTP: {0}")]
     NotHttp(String),
@@ -98,8 +98,8 @@
     Status(u16),
     /// The connection ended within this part of the answer.
     #[error("the answer ended in its {0}")]
-    Cut(&'static str),
-    /// The answer is longer than [`ANSWER_BYTES`](super::ANSWER_BYTES).
+    Truncated(&'static str),
+    /// The answer is longer than [`MAX_ANSWER_BYTES`](super::MAX_ANSWER_BYTES).
     #[error("the answer is too long")]
     TooLong,
     /// The answer is complete, but its list is rejected.
@@ -109,9 +109,9 @@
 
 help!(CallError {
     Io: "os error" => "see that the list service runs and listens at that address",
-    Late: "no answer in time" => "nothing at a start; later look at the load of the list service and the way there",
+    TimedOut: "no answer in time" => "nothing at a start; later look at the load of the list service and the way there",
     NotHttp: "not HTTP" => "see that what listens at that address is the list service, with nothing that alters it",
     Status: "status" => "nothing where it comes once or twice at a start; else look at the list service and its load",
-    Cut: "the answer ended in its" => "look at what ends its connections: the list service or something before it",
+    Truncated: "the answer ended in its" => "look at what ends its connections: the list service or something before it",
     TooLong: "the answer is too long" => "a list may have 4 MiB: see that what answers there is the list service",
 } of List);
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -36,7 +36,7 @@
 /// configured, in ms. The pause is short because the service's changes count as known 4 s later.
 pub const RETRY_MS: Millis = 250.0;
 /// Largest size of an answer, in bytes. A list of thousands of endpoints is far smaller.
-pub const ANSWER_BYTES: usize = 4 << 20;
+pub const MAX_ANSWER_BYTES: usize = 4 << 20;
 
 /// The endpoint list that this relay has.
 #[derive(Debug, Default)]
@@ -95,7 +95,7 @@
 
     /// The list's revision, if the list is known to be the current discovery service's, and its entries as
     /// received.
-    pub fn contents(&self) -> (Option<u64>, impl Iterator<Item = &Value>) {
+    pub fn revision_and_entries(&self) -> (Option<u64>, impl Iterator<Item = &Value>) {
         (self.revision, self.raw_entries.values())
     }
 
--- a/src/help/tests.rs
+++ b/src/help/tests.rs
@@ -7,7 +7,7 @@
 
 use super::{Help, HelpEntry};
 use crate::config::{Config, ConfigError, Fault, new_application};
-use crate::discovery::{ANSWER_BYTES, CallError, EndpointList, ListError};
+use crate::discovery::{CallError, EndpointList, ListError, MAX_ANSWER_BYTES};
 use crate::net::http_call::fetch;
 use crate::simulator::{Adapter, SettingFault, WireFault, read_settings};
 
@@ -73,14 +73,14 @@
         let result = runtime.block_on(async { tokio::join!(fetch(end, "d", "/v1/endpoints"), served).0 });
         result.expect_err("a faulty answer")
     };
-    let long = [b"HTTP/1.1 200 OK\r\n\r\n".as_slice(), &[b' '; ANSWER_BYTES + 1]].concat();
+    let long = [b"HTTP/1.1 200 OK\r\n\r\n".as_slice(), &[b' '; MAX_ANSWER_BYTES + 1]].concat();
     let chunk = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n";
     let short = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{";
     assert!(matches!(answer(chunk.as_bytes()), CallError::NotHttp(_)));
-    assert!(matches!(answer(short.as_bytes()), CallError::Cut("body")));
+    assert!(matches!(answer(short.as_bytes()), CallError::Truncated("body")));
     assert_all_documented(&[
         CallError::Io(std::io::Error::from_raw_os_error(111)),
-        CallError::Late,
+        CallError::TimedOut,
         answer(b"SSH-2.0\r\n"),
         answer(b"HTTP/1.1 503 Busy\r\n\r\n"),
         answer(b"HTTP/1.1 200 OK\r\n"),
--- a/src/net/connection/attempt.rs
+++ b/src/net/connection/attempt.rs
@@ -137,7 +137,7 @@
         if let Err(outcome) = check_may_begin(&shared, attempt, connected.address) {
             return StepResult::Done(Err(outcome));
         }
-        waiting.run(exchange_request(&shared, &mut self.protocol, connected.stream, attempt.until)).await
+        waiting.run(exchange_request(&shared, &mut self.protocol, connected.stream, attempt.give_up_at)).await
     }
 }
 
@@ -216,8 +216,8 @@
 async fn connect(shared: &Rc<Shared>, attempt: &Attempt) -> Result<ConnectedUpstream, Outcome> {
     let address = shared.endpoint_list.borrow().address(&attempt.endpoint).ok_or(Outcome::NotSent)?;
     let now = shared.clock.now();
-    let remaining = span(attempt.until - now);
-    let begin_within = span(attempt.begin_by - now);
+    let remaining = span(attempt.give_up_at - now);
+    let begin_within = span(attempt.write_by - now);
     let limit = span(shared.config.borrow().settings.connect_timeout).min(remaining);
     match timeout(limit.min(begin_within), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(ConnectedUpstream { address, stream }),
@@ -234,7 +234,7 @@
 /// and the write of the first byte.
 fn check_may_begin(shared: &Shared, attempt: &Attempt, address: SocketAddr) -> Result<(), Outcome> {
     let now = shared.clock.now();
-    let in_time = now < attempt.until.min(attempt.begin_by);
+    let in_time = now < attempt.give_up_at.min(attempt.write_by);
     let same_address = shared.endpoint_list.borrow().address(&attempt.endpoint) == Some(address);
     // An endpoint that has begun to drain since the decision takes no new connections. An endpoint that was
     // already draining at the decision was chosen because it gets back a connection that it had.
@@ -242,13 +242,13 @@
     if in_time && same_address && !began_draining { Ok(()) } else { Err(Outcome::NotSent) }
 }
 
-/// Sends the request to a connected endpoint and reads its answer, until `until` in Unix milliseconds.
+/// Sends the request to a connected endpoint and reads its answer, until `give_up_at` in Unix milliseconds.
 /// Dropping the future cancels the attempt.
 async fn exchange_request<F: ClientProtocol>(
     shared: &Rc<Shared>,
     protocol: &mut F,
     mut upstream: TcpStream,
-    until: Millis,
+    give_up_at: Millis,
 ) -> Result<AcceptedUpstream, Outcome> {
     let _ = upstream.set_nodelay(true);
     if let Some(silence) = protocol.unacknowledged_timeout() {
@@ -257,7 +257,7 @@
     }
     let mut input = shared.pool.get();
     let mut output = shared.pool.get();
-    protocol.begin_attempt(until - shared.clock.now(), &mut output);
+    protocol.begin_attempt(give_up_at - shared.clock.now(), &mut output);
     let mut is_sent = false;
     let exchange = async {
         loop {
@@ -279,6 +279,6 @@
             }
         }
     };
-    timeout_at(shared.clock.at(until), exchange).await.unwrap_or(Err(Outcome::TimedOut))?;
+    timeout_at(shared.clock.at(give_up_at), exchange).await.unwrap_or(Err(Outcome::TimedOut))?;
     Ok(AcceptedUpstream { stream: upstream, first_bytes: input })
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -58,8 +58,8 @@
     /// A call that is refused only after a wait has reached a service that is overloaded.
     fn indicates_outage(&self) -> bool {
         let is_broken_or_refused =
-            matches!(self.error, CallError::Io(_) | CallError::Cut(_) | CallError::Status(_));
-        let is_unanswered = matches!(self.error, CallError::Late) && !self.is_watch;
+            matches!(self.error, CallError::Io(_) | CallError::Truncated(_) | CallError::Status(_));
+        let is_unanswered = matches!(self.error, CallError::TimedOut) && !self.is_watch;
         !self.has_connected || is_broken_or_refused && self.elapsed < MIN_QUEUED_MS || is_unanswered
     }
 }
@@ -120,7 +120,7 @@
             biased;
             () = self.shared.discovery_address_changed.notified() => CallOutcome::AddressChanged,
             answer = timeout(limit, call(&self.shared, address, &request, &has_connected)) => {
-                match answer.unwrap_or(Err(CallError::Late)) {
+                match answer.unwrap_or(Err(CallError::TimedOut)) {
                     Ok(answer) => CallOutcome::Answered(answer),
                     Err(error) => CallOutcome::Failed(FailedCall {
                         error,
@@ -179,7 +179,7 @@
             return NextStep::CallAgain;
         }
         // The time limit of a call is already a pause, so `MIN_RENEWAL_INTERVAL_MS` is not applied after it.
-        let is_timeout = matches!(error, CallError::Late);
+        let is_timeout = matches!(error, CallError::TimedOut);
         let now = self.shared.clock.now();
         if was_subscribed && (is_timeout || now - self.last_renewal > MIN_RENEWAL_INTERVAL_MS) {
             self.last_renewal = now;
--- a/src/net/http_call.rs
+++ b/src/net/http_call.rs
@@ -16,12 +16,12 @@
 use hyper_util::rt::TokioIo;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-use crate::discovery::{ANSWER_BYTES, CallError};
+use crate::discovery::{CallError, MAX_ANSWER_BYTES};
 
 /// Makes one call over a new connection and returns the complete body of the response.
 ///
 /// # Errors
-/// The connection broke, or the response is truncated, longer than [`ANSWER_BYTES`], not HTTP, or has a
+/// The connection broke, or the response is truncated, longer than [`MAX_ANSWER_BYTES`], not HTTP, or has a
 /// status other than 200.
 pub(crate) async fn fetch(
     stream: impl AsyncRead + AsyncWrite + Unpin,
@@ -37,7 +37,7 @@
         if response.status() != StatusCode::OK {
             return Err(CallError::Status(response.status().as_u16()));
         }
-        let body = Limited::new(response.into_body(), ANSWER_BYTES).collect().await;
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
         body.map(|collected| collected.to_bytes()).map_err(|e| match e.downcast_ref::<hyper::Error>() {
             Some(e) => call_error(e, "body"),
             None if e.is::<LengthLimitError>() => CallError::TooLong,
@@ -57,13 +57,13 @@
 /// Converts an error of hyper: the response was truncated or is not HTTP, or the connection broke.
 fn call_error(e: &hyper::Error, part: &'static str) -> CallError {
     if find_source::<hyper::Error>(e, hyper::Error::is_incomplete_message).is_some() {
-        return CallError::Cut(part);
+        return CallError::Truncated(part);
     }
     let Some(io) = find_source::<io::Error>(e, |_| true) else {
         return CallError::NotHttp(e.to_string());
     };
     match io.kind() {
-        io::ErrorKind::UnexpectedEof => CallError::Cut(part),
+        io::ErrorKind::UnexpectedEof => CallError::Truncated(part),
         io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData => CallError::NotHttp(io.to_string()),
         kind => CallError::Io(io::Error::new(kind, io.to_string())),
     }
--- a/src/net/http_call/tests.rs
+++ b/src/net/http_call/tests.rs
@@ -55,7 +55,7 @@
         for end in 1..response.len() {
             let cut = fetch_in_chunks(&response[..end], 1000).0.expect_err("a cut response");
             let part = if end < head { "head" } else { "body" };
-            assert!(matches!(cut, CallError::Cut(p) if p == part), "the first {end} bytes: {cut:?}");
+            assert!(matches!(cut, CallError::Truncated(p) if p == part), "the first {end} bytes: {cut:?}");
         }
     }
 }
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -68,7 +68,7 @@
         requested_at: Millis,
     ) {
         self.with_maintenance(|service, now| update_plan(service.plan_mut(), kind, &entries, now));
-        let revision = self.endpoint_list.borrow().contents().0;
+        let revision = self.endpoint_list.borrow().revision_and_entries().0;
         let is_full = kind == ListKind::Full;
         let is_answer = is_full || kind == ListKind::Delta;
         self.core(|relay, now| match revision.filter(|_| is_answer) {
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -53,7 +53,7 @@
 pub async fn receive(shared: Rc<Shared>) {
     let Some(socket) = shared.peers.get() else { return };
     let mut accepting = shared.accepting.subscribe();
-    let mut buffer = [0; peers::BUFFER];
+    let mut buffer = [0; peers::RECEIVE_BUFFER_BYTES];
     loop {
         // While another process of this relay serves, datagrams are left for that process to receive.
         let received = while_accepting(&mut accepting, socket.recv_from(&mut buffer)).await;
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -124,7 +124,7 @@
     socket: &UdpSocket,
     deadline: Instant,
 ) -> Result<(), SchemaVersionError> {
-    let mut buffer = [0; peers::BUFFER];
+    let mut buffer = [0; peers::RECEIVE_BUFFER_BYTES];
     while let Ok(received) = timeout_at(deadline, socket.recv_from(&mut buffer)).await {
         // The system reports the error of an earlier send here: the relay did not listen.
         let Ok((length, from)) = received else { continue };
--- a/src/net/takeover/predecessor.rs
+++ b/src/net/takeover/predecessor.rs
@@ -259,7 +259,7 @@
         let discovery = self.shared.config.borrow().discovery.to_string();
         let (revision, entries) = {
             let list = self.shared.endpoint_list.borrow();
-            let (revision, entries) = list.contents();
+            let (revision, entries) = list.revision_and_entries();
             (revision, entries.map(Value::to_string).collect::<Vec<_>>())
         };
         if self.shared.relay.borrow().has_endpoint_list() {
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -22,7 +22,7 @@
 
 /// Size of the receive buffer for a datagram: one byte more than allowed, so that a datagram that is too long
 /// is recognized.
-pub const BUFFER: usize = MAX_BYTES + 1;
+pub const RECEIVE_BUFFER_BYTES: usize = MAX_BYTES + 1;
 
 /// Encodes a message as a datagram. Senders make no message that does not fit; an empty text decodes to no
 /// message.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -199,12 +199,12 @@
         now: Millis,
         id: RequestId,
         endpoint: EndpointId,
-        begin_by: Millis,
+        write_by: Millis,
         actions: &mut Actions,
     ) {
         let Some(tracked) = self.placements.requests.by_id.get(&id) else { return };
         let is_retry = tracked.attempts > 0;
-        let until = tracked.request.deadline.min(now + self.attempt_timeout(now, tracked));
+        let give_up_at = tracked.request.deadline.min(now + self.attempt_timeout(now, tracked));
         if is_retry {
             self.retry_budget_use.retries.record(now);
         }
@@ -212,7 +212,7 @@
         self.record_slow_start_send(now, &endpoint);
         self.placements.count_attempt(now, id, endpoint.clone());
         self.concurrency_limit.record_attempt(now, self.random_state);
-        actions.push(Action::StartAttempt { request: id, endpoint, until, begin_by });
+        actions.push(Action::StartAttempt { request: id, endpoint, give_up_at, write_by });
     }
 
     /// Time that an attempt may take, in ms. Only the request's deadline limits it if the request can't be
--- a/src/policy/api/actions.rs
+++ b/src/policy/api/actions.rs
@@ -15,10 +15,10 @@
         /// The endpoint to connect to.
         endpoint: EndpointId,
         /// When the attempt times out.
-        until: Millis,
+        give_up_at: Millis,
         /// The attempt must have been sent to the endpoint before this time; opening a connection for it may
         /// take a while.
-        begin_by: Millis,
+        write_by: Millis,
     },
     /// Reject the request as its final answer: a retry by the client is harmless.
     Reject {
--- a/src/policy/tests/world.rs
+++ b/src/policy/tests/world.rs
@@ -162,12 +162,12 @@
 
     pub(crate) fn check(&mut self, action: &Action) {
         match action {
-            Action::StartAttempt { request, endpoint, until, .. } => {
+            Action::StartAttempt { request, endpoint, give_up_at, .. } => {
                 let ask = self.asks.get_mut(request).expect("a send for a request that was never given");
                 assert!(!ask.answered && !ask.over, "a send after the end");
                 assert!(ask.attempts.iter().all(|a| a.ended.is_some()), "two attempts at once");
                 assert!(ask.attempts.len() < self.settings.max_attempts as usize, "too many attempts");
-                assert!(*until <= ask.deadline, "an attempt past the deadline");
+                assert!(*give_up_at <= ask.deadline, "an attempt past the deadline");
                 if let Some(budget) = self.settings.retry_budget.filter(|_| !ask.attempts.is_empty()) {
                     self.further.push(self.now);
                     let start = self.now - budget.window;
@@ -213,7 +213,7 @@
                 let attempt = Attempt {
                     endpoint: endpoint.clone(),
                     sent: self.now,
-                    until: *until,
+                    until: *give_up_at,
                     open: false,
                     ended: None,
                 };
--- a/src/properties/attempts.rs
+++ b/src/properties/attempts.rs
@@ -36,7 +36,7 @@
 fn attempt_allowed(connection: &ObservedConnection, attempt: &Attempt) -> bool {
     let idle = connection.attempting.is_none() && connection.established.is_none();
     let next = connection.attempts == attempt.number && attempt.number < MAX_ATTEMPTS;
-    connection.is_open() && idle && next && attempt.until <= connection.deadline
+    connection.is_open() && idle && next && attempt.give_up_at <= connection.deadline
 }
 
 impl World {
@@ -49,12 +49,12 @@
         let allowed = attempt_allowed(connection, &attempt);
         connection.attempts += 1;
         connection.attempting = Some(Placement { endpoint: attempt.endpoint.clone(), since: now });
-        let Attempt { number, endpoint, until, .. } = attempt;
-        self.check(Rule::OneAttempt, allowed, || format!("{id:?}: attempt {number}, until {until}"));
+        let Attempt { number, endpoint, give_up_at, .. } = attempt;
+        self.check(Rule::OneAttempt, allowed, || format!("{id:?}: attempt {number}, until {give_up_at}"));
         self.check_draining(request, &endpoint);
         self.check_cold(relay, &endpoint);
         let attempt = AttemptRef { request, number };
-        self.after((until - now).max(0.0), ScheduledEvent::AttemptTimeout(attempt));
+        self.after((give_up_at - now).max(0.0), ScheduledEvent::AttemptTimeout(attempt));
         if self.relays[relay].descriptors_short {
             return self.after(0.0, ScheduledEvent::AttemptEnds { attempt, outcome: Outcome::NotSent });
         }
--- a/src/properties/endpoint_list.rs
+++ b/src/properties/endpoint_list.rs
@@ -12,7 +12,7 @@
 
 /// What an endpoint list has: its revision and entries, and where endpoints are.
 fn contents(list: &EndpointList) -> (String, Vec<Option<SocketAddr>>) {
-    let (revision, entries) = list.contents();
+    let (revision, entries) = list.revision_and_entries();
     let entries: Vec<_> = entries.collect();
     (format!("{revision:?} {entries:?}"), (0..9).map(|i| list.address(&endpoint(i))).collect())
 }
--- a/src/relay/actions.rs
+++ b/src/relay/actions.rs
@@ -22,9 +22,9 @@
 
     fn run_action(&mut self, now: Millis, action: Action) {
         match action {
-            Action::StartAttempt { request, endpoint, until, begin_by } => {
+            Action::StartAttempt { request, endpoint, give_up_at, write_by } => {
                 let was_ready = self.is_ready(&endpoint);
-                let attempt = Attempt { number: 0, endpoint, was_ready, until, begin_by };
+                let attempt = Attempt { number: 0, endpoint, was_ready, give_up_at, write_by };
                 self.start_attempt(request, attempt);
             }
             Action::Reject { request, retry_after } => {
--- a/src/relay/commands.rs
+++ b/src/relay/commands.rs
@@ -23,10 +23,10 @@
     /// be ready when the attempt begins.
     pub was_ready: bool,
     /// When to give the attempt up.
-    pub until: Millis,
+    pub give_up_at: Millis,
     /// Time before which the first byte of the attempt has to be written, however long the transport takes to
     /// connect.
-    pub begin_by: Millis,
+    pub write_by: Millis,
 }
 
 /// A command for one connection.
--- a/src/relay/requests.rs
+++ b/src/relay/requests.rs
@@ -75,8 +75,8 @@
             number: 0,
             endpoint: endpoint.clone(),
             was_ready: false,
-            until: request.deadline,
-            begin_by: request.deadline,
+            give_up_at: request.deadline,
+            write_by: request.deadline,
         };
         self.command(request.id, ConnectionCommand::StartAttempt(attempt));
         self.events.push_back(Event::ExistingConnection { request, endpoint });
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -141,8 +141,8 @@
 /// Encodes an action of an instance.
 pub(super) fn encode_action(instance: &str, action: Action) -> Value {
     match action {
-        Action::StartAttempt { request, endpoint, until, .. } => {
-            json!(["DELIVER", instance, request.0, &*endpoint.0, until])
+        Action::StartAttempt { request, endpoint, give_up_at, .. } => {
+            json!(["DELIVER", instance, request.0, &*endpoint.0, give_up_at])
         }
         Action::Reject { request, retry_after } => json!(["NOT_NOW", instance, request.0, retry_after]),
         Action::Fail(request) => json!(["FAIL", instance, request.0]),
