--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -63,9 +63,9 @@
         /// The protocol's state of the connection.
         protocol: Box<TransferredProtocol>,
         /// Bytes that were read from the client and are not yet written to the endpoint.
-        up: Vec<u8>,
+        pending_to_endpoint: Vec<u8>,
         /// Bytes that were read from the endpoint and are not yet written to the client.
-        down: Vec<u8>,
+        pending_to_client: Vec<u8>,
     },
     /// The predecessor's current use of descriptors.
     DescriptorsInUse {
@@ -78,7 +78,7 @@
         /// Protocol version of the messages that follow.
         version: u32,
         /// For how many milliseconds the predecessor has listened for relays of older schema versions.
-        listened: Millis,
+        listened_ms: Millis,
         /// The predecessor's schema version advertisement.
         advertisement: String,
     },
--- a/src/net/connection/tunnel.rs
+++ b/src/net/connection/tunnel.rs
@@ -413,8 +413,8 @@
         let message = Message::Connection {
             connection: Box::new(connection),
             protocol: Box::new(protocol),
-            up: tunnel.to_upstream.bytes().into(),
-            down: tunnel.to_client.bytes().into(),
+            pending_to_endpoint: tunnel.to_upstream.bytes().into(),
+            pending_to_client: tunnel.to_client.bytes().into(),
         };
         debug!("connection {}: queued for transfer to the successor process", tunnel.id.0);
         let transfer = OutgoingTransfer { message, sockets: [client, upstream] };
--- a/src/net/takeover/predecessor.rs
+++ b/src/net/takeover/predecessor.rs
@@ -245,8 +245,8 @@
         let version = negotiate_version(hello, newest_version(self.shared));
         let state = schema_version::takeover_state(self.shared).filter(|_| version > FIRST_PROTOCOL_VERSION);
         if let Some(state) = state {
-            let (listened, advertisement) = (state.listening_ms, state.advertisement);
-            self.link.send(&Message::VersionAgreement { version, listened, advertisement }).await?;
+            let (listened_ms, advertisement) = (state.listening_ms, state.advertisement);
+            self.link.send(&Message::VersionAgreement { version, listened_ms, advertisement }).await?;
         }
         self.send_endpoint_list().await?;
         self.send_learned_state().await?;
--- a/src/net/takeover/successor.rs
+++ b/src/net/takeover/successor.rs
@@ -152,9 +152,9 @@
                 let list = list.get_or_insert(ReceivedList { revision, entries: Vec::new() });
                 list.entries.extend(parsed);
             }
-            Message::VersionAgreement { version, listened, advertisement } => {
+            Message::VersionAgreement { version, listened_ms, advertisement } => {
                 info!("hand-over: protocol version {version}");
-                schema_version::resume(shared, listened, &advertisement).map_err(refused)?;
+                schema_version::resume(shared, listened_ms, &advertisement).map_err(refused)?;
             }
             Message::AffinityRecords(records) => restore_affinity(shared, records),
             Message::ListeningSockets(keys) => {
@@ -240,12 +240,12 @@
                 shared.admission.set_other_process(descriptors as usize)
             }
             Message::AffinityRecords(records) => restore_affinity(&shared, records),
-            Message::Connection { connection, protocol, up, down } => {
+            Message::Connection { connection, protocol, pending_to_endpoint, pending_to_client } => {
                 let received = ReceivedConnection {
                     connection: *connection,
                     protocol: *protocol,
-                    from_client: up,
-                    from_upstream: down,
+                    from_client: pending_to_endpoint,
+                    from_upstream: pending_to_client,
                 };
                 if let Err(e) = adopt(&shared, predecessor.link.take_sockets(), received) {
                     warn!("hand-over: a connection is lost: {e}");
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -455,7 +455,7 @@
 }
 
 /// A standing connection's message.
-fn passed(id: &str, up: Vec<u8>) -> Vec<u8> {
+fn passed(id: &str, pending_to_endpoint: Vec<u8>) -> Vec<u8> {
     let connection = serde_json::json!({"class": "subtitle-stream", "endpoint": "s-1", "client": id, "group": null,
         "load": null, "drained_by_endpoint": true, "reroutable": true});
     let protocol = serde_json::json!({"id": id, "key": id, "line_prefix": [], "line_bytes": 0,
@@ -465,8 +465,8 @@
     encode(&Message::Connection {
         connection: Box::new(connection),
         protocol: Box::new(protocol),
-        up,
-        down: Vec::new(),
+        pending_to_endpoint,
+        pending_to_client: Vec::new(),
     })
 }
 
--- a/tests/handover_messages.rs
+++ b/tests/handover_messages.rs
@@ -129,7 +129,7 @@
 /// Processes of two builds hand over to each other: the variants and their fields are encoded by position.
 #[test]
 fn messages_keep_their_bytes() {
-    let agreement = Message::VersionAgreement { version: 2, listened: 0.0, advertisement: "w".into() };
+    let agreement = Message::VersionAgreement { version: 2, listened_ms: 0.0, advertisement: "w".into() };
     let list = Message::EndpointList { discovery: "d".into(), revision: Some(7), entries: vec!["e".into()] };
     let messages: [(Message, &[u8]); 12] = [
         (hello(), &[0, 1, 2, b'n', b'0']),
