--- a/src/bin/sandgw-adapter.rs
+++ b/src/bin/sandgw-adapter.rs
@@ -25,7 +25,7 @@
     /// What an operator can do.
     fn help(&self) -> &'static str {
         match self {
-            AdapterError::Wire(e) => e.what.help(),
+            AdapterError::Wire(e) => e.fault.help(),
             AdapterError::Read(_) | AdapterError::Write(_) => {
                 "look at the simulator, which holds the other end"
             }
@@ -42,12 +42,12 @@
         line.clear();
         let read = input.read_line(&mut line).map_err(AdapterError::Read)?;
         if read == 0 {
-            return Ok(adapter.end()?);
+            return Ok(adapter.finish()?);
         }
         if line.trim().is_empty() {
             continue;
         }
-        if let Some(reply) = adapter.line(&line)? {
+        if let Some(reply) = adapter.handle_line(&line)? {
             output.write_all(reply.as_bytes()).map_err(AdapterError::Write)?;
             output.flush().map_err(AdapterError::Write)?;
         }
--- a/src/config/sections.rs
+++ b/src/config/sections.rs
@@ -46,7 +46,7 @@
     section.check_known_keys(&["enforce"]);
     let value = &section.table["enforce"];
     if !value.is_null() && !value.is_boolean() {
-        section.fault("enforce", SettingFault::Truth(value.clone()));
+        section.fault("enforce", SettingFault::NotBoolean(value.clone()));
     }
     if let Some(enforce) = value.as_bool() {
         settings.quotas.enforce = enforce;
@@ -91,7 +91,7 @@
     let newest = f64::from(SchemaVersion::NEWEST.number());
     let limit = section.number("most", 1.0..=newest).unwrap_or(newest);
     if limit.fract() != 0.0 {
-        section.fault("most", SettingFault::Whole(limit));
+        section.fault("most", SettingFault::NotInteger(limit));
     }
     match SchemaVersion::new(limit as u64).and_then(SupportedVersions::up_to) {
         Ok(versions) => Some(versions),
--- a/src/help/tests.rs
+++ b/src/help/tests.rs
@@ -158,8 +158,8 @@
     let round = r#"["ROUND",1.0,1]"#;
     let start = r#"["START","b",1,{}]"#;
     let mut unfinished = Adapter::new();
-    unfinished.line(round).expect("a round");
-    let mut errors = vec![unfinished.end().expect_err("an end in a round").what];
+    unfinished.handle_line(round).expect("a round");
+    let mut errors = vec![unfinished.finish().expect_err("an end in a round").fault];
     for last in [
         "no",
         "5",
@@ -172,8 +172,8 @@
         r#"["MEMBERSHIP","b",0,2,[5]]"#,
     ] {
         let mut adapter = Adapter::new();
-        let replies = [round, start, last].map(|line| adapter.line(line));
-        errors.extend(replies.into_iter().filter_map(Result::err).map(|e| e.what));
+        let replies = [round, start, last].map(|line| adapter.handle_line(line));
+        errors.extend(replies.into_iter().filter_map(Result::err).map(|e| e.fault));
     }
     assert_all_documented::<WireFault>(&errors);
 }
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -50,8 +50,8 @@
     /// # Errors
     ///
     /// The fault of the line and the batch that it belongs to. No part of the line has been applied.
-    pub fn line(&mut self, line: &str) -> Result<Option<String>, WireError> {
-        self.read_line(line).map_err(|what| WireError { batch: self.latest_batch, what })
+    pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, WireError> {
+        self.read_line(line).map_err(|fault| WireError { batch: self.latest_batch, fault })
     }
 
     /// Checks that the input ended between batches.
@@ -59,9 +59,9 @@
     /// # Errors
     ///
     /// [`WireFault::Ended`] where the input ended inside a batch.
-    pub fn end(&self) -> Result<(), WireError> {
+    pub fn finish(&self) -> Result<(), WireError> {
         match self.batch {
-            Some(batch) => Err(WireError { batch: Some(batch.number), what: WireFault::Ended }),
+            Some(batch) => Err(WireError { batch: Some(batch.number), fault: WireFault::Ended }),
             None => Ok(()),
         }
     }
@@ -101,7 +101,7 @@
             return self.start_instance(now, who, fields);
         }
         let Some(instance) = self.instances.get_mut(who) else {
-            return Err(WireFault::NotStarted { name: fields.name.to_owned(), who: who.to_owned() });
+            return Err(WireFault::NotStarted { name: fields.name.to_owned(), instance: who.to_owned() });
         };
         if fields.name == "SHUTDOWN" {
             self.instances.remove(who);
--- a/src/simulator/errors.rs
+++ b/src/simulator/errors.rs
@@ -7,12 +7,12 @@
 
 /// A fault in the input and the batch in which it occurred.
 #[derive(Debug, Error)]
-#[error("{}: {what}", describe_batch(*batch))]
+#[error("{}: {fault}", describe_batch(*batch))]
 pub struct WireError {
     /// Number of the batch; `None` before the first batch.
     pub batch: Option<u64>,
     /// The fault.
-    pub what: WireFault,
+    pub fault: WireFault,
 }
 
 fn describe_batch(batch: Option<u64>) -> String {
@@ -43,12 +43,12 @@
     #[error("START: {}", join_faults(.0))]
     Settings(Vec<SettingError>),
     /// An event for an instance that has not started.
-    #[error("{name} for {who}, which has not started")]
+    #[error("{name} for {instance}, which has not started")]
     NotStarted {
         /// The name of the message.
         name: String,
         /// The name of the instance.
-        who: String,
+        instance: String,
     },
     /// An event that this version of the simulator's protocol does not have.
     #[error("unknown event {0}")]
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -155,7 +155,7 @@
         let range = f64::from(*range.start())..=f64::from(*range.end());
         let number = self.number(table, key, default.into(), range);
         if number.fract() != 0.0 {
-            self.fault(table.path, key, SettingFault::Whole(number));
+            self.fault(table.path, key, SettingFault::NotInteger(number));
         }
         number as u32
     }
@@ -163,7 +163,7 @@
     fn flag(&mut self, table: Table<'_>, key: &str) -> bool {
         let value = &table.value[key];
         if !value.is_null() && !value.is_boolean() {
-            self.fault(table.path, key, SettingFault::Truth(value.clone()));
+            self.fault(table.path, key, SettingFault::NotBoolean(value.clone()));
         }
         value.as_bool().unwrap_or(false)
     }
@@ -174,7 +174,7 @@
         let value = &table.value[key];
         let known = value.as_str().and_then(|text| words.iter().position(|keyword| *keyword == text));
         if known.is_none() && !value.is_null() {
-            let fault = SettingFault::Word { value: value.clone(), words: words.join(", ") };
+            let fault = SettingFault::UnknownKeyword { value: value.clone(), words: words.join(", ") };
             self.fault(table.path, key, fault);
         }
         known
@@ -234,7 +234,7 @@
 
     fn window(&mut self, class: Table<'_>) -> Millis {
         if class.value["windowMs"].is_null() {
-            self.fault(class.path, "windowMs", SettingFault::NoWindow);
+            self.fault(class.path, "windowMs", SettingFault::MissingWindow);
         }
         self.number(class, "windowMs", 0.0, 0.0..=MAX_DURATION_MS)
     }
@@ -295,7 +295,7 @@
         return Ok(None);
     }
     let non_negative = value.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
-    let wrong = || SettingError { key: format!("rules.{key}"), fault: SettingFault::FromZero };
+    let wrong = || SettingError { key: format!("rules.{key}"), fault: SettingFault::NotNonNegative };
     non_negative.map(Some).ok_or_else(wrong)
 }
 
--- a/src/simulator/settings_errors.rs
+++ b/src/simulator/settings_errors.rs
@@ -36,16 +36,16 @@
     },
     /// The number must be an integer, but is not.
     #[error("{0} is no whole number")]
-    Whole(f64),
+    NotInteger(f64),
     /// A limit that is not a non-negative number. Used as it is, it would silently break a rule.
     #[error("must be a number from 0 up")]
-    FromZero,
+    NotNonNegative,
     /// The value must be a Boolean, but is not.
     #[error("{0} is neither true nor false")]
-    Truth(Value),
+    NotBoolean(Value),
     /// The value is not one of the allowed words.
     #[error("{value} is none of {words}")]
-    Word {
+    UnknownKeyword {
         /// The value.
         value: Value,
         /// The allowed words, separated by commas.
@@ -53,7 +53,7 @@
     },
     /// A keyed class does not state for how long repeated requests are dropped.
     #[error("is missing, and the class is keyed")]
-    NoWindow,
+    MissingWindow,
     /// The tenants' names are not valid as a set, for example because two tenants share a name.
     #[error("members: {0}")]
     Tenants(sandgw_quota::tenants::TenantsError),
@@ -63,11 +63,11 @@
     NotObject: "must be an object" => "write it as a table of keys",
     NotList: "is no list" => "put the values in [ ]",
     Number: "is no number from" => "choose a number in that range, without quotes",
-    Whole: "is no whole number" => "choose a whole number",
-    FromZero: "must be a number from 0 up" => "choose such a number; without the key the limit is 0, without \
+    NotInteger: "is no whole number" => "choose a whole number",
+    NotNonNegative: "must be a number from 0 up" => "choose such a number; without the key the limit is 0, without \
         rules.resendSpanMs there is none",
-    Truth: "is neither true nor false" => "write true or false, without quotes",
-    Word: "is none of" => "choose one of these words, in quotes",
+    NotBoolean: "is neither true nor false" => "write true or false, without quotes",
+    UnknownKeyword: "is none of" => "choose one of these words, in quotes",
     Tenants: "members:" => "give each member one entry with a name of its own; shares are counted for 200 at the most",
-    NoWindow: "is missing, and the class is keyed" => "say for how long repeats are dropped, or make the class unsafe",
+    MissingWindow: "is missing, and the class is keyed" => "say for how long repeats are dropped, or make the class unsafe",
 });
