--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -120,7 +120,7 @@
 
     /// Records how many descriptors another process of this relay holds, since both processes share one
     /// limit.
-    pub fn set_other_process(&self, descriptors: usize) {
+    pub fn set_other_process_descriptors(&self, descriptors: usize) {
         if self.other_process.replace(descriptors) > descriptors {
             self.released.notify_waiters();
             self.upstream_changed.notify_waiters();
--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -12,7 +12,7 @@
 use sandgw_schema_version::SchemaVersion;
 use tokio::time::{MissedTickBehavior, interval};
 
-use super::{Shared, span};
+use super::{Shared, duration_from_millis};
 use crate::policy::api::Millis;
 use crate::relay::Relay;
 
@@ -117,7 +117,7 @@
     let Some(writer) = &shared.store_writer else { return };
     let Some(flush) = shared.config.borrow().state.as_ref().map(|state| state.flush_interval) else { return };
     let max_age = shared.config.borrow().settings.affinity_limits.max_age;
-    let mut interval = interval(span(flush));
+    let mut interval = interval(duration_from_millis(flush));
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut unsent = None;
     let mut pruned_at = f64::NEG_INFINITY;
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -29,12 +29,12 @@
     }
 
     /// The runtime's instant for a Unix time in milliseconds.
-    pub fn at(&self, time: Millis) -> tokio::time::Instant {
-        (self.start + span(time - self.unix_start)).into()
+    pub fn instant_at(&self, time: Millis) -> tokio::time::Instant {
+        (self.start + duration_from_millis(time - self.unix_start)).into()
     }
 }
 
 /// Converts a number of milliseconds to a duration, which is zero for a negative number.
-pub fn span(millis: Millis) -> Duration {
+pub fn duration_from_millis(millis: Millis) -> Duration {
     Duration::try_from_secs_f64(millis.max(0.0) / 1000.0).unwrap_or(MAX_DURATION)
 }
--- a/src/net/connection/attempt.rs
+++ b/src/net/connection/attempt.rs
@@ -20,7 +20,7 @@
 use super::{ClientConnection, read_more};
 use crate::listener::{AttemptAnswer, ClientProtocol};
 use crate::net::pool::PooledBuffer;
-use crate::net::{Shared, is_local_shortage, span};
+use crate::net::{Shared, duration_from_millis, is_local_shortage};
 use crate::policy::api::{Millis, Outcome, RequestId};
 use crate::relay::{Attempt, ConnectionCommand, LocalReply};
 
@@ -69,7 +69,7 @@
         commands: &mut UnboundedReceiver<ConnectionCommand>,
     ) -> io::Result<Placement> {
         let shared = self.shared.clone();
-        let limit = shared.clock.at(deadline);
+        let limit = shared.clock.instant_at(deadline);
         let accepts_early_data = self.protocol.accepts_early_data();
         loop {
             // When several events are ready at once, the client's disconnection is handled first, since no
@@ -80,7 +80,7 @@
                     return Ok(Placement::ClientDisconnected),
                 command = commands.recv() => command,
                 () = sleep_until(limit) => {
-                    shared.core(|relay, now| relay.deadline_passed(now, id));
+                    shared.with_core(|relay, now| relay.deadline_passed(now, id));
                     commands.recv().await
                 }
             };
@@ -95,12 +95,12 @@
                 StepResult::ClientDisconnected => return Ok(Placement::ClientDisconnected),
                 StepResult::Answered(response) => return Ok(Placement::Answered(response)),
                 // The core answers the report with a reply command, which the next turn of the loop receives.
-                StepResult::DeadlinePassed => shared.core(|relay, now| relay.deadline_passed(now, id)),
+                StepResult::DeadlinePassed => shared.with_core(|relay, now| relay.deadline_passed(now, id)),
                 StepResult::Done(Ok(AcceptedUpstream { stream, first_bytes })) => {
                     let endpoint = &attempt.endpoint.0;
                     let elapsed = shared.clock.now() - started;
                     debug!("connection {}: established with endpoint {endpoint} after {elapsed:.0} ms", id.0);
-                    shared.core(|relay, now| relay.connection_established(now, id, now - started));
+                    shared.with_core(|relay, now| relay.connection_established(now, id, now - started));
                     return Ok(Placement::Established { upstream: stream, first_bytes });
                 }
                 StepResult::Done(Err(outcome)) => {
@@ -108,7 +108,7 @@
                         "connection {}: attempt at endpoint {} failed: {outcome:?}",
                         id.0, attempt.endpoint.0
                     );
-                    shared.core(|relay, now| relay.attempt_ended(now, id, outcome));
+                    shared.with_core(|relay, now| relay.attempt_ended(now, id, outcome));
                 }
             }
         }
@@ -216,9 +216,9 @@
 async fn connect(shared: &Rc<Shared>, attempt: &Attempt) -> Result<ConnectedUpstream, Outcome> {
     let address = shared.endpoint_list.borrow().address(&attempt.endpoint).ok_or(Outcome::NotSent)?;
     let now = shared.clock.now();
-    let remaining = span(attempt.give_up_at - now);
-    let begin_within = span(attempt.write_by - now);
-    let limit = span(shared.config.borrow().settings.connect_timeout).min(remaining);
+    let remaining = duration_from_millis(attempt.give_up_at - now);
+    let begin_within = duration_from_millis(attempt.write_by - now);
+    let limit = duration_from_millis(shared.config.borrow().settings.connect_timeout).min(remaining);
     match timeout(limit.min(begin_within), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(ConnectedUpstream { address, stream }),
         Ok(Err(e)) if is_local_shortage(&e) => Err(Outcome::NotSent),
@@ -279,6 +279,6 @@
             }
         }
     };
-    timeout_at(shared.clock.at(give_up_at), exchange).await.unwrap_or(Err(Outcome::TimedOut))?;
+    timeout_at(shared.clock.instant_at(give_up_at), exchange).await.unwrap_or(Err(Outcome::TimedOut))?;
     Ok(AcceptedUpstream { stream: upstream, first_bytes: input })
 }
--- a/src/net/connection/handshake.rs
+++ b/src/net/connection/handshake.rs
@@ -27,7 +27,7 @@
     /// Reads the client's request, and reserves a descriptor for its upstream connection. Returns `None` if
     /// the connection has been closed instead.
     pub(super) async fn read_request(&mut self, accepted_at: Millis) -> io::Result<Option<IncomingRequest>> {
-        let limit = self.shared.clock.at(accepted_at + self.protocol.handshake_timeout());
+        let limit = self.shared.clock.instant_at(accepted_at + self.protocol.handshake_timeout());
         let Some(mut request) = self.handshake(limit).await? else { return Ok(None) };
         if !self.permit.acquire_upstream().await {
             self.reply_rejected();
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -99,7 +99,7 @@
             }
             Placement::ClientDisconnected => {
                 // The core frees the request's place now and not only when the close has finished.
-                self.shared.core(|relay, now| relay.client_disconnected(now, id));
+                self.shared.with_core(|relay, now| relay.client_disconnected(now, id));
                 // The client may have closed only its sending side, and may still read.
                 self.protocol.write_local_reply(LocalReply::Failed, &mut self.reply);
                 self.close().await
@@ -134,7 +134,7 @@
 impl Drop for Registration {
     fn drop(&mut self) {
         self.shared.connections.borrow_mut().remove(&self.id);
-        self.shared.core(|relay, now| {
+        self.shared.with_core(|relay, now| {
             relay.client_disconnected(now, self.id);
             relay.attempt_ended(now, self.id, Outcome::Cancelled);
         });
--- a/src/net/connection/tunnel.rs
+++ b/src/net/connection/tunnel.rs
@@ -264,7 +264,7 @@
 
     fn report_end(&self, id: RequestId, outcome: Outcome) {
         debug!("connection {}: established connection ended: {outcome:?}", id.0);
-        self.shared.core(|relay, now| relay.attempt_ended(now, id, outcome));
+        self.shared.with_core(|relay, now| relay.attempt_ended(now, id, outcome));
     }
 
     /// Reads bytes from both sides; returns whether there were any, or a stream has ended.
@@ -294,7 +294,7 @@
         let round_trip =
             self.protocol.observe_endpoint_bytes(self.shared.clock.now(), tunnel.to_client.last_bytes(read));
         if let Some(round_trip) = round_trip {
-            self.shared.core(|relay, _| relay.record_round_trip(tunnel.id, round_trip));
+            self.shared.with_core(|relay, _| relay.record_round_trip(tunnel.id, round_trip));
         }
         read > 0 || tunnel.to_client.eof
     }
@@ -337,7 +337,7 @@
         let awaits_response = tunnel.to_client.len() <= pass.withheld && !pass.is_half_closed;
         let unanswered_since = self.protocol.unanswered_since().filter(|_| awaits_response);
         let next_report = tunnel.response_timer.next_report(unanswered_since);
-        let next_report = next_report.map(|at| self.shared.clock.at(at));
+        let next_report = next_report.map(|at| self.shared.clock.instant_at(at));
         let migration_deadline = tunnel.migration.map(|migration| migration.deadline);
         let wake_at =
             [tunnel.half_closed_deadline, next_report, migration_deadline].into_iter().flatten().min();
@@ -391,7 +391,7 @@
         let now = self.shared.clock.now();
         let age = unanswered_since.map(|since| now - since);
         let Some(age) = age.filter(|_| tunnel.response_timer.is_due(now)) else { return };
-        self.shared.core(|relay, _| relay.record_round_trip(tunnel.id, age));
+        self.shared.with_core(|relay, _| relay.record_round_trip(tunnel.id, age));
         if age >= SILENCE_TIMEOUT_MS && tunnel.migration.is_none() {
             debug!(
                 "connection {}: the endpoint has not answered in time; asking the client to reconnect",
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::http_call::fetch;
-use super::{Shared, span};
+use super::{Shared, duration_from_millis};
 use crate::discovery::{CallError, RETRY_MS};
 use crate::help::Help;
 use crate::policy::api::{Discovery, EndpointEntry, ListKind, Millis};
@@ -112,7 +112,7 @@
     async fn call_once(&mut self) -> NextStep {
         let address = self.shared.config.borrow().discovery;
         let request = self.shared.endpoint_list.borrow_mut().next_request();
-        let limit = span(self.shared.endpoint_list.borrow().timeout());
+        let limit = duration_from_millis(self.shared.endpoint_list.borrow().timeout());
         let is_watch = self.shared.endpoint_list.borrow().is_watch();
         let requested_at = self.shared.clock.now();
         let has_connected = Cell::new(false);
@@ -149,7 +149,7 @@
                 } else {
                     Relay::discovery_poll_failed
                 };
-                self.shared.core(poll_failed);
+                self.shared.with_core(poll_failed);
                 self.handle_failure(&failed.error).await
             }
         }
@@ -166,7 +166,7 @@
             );
         }
         self.shared.handle_list_update(kind, entries, requested_at);
-        self.shared.core(Relay::discovery_answered);
+        self.shared.with_core(Relay::discovery_answered);
     }
 
     async fn handle_failure(&mut self, error: &CallError) -> NextStep {
@@ -175,7 +175,7 @@
             // The list of an agent counts as known, so the load balancer requests no call after a failure.
             // After a change of address, the load balancer's backoff from failures at the old address may be
             // longer than the relay can wait for a list.
-            sleep(span(RETRY_MS)).await;
+            sleep(duration_from_millis(RETRY_MS)).await;
             return NextStep::CallAgain;
         }
         // The time limit of a call is already a pause, so `MIN_RENEWAL_INTERVAL_MS` is not applied after it.
@@ -186,7 +186,7 @@
             self.pause_before_renewal(is_timeout).await;
             return NextStep::CallAgain;
         }
-        self.shared.core(|relay, now| relay.apply_list(now, ListKind::Failed, Vec::new()));
+        self.shared.with_core(|relay, now| relay.apply_list(now, ListKind::Failed, Vec::new()));
         NextStep::WaitForRequest
     }
 
@@ -194,8 +194,10 @@
     /// soon of list changes that a silent or broken subscription did not deliver.
     async fn pause_before_renewal(&mut self, is_timeout: bool) {
         let relay_count = self.shared.config.borrow().settings.relay_count;
-        let pause = span(self.shared.endpoint_list.borrow_mut().renewal_delay(relay_count, is_timeout));
-        self.shared.core(Relay::subscription_lost);
+        let pause = duration_from_millis(
+            self.shared.endpoint_list.borrow_mut().renewal_delay(relay_count, is_timeout),
+        );
+        self.shared.with_core(Relay::subscription_lost);
         tokio::select! {
             () = self.shared.discovery_address_changed.notified() => self.is_address_new = true,
             () = sleep(pause) => {}
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -71,7 +71,7 @@
         let revision = self.endpoint_list.borrow().revision_and_entries().0;
         let is_full = kind == ListKind::Full;
         let is_answer = is_full || kind == ListKind::Delta;
-        self.core(|relay, now| match revision.filter(|_| is_answer) {
+        self.with_core(|relay, now| match revision.filter(|_| is_answer) {
             Some(revision) => {
                 let answer = DiscoveryAnswer { revision, requested_at, is_full };
                 relay.apply_discovery_answer(now, answer, entries)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -27,7 +27,7 @@
 
 use tokio::task::LocalSet;
 
-use self::clock::{Clock, span};
+use self::clock::{Clock, duration_from_millis};
 use self::shared::Shared;
 use crate::config::{Config, ConfigError};
 
--- a/src/net/operators.rs
+++ b/src/net/operators.rs
@@ -268,11 +268,11 @@
         OperatorCall::Status | OperatorCall::MaintenanceWindow(_) => {}
         OperatorCall::Standby => {
             warn!("operators: standby was called");
-            shared.core(|relay, now| relay.enter_standby(now));
+            shared.with_core(|relay, now| relay.enter_standby(now));
         }
         OperatorCall::Active => {
             info!("operators: active was called");
-            shared.core(|relay, _| relay.activate());
+            shared.with_core(|relay, _| relay.activate());
         }
     }
     let relay = shared.relay.borrow();
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -27,7 +27,7 @@
 
     /// Sends a datagram of bytes, which may be lost.
     pub(super) fn send_datagram_to_peer(&self, peer: u32, datagram: &[u8]) {
-        let Some(socket) = self.peers.get() else { return };
+        let Some(socket) = self.peer_socket.get() else { return };
         if let Some(address) = self.config.borrow().peers.get(peer as usize)
             && let Err(e) = socket.try_send_to(datagram, *address)
         {
@@ -43,7 +43,7 @@
         if let Ok(text) = std::str::from_utf8(datagram)
             && let Some(message) = schema_version::decode(self, peer, text)
         {
-            self.core(|relay, now| relay.receive_peer_message(now, peer, message));
+            self.with_core(|relay, now| relay.receive_peer_message(now, peer, message));
         }
     }
 }
@@ -51,7 +51,7 @@
 /// Receives other relays' datagrams while this process accepts clients. Datagrams from addresses that are no
 /// peer's are ignored.
 pub async fn receive(shared: Rc<Shared>) {
-    let Some(socket) = shared.peers.get() else { return };
+    let Some(socket) = shared.peer_socket.get() else { return };
     let mut accepting = shared.accepting.subscribe();
     let mut buffer = [0; peers::RECEIVE_BUFFER_BYTES];
     loop {
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -14,7 +14,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, timeout_at};
 
-use super::{Clock, Shared, span};
+use super::{Clock, Shared, duration_from_millis};
 use crate::config::Config;
 use crate::peers;
 use crate::policy::api::{Millis, PeerMessage, Settings};
@@ -98,10 +98,12 @@
 /// # Errors
 /// The cluster is finalized at a version that this process does not support.
 pub async fn query_finalized_version(shared: &Rc<Shared>) -> io::Result<()> {
-    let (Some(channel), Some(socket)) = (&shared.peer_channel, shared.peers.get()) else { return Ok(()) };
+    let (Some(channel), Some(socket)) = (&shared.peer_channel, shared.peer_socket.get()) else {
+        return Ok(());
+    };
     for wait in REPLY_WAITS_MS {
         request_advertisements(shared, channel);
-        let deadline = Instant::now() + span(wait);
+        let deadline = Instant::now() + duration_from_millis(wait);
         receive_until(shared, channel, socket, deadline).await.map_err(startup_error)?;
     }
     Ok(())
@@ -133,7 +135,7 @@
         let Some((peer, text)) = peer.zip(text) else { continue };
         match receive(shared, channel, peer as u32, text) {
             Ok(Some(message)) => {
-                shared.core(|relay, now| relay.receive_peer_message(now, peer as u32, message))
+                shared.with_core(|relay, now| relay.receive_peer_message(now, peer as u32, message))
             }
             Err(e @ SchemaVersionError::Finalized { .. }) => return Err(e),
             _ => {}
@@ -157,7 +159,7 @@
         apply_version(&shared, channel, &mut applied, now);
         let wait = channel.borrow().next_poll_in_ms(now);
         tokio::select! {
-            () = tokio::time::sleep(span(wait)) => {}
+            () = tokio::time::sleep(duration_from_millis(wait)) => {}
             () = shared.version_changed.notified() => {}
         }
     }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 
 use super::admission::Admission;
-use super::clock::{Clock, span};
+use super::clock::{Clock, duration_from_millis};
 use super::pool::BufferPool;
 use crate::config::Config;
 use crate::discovery::EndpointList;
@@ -72,7 +72,7 @@
     /// Notified when the configured address of discovery has changed.
     pub discovery_address_changed: Notify,
     /// The socket for datagrams between relays.
-    pub peers: OnceCell<UdpSocket>,
+    pub peer_socket: OnceCell<UdpSocket>,
     /// Translates between peers' messages and datagrams; `None` if the configuration does not turn schema
     /// versions on.
     pub peer_channel: Option<RefCell<VersionedChannel>>,
@@ -90,7 +90,7 @@
     /// Whether SIGTERM was received.
     pub is_terminated: Cell<bool>,
     /// Notified when a process that has handed over has nothing left to do.
-    pub finished: Notify,
+    pub hand_over_finished: Notify,
     /// The established connections that are to be transferred to the successor process.
     pub transfers: TransferQueue,
     /// The sockets that a successor process inherits.
@@ -107,7 +107,7 @@
 
 impl Shared {
     /// Calls the core, then carries out the commands that the call has produced.
-    pub fn core<T>(self: &Rc<Self>, call: impl FnOnce(&mut Relay, Millis) -> T) -> T {
+    pub fn with_core<T>(self: &Rc<Self>, call: impl FnOnce(&mut Relay, Millis) -> T) -> T {
         let now = self.clock.now();
         let result = call(&mut self.relay.borrow_mut(), now);
         self.run_pending_commands();
@@ -136,8 +136,8 @@
             Command::SetTimer { after, token } => {
                 let shared = self.clone();
                 spawn_local(async move {
-                    tokio::time::sleep(span(after)).await;
-                    shared.core(|relay, now| relay.timer_fired(now, token));
+                    tokio::time::sleep(duration_from_millis(after)).await;
+                    shared.with_core(|relay, now| relay.timer_fired(now, token));
                 });
             }
             Command::Subscribe => self.list_requested.notify_one(),
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -86,7 +86,7 @@
     }
     if old_discovery != discovery {
         shared.endpoint_list.borrow_mut().service_replaced();
-        shared.core(Relay::discovery_changed);
+        shared.with_core(Relay::discovery_changed);
         shared.discovery_address_changed.notify_one();
     }
 }
@@ -98,6 +98,6 @@
     if let Some(channel) = &shared.peer_channel {
         channel.borrow_mut().negotiator.set_position(super::schema_version::relay_position(&settings));
     }
-    shared.core(|relay, now| relay.apply_settings(now, settings, &classes));
+    shared.with_core(|relay, now| relay.apply_settings(now, settings, &classes));
     shared.line_rules.apply_names(line_names(&shared.relay.borrow(), &shared.config.borrow()));
 }
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -25,7 +25,7 @@
     /// Listener for clients of RTMP.
     pub rtmp: Option<TcpListener>,
     /// The SNMP agent's socket, at which managers send their queries.
-    pub agent: Option<UdpSocket>,
+    pub snmp: Option<UdpSocket>,
 }
 
 /// Opens all sockets except for the operators' listener.
@@ -43,11 +43,11 @@
     let rtmp_address = opener.config.rtmp.as_ref().map(|rtmp| rtmp.listen);
     let rtmp = rtmp_address.map(|address| opener.listener("rtmp.listen", address)).transpose()?;
     let agent_address = opener.config.snmp.as_ref().map(|snmp| snmp.listen);
-    let agent = agent_address.map(|address| opener.datagram_socket("snmp.listen", address)).transpose()?;
+    let snmp = agent_address.map(|address| opener.datagram_socket("snmp.listen", address)).transpose()?;
     if let Some(address) = opener.config.peer_listen {
-        let _ = shared.peers.set(opener.datagram_socket("peer_listen", address)?);
+        let _ = shared.peer_socket.set(opener.datagram_socket("peer_listen", address)?);
     }
-    Ok(Sockets { line, rtmp, agent })
+    Ok(Sockets { line, rtmp, snmp })
 }
 
 /// Binds a listener at an address.
@@ -89,7 +89,7 @@
             Some(socket) => TcpListener::from_std(socket.into()),
             None => listen(address),
         };
-        let listener = listener.map_err(|e| with_setting(setting, e))?;
+        let listener = listener.map_err(|e| with_setting_name(setting, e))?;
         self.add_inheritable(setting, address, listener.as_fd())?;
         Ok(listener)
     }
@@ -97,7 +97,7 @@
     fn datagram_socket(&mut self, setting: &str, address: SocketAddr) -> io::Result<UdpSocket> {
         let socket = match self.take_inherited(setting, address) {
             Some(socket) => socket.into(),
-            None => std::net::UdpSocket::bind(address).map_err(|e| with_setting(setting, e))?,
+            None => std::net::UdpSocket::bind(address).map_err(|e| with_setting_name(setting, e))?,
         };
         socket.set_nonblocking(true)?;
         self.add_inheritable(setting, address, socket.as_fd())?;
@@ -125,6 +125,6 @@
 }
 
 /// Adds the key of the setting that an error concerns to its text.
-pub fn with_setting(setting: &str, error: io::Error) -> io::Error {
+pub fn with_setting_name(setting: &str, error: io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{setting}: {error}"))
 }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -21,8 +21,8 @@
 use super::clock::Clock;
 use super::shared::{InheritableSocket, Shared, TransferQueue, line_names};
 use super::signals::Signals;
-use super::sockets::{listen, with_setting};
-use super::takeover::{self, Predecessor, TakeoverError};
+use super::sockets::{listen, with_setting_name};
+use super::takeover::{self, Predecessor, TakeoverFailure};
 use super::{
     affinity_store, connection, discovery, maintenance, operators, peers, schema_version, snmp, sockets,
 };
@@ -65,7 +65,7 @@
     let predecessor = request_snapshot(&shared, folder.as_deref(), &mut inherited).await?;
     // All addresses are bound before anything is served: a relay that can't bind an address does not start.
     let sockets = sockets::open(&shared, passed_listener, inherited)?;
-    if let Some(socket) = shared.peers.get() {
+    if let Some(socket) = shared.peer_socket.get() {
         // The runtime treats a socket as not writable until a task has waited for it once. Without this wait,
         // the first datagram would be lost.
         socket.writable().await?;
@@ -76,7 +76,7 @@
     if !is_takeover {
         schema_version::query_finalized_version(&shared).await?;
     }
-    start_drivers(&shared, sockets.agent);
+    start_drivers(&shared, sockets.snmp);
     if let Some(listener) = sockets.rtmp {
         start_rtmp(&shared, listener)?;
     }
@@ -85,7 +85,7 @@
     }
     shared.accepting.send_replace(true);
     start_handover_offer(&shared, folder);
-    shared.finished.notified().await;
+    shared.hand_over_finished.notified().await;
     Ok(())
 }
 
@@ -98,7 +98,7 @@
         .as_ref()
         .map(|state| affinity_store::open(&state.folder, newest_version))
         .transpose()
-        .map_err(|e| with_setting("state.folder", e))?;
+        .map_err(|e| with_setting_name("state.folder", e))?;
     let finalized =
         opened_folder.as_ref().map_or(SchemaVersion::FIRST, |opened_folder| opened_folder.finalized);
     let peer_channel = schema_version::open_channel(&config, finalized, &clock)?;
@@ -117,7 +117,7 @@
         pool: Rc::default(),
         list_requested: Notify::new(),
         discovery_address_changed: Notify::new(),
-        peers: OnceCell::new(),
+        peer_socket: OnceCell::new(),
         peer_channel,
         version_changed: Notify::new(),
         is_unreadable_version_logged: Cell::new(false),
@@ -125,7 +125,7 @@
         accepting: watch::Sender::new(false),
         is_predecessor_running: Cell::new(false),
         is_terminated: Cell::new(false),
-        finished: Notify::new(),
+        hand_over_finished: Notify::new(),
         transfers: TransferQueue::new(),
         inheritable_sockets: RefCell::default(),
         store_writer,
@@ -138,7 +138,7 @@
 /// Starts to serve operators, who get replies even before this process is ready to serve clients.
 fn start_operators(shared: &Rc<Shared>) -> io::Result<()> {
     let address = shared.config.borrow().ops;
-    let listener = address.map(listen).transpose().map_err(|e| with_setting("ops", e))?;
+    let listener = address.map(listen).transpose().map_err(|e| with_setting_name("ops", e))?;
     if let Some(listener) = listener {
         info!("operators call at {}", listener.local_addr()?);
         spawn_local(operators::serve_callers(shared.clone(), listener));
@@ -163,7 +163,7 @@
 fn load_configured_list(shared: &Rc<Shared>, configured: ConfiguredList) {
     // The lease is tracked before the list is loaded, so that the first poll is made soon where no request
     // can be placed before it.
-    shared.core(Relay::track_list_lease);
+    shared.with_core(Relay::track_list_lease);
     if !shared.relay.borrow().has_endpoint_list() {
         *shared.endpoint_list.borrow_mut() = configured.endpoint_list;
         shared.handle_list_update(ListKind::Cached, configured.entries, shared.clock.now());
@@ -182,8 +182,8 @@
     while let Some(mut running) = predecessor.take() {
         match takeover::take_over(shared, &mut running).await {
             Ok(()) => drop(spawn_local(takeover::follow_predecessor(shared.clone(), running))),
-            Err(TakeoverError::Refused(e)) => return Err(e),
-            Err(TakeoverError::LinkBroken(e)) => {
+            Err(TakeoverFailure::Refused(e)) => return Err(e),
+            Err(TakeoverFailure::LinkBroken(e)) => {
                 warn!("hand-over: the running process broke the link: {e}");
                 // Where the running process has ended, the snapshot held all of its state.
                 let folder = folder.unwrap_or(Path::new(""));
@@ -246,6 +246,6 @@
     let mut interval = tokio::time::interval(TICK_INTERVAL);
     loop {
         interval.tick().await;
-        shared.core(|relay, now| relay.tick(now));
+        shared.with_core(|relay, now| relay.tick(now));
     }
 }
--- a/src/net/takeover/mod.rs
+++ b/src/net/takeover/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 pub use self::predecessor::offer;
-pub use self::successor::{Predecessor, TakeoverError, follow_predecessor, request_snapshot, take_over};
+pub use self::successor::{Predecessor, TakeoverFailure, follow_predecessor, request_snapshot, take_over};
 use super::Shared;
 use crate::handover::FIRST_PROTOCOL_VERSION;
 
--- a/src/net/takeover/predecessor.rs
+++ b/src/net/takeover/predecessor.rs
@@ -24,7 +24,7 @@
 };
 use crate::net::accept::ACCEPT_PAUSE;
 use crate::net::shared::{InheritableSocket, OutgoingTransfer, Shared};
-use crate::net::{schema_version, span};
+use crate::net::{duration_from_millis, schema_version};
 
 /// How often the successor is sent affinity changes and the descriptor count, and, after SIGTERM,
 /// connections.
@@ -47,7 +47,7 @@
         if shared.relay.borrow().is_handed_over() {
             // No successor is left to transfer connections to. Standby makes them migrate before this process
             // ends.
-            shared.core(|relay, now| relay.enter_standby(now));
+            shared.with_core(|relay, now| relay.enter_standby(now));
             return wait_until_finished(&shared).await;
         }
     }
@@ -107,7 +107,7 @@
     while !is_finished(shared) {
         tokio::time::sleep(REPORT_INTERVAL).await;
     }
-    shared.finished.notify_one();
+    shared.hand_over_finished.notify_one();
 }
 
 fn is_finished(shared: &Shared) -> bool {
@@ -186,7 +186,7 @@
         let relay_name = self.shared.config.borrow().name.clone();
         loop {
             let message = match self.state.message_timeout_ms() {
-                Some(timeout_ms) => timeout(span(timeout_ms), self.link.next()).await??,
+                Some(timeout_ms) => timeout(duration_from_millis(timeout_ms), self.link.next()).await??,
                 None => tokio::select! {
                     message = self.link.next() => message?,
                     Some(transfer) = self.transfers.next() => {
@@ -220,11 +220,11 @@
         self.send_affinity_changes().await?;
         self.report_descriptors().await?;
         if self.shared.is_terminated.get() {
-            self.shared.core(|relay, _| relay.transfer_connections(MAX_TRANSFERS_AT_A_TIME));
+            self.shared.with_core(|relay, _| relay.transfer_connections(MAX_TRANSFERS_AT_A_TIME));
         }
         if self.transfers.is_empty() && is_finished(self.shared) {
             info!("hand-over: no connection is left in this process; it ends");
-            self.shared.finished.notify_one();
+            self.shared.hand_over_finished.notify_one();
         }
         Ok(())
     }
@@ -317,7 +317,7 @@
     }
 
     async fn grant_ownership(&mut self) -> io::Result<()> {
-        self.shared.core(|relay, now| relay.hand_over(now));
+        self.shared.with_core(|relay, now| relay.hand_over(now));
         self.link.send(&Message::OwnershipGranted).await?;
         info!("hand-over: done; this process serves its remaining connections");
         Ok(())
--- a/src/net/takeover/successor.rs
+++ b/src/net/takeover/successor.rs
@@ -22,7 +22,7 @@
 use crate::listener::line::LineProtocol;
 use crate::net::connection::{self, AdoptedConnection};
 use crate::net::shared::{InheritableSocket, Shared};
-use crate::net::{schema_version, span};
+use crate::net::{duration_from_millis, schema_version};
 use crate::policy::api::{ListKind, Millis};
 use crate::policy::learned_state::LearnedState;
 use crate::relay::TransferredConnection;
@@ -37,15 +37,15 @@
 }
 
 /// Why the relay could not be taken over from the running process.
-pub enum TakeoverError {
+pub enum TakeoverFailure {
     /// The link broke.
     LinkBroken(io::Error),
     /// The running process refused, did not answer in time, or sent data that can't be used.
     Refused(io::Error),
 }
 
-fn refused(reason: impl ToString) -> TakeoverError {
-    TakeoverError::Refused(io::Error::other(format!("hand-over: {}", reason.to_string())))
+fn refused(reason: impl ToString) -> TakeoverFailure {
+    TakeoverFailure::Refused(io::Error::other(format!("hand-over: {}", reason.to_string())))
 }
 
 /// A message from the running process, and the action that follows it.
@@ -74,21 +74,21 @@
         Predecessor { link: Link::new(stream), state: SuccessorProcess::default() }
     }
 
-    async fn next(&mut self) -> Result<ReceivedMessage, TakeoverError> {
+    async fn next(&mut self) -> Result<ReceivedMessage, TakeoverFailure> {
         let received = match self.state.message_timeout_ms() {
-            Some(timeout_ms) => timeout(span(timeout_ms), self.link.next()).await,
+            Some(timeout_ms) => timeout(duration_from_millis(timeout_ms), self.link.next()).await,
             None => Ok(self.link.next().await),
         };
         let received = received.map_err(|_| refused("the running process does not answer"))?;
-        let message = received.map_err(TakeoverError::LinkBroken)?;
+        let message = received.map_err(TakeoverFailure::LinkBroken)?;
         match self.state.handle_message(&message) {
             SuccessorAction::Fail(reason) => Err(refused(reason)),
             action => Ok(ReceivedMessage { message, action }),
         }
     }
 
-    async fn send(&mut self, message: &Message) -> Result<(), TakeoverError> {
-        self.link.send(message).await.map_err(TakeoverError::LinkBroken)
+    async fn send(&mut self, message: &Message) -> Result<(), TakeoverFailure> {
+        self.link.send(message).await.map_err(TakeoverFailure::LinkBroken)
     }
 }
 
@@ -118,13 +118,13 @@
             Ok(()) => return Ok(Some(predecessor)),
             // The running process predates protocol versions: the snapshot is requested again in the only
             // version that it supports.
-            Err(TakeoverError::Refused(e))
+            Err(TakeoverFailure::Refused(e))
                 if version > FIRST_PROTOCOL_VERSION && e.to_string().ends_with(VERSION_MISMATCH) =>
             {
                 version = FIRST_PROTOCOL_VERSION
             }
-            Err(TakeoverError::Refused(e)) => return Err(e),
-            Err(TakeoverError::LinkBroken(e)) => {
+            Err(TakeoverFailure::Refused(e)) => return Err(e),
+            Err(TakeoverFailure::LinkBroken(e)) => {
                 warn!("hand-over: the running process broke the link: {e}");
             }
         }
@@ -137,7 +137,7 @@
     predecessor: &mut Predecessor,
     inherited: &mut Vec<InheritableSocket>,
     version: u32,
-) -> Result<(), TakeoverError> {
+) -> Result<(), TakeoverFailure> {
     let relay_name = shared.config.borrow().name.clone();
     predecessor.send(&Message::Hello { version, relay_name }).await?;
     let mut list: Option<ReceivedList> = None;
@@ -164,7 +164,7 @@
             // The endpoint list is applied first, since the learned state refers to its endpoints.
             Message::LearnedState(learned) => {
                 apply_list(shared, list.take()).map_err(refused)?;
-                shared.core(|relay, now| relay.import_learned_state(now, learned));
+                shared.with_core(|relay, now| relay.import_learned_state(now, learned));
             }
             _ => {}
         }
@@ -178,7 +178,7 @@
 fn apply_list(shared: &Rc<Shared>, list: Option<ReceivedList>) -> Result<(), ListError> {
     let Some(ReceivedList { revision, entries }) = list else { return Ok(()) };
     let entries = shared.endpoint_list.borrow_mut().import(revision, entries)?;
-    shared.core(|relay, now| match revision {
+    shared.with_core(|relay, now| match revision {
         Some(revision) => {
             let answer = DiscoveryAnswer { revision, requested_at: now, is_full: true };
             relay.apply_discovery_answer(now, answer, entries);
@@ -191,21 +191,21 @@
 }
 
 fn restore_affinity(shared: &Rc<Shared>, records: Vec<Record>) {
-    shared.core(|relay, now| relay.restore_affinity(now, records.into_iter()));
+    shared.with_core(|relay, now| relay.restore_affinity(now, records.into_iter()));
 }
 
 /// Takes the relay over. When this succeeds, the running process has stopped accepting clients for good.
 ///
 /// # Errors
 /// The link broke, or the running process refuses, does not answer in time, or sends data that can't be used.
-pub async fn take_over(shared: &Rc<Shared>, predecessor: &mut Predecessor) -> Result<(), TakeoverError> {
+pub async fn take_over(shared: &Rc<Shared>, predecessor: &mut Predecessor) -> Result<(), TakeoverFailure> {
     predecessor.send(&Message::TakeoverRequest).await?;
     loop {
         let ReceivedMessage { message, action } = predecessor.next().await?;
         match message {
             Message::AffinityRecords(records) => restore_affinity(shared, records),
             Message::AcceptingStopped { descriptors, standby, slow_start_pause } => {
-                shared.admission.set_other_process(descriptors as usize);
+                shared.admission.set_other_process_descriptors(descriptors as usize);
                 continue_pauses(shared, standby, slow_start_pause);
             }
             _ => {}
@@ -221,7 +221,7 @@
 /// Continues the slow-start pause of the running process, and its standby, which has lasted for
 /// `standby_elapsed`.
 fn continue_pauses(shared: &Rc<Shared>, standby_elapsed: Option<Millis>, slow_start_pause: Millis) {
-    shared.core(|relay, now| {
+    shared.with_core(|relay, now| {
         relay.import_learned_state(now, LearnedState::with_slow_start_pause(slow_start_pause));
         if let Some(elapsed) = standby_elapsed.filter(|elapsed| *elapsed >= 0.0) {
             relay.enter_standby(now - elapsed);
@@ -237,7 +237,7 @@
     while let Ok(ReceivedMessage { message, .. }) = predecessor.next().await {
         match message {
             Message::DescriptorsInUse { descriptors } => {
-                shared.admission.set_other_process(descriptors as usize)
+                shared.admission.set_other_process_descriptors(descriptors as usize)
             }
             Message::AffinityRecords(records) => restore_affinity(&shared, records),
             Message::Connection { connection, protocol, pending_to_endpoint, pending_to_client } => {
@@ -255,7 +255,7 @@
         }
     }
     info!("hand-over: the predecessor process has ended");
-    shared.admission.set_other_process(0);
+    shared.admission.set_other_process_descriptors(0);
     shared.is_predecessor_running.set(false);
 }
 
