--- a/src/config/sections.rs
+++ b/src/config/sections.rs
@@ -111,7 +111,7 @@
         section.fault("class", Fault::UnknownClass(class.clone()));
     }
     let give_up = section.number("give_up_ms", MIN_GIVE_UP_MS..=MAX_TIMEOUT_MS);
-    let settings = RtmpSettings { class, give_up: give_up.unwrap_or(DEFAULT_GIVE_UP_MS) };
+    let settings = RtmpSettings { class, client_timeout: give_up.unwrap_or(DEFAULT_GIVE_UP_MS) };
     let trusted = section.list("trusted", "an address without a port").unwrap_or_default();
     Some(Rtmp { listen: listen?, settings, trusted })
 }
--- a/src/listener/line/mod.rs
+++ b/src/listener/line/mod.rs
@@ -1,9 +1,9 @@
 //! The platform's line protocol: each message of a client or an endpoint is one line of text.
 //!
-//! [`LineRules`] holds the names that requests may use and the ids of the open connections; [`LineProtocol`]
-//! holds the state of one connection. It reads `OPEN` and `PING` from the client and the endpoint's answers,
-//! writes the `OPEN` of each attempt with the time that is left, and observes the lines of the established
-//! connection. Times are milliseconds.
+//! [`LineProtocolState`] holds the names that requests may use and the ids of the open connections;
+//! [`LineProtocol`] holds the state of one connection. It reads `OPEN` and `PING` from the client and the
+//! endpoint's answers, writes the `OPEN` of each attempt with the time that is left, and observes the lines
+//! of the established connection. Times are milliseconds.
 
 mod open_line;
 
@@ -32,7 +32,7 @@
 
 /// The names that the current settings accept in requests.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LineNames {
+pub struct AcceptedNames {
     /// Whether `g` names a group, whose connections share work. Otherwise it names the client.
     pub groups: bool,
     /// The known classes. A class that was dropped from the settings has the time until which new connections
@@ -45,22 +45,22 @@
 
 /// The state that all connections of the line protocol share.
 #[derive(Default)]
-pub struct LineRules {
-    names: RefCell<LineNames>,
+pub struct LineProtocolState {
+    names: RefCell<AcceptedNames>,
     /// Tenants of the previous settings, whose connections may still arrive mid-flow.
     previous_tenants: RefCell<Vec<String>>,
     /// Ids of the open connections, each with its client's key.
     open: RefCell<HashMap<String, String>>,
 }
 
-impl LineRules {
-    /// Creates rules that accept the given names.
-    pub fn new(names: LineNames) -> Self {
-        LineRules { names: RefCell::new(names), ..LineRules::default() }
+impl LineProtocolState {
+    /// Creates a state that accepts the given names.
+    pub fn new(names: AcceptedNames) -> Self {
+        LineProtocolState { names: RefCell::new(names), ..LineProtocolState::default() }
     }
 
     /// Replaces the accepted names when the settings change. Requests that were read before are not affected.
-    pub fn apply_names(&self, names: LineNames) {
+    pub fn set_accepted_names(&self, names: AcceptedNames) {
         let before = self.names.replace(names);
         if before.tenants != self.names.borrow().tenants {
             self.previous_tenants.replace(before.tenants);
@@ -95,7 +95,7 @@
 
 /// One client of the line protocol.
 pub struct LineProtocol {
-    rules: Rc<LineRules>,
+    rules: Rc<LineProtocolState>,
     handshake_timeout: Millis,
     /// The connection's id, while the connection is registered as open.
     id: Option<String>,
@@ -114,7 +114,7 @@
 impl LineProtocol {
     /// Creates the protocol of one connection, whose client has `handshake_timeout` milliseconds to send its
     /// first line.
-    pub fn new(rules: Rc<LineRules>, handshake_timeout: Millis) -> Self {
+    pub fn new(rules: Rc<LineProtocolState>, handshake_timeout: Millis) -> Self {
         LineProtocol {
             rules,
             handshake_timeout,
@@ -128,7 +128,7 @@
     }
 
     /// Resumes a connection that the predecessor process has handed over.
-    pub fn resume(rules: Rc<LineRules>, now: Millis, transferred: TransferredProtocol) -> Self {
+    pub fn resume(rules: Rc<LineProtocolState>, now: Millis, transferred: TransferredProtocol) -> Self {
         rules.open.borrow_mut().insert(transferred.id.clone(), transferred.key);
         let outcome = |completed| if completed { Outcome::Ok } else { Outcome::Cancelled };
         let mut protocol = LineProtocol::new(rules, 0.0);
@@ -323,7 +323,7 @@
         Some(self.line_bytes)
     }
 
-    fn incomplete_tail(&self) -> usize {
+    fn incomplete_message_bytes(&self) -> usize {
         // Bytes of a line that is too long are passed on as they arrive.
         if self.line_bytes < MAX_LINE_BYTES { self.line_bytes } else { 0 }
     }
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -125,7 +125,7 @@
     /// How many of the last bytes from the endpoint belong to an incomplete message and should be held back
     /// until it is complete. The relay may insert a message before them, and the client receives no partial
     /// message when the endpoint closes in the middle of one.
-    fn incomplete_tail(&self) -> usize {
+    fn incomplete_message_bytes(&self) -> usize {
         0
     }
 
--- a/src/listener/rtmp/mod.rs
+++ b/src/listener/rtmp/mod.rs
@@ -56,7 +56,7 @@
     /// The class of all connections of the listener.
     pub class: String,
     /// How long after accept clients give up, in milliseconds.
-    pub give_up: Millis,
+    pub client_timeout: Millis,
 }
 
 /// How far the client's side of the connection has got.
@@ -130,7 +130,7 @@
             class: self.settings.class.clone(),
             client: Some(Key(client.into())),
             group: Some(Key(group.into())).filter(|g| !g.0.is_empty()),
-            deadline: accepted + self.settings.give_up,
+            deadline: accepted + self.settings.client_timeout,
             setup_time_used: now - accepted,
             ..IncomingRequest::default()
         }
@@ -251,7 +251,7 @@
 
 impl ClientProtocol for RtmpProtocol {
     fn handshake_timeout(&self) -> Millis {
-        (self.settings.give_up - REPLY_MARGIN_MS).max(0.0)
+        (self.settings.client_timeout - REPLY_MARGIN_MS).max(0.0)
     }
 
     fn request_begun(&self, input: &BytesMut) -> bool {
@@ -383,7 +383,7 @@
         self.endpoint_reader.as_ref().ok().map(ChunkReader::bytes_since_boundary)
     }
 
-    fn incomplete_tail(&self) -> usize {
+    fn incomplete_message_bytes(&self) -> usize {
         // A longer chunk is passed on in parts, because it would not fit into the buffer.
         self.bytes_since_boundary().filter(|bytes| *bytes < MAX_INCOMPLETE_CHUNK_BYTES).unwrap_or(0)
     }
--- a/src/listener/rtmp/tests.rs
+++ b/src/listener/rtmp/tests.rs
@@ -4,7 +4,7 @@
 
 /// A protocol that has completed the handshake with an endpoint and written `connect` to it.
 fn awaiting_reply() -> RtmpProtocol {
-    let settings = RtmpSettings { class: "live".into(), give_up: 1000.0 };
+    let settings = RtmpSettings { class: "live".into(), client_timeout: 1000.0 };
     let mut protocol = RtmpProtocol::new(settings, ([127, 0, 0, 1], 1).into(), false);
     protocol.stage = ClientStage::Requested { transaction: 1.0 };
     protocol.attempt = Some(AttemptStage::Reply { reader: ChunkReader::default(), consumed: 0 });
--- a/src/listener/tests.rs
+++ b/src/listener/tests.rs
@@ -4,12 +4,12 @@
 
 use bytes::BytesMut;
 
-use super::line::{LineProtocol, LineRules};
+use super::line::{LineProtocol, LineProtocolState};
 use super::{AttemptAnswer, ClientProtocol};
 use crate::policy::api::Outcome;
 
 fn protocol() -> LineProtocol {
-    LineProtocol::new(Rc::new(LineRules::default()), 1000.0)
+    LineProtocol::new(Rc::new(LineProtocolState::default()), 1000.0)
 }
 
 /// Feeds the reads to the protocol; returns its last answer and the bytes that remain for the client.
@@ -97,7 +97,7 @@
     let mut protocol = protocol();
     let mut tail_after = |bytes: &[u8]| {
         protocol.observe_endpoint_bytes(0.0, bytes);
-        protocol.incomplete_tail()
+        protocol.incomplete_message_bytes()
     };
     assert_eq!(
         [
--- a/src/net/connection/tunnel.rs
+++ b/src/net/connection/tunnel.rs
@@ -248,7 +248,7 @@
         match partial_bytes.filter(|partial_bytes| is_migrating && *partial_bytes <= tunnel.to_client.len()) {
             Some(partial_bytes) => partial_bytes,
             None if tunnel.to_client.eof && !tunnel.is_upstream_broken && !is_migrating => 0,
-            None => self.protocol.incomplete_tail(),
+            None => self.protocol.incomplete_message_bytes(),
         }
     }
 
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -18,7 +18,7 @@
 use crate::config::Config;
 use crate::discovery::EndpointList;
 use crate::handover::Message;
-use crate::listener::line::{LineNames, LineRules};
+use crate::listener::line::{AcceptedNames, LineProtocolState};
 use crate::policy::api::{Millis, RequestId};
 use crate::relay::{Command, ConnectionCommand, Relay};
 
@@ -102,7 +102,7 @@
     /// The configuration as it was last read, without the changes that take effect only at the next start.
     pub config: RefCell<Config>,
     /// The rules of the line protocol, with the names that it accepts.
-    pub line_rules: Rc<LineRules>,
+    pub line_rules: Rc<LineProtocolState>,
 }
 
 impl Shared {
@@ -147,8 +147,8 @@
 }
 
 /// The names that the line protocol accepts.
-pub fn line_names(relay: &Relay, config: &Config) -> LineNames {
-    LineNames {
+pub fn line_names(relay: &Relay, config: &Config) -> AcceptedNames {
+    AcceptedNames {
         groups: config.groups_share_work,
         classes: relay.accepted_classes(),
         tenants: config.tenants.clone(),
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -99,5 +99,5 @@
         channel.borrow_mut().negotiator.set_position(super::schema_version::relay_position(&settings));
     }
     shared.with_core(|relay, now| relay.apply_settings(now, settings, &classes));
-    shared.line_rules.apply_names(line_names(&shared.relay.borrow(), &shared.config.borrow()));
+    shared.line_rules.set_accepted_names(line_names(&shared.relay.borrow(), &shared.config.borrow()));
 }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -28,7 +28,7 @@
 };
 use crate::config::{Config, ConfigError};
 use crate::discovery::EndpointList;
-use crate::listener::line::{LineProtocol, LineRules};
+use crate::listener::line::{LineProtocol, LineProtocolState};
 use crate::listener::rtmp::RtmpProtocol;
 use crate::policy::api::{EndpointEntry, ListKind};
 use crate::relay::Relay;
@@ -129,7 +129,7 @@
         transfers: TransferQueue::new(),
         inheritable_sockets: RefCell::default(),
         store_writer,
-        line_rules: Rc::new(LineRules::new(names)),
+        line_rules: Rc::new(LineProtocolState::new(names)),
         maintenance,
         config: RefCell::new(config),
     }))
