--- a/crates/cluster/src/concurrency_limit.rs
+++ b/crates/cluster/src/concurrency_limit.rs
@@ -53,8 +53,8 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
-    /// Moving average from 0 to 1. It rises with each late set-up at another endpoint than the previous late
-    /// set-up, and falls with each set-up in time.
+    /// Moving average of late set-ups, from 0 to 1. It rises with each late set-up at another endpoint than
+    /// the previous late set-up, and falls with each set-up in time.
     late_fraction: f64,
     /// Endpoint of the latest late set-up: a common fault shows at several endpoints.
     latest_late_endpoint: Option<u64>,
@@ -98,8 +98,8 @@
         self.late_fraction > COMMON_FAULT_LATE_FRACTION || self.peer_warning_counts(now)
     }
 
-    /// Whether the latest set-up took long enough to have waited in a queue, either a local one or one behind
-    /// all endpoints.
+    /// Whether the latest set-up took long enough to have waited in a queue, either a local queue or a queue
+    /// behind all endpoints.
     pub fn latest_setup_was_queued(&self) -> bool {
         self.latest_setup_was_queued
     }
@@ -140,7 +140,7 @@
         // Where set-ups do not wait in a queue, one set-up at a time needs no pause.
         let min_limit = if self.latest_setup_was_queued || self.peer_warning_counts(now) { 0.0 } else { 1.0 };
         let limit = self.current_limit(now);
-        // The limit rises by one in each round trip; below one it doubles with each set-up.
+        // The limit rises by one in each round trip; a limit below one doubles with each set-up.
         let increase = (1.0 / limit).min(limit);
         self.limit = (limit + increase).max(min_limit);
         self.limit_updated_at = now;
@@ -163,8 +163,8 @@
     }
 
     /// Returns the time until the next set-up may be sent while `in_flight` set-ups are in flight: 0 if it
-    /// may be sent at once, infinity if one of those has to end first. `objective` is the longest time that a
-    /// set-up may take without the limit being cut.
+    /// may be sent at once, infinity if one of these set-ups has to end first. `objective` is the longest
+    /// time that a set-up may take without the limit being cut.
     pub fn time_until_slot(&self, now: Millis, in_flight: u32, objective: Millis) -> Millis {
         let limit = self.current_limit(now);
         if limit >= 1.0 || in_flight > 0 {
@@ -173,7 +173,8 @@
         (self.last_attempt_at + self.pause_jitter * objective / limit - now).max(0.0)
     }
 
-    /// Returns the time that a connection may expect to wait for its slot with `queued` others before it.
+    /// Returns the time that a connection may expect to wait for its slot with `queued` other connections
+    /// before it.
     pub fn expected_wait(&self, now: Millis, in_flight: u32, queued: usize, objective: Millis) -> Millis {
         let next_slot = self.time_until_slot(now, in_flight, objective);
         let limit = self.current_limit(now);
--- a/crates/cluster/src/drain_gossip/departures.rs
+++ b/crates/cluster/src/drain_gossip/departures.rs
@@ -8,9 +8,9 @@
 use super::DiscoveryAnswer;
 use crate::Millis;
 
-/// How long a departure is reported to relays that query this one.
+/// How long an endpoint's departure is reported to relays that query this relay.
 const DEPARTURE_TTL_MS: Millis = 60_000.0;
-/// The largest number of departures that are stored.
+/// The largest number of endpoint departures that the table stores.
 const MAX_DEPARTURES: usize = 256;
 
 /// How this relay learned of a departure.
@@ -96,12 +96,12 @@
         superseded
     }
 
-    /// Removes all departures except those known only from a report.
+    /// Removes all endpoint departures from the table except those known only from another relay's report.
     pub fn retain_reported(&mut self) {
         self.departures.retain(|_, departure| departure.source == Source::Report);
     }
 
-    /// Removes expired departures. Reported departures stay until an answer supersedes them.
+    /// Removes expired departures. Reported departures stay until an answer from discovery supersedes them.
     pub fn remove_expired(&mut self, now: Millis) {
         self.departures
             .retain(|_, departure| departure.source == Source::Report || !departure.is_expired(now));
--- a/crates/cluster/src/drain_gossip/mod.rs
+++ b/crates/cluster/src/drain_gossip/mod.rs
@@ -224,7 +224,7 @@
         self.timer.arm(now, self.next_query_at?, 0.0)
     }
 
-    /// Records reported departures that are new, and passes them on.
+    /// Records the reported endpoint departures that are new, and passes them on to other relays.
     fn apply_report(
         &mut self,
         now: Millis,
@@ -259,7 +259,8 @@
         }
     }
 
-    /// Sends a report to the relays that have queried lately, and to random others up to `fanout` in all.
+    /// Sends a report to the relays that have queried lately, and to random other relays up to `fanout` in
+    /// all.
     fn send_report(
         &mut self,
         now: Millis,
--- a/crates/cluster/src/load_aggregation/mod.rs
+++ b/crates/cluster/src/load_aggregation/mod.rs
@@ -30,11 +30,11 @@
 
 /// The shortest interval between two reports.
 const FIRST_REPORT_INTERVAL_MS: Millis = 400.0;
-/// Factor by which each interval exceeds the previous one.
+/// Factor by which each interval between reports exceeds the previous interval.
 const REPORT_INTERVAL_GROWTH: f64 = 1.5;
-/// The longest interval while connections arrive.
+/// The longest interval between reports while connections arrive.
 const MAX_REPORT_INTERVAL_MS: Millis = 1500.0;
-/// The interval while no connections arrive.
+/// The interval between reports while no connections arrive.
 const IDLE_REPORT_INTERVAL_MS: Millis = 6000.0;
 /// Reports without an answer before the next collector is tried.
 const MAX_UNANSWERED_REPORTS: u32 = 2;
@@ -52,7 +52,7 @@
     pub loads: BTreeMap<Tag, f64>,
 }
 
-/// One relay's part in the aggregation, as reporter and as collector.
+/// One relay's part in aggregating the load of each endpoint over all relays, as reporter and as collector.
 ///
 /// ```
 /// use sandgw_affinity::codec::ClusterMessage;
@@ -168,7 +168,7 @@
         self.cluster_load = Some(ClusterLoad { total: f64::from(total), loads });
     }
 
-    /// Returns the cluster's load, if a new one arrived since the last call.
+    /// Returns the cluster's load, if a new value of the load arrived since the last call.
     pub fn take_cluster_load(&mut self) -> Option<ClusterLoad> {
         self.cluster_load.take()
     }
--- a/crates/cluster/src/overload_gossip.rs
+++ b/crates/cluster/src/overload_gossip.rs
@@ -22,13 +22,13 @@
 
 /// How many relays are drawn at random to be notified of a late set-up.
 const NOTICE_FANOUT: u64 = 4;
-/// The shortest time between two rounds of notices from one relay.
+/// The shortest time between two rounds of notices of late set-ups from one relay.
 const NOTICE_INTERVAL_MS: Millis = 250.0;
 /// Notices about this many endpoints within [`NOTICE_TTL_MS`] mean a fault common to all endpoints.
 const COMMON_FAULT_ENDPOINTS: usize = 3;
-/// How long a notice counts after it was received.
+/// How long a notice of a late set-up counts after it was received.
 const NOTICE_TTL_MS: Millis = 1000.0;
-/// The largest number of notices that are stored.
+/// The largest number of notices of late set-ups that are stored.
 const MAX_STORED_NOTICES: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/cluster/src/poll_scheduler/shared_rate.rs
+++ b/crates/cluster/src/poll_scheduler/shared_rate.rs
@@ -44,7 +44,7 @@
 /// How long a rate applies without a further change.
 const RATE_TTL_MS: Millis = 30_000.0;
 
-/// When one poll was sent and how long it took.
+/// When one poll was sent and how long the poll took.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollObservation {
     pub sent_at: Millis,
@@ -94,8 +94,8 @@
         interval.max(min_interval)
     }
 
-    /// Returns the interval to adopt and announce after a poll of this relay; `None` if it neither changes
-    /// nor has to be announced again.
+    /// Returns the interval to adopt and announce after a poll of this relay; `None` if the interval neither
+    /// changes nor has to be announced again.
     pub fn adapt(
         &self,
         now: Millis,
--- a/crates/maintenance/src/call.rs
+++ b/crates/maintenance/src/call.rs
@@ -29,7 +29,7 @@
     pub duration: WholeMillis,
     /// The earliest start, as a delay from now.
     pub delay: WholeMillis,
-    /// The operator who overrides the floor, if the call names one.
+    /// The operator who overrides the capacity floors, if the call names one.
     pub override_by: Option<String>,
 }
 
--- a/crates/maintenance/src/codec/mod.rs
+++ b/crates/maintenance/src/codec/mod.rs
@@ -45,7 +45,7 @@
 
 /// Encodes an optional field that has no value.
 const ABSENT: &str = "-";
-/// Marks a window that overrides the floor.
+/// Marks a window that overrides the capacity floors.
 const OVERRIDES_FLOOR: &str = "f";
-/// Marks a window that does not override the floor.
+/// Marks a window that does not override the capacity floors.
 const RESPECTS_FLOOR: &str = "n";
--- a/crates/maintenance/src/errors.rs
+++ b/crates/maintenance/src/errors.rs
@@ -29,7 +29,7 @@
     /// The window would last longer than is allowed, or its duration is zero.
     #[error("longer than the longest window")]
     TooLong,
-    /// Draining the scope would violate a floor even if everything else were available.
+    /// Draining the scope would violate a capacity floor even if everything else were available.
     #[error("the floor could not be kept even with nothing else drained")]
     FloorUnreachable,
     /// The endpoint list has no such zone.
@@ -41,7 +41,7 @@
     /// The cluster has no such relay.
     #[error("no such relay in the tier")]
     UnknownRelay,
-    /// The operator named in the call may not override the floor.
+    /// The operator named in the call may not override the capacity floors.
     #[error("this name may not override the floor")]
     OverrideNotPermitted,
     /// No window with that id is open, as far as this relay knows.
--- a/crates/maintenance/src/event.rs
+++ b/crates/maintenance/src/event.rs
@@ -25,7 +25,7 @@
         /// The capacity of these endpoints, in thousandths of the endpoint list's unit.
         capacity: u64,
     },
-    /// The remaining capacity is below a floor.
+    /// The remaining capacity is below a capacity floor.
     BelowFloor {
         /// The remaining capacity in total, in thousandths of the endpoint list's unit.
         remaining: u64,
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,5 +1,5 @@
 //! Maintenance windows: permissions to drain a zone, an endpoint or a relay for a limited time. Windows are
-//! granted so that the remaining capacity never falls below the configured floors.
+//! granted so that the remaining capacity never falls below the configured capacity floors.
 //!
 //! Relays store nothing on disk and exchange datagrams of at most 256 bytes that may be lost,
 //! delayed, duplicated and reordered. A few relays, the voters, replicate the ledger of granted windows;
@@ -37,7 +37,7 @@
 
 pub use sandgw_units::WholeMillis;
 
-/// The maximum number of windows granted at once: no more entries fit into one datagram.
+/// The maximum number of windows granted at once: no more entries of the ledger fit into one datagram.
 pub const MAX_GRANTED_WINDOWS: usize = 5;
 /// The maximum number of windows requested at one relay that are not over yet.
 pub const MAX_LOCAL_WINDOWS: usize = 16;
--- a/crates/maintenance/src/plan/floors.rs
+++ b/crates/maintenance/src/plan/floors.rs
@@ -1,4 +1,4 @@
-//! The configured floors, and the effective capacity of endpoints in slow start.
+//! The configured capacity floors, and the effective capacity of endpoints in slow start.
 
 use std::collections::BTreeMap;
 
--- a/crates/maintenance/src/plan/mod.rs
+++ b/crates/maintenance/src/plan/mod.rs
@@ -1,9 +1,9 @@
 //! Computes from the endpoint list which capacity remains while windows are granted.
 //!
-//! [`CapacityPlan`] holds the endpoint list as this relay knows it, and the floors. It computes the capacity
-//! that would remain if all granted windows were drained; endpoints that are down or in slow start by the
-//! list are accounted for as well. It does not depend on who requests windows. Capacities are in thousandths
-//! of the list's unit, times in milliseconds.
+//! [`CapacityPlan`] holds the endpoint list as this relay knows it, and the capacity floors. It computes the
+//! capacity that would remain if all granted windows were drained; endpoints that are down or in slow start
+//! by the list are accounted for as well. It does not depend on who requests windows. Capacities are in
+//! thousandths of the list's unit, times in milliseconds.
 
 mod drained;
 mod floors;
@@ -56,10 +56,10 @@
     started_at: WholeMillis,
 }
 
-/// The endpoint list, and the floors that its remaining capacity must meet.
+/// The endpoint list, and the capacity floors that its remaining capacity must meet.
 #[derive(Clone, Debug)]
 pub struct CapacityPlan {
-    /// The configured floors and limits.
+    /// The configured capacity floors and limits.
     pub floors: CapacityFloors,
     zone_floors: BTreeMap<Tag, u64>,
     relay_count: u32,
@@ -199,7 +199,8 @@
         self.floors.slow_start.effective_capacity(endpoint.capacity, age)
     }
 
-    /// Whether the remaining capacity meets the total floor and the floor of each zone that has one.
+    /// Whether the remaining capacity meets the floor of the total capacity and the floor of each zone that
+    /// has a floor.
     pub fn meets_floors(&self, remaining: &RemainingCapacity) -> bool {
         let zone_is_met =
             |(zone, floor): (&Tag, &u64)| remaining.by_zone.get(zone).copied().unwrap_or(0) >= *floor;
@@ -220,8 +221,8 @@
     }
 
     fn leaves_enough_capacity(&self, now: WholeMillis, granted: &[GrantedWindow]) -> bool {
-        // Relays do not count towards the list's capacity, so they may be drained even if the floor is not
-        // met.
+        // Relays do not count towards the list's capacity, so they may be drained even if a capacity floor is
+        // not met.
         let only_relays = granted.iter().all(|entry| entry.scope.relay().is_some());
         only_relays || self.meets_floors(&self.remaining_capacity(now, granted))
     }
--- a/crates/maintenance/src/replicated_ledger/election.rs
+++ b/crates/maintenance/src/replicated_ledger/election.rs
@@ -7,8 +7,8 @@
 use crate::WholeMillis;
 
 impl ReplicatedLedger {
-    /// Starts an election if a leader is needed and this voter has had no contact with one for its election
-    /// delay.
+    /// Starts an election if a leader is needed and this voter has had no contact with a leader for its
+    /// election delay.
     pub(super) fn maybe_start_election(&mut self, context: Context<'_>, outbox: &mut Outbox) {
         let skew = context.timing.clock_skew_bound;
         let has_open_grant = self.accepted.entries.iter().any(|entry| context.now < entry.end + skew);
--- a/crates/maintenance/src/replicated_ledger/grants.rs
+++ b/crates/maintenance/src/replicated_ledger/grants.rs
@@ -7,7 +7,7 @@
 //! - The leader's endpoint list is older than `list_max_age`.
 //! - The window's `not_before` is not reached.
 //! - The ledger holds `MAX_GRANTED_WINDOWS` windows.
-//! - The window would violate the limit of windows, the minimum number of relays, or a floor.
+//! - The window would violate the limit of windows, the minimum number of relays, or a capacity floor.
 //! - The window may not overtake the first blocked window (`queue`).
 
 use super::state::{Role, WaitingWindow};
@@ -81,7 +81,7 @@
     }
 
     /// Returns the requested end of a granted window if it is later than the current end, or the reason why
-    /// it is refused.
+    /// the requested end is refused.
     fn extended_end(
         &self,
         context: Context<'_>,
--- a/crates/maintenance/src/replicated_ledger/messages.rs
+++ b/crates/maintenance/src/replicated_ledger/messages.rs
@@ -39,7 +39,7 @@
     /// The window has to wait.
     Waits {
         /// How many waiting windows that the leader knows of have earlier ids. This is not the position in
-        /// the queue, since windows that override the floor come first.
+        /// the queue, since windows that override the capacity floors come first.
         ahead: u32,
         /// The first window in the queue that waits for granted windows to end.
         first: Option<WindowId>,
--- a/crates/maintenance/src/replicated_ledger/mod.rs
+++ b/crates/maintenance/src/replicated_ledger/mod.rs
@@ -47,7 +47,7 @@
     pub now: WholeMillis,
     /// The protocol's timeouts.
     pub timing: &'a Timing,
-    /// The endpoint list and the floors, which determine what may be drained.
+    /// The endpoint list and the capacity floors, which determine what may be drained.
     pub plan: &'a CapacityPlan,
     /// The numbers of the relays that vote.
     pub voters: &'a [u32],
--- a/crates/maintenance/src/replicated_ledger/replication.rs
+++ b/crates/maintenance/src/replicated_ledger/replication.rs
@@ -19,7 +19,8 @@
             // A majority of the voters is unreachable, has promised a newer term, or has restarted.
             return self.become_follower(context);
         }
-        // Only one write is pending at a time: the next ledger is written once the pending one is committed.
+        // Only one write is pending at a time: the next ledger is written once the pending write is
+        // committed.
         if let Some(pending) = &mut leader.pending {
             if context.now >= pending.sent_at + context.timing.retry_interval {
                 pending.sent_at = context.now;
@@ -33,7 +34,8 @@
         self.write_if_due(context, outbox);
     }
 
-    /// Writes the next ledger if it differs from the last or leases are due to be renewed.
+    /// Writes the next ledger if it differs from the ledger that was written last or leases are due to be
+    /// renewed.
     fn write_if_due(&mut self, context: Context<'_>, outbox: &mut Outbox) {
         let Role::Leader(leader) = &mut self.role else { return };
         let is_idle = leader.next.is_empty() && leader.written.is_empty() && self.waiting.is_empty();
@@ -83,7 +85,8 @@
         if leader.term != acknowledgement.term || leader.seq != acknowledgement.seq {
             return;
         }
-        // Only electors count, in the incarnation that voted: a restarted voter has forgotten its promise.
+        // Only acknowledgements of the electors count, that is, of the voters that elected this leader, and
+        // only from the incarnation that voted: a restarted voter has forgotten its promise.
         if leader.electors.get(&from) != Some(&acknowledgement.incarnation) {
             return;
         }
--- a/crates/maintenance/src/replicated_ledger/voter.rs
+++ b/crates/maintenance/src/replicated_ledger/voter.rs
@@ -87,8 +87,8 @@
             self.role = Role::Follower;
         }
         self.promised = Some(term);
-        // A delayed or repeated write never replaces a newer one. It is acknowledged nevertheless, as
-        // the first acknowledgement may have been lost.
+        // A delayed or repeated write never replaces a newer write. Such a write is acknowledged
+        // nevertheless, as the first acknowledgement may have been lost.
         if (self.accepted.term, self.accepted.seq) < (Some(term), seq) {
             self.accepted = AcceptedLedger { term: Some(term), seq, entries };
             self.last_contact = Some(context.now);
--- a/crates/maintenance/src/service/mod.rs
+++ b/crates/maintenance/src/service/mod.rs
@@ -19,8 +19,8 @@
 
 use monitor::EndedWindow;
 
-/// The default number of voters in a cluster that has more relays than this. It is fixed so that the traffic
-/// between voters does not grow with the cluster.
+/// The default number of voters in a cluster that has more relays than this number. The number is fixed so
+/// that the traffic between voters does not grow with the cluster.
 const DEFAULT_VOTERS: u32 = 7;
 
 /// The configuration of a relay's maintenance service.
@@ -30,13 +30,13 @@
     pub local_index: u32,
     /// The number of relays in the cluster.
     pub relay_count: u32,
-    /// The configured floors and limits.
+    /// The configured capacity floors and limits.
     pub floors: CapacityFloors,
     /// The protocol's timeouts.
     pub timing: Timing,
     /// The numbers of the relays that vote.
     pub voters: Vec<u32>,
-    /// The operators who may override the floor.
+    /// The operators who may override the capacity floors.
     pub may_override: Vec<String>,
 }
 
@@ -182,7 +182,8 @@
             NamedScope::Relay(relay) => Scope::Relay(relay),
         };
         let overrides_floor = override_by.is_some();
-        // A request that the local endpoint list rules out is refused at once. The leader decides all others.
+        // A request that the local endpoint list rules out is refused at once. The leader decides all other
+        // requests.
         if let Some(reason) = self.plan.permanent_refusal(scope, duration, overrides_floor) {
             return Err(reason);
         }
@@ -193,8 +194,8 @@
         Ok(id)
     }
 
-    /// Returns the id of a window that is requested now. Its time is now, or the first millisecond after the
-    /// newest local window if that is later.
+    /// Returns the id of a window that is requested now. The id's time is now, or the first millisecond after
+    /// the newest local window if that is later.
     fn next_window_id(&self, now: WholeMillis) -> WindowId {
         let newest = self.ledger.local_windows().keys().next_back();
         let first_unused = newest.map_or(0, |id| id.requested_at + 1);
--- a/crates/maintenance/src/service/monitor.rs
+++ b/crates/maintenance/src/service/monitor.rs
@@ -1,5 +1,5 @@
 //! Reports changes since the last report: the status of windows, leadership, drains that the endpoint list
-//! shows without a granted window, and capacity below a floor.
+//! shows without a granted window, and remaining capacity below a capacity floor.
 
 use std::mem::discriminant;
 
@@ -26,8 +26,8 @@
 }
 
 impl MaintenanceService {
-    /// Returns the alarms that need an operator's attention now: unplanned drains, and capacity below a
-    /// floor.
+    /// Returns the alarms that need an operator's attention now: unplanned drains, and remaining capacity
+    /// below a capacity floor.
     pub fn alarms(&self, now: WholeMillis) -> Vec<String> {
         let granted = self.ledger.granted();
         let mut alarms = Vec::new();
--- a/crates/maintenance/src/service/rows.rs
+++ b/crates/maintenance/src/service/rows.rs
@@ -34,7 +34,7 @@
     }
 
     /// Describes the capacity that remains if all windows that this relay knows to be granted are drained,
-    /// and the total floor.
+    /// and the floor of the total capacity.
     pub fn describe_remaining(&self, now: WholeMillis) -> String {
         let remaining = self.plan.remaining_capacity(now, self.ledger.granted());
         let floor = self.plan.floors.total;
--- a/crates/maintenance/src/timing.rs
+++ b/crates/maintenance/src/timing.rs
@@ -16,7 +16,7 @@
     pub abstention: WholeMillis,
     /// After this long without contact with a leader, the first voter starts an election.
     pub election_timeout: WholeMillis,
-    /// How much longer each further voter waits than the one before it, so that elections seldom compete.
+    /// How much longer each further voter waits than the voter before it, so that elections seldom compete.
     pub election_stagger: WholeMillis,
     /// The leader writes the ledger again after this long, so that its leases do not expire.
     pub lease_renewal: WholeMillis,
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -96,7 +96,8 @@
     /// The requested end of a window that was granted before and is to be extended or has lapsed. It takes
     /// the place of the duration.
     pub requested_end: Option<WholeMillis>,
-    /// Whether the window may be granted even if the floor is not met.
+    /// Whether the window may be granted even if the remaining capacity is then below a floor, the configured
+    /// least capacity in total or of a zone.
     pub overrides_floor: bool,
 }
 
@@ -109,7 +110,7 @@
     pub scope: Scope,
     /// When the window ends.
     pub end: WholeMillis,
-    /// Whether the window was granted without regard to the floor.
+    /// Whether the window was granted without regard to the capacity floors.
     pub overrides_floor: bool,
 }
 
--- a/crates/quota/src/grant_client.rs
+++ b/crates/quota/src/grant_client.rs
@@ -12,7 +12,8 @@
 use crate::grant_ledger::GRANT_TTL_MS;
 use crate::peer_reports::is_later;
 
-/// A request is delayed by this time, so that it includes connections that arrive together.
+/// A request for a grant is delayed by this time, so that the request includes connections that arrive
+/// together.
 const BATCHING_DELAY_MS: Millis = 5.0;
 /// A request without an answer is repeated after this time, since datagrams can be lost.
 const RETRY_MS: Millis = 80.0;
@@ -38,7 +39,7 @@
     first_sequence: Option<u32>,
     started_at: Millis,
     send_at: Millis,
-    /// Open connections, and those wanted in addition, when the request was last sent.
+    /// Open connections, and connections wanted in addition, when the request was last sent.
     open: f64,
     wanted: f64,
 }
@@ -72,7 +73,7 @@
 }
 
 impl GrantClient {
-    /// Whether a grant allows one more connection in addition to the open ones.
+    /// Whether a grant allows one more connection in addition to the open connections.
     pub fn allows(&self, now: Millis, tenant: usize, open: f64) -> bool {
         let grant = self.queues.get(&tenant).and_then(|queue| queue.grant);
         grant.is_some_and(|grant| now < grant.expires_at && open + 1.0 <= grant.ceiling)
--- a/crates/quota/src/grant_ledger.rs
+++ b/crates/quota/src/grant_ledger.rs
@@ -53,8 +53,8 @@
         is_new
     }
 
-    /// Connections that relays other than `except` may open under their grants, beyond those that each has
-    /// reported.
+    /// Connections that relays other than `except` may open under their grants, beyond the connections that
+    /// each of these relays has reported.
     pub fn unreported(
         &self,
         now: Millis,
--- a/crates/quota/src/manager.rs
+++ b/crates/quota/src/manager.rs
@@ -28,7 +28,7 @@
 /// A new connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// The name of its tenant.
+    /// The name of the connection's tenant.
     pub tenant: &'a str,
     /// Whether the client was counted before.
     pub is_returning: bool,
@@ -36,7 +36,7 @@
     pub max_wait: Millis,
 }
 
-/// A connection that waited, and the decision on it.
+/// A connection that waited, and the decision whether it is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DelayedDecision {
     /// The connection.
--- a/crates/quota/src/peer_reports.rs
+++ b/crates/quota/src/peer_reports.rs
@@ -28,7 +28,7 @@
 }
 
 impl ReportId {
-    /// Whether this report was sent after the other one.
+    /// Whether this report was sent after the other report.
     pub(crate) fn is_after(self, other: ReportId) -> bool {
         self.incarnation > other.incarnation
             || self.incarnation == other.incarnation && is_later(self.sequence, other.sequence)
@@ -122,7 +122,8 @@
         report.id = id;
         report.received_at = now;
         for row in rows.into_iter().take(MAX_ROWS) {
-            // Limits the number of rows, whatever tags a peer sends.
+            // Limits the number of tenants whose usage is stored for a relay, whatever tenant tags its
+            // reports contain.
             if report.rows.len() >= MAX_TENANTS && !report.rows.contains_key(&row.tenant) {
                 continue;
             }
--- a/crates/quota/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -16,12 +16,12 @@
 use crate::rate::sampling_error;
 use crate::usage_view::UsageView;
 
-/// Capacity counts as scarce for this time after the last signal, since signals come and go with each
-/// connection.
+/// Capacity counts as scarce for this time after the last signal of scarcity, since these signals come and go
+/// with each connection.
 const SCARCITY_HOLD_MS: Millis = 5000.0;
 /// For this time after [`SCARCITY_HOLD_MS`], connections over quota are admitted at a rate that keeps
-/// doubling. While the quotas themselves prevent scarcity there are no signals, and without this recovery a
-/// flood would take all free capacity at once.
+/// doubling. While the quotas themselves prevent scarcity there are no signals of scarcity, and without this
+/// recovery a flood would take all free capacity at once.
 const RECOVERY_MS: Millis = 5000.0;
 /// The rate at which the recovery begins, in connections per second.
 const FIRST_RECOVERY_PER_S: f64 = 1.0;
@@ -101,7 +101,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Scarcity {
     Present,
-    /// There has been no signal for a while: connections over quota are admitted at an increasing rate.
+    /// There has been no signal of scarce capacity for [`SCARCITY_HOLD_MS`]: connections over quota are
+    /// admitted at an increasing rate.
     Receding,
     Absent,
 }
@@ -205,8 +206,8 @@
         }
     }
 
-    /// Takes a token for one more connection over quota while scarcity recedes; returns whether there was
-    /// one.
+    /// Takes a token for one more connection over quota while scarcity recedes; returns whether there was a
+    /// token.
     fn take_recovery_token(&mut self, now: Millis) -> bool {
         let doublings = (now - self.scarce_at - SCARCITY_HOLD_MS) / RECOVERY_DOUBLING_MS;
         let per_s = FIRST_RECOVERY_PER_S * doublings.exp2();
--- a/crates/quota/src/report_schedule.rs
+++ b/crates/quota/src/report_schedule.rs
@@ -7,8 +7,9 @@
 //! In a small cluster each relay reports to all others. In a larger one it reports to the current collector
 //! and gets an aggregate in reply. At the start that is the first collector of an order that is the same at
 //! all relays. After [`MAX_UNANSWERED_REPORTS`] without a reply the next collector in the order becomes
-//! current. Earlier collectors are probed in turn, and one whose reply covers about as many relays as the
-//! current aggregate becomes current again, so that all relays end up with the same collector.
+//! current. Collectors that come before the current collector in the order are probed in turn, and a
+//! collector whose reply covers about as many relays as the current aggregate becomes current again, so that
+//! all relays end up with the same collector.
 
 use sandgw_units::Millis;
 
@@ -23,13 +24,14 @@
 const RETRY_INTERVAL_MS: Millis = 250.0;
 /// Number of reports without a reply after which the next collector becomes current.
 const MAX_UNANSWERED_REPORTS: u32 = 6;
-/// Number of reports without a reply from any collector after which they are sent at the ordinary interval.
+/// Number of reports without a reply from any collector after which reports are sent at the ordinary
+/// interval.
 const BACKOFF_AFTER_REPORTS: u32 = 60;
-/// An earlier collector becomes current again once its aggregate includes this ratio of the effective
-/// coverage of the aggregate that is known here.
+/// A collector that comes before the current collector in the collector order becomes current again once its
+/// aggregate includes this ratio of the effective coverage of the aggregate that is known here.
 const FAILBACK_COVERAGE_RATIO: f64 = 0.9;
-/// An earlier collector that has replied counts as recovering for this time, in which it is probed with each
-/// report.
+/// A collector that comes before the current collector in the collector order and has replied counts as
+/// recovering for this time, in which it is probed with each report.
 const RECOVERY_MS: Millis = 2.0 * COLLECTOR_INTERVAL_MS;
 /// Distance between neighbours in the collector order, per mille of the cluster: the golden ratio spreads the
 /// collectors evenly.
@@ -49,13 +51,13 @@
     max_reporters: f64,
 }
 
-/// The probes of collectors that are earlier in the order than the current one.
+/// The probes of collectors that come before the current collector in the collector order.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     /// Rank of the probed collector in the collector order.
     rank: u32,
     sent_at: Millis,
-    /// When an earlier collector last replied.
+    /// When a collector that comes before the current collector in the collector order last replied.
     replied_at: Millis,
 }
 
@@ -117,8 +119,9 @@
         order.find(is_present).unwrap_or(self.position.local_index)
     }
 
-    /// The collector of a rank. The order is the same at all relays. The indexes of neighbours in the order
-    /// are far apart, so that each side of a partition has one of the first few collectors.
+    /// The collector of a rank in the collector order. The order is the same at all relays. The indexes of
+    /// neighbours in the order are far apart, so that each side of a partition has one of the first few
+    /// collectors.
     fn collector(&self, rank: u32) -> u32 {
         let relay_count = u64::from(self.position.relay_count.max(1));
         let min_stride = relay_count * COLLECTOR_STRIDE_PER_MILLE / 1000;
@@ -128,7 +131,7 @@
     }
 
     /// The receivers of a report that is sent now; `reporters` is the number of relays that report to this
-    /// one.
+    /// relay.
     pub fn next_round(&mut self, now: Millis, reporters: usize) -> ReportRound {
         let round = if self.position.is_full_mesh() {
             self.full_mesh_round()
@@ -169,8 +172,9 @@
         ReportRound { receivers, next_in_ms }
     }
 
-    /// The earlier collector that is probed now, if any. A collector that is recovering is probed again;
-    /// otherwise the earlier collectors take turns.
+    /// The collector that is probed now, if any, among those that come before the current collector in the
+    /// collector order. A collector that is recovering is probed again; otherwise these collectors take
+    /// turns.
     fn probe_earlier_collector(&mut self, now: Millis, is_recovering: bool) -> Option<u32> {
         let is_due = is_recovering || now - self.probe.sent_at >= COLLECTOR_INTERVAL_MS;
         if self.current_rank == 0 || !is_due {
@@ -182,7 +186,7 @@
         self.other_collector(self.probe.rank)
     }
 
-    /// Whether nearly all relays report to this one. A relay that has just become the collector may receive
+    /// Whether nearly all relays report to this relay. A relay that has just become the collector may receive
     /// fewer reports than the next collector in the order does.
     pub fn covers_cluster(&self, reporters: usize) -> bool {
         reporters as f64 + 1.0 >= SIMILAR_COVERAGE_RATIO * f64::from(self.position.relay_count)
@@ -204,7 +208,7 @@
         reporters: f64,
         known_coverage: Option<f64>,
     ) -> bool {
-        // A relay that is the current collector itself may have reported to the next one in the order.
+        // A relay that is the current collector itself may have reported to the next collector in the order.
         let Some(rank) = (0..=self.current_rank + 1).find(|rank| self.collector(*rank) == source.peer) else {
             return false;
         };
--- a/crates/quota/src/usage_table.rs
+++ b/crates/quota/src/usage_table.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// The other relays' usage as it is stored over a restart. Its age reduces its coverage, as with any
-/// aggregate.
+/// The other relays' usage as it is stored over a restart. The age of this usage reduces its coverage, as
+/// with any aggregate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredUsage {
     /// How old the usage was when it was stored, in milliseconds.
@@ -79,10 +79,10 @@
     /// Connections that this relay has granted as the coordinator.
     grants: GrantLedger,
     /// Whether this relay finds endpoints short of capacity; `None` until this relay or a relay that reports
-    /// to it has done so once.
+    /// to this relay has found a shortage once.
     local_scarcity: Option<bool>,
-    /// Since when the other relays report to this one, if they do: in a full mesh since this relay started,
-    /// otherwise since it became the collector.
+    /// Since when the other relays report to this relay, if they do: in a full mesh since this relay started,
+    /// otherwise since this relay became the collector.
     collecting_since: Option<Millis>,
 }
 
@@ -183,7 +183,7 @@
     }
 
     /// Whether this relay knows enough to grant connections as the coordinator: nearly all relays report to
-    /// it, or the others have been silent for so long that they no longer count.
+    /// it, or the other relays have been silent for so long that they no longer count.
     pub(crate) fn can_grant(&self, now: Millis) -> bool {
         let has_waited = self.collecting_since.is_some_and(|since| now - since >= PEER_TIMEOUT_MS);
         self.is_coordinator(now) && (has_waited || self.schedule.covers_cluster(self.peer_reports.len()))
@@ -248,8 +248,8 @@
         Some(GrantRow { tenant: tag, ceiling: to_row_value(ceiling) })
     }
 
-    /// The other relays' usage. It is taken from an aggregate, unless there is none or this relay is a
-    /// collector and the reports that it receives cover as many relays.
+    /// The other relays' usage. The usage is taken from an aggregate, unless there is no aggregate or this
+    /// relay is a collector and the reports that it receives cover as many relays.
     fn remote(&self, now: Millis, tag: TenantTag) -> RemoteUsage {
         let coverage = self.peer_reports.coverage(now);
         let reporters = coverage.reporters;
@@ -297,7 +297,7 @@
         self.last_report
     }
 
-    /// Creates a report of local usage, with as many rows as a datagram holds.
+    /// Creates a report of local usage, with the rows of as many tenants as a datagram holds.
     fn local_report(&mut self, now: Millis) -> UsageReport {
         let ReportId { incarnation, sequence } = self.next_report_id();
         let rows = self.local.iter().zip(&self.tags);
@@ -348,8 +348,8 @@
         let has_restarted = self.peer_reports.is_new_incarnation(peer, id.incarnation);
         self.peer_reports.merge(now, peer, id, rows);
         if self.peer_reports.sum(SCARCITY_TAG).connections > 0.0 {
-            // From now on this relay's reports include the scarcity row, so that they also say when the
-            // scarcity has ended.
+            // From now on this relay's reports include the scarcity row, so that the reports also say when
+            // the scarcity has ended.
             self.local_scarcity.get_or_insert(false);
         }
         if !self.position.is_full_mesh() {
@@ -430,7 +430,8 @@
     }
 }
 
-/// One page of the rows, with as many rows as a datagram holds. Successive numbers give successive pages.
+/// One page of the tenants' rows, with as many rows as a datagram holds. Successive numbers give successive
+/// pages.
 fn page(number: u32, mut rows: Vec<UsageRow>) -> Vec<UsageRow> {
     if rows.len() > MAX_ROWS {
         let page_count = rows.len().div_ceil(MAX_ROWS);
--- a/crates/quota/src/usage_view.rs
+++ b/crates/quota/src/usage_view.rs
@@ -29,7 +29,8 @@
     pub local: f64,
     /// Open connections of the cluster: this relay's, and the other relays' as reported.
     pub connections: f64,
-    /// Of `connections`, those that may have ended with their relay, whose report is overdue.
+    /// The part of `connections` that may have ended with their relay, because that relay's report is
+    /// overdue.
     pub overdue: f64,
     /// `connections` with the expected growth since the other relays reported. Admission without a grant
     /// compares this number to the limit.
@@ -66,7 +67,8 @@
     pub age_ms: Millis,
     /// Number of relays whose usage is included.
     pub reporters: f64,
-    /// Of the connections in `usage`, those that may have ended with their relay, whose report is overdue.
+    /// The part of the connections in `usage` that may have ended with their relay, because that relay's
+    /// report is overdue.
     pub overdue: f64,
 }
 
--- a/src/config/errors.rs
+++ b/src/config/errors.rs
@@ -115,7 +115,7 @@
     /// one.
     #[error("is not possible with [state] yet: the folder admits one process")]
     HandoverWithStore,
-    /// Quotas are to be enforced, but the settings define none.
+    /// Quotas are to be enforced, but the settings define no quotas.
     #[error("is true, and the settings state no share")]
     NoQuota,
     /// The number is not a supported schema version of shared state.
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -8,8 +8,8 @@
 
 /// Stands in place of a key in errors about a file as a whole.
 pub(super) const WHOLE_FILE: &str = "(file)";
-/// Keys that a complete file may lack although an earlier one had them: the endpoint list changes on its own,
-/// and these keys of a class depend on its idempotency.
+/// Keys that a complete file may lack although an earlier file had them: the endpoint list changes on its
+/// own, and these keys of a class depend on its idempotency.
 const OPTIONAL_KEYS: [&str; 4] =
     ["known", "settings.lanes[].group", "settings.lanes[].windowMs", "settings.lanes[].aimStretch"];
 
@@ -18,7 +18,7 @@
 pub(super) struct FileKeys {
     /// Path of the file.
     pub file: String,
-    /// Paths of its keys; below a list of tables, only the keys that all of these tables have.
+    /// Paths of the file's keys; below a list of tables, only the keys that all of these tables have.
     pub keys: BTreeSet<String>,
     /// Whether the last line ends with a newline. Always true for JSON, which has a closing bracket.
     pub is_terminated: bool,
@@ -92,7 +92,8 @@
         keys
     };
     let keys_by_table = elements.iter().filter(|element| element.is_object()).map(keys_of);
-    // Tables may be added or removed by a reload, but a table that lacks a key of the others is truncated.
+    // Tables may be added or removed by a reload, but a table that lacks a key of the other tables is
+    // truncated.
     let common = keys_by_table.reduce(|common, keys| common.intersection(&keys).cloned().collect());
     keys.extend(common.unwrap_or_default());
 }
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -357,7 +357,7 @@
     }
 }
 
-/// Reads the section `maintenance`. In a cluster of several relays they agree on maintenance windows by
+/// Reads the section `maintenance`. In a cluster of several relays the relays agree on maintenance windows by
 /// messages, so messages between relays must be configured.
 fn read_maintenance(
     section: &mut Reader<'_>,
--- a/src/config/maintenance.rs
+++ b/src/config/maintenance.rs
@@ -11,7 +11,7 @@
 use super::reader::Reader;
 use crate::policy::api::Settings;
 
-/// The largest floor, in the endpoint list's unit of capacity.
+/// The largest value of a capacity floor, in the endpoint list's unit of capacity.
 const MAX_FLOOR: f64 = 4e6;
 const LONGEST_WINDOW_LIMIT_S: f64 = 604_800.0;
 const DEFAULT_LONGEST_WINDOW_S: f64 = 3600.0;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -33,13 +33,13 @@
 /// The configuration of one relay. [`Config::reload`] documents which keys a running relay applies.
 #[derive(Debug)]
 pub struct Config {
-    /// The relay's name. It appears in the log, and both processes of a hand-over must have the same.
+    /// The relay's name. It appears in the log, and both processes of a hand-over must have the same name.
     pub name: String,
     /// Listening address for clients of the line protocol; `None` if the application speaks RTMP only.
     pub listen: Option<SocketAddr>,
     /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Listening address for operators' calls; without it the relay accepts none.
+    /// Listening address for operators' calls; without it the relay accepts no calls.
     pub ops: Option<SocketAddr>,
     /// Number of the inherited descriptor of the clients' listening socket, if the platform holds that
     /// socket.
@@ -84,10 +84,12 @@
 /// Limits on the descriptors of the whole process, and on the time before a client's first line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Descriptors that the process may have open. The platform sets it; elsewhere the usual limit applies.
+    /// Descriptors that the process may have open. The platform sets this limit; elsewhere the usual limit
+    /// applies.
     pub sockets: usize,
     /// How long a client of the line protocol may take for its first line, in ms. Some clients take 2 s. A
-    /// connection whose first line never ends must be closed within 3 s, and a busy relay needs part of that.
+    /// connection whose first line never ends must be closed within 3 s, and a busy relay needs part of that
+    /// time.
     pub first_line_timeout: Millis,
 }
 
@@ -126,7 +128,8 @@
     pub flush_interval: Millis,
 }
 
-/// Capacity floors and agreement on maintenance windows. Every relay of the cluster must have the same.
+/// Capacity floors and agreement on maintenance windows. Every relay of the cluster must have the same
+/// values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Maintenance {
     /// Capacity that must remain, and how much may be drained at once.
@@ -135,7 +138,7 @@
     pub timing: Timing,
     /// Numbers of the relays that are voters.
     pub voters: Vec<u32>,
-    /// Names of the operators whose windows may go below the floors.
+    /// Names of the operators whose windows may go below the capacity floors.
     pub may_override: Vec<String>,
 }
 
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -112,8 +112,8 @@
         number
     }
 
-    /// Reads the seed of the random number generator. Without one the current time is used: the seed need not
-    /// be secret.
+    /// Reads the seed of the random number generator. Without a configured seed the current time is used: the
+    /// seed need not be secret.
     pub fn seed(&mut self) -> u64 {
         let seed = match &self.table["seed"] {
             Value::Null => {
--- a/src/config/sections.rs
+++ b/src/config/sections.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Reads the limits of the tables of clients and groups, and the folder of their store if the section names
-/// one.
+/// Reads the limits of the tables of clients and groups, and the folder of the store of clients and groups if
+/// the section names a folder.
 pub(super) fn state_folder(
     section: &mut Reader<'_>,
     limits: &mut sandgw_affinity::Limits,
--- a/src/discovery/errors.rs
+++ b/src/discovery/errors.rs
@@ -33,10 +33,10 @@
     /// The answer is to a request that was sent to another discovery service.
     #[error("discovery has moved since it was asked")]
     ServiceReplaced,
-    /// An entry has no `id`, or one that is not a text.
+    /// An entry of the endpoint list has no `id`, or an `id` that is not a text.
     #[error("members: id: must be a text")]
     MissingId,
-    /// The `phase` of an entry is missing or unknown.
+    /// The `phase` of an entry of the list is missing or unknown.
     #[error("members: {id}: phase: unknown phase {phase:?}")]
     UnknownPhase {
         /// Id of the endpoint.
@@ -44,14 +44,14 @@
         /// The value of `phase`, if it is a text.
         phase: Option<String>,
     },
-    /// The `host_port` of an entry is missing or not an IP address with a port, so nothing can be sent to the
-    /// endpoint.
+    /// The `host_port` of an entry of the list is missing or not an IP address with a port, so nothing can be
+    /// sent to the endpoint.
     #[error("members: {id}: host_port: must be an address and a port")]
     InvalidAddress {
         /// Id of the endpoint.
         id: String,
     },
-    /// A field of an entry is not a number in its range.
+    /// A field of an entry of the list is not a number in the range that the field allows.
     #[error("members: {id}: {key}: {value} is no number from 0 to {max}")]
     InvalidNumber {
         /// Id of the endpoint.
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -21,7 +21,8 @@
 use crate::policy::hashing::unit_fraction_of_hash;
 
 /// Shortest time for which discovery may hold a watch, in ms. The wait of each watch is drawn at random, so
-/// that relays whose watches were all answered by one change do not go on in step.
+/// that relays whose watches were all answered by one change do not go on to send their requests at the same
+/// times.
 pub const MIN_WAIT_MS: Millis = 1000.0;
 /// Longest time for which discovery may hold a watch, in ms. A change that a silent watch misses counts as
 /// known 6 s later, whether or not it has arrived: by then the relay has to have noticed the silence and
@@ -43,8 +44,8 @@
 pub struct EndpointList {
     /// Revision of the list; `None` where the list is not known to be the current discovery service's.
     revision: Option<u64>,
-    /// Whether no request has been answered since the start or since one failed: the revision is that of the
-    /// list as last known.
+    /// Whether discovery has answered none of this relay's requests since this process started or since a
+    /// request failed. `revision` is then that of the endpoint list as last known.
     unconfirmed: bool,
     /// For how long discovery may hold the latest request; 0 unless the request is a watch.
     wait: Millis,
@@ -53,7 +54,8 @@
     /// revision, `None` where it asks for the full list.
     pending_request: Option<Option<u64>>,
     addresses: BTreeMap<EndpointId, SocketAddr>,
-    /// The entries as received, for the successor process.
+    /// The entries of the endpoint list as received from discovery, to be handed over to the successor
+    /// process.
     raw_entries: BTreeMap<EndpointId, Value>,
 }
 
@@ -68,9 +70,9 @@
         if cached.is_null() {
             return Ok((list, Vec::new()));
         }
-        // Requesting the changes since then costs discovery less than the full list. If the cached list is
-        // another service's, the current service shows so in its first answer, unless its revisions happen to
-        // be higher.
+        // Requesting the changes since the cached list's revision costs discovery less than the full list. If
+        // the cached list is another service's, the current service shows so in its first answer, unless the
+        // current service's revisions happen to be higher.
         let (_, entries) = list.apply_json(cached)?;
         list.unconfirmed = true;
         Ok((list, entries))
@@ -178,8 +180,8 @@
         let after = self.pending_request.take().ok_or(ListError::ServiceReplaced)?;
         let value: Value = serde_json::from_slice(body).map_err(ListError::NotJson)?;
         if value["complete"] == false {
-            // Changes to a list that this relay does not have would leave endpoints that they do not name as
-            // they are.
+            // Changes to a list that this relay does not have would leave the endpoints that the changes do
+            // not name as they are.
             let after = after.ok_or(ListError::UnexpectedChanges)?;
             if let Some(to) = value["revision"].as_u64().filter(|revision| *revision < after) {
                 self.revision = None;
@@ -211,8 +213,8 @@
         Ok((kind, entries))
     }
 
-    /// Applies one entry. The address of an endpoint that was removed is forgotten, since nothing is sent
-    /// there any more.
+    /// Applies one entry of the endpoint list. The address of an endpoint that was removed is forgotten,
+    /// since nothing is sent there any more.
     fn apply_entry(&mut self, listed: ListedEndpoint, value: &Value) -> EndpointEntry {
         let ListedEndpoint { entry, address } = listed;
         if entry.state == EndpointState::Removed {
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -10,8 +10,8 @@
 const HELLO_TIMEOUT_MS: Millis = 1000.0;
 /// How long the successor may take to receive the snapshot and request the relay.
 const SNAPSHOT_TIMEOUT_MS: Millis = 10_000.0;
-/// How long the successor may take to claim ownership. Neither process accepts in this period; after it the
-/// predecessor resumes.
+/// How long the successor may take to claim ownership. Neither process accepts in this period; after this
+/// period the predecessor resumes accepting.
 const CLAIM_TIMEOUT_MS: Millis = 1000.0;
 
 /// Why the predecessor refuses a hand-over.
@@ -23,7 +23,7 @@
     /// The successor belongs to another relay.
     #[error("it is another relay")]
     OtherRelay,
-    /// The message is not the next one of the protocol.
+    /// The message is not the next message of the hand-over protocol.
     #[error("out of turn")]
     OutOfTurn,
 }
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -15,7 +15,7 @@
     /// The predecessor refuses, with its reason.
     #[error("the running process refuses: {0}")]
     Refused(String),
-    /// A message was not the next one of the protocol.
+    /// A message was not the next message of the hand-over protocol.
     #[error("the running process sent a message that does not fit the state of the hand-over")]
     OutOfTurn,
 }
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Handles what the predecessor still sends after the grant, until it ends.
+    /// Handles what the predecessor still sends after the grant, until the predecessor ends.
     fn handle_remainder(message: &Message) -> SuccessorAction {
         match message {
             Message::AffinityRecords(_) | Message::Connection { .. } | Message::DescriptorsInUse { .. } => {
--- a/src/listener/line/mod.rs
+++ b/src/listener/line/mod.rs
@@ -36,8 +36,8 @@
     /// Whether `g` names a group, whose connections share work. Otherwise it names the client.
     pub groups: bool,
     /// The known classes. A class that was dropped from the settings has the time until which new connections
-    /// may name it. Connections that arrive mid-flow may name any of them, as they began when that class was
-    /// in the settings.
+    /// may name it. Connections that arrive mid-flow may name any of these classes, as those connections
+    /// began when that class was in the settings.
     pub classes: Vec<AcceptedClass>,
     /// The known tenants. An empty list accepts any tenant.
     pub tenants: Vec<String>,
@@ -80,9 +80,9 @@
             || mid_flow && contains(&self.previous_tenants.borrow())
     }
 
-    /// Registers an open connection; returns false where its id is already registered. A mid-flow arrival
-    /// whose packets were routed elsewhere meanwhile may still be registered here: it replaces the connection
-    /// with the same id and key.
+    /// Registers an open connection; returns false where the connection's id is already registered. A
+    /// mid-flow arrival whose packets were routed elsewhere meanwhile may still be registered here: the
+    /// arrival replaces the registered connection with the same id and key.
     fn register(&self, id: &str, key: &str, mid_flow: bool) -> bool {
         let mut open = self.open.borrow_mut();
         if open.get(id).is_some_and(|other| !mid_flow || other != key) {
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -115,7 +115,7 @@
     fn observe_client_bytes(&mut self, now: Millis, bytes: &[u8]);
 
     /// Observes bytes that the endpoint of an established connection has sent; returns the round-trip time
-    /// when they answer a message of the client.
+    /// when these bytes answer a message of the client.
     fn observe_endpoint_bytes(&mut self, now: Millis, bytes: &[u8]) -> Option<Millis>;
 
     /// Number of bytes from the endpoint since the last message boundary, where the relay may insert a
@@ -124,7 +124,7 @@
 
     /// How many of the last bytes from the endpoint belong to an incomplete message and should be held back
     /// until it is complete. The relay may insert a message before them, and the client receives no partial
-    /// message when the endpoint closes in the middle of one.
+    /// message when the endpoint closes in the middle of a message.
     fn incomplete_message_bytes(&self) -> usize {
         0
     }
--- a/src/listener/rtmp/chunks.rs
+++ b/src/listener/rtmp/chunks.rs
@@ -38,7 +38,7 @@
     pub body: Vec<u8>,
 }
 
-/// The state of one chunk stream: the header of its current message and how much of it has arrived.
+/// The state of one chunk stream: the header of its current message and how much of that message has arrived.
 #[derive(Default)]
 struct ChunkStream {
     kind: u8,
@@ -52,14 +52,14 @@
 /// A chunk whose payload is being received.
 #[derive(Clone, Copy)]
 struct CurrentChunk {
-    /// Id of its chunk stream.
+    /// Id of the chunk stream that the chunk belongs to.
     stream: u32,
     bytes_left: usize,
 }
 
 /// The basic header of a chunk.
 struct BasicHeader {
-    /// Id of its chunk stream.
+    /// Id of the chunk stream that the chunk belongs to.
     stream: u32,
     /// Length of the basic header in bytes.
     length: usize,
@@ -237,7 +237,7 @@
         Ok(())
     }
 
-    /// Ends the current chunk; returns the message, if the chunk is its last one.
+    /// Ends the current chunk; returns the message, if the chunk is the last chunk of its message.
     fn end_chunk(&mut self, id: u32) -> Result<Option<Message>, Malformed> {
         self.current_chunk = None;
         self.bytes_since_boundary = 0;
--- a/src/listener/rtmp/command.rs
+++ b/src/listener/rtmp/command.rs
@@ -16,7 +16,7 @@
 pub struct Command {
     /// The command's name.
     pub name: String,
-    /// Its transaction id, which the reply to it repeats.
+    /// The command's transaction id, which the reply to the command repeats.
     pub transaction: f64,
     /// The values that follow the transaction id.
     pub values: std::vec::IntoIter<Amf0Value>,
--- a/src/listener/rtmp/mod.rs
+++ b/src/listener/rtmp/mod.rs
@@ -68,7 +68,7 @@
     Connect(ChunkReader),
     /// The request is complete.
     Requested {
-        /// Transaction id of its `connect`.
+        /// Transaction id of the request's `connect` command.
         transaction: f64,
     },
     /// A connection that arrives mid-flow. It has no handshake and no `connect`, and its chunk boundaries
@@ -82,7 +82,8 @@
     /// The client's `connect` is written, and the endpoint's reply is awaited.
     Reply {
         reader: ChunkReader,
-        /// How many bytes of the input the reader has consumed. They remain in the input for the client.
+        /// How many bytes of the input the reader has parsed. These bytes stay in the input, from which they
+        /// are relayed to the client.
         consumed: usize,
     },
 }
--- a/src/listener/rtmp/proxy.rs
+++ b/src/listener/rtmp/proxy.rs
@@ -33,7 +33,7 @@
 pub struct MidFlowKeys {
     /// Key of the connection.
     pub connection: String,
-    /// Key of its group.
+    /// Key of the connection's group.
     pub group: String,
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -90,7 +90,7 @@
     SchemaVersion {
         /// The folder.
         folder: PathBuf,
-        /// The form to move it to.
+        /// The form to move the file to.
         #[arg(long)]
         to: Option<u64>,
     },
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -55,7 +55,8 @@
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
             Err(e) => {
                 // The error is logged once for each shortage, so that clients can't fill the log. A client
-                // that is accepted in between, because another was evicted for it, does not end the shortage.
+                // that is accepted in between, because another client was evicted for that client, does not
+                // end the shortage.
                 let is_new = last_shortage
                     .replace(Instant::now())
                     .is_none_or(|last| last.elapsed() > SHORTAGE_END_DELAY);
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -28,7 +28,7 @@
 /// Most callers that the operators' listener serves at a time.
 pub const MAX_OPERATOR_CALLERS: usize = 8;
 /// One in this many descriptors is never given to admitted connections, since the relay has to read from a
-/// new client before it can reject it.
+/// new client before it can reject the client.
 const HANDSHAKE_RESERVE_DIVISOR: usize = 8;
 /// Descriptors are short when less than one in this many is left for further connections.
 const SHORTAGE_DIVISOR: usize = 8;
@@ -45,8 +45,8 @@
     last_activity: Instant,
 }
 
-/// A client's place in the order of eviction. The fields are compared in this order, and the lowest comes
-/// first.
+/// A client's place in the order of eviction. The fields are compared in this order, and the client with the
+/// lowest place is evicted first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionOrder {
     is_recent: bool,
@@ -156,8 +156,8 @@
     pub async fn acquire(self: &Rc<Self>) -> DescriptorPermit {
         self.waiting.set(self.waiting.get() + 1);
         while self.used.get() >= self.limit() {
-            // Admitted connections never use all descriptors, so there is a client that can be evicted or one
-            // that is being closed.
+            // Admitted connections never use all descriptors, so there is a client that can be evicted or a
+            // client that is being closed.
             self.evict_idle();
             self.released.notified().await;
         }
--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -16,7 +16,8 @@
 use crate::policy::api::Millis;
 use crate::relay::Relay;
 
-/// Most entries that are taken from the core at a time: the core is blocked while they are taken.
+/// Most entries of the affinity tables that are taken from the core at a time: the core is blocked while they
+/// are taken.
 const BATCH_ENTRIES: usize = 4096;
 /// Interval between removals of old entries from the store.
 const PRUNE_INTERVAL_MS: Millis = 600_000.0;
@@ -26,7 +27,7 @@
     folder: PathBuf,
     /// `None` where the store could not be opened because the disk failed.
     store: Option<Store>,
-    /// The schema version at which the store is finalized: its file may not be migrated below it.
+    /// The schema version at which the store is finalized: its file may not be migrated below this version.
     pub finalized: SchemaVersion,
 }
 
@@ -35,8 +36,8 @@
 ///
 /// # Errors
 /// Cases in which the operator has to act: the folder can't be used, another process has the store open, or
-/// the file has a schema version that this program can't read or is finalized at one above `newest_allowed`.
-/// The file is left unchanged.
+/// the file has a schema version that this program can't read or is finalized at a schema version above
+/// `newest_allowed`. The file is left unchanged.
 pub fn open(folder: &Path, newest_allowed: SchemaVersion) -> io::Result<OpenedFolder> {
     let opened = |store, finalized| OpenedFolder { folder: folder.to_owned(), store, finalized };
     match open_store(folder, newest_allowed) {
--- a/src/net/connection/response_timer.rs
+++ b/src/net/connection/response_timer.rs
@@ -29,8 +29,8 @@
         Some(self.next_report)
     }
 
-    /// Whether a report is due. If so, schedules the next report, or an earlier one for the moment at which
-    /// the message's age reaches [`SILENCE_TIMEOUT_MS`].
+    /// Whether a report is due. If so, schedules the next report, or an earlier report for the moment at
+    /// which the message's age reaches [`SILENCE_TIMEOUT_MS`].
     pub fn is_due(&mut self, now: Millis) -> bool {
         let is_due = now >= self.next_report;
         if is_due {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -93,7 +93,7 @@
 
 struct Subscription {
     shared: Rc<Shared>,
-    /// Whether the address of discovery has changed and discovery has not answered at the new one yet.
+    /// Whether the address of discovery has changed and discovery has not answered at the new address yet.
     is_address_new: bool,
     /// When a subscription was last renewed without the load balancer's backoff.
     last_renewal: Millis,
--- a/src/net/maintenance.rs
+++ b/src/net/maintenance.rs
@@ -18,8 +18,8 @@
 use crate::policy::api::{EndpointEntry, EndpointState, ListKind, Millis};
 use crate::relay::operator_calls::OperatorCallError;
 
-/// Longest time that a call waits for the leader's decision. After it, the reply says that the window is
-/// still undecided.
+/// Longest time that a call waits for the leader's decision. After this time, the reply says that the window
+/// is still undecided.
 const MAX_DECISION_WAIT_MS: Millis = 3000.0;
 /// How often a waiting call checks whether the leader has decided.
 const DECISION_POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/src/net/operators.rs
+++ b/src/net/operators.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Closes the spare descriptor. Returns whether there was one.
+    /// Closes the spare descriptor. Returns whether there was a spare descriptor.
     fn close(&self) -> bool {
         self.0.take().is_some()
     }
@@ -115,7 +115,7 @@
         let Some(stream) = accept_caller(&listener, &callers, &reserve).await else { continue };
         if callers.is_full() {
             callers.evict();
-            // The evicted caller is closed before the next one is accepted.
+            // The evicted caller is closed before the next caller is accepted.
             tokio::task::yield_now().await;
         }
         let id = next_id;
@@ -135,7 +135,8 @@
     }
 }
 
-/// Accepts a caller, with the spare descriptor where no other is left. Returns `None` where that fails.
+/// Accepts a caller, with the spare descriptor where no other descriptor is left. Returns `None` where no
+/// caller could be accepted.
 async fn accept_caller(listener: &TcpListener, callers: &Callers, reserve: &Reserve) -> Option<TcpStream> {
     reserve.refill(listener);
     let error = match listener.accept().await {
@@ -151,8 +152,9 @@
         }
         return None;
     }
-    // The system reports a shortage even when no caller waits. In that case nothing is accepted, and the next
-    // call refills the reserve before any other task opens a descriptor.
+    // The system reports a shortage of descriptors even when no caller waits to be accepted. In that case
+    // this poll accepts no caller, and the next call of this function takes the spare descriptor again before
+    // any other task opens a descriptor.
     let accepted = poll_fn(|context| Poll::Ready(listener.poll_accept(context))).await;
     let Poll::Ready(Ok((stream, _))) = accepted else { return None };
     Some(stream)
@@ -169,7 +171,7 @@
     let call = tokio::select! {
         biased;
         () = eviction.notified() => {
-            // This fails where the caller has sent no complete call or has closed its connection.
+            // `close_evicted` fails where the caller has sent no complete call or has closed its connection.
             let _ = close_evicted(shared, parser, &stream);
             return;
         }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -11,9 +11,10 @@
 
 /// Size of a buffer, which holds the longest line of the line protocol twice.
 pub const BUFFER_BYTES: usize = 8192;
-/// Most bytes that one read without the poller takes. It is small since such a read mostly finds no bytes.
+/// Most bytes that one read without the poller takes. This limit is small since such a read mostly finds no
+/// bytes.
 const UNPOLLED_READ_BYTES: usize = 512;
-/// Most free buffers that the pool keeps; further ones are deallocated.
+/// Most free buffers that the pool keeps; further free buffers are deallocated.
 const MAX_FREE_BUFFERS: usize = 1024;
 
 /// A pool of buffers that are free to be used again.
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -20,10 +20,11 @@
 use crate::policy::api::{Millis, PeerMessage, Settings};
 use crate::relay::operator_calls::OperatorCallError;
 
-/// How long a starting process waits for replies after each round of requests for the finalized version.
+/// How long a starting process waits for replies after each round of requests for the schema version at which
+/// the cluster is finalized.
 const REPLY_WAITS_MS: [Millis; 3] = [100.0, 100.0, 200.0];
-/// Most relays that get such a request in a round. Several are asked, spread over the cluster, because relays
-/// with neighbouring indexes are often restarted together.
+/// Most relays that get a request for the finalized version in a round. Several are asked, spread over the
+/// cluster, because relays with neighbouring indexes are often restarted together.
 const MAX_QUERIED_RELAYS: u32 = 8;
 
 /// Creates the channel that translates between messages and datagrams; `None` where the configuration has no
@@ -58,8 +59,9 @@
     match receive(shared, channel, peer, text) {
         Ok(message) => message,
         Err(e @ SchemaVersionError::Finalized { .. }) => {
-            // The cluster was finalized while this process ran, or this process reached no relay when it
-            // started. The error is logged once only.
+            // The cluster was finalized at a schema version that this process does not support. This happened
+            // while this process ran, or this process reached no relay when it started. The error is logged
+            // once only.
             if !shared.is_unreadable_version_logged.replace(true) {
                 error!("forms: relay {peer}: {e}; {}", e.help());
             }
@@ -93,7 +95,7 @@
     datagrams.iter().for_each(|datagram| shared.send_text_to_peer(datagram.peer, &datagram.text));
 }
 
-/// Asks other relays for the finalized version, before anything is served.
+/// Asks other relays for the schema version at which the cluster is finalized, before anything is served.
 ///
 /// # Errors
 /// The cluster is finalized at a version that this process does not support.
@@ -165,12 +167,12 @@
     }
 }
 
-/// The cluster's version as it was last logged and passed to the store's writer.
+/// The cluster's schema version as it was last logged and passed to the store's writer.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct AppliedVersion {
     version: SchemaVersion,
     finalized: SchemaVersion,
-    /// Whether the version is settled; during the quiet period it is provisional.
+    /// Whether the schema version is settled; during the quiet period the version is provisional.
     is_settled: bool,
 }
 
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -101,7 +101,8 @@
     pub maintenance: Option<RefCell<MaintenanceService>>,
     /// The configuration as it was last read, without the changes that take effect only at the next start.
     pub config: RefCell<Config>,
-    /// The rules of the line protocol, with the names that it accepts.
+    /// The state that all connections of the line protocol share, including the class and tenant names that
+    /// the protocol accepts in requests.
     pub line_rules: Rc<LineProtocolState>,
 }
 
@@ -146,7 +147,7 @@
     }
 }
 
-/// The names that the line protocol accepts.
+/// The class and tenant names that the line protocol accepts in requests.
 pub fn line_names(relay: &Relay, config: &Config) -> AcceptedNames {
     AcceptedNames {
         groups: config.groups_share_work,
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -147,7 +147,7 @@
 }
 
 /// Requests the state and the sockets of the process that offers a hand-over in the folder. Returns `None`
-/// where no process does, or where no folder is configured.
+/// where no process offers a hand-over, or where no folder is configured.
 async fn request_snapshot(
     shared: &Rc<Shared>,
     folder: Option<&Path>,
--- a/src/net/takeover/mod.rs
+++ b/src/net/takeover/mod.rs
@@ -19,7 +19,7 @@
 use super::Shared;
 use crate::handover::FIRST_PROTOCOL_VERSION;
 
-/// File name of the socket in the folder.
+/// File name of the hand-over's socket in the folder that both processes are configured with.
 const SOCKET_NAME: &str = "sandgw-handover";
 /// How long the other process may take to read a message.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
--- a/src/net/takeover/predecessor.rs
+++ b/src/net/takeover/predecessor.rs
@@ -45,8 +45,8 @@
         // The successor has bound its own socket at the path. Where this process may still hand over, the
         // loop binds the path again.
         if shared.relay.borrow().is_handed_over() {
-            // No successor is left to transfer connections to. Standby makes them migrate before this process
-            // ends.
+            // No successor is left to transfer connections to. Standby makes the connections migrate before
+            // this process ends.
             shared.with_core(|relay, now| relay.enter_standby(now));
             return wait_until_finished(&shared).await;
         }
@@ -343,8 +343,8 @@
     Some(changes.updated).filter(|records| !records.is_empty())
 }
 
-/// Refuses a second successor. Its first message is read before, since closing a socket with unread bytes
-/// would discard the reply.
+/// Refuses a second successor. The second successor's first message is read before the refusal is sent, since
+/// closing a socket with unread bytes would discard the reply.
 async fn refuse_second_successor(mut link: Link) {
     let _ = timeout(SEND_TIMEOUT, link.next()).await;
     let _ = refuse(&mut link, "another process is taking over").await;
--- a/src/policy/api/events.rs
+++ b/src/policy/api/events.rs
@@ -25,13 +25,13 @@
     Settings(Box<Settings>),
     /// The endpoint list, or changes to it.
     List {
-        /// Which entries `endpoints` contains.
+        /// Which entries of the endpoint list `endpoints` contains.
         kind: ListKind,
         /// The entries of the list.
         endpoints: Vec<EndpointEntry>,
     },
-    /// The endpoint list may be used for new attempts until this time, in ms. Before the first such event it
-    /// may be used without limit.
+    /// The endpoint list may be used for new attempts until this time, in ms. Before the first such event the
+    /// list may be used without limit.
     ListValidUntil(Millis),
     /// A request arrived.
     Request(Request),
--- a/src/policy/api/list.rs
+++ b/src/policy/api/list.rs
@@ -39,11 +39,11 @@
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as it was last stored; it may be stale.
+    /// The complete list as it was last stored; this list may be stale.
     Cached,
     /// A poll of the list failed, or the subscription was dropped. Carries no information about the
     /// endpoints.
     Failed,
-    /// Some entries, as another relay reports them. They are not the answer to a poll.
+    /// Some entries of the list, as another relay reports them. These entries are not the answer to a poll.
     Gossip,
 }
--- a/src/policy/api/messages.rs
+++ b/src/policy/api/messages.rs
@@ -9,7 +9,7 @@
 pub enum PeerMessage {
     /// How many connections of each group have arrived recently.
     GroupSizes(GroupSizes),
-    /// Messages between the relays' tables of clients, groups and loads.
+    /// Messages that the relays exchange about their tables of clients, groups and loads.
     Cluster(ClusterMessage),
     /// Tenants' usage of the cluster's capacity. The core handles this message, not the load balancer.
     Quota(UsageReport),
--- a/src/policy/attempt_outcome.rs
+++ b/src/policy/attempt_outcome.rs
@@ -12,8 +12,8 @@
 use super::request_table::{PossibleExecution, Stage};
 use super::retry::indicates_overload;
 
-/// Span over which an endpoint's set-up time is the minimum of those measured. Concurrent set-ups delay each
-/// other, so the shortest tells most about the endpoint itself.
+/// Span over which set-up times are measured; the shortest of them counts as the endpoint's set-up time.
+/// Concurrent set-ups delay each other, so the shortest tells most about the endpoint itself.
 const QUICKEST_SETUP_SPAN_MS: Millis = 1000.0;
 /// Time for which a measured set-up time is used to judge its endpoint.
 const SETUP_TIME_TTL_MS: Millis = 5000.0;
@@ -148,7 +148,8 @@
     /// Marks an endpoint as slow if its set-up time exceeds the median of all endpoints. The excess is work
     /// that is queued at this endpoint, and messages wait behind that work too; a delay from a shared store
     /// would be common to all endpoints. A slow set-up alone does not cut the load limit unless slow messages
-    /// are reported too, since a single odd set-up of an endpoint that has just started would starve it.
+    /// are reported too, since a single odd set-up of an endpoint that has just started would starve that
+    /// endpoint.
     fn detect_slow_setup(&mut self, now: Millis, id: &EndpointId, objective: Millis) {
         let ready = &self.assignment.ready_endpoints;
         let median_setup_time = self.placements.endpoints.median_setup_time(ready, now - SETUP_TIME_TTL_MS);
--- a/src/policy/drain.rs
+++ b/src/policy/drain.rs
@@ -12,7 +12,8 @@
 
 /// All clients of a draining endpoint are asked to reconnect within this span after it is listed as draining.
 const MIGRATION_SPAN_MS: Millis = 1000.0;
-/// Interval between two steps.
+/// Interval between two steps, in each of which a part of the clients of draining endpoints is asked to
+/// reconnect.
 const STEP_INTERVAL_MS: Millis = 100.0;
 
 impl LoadBalancer {
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -21,12 +21,12 @@
 const SLOW_ENDPOINT_VOTES: i32 = 2;
 
 /// The quickest connection set-up at an endpoint within a span. Set-ups that run at the same time wait for
-/// each other, so the quickest one shows the endpoint's own set-up time best.
+/// each other, so the quickest set-up shows the endpoint's own set-up time best.
 #[derive(Clone, Copy)]
 pub(crate) struct QuickestSetup {
     /// When the span began.
     pub span_started_at: Millis,
-    /// Duration of the quickest set-up since then, in ms.
+    /// Duration of the quickest set-up since the span began, in ms.
     pub elapsed: Millis,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl QuickestSetup {
-    /// Records a set-up. A new span begins if the present one is longer than `span`.
+    /// Records a set-up. A new span begins if the present span is longer than `span`.
     pub fn record(&mut self, now: Millis, elapsed: Millis, span: Millis) {
         if now - self.span_started_at > span {
             *self = QuickestSetup { span_started_at: now, elapsed };
@@ -138,8 +138,8 @@
         let mut weight_changed = false;
         for entry in entries {
             match self.by_id.get_mut(&entry.id) {
-                // The comparison isn't `!=`: a start that was inferred here is a little later than the listed
-                // one.
+                // The comparison isn't `!=`: a start time that this relay inferred is a little later than the
+                // listed start time.
                 Some(known) if entry.started <= known.started => known.state = entry.state,
                 Some(known) => {
                     // Only a restart changes the weight. A list may give a running process a weight that
@@ -193,7 +193,7 @@
     }
 
     /// Whether over a third of the endpoints that hold connections of this relay are slow. The load is then
-    /// too high for all endpoints, and moving load to others would only make them slow too.
+    /// too high for all endpoints, and moving load to other endpoints would only make those slow too.
     pub fn is_widely_slow(&self, now: Millis) -> bool {
         let used = self.by_id.values().filter(|endpoint| !endpoint.placed_requests.is_empty());
         let vote = |endpoint: &Endpoint| {
@@ -203,7 +203,7 @@
     }
 
     /// The median of the quickest set-up times at these endpoints, in ms, among those measured after `since`.
-    /// It is infinite if there is no such measurement.
+    /// The median is infinite if there is no such measurement.
     pub fn median_setup_time(&self, ids: &[EndpointId], since: Millis) -> Millis {
         let known = ids.iter().filter_map(|id| self.by_id.get(id)).map(|endpoint| endpoint.quickest_setup);
         let recent = known.filter(|setup| setup.span_started_at > since);
--- a/src/policy/group_assignment.rs
+++ b/src/policy/group_assignment.rs
@@ -28,8 +28,9 @@
 /// An endpoint may carry this multiple of its fair load before its keys overflow to the next endpoint.
 const BOUNDED_LOAD_FACTOR: f64 = 1.25;
 
-/// Upper bound on an endpoint's load (Mirrokni et al., "Consistent Hashing with Bounded Loads"). It allows
-/// for random variation, which is of the order of the square root of the load. Loads are in mean connections.
+/// Upper bound on an endpoint's load (Mirrokni et al., "Consistent Hashing with Bounded Loads"). The bound
+/// allows for random variation of the load, which is of the order of the square root of the load. Loads are
+/// in mean connections.
 pub(super) fn bounded_load(fair_load: f64) -> f64 {
     BOUNDED_LOAD_FACTOR * fair_load + fair_load.sqrt()
 }
@@ -37,7 +38,7 @@
 /// The part of a group that one endpoint takes.
 #[derive(Clone, Copy)]
 struct GroupPart {
-    /// Position of the endpoint among the ready ones.
+    /// Position of the endpoint among the ready endpoints.
     position: usize,
     /// Load of the cluster that the endpoint is to take, in mean connections.
     load: f64,
@@ -105,8 +106,8 @@
         self.table.probe_order(slot, self.ready_endpoints.len())
     }
 
-    /// The order in which a request tries endpoints: first those that its group is assigned to, then the
-    /// others in probe order.
+    /// The order in which a request tries endpoints: first the endpoints that the request's group is assigned
+    /// to, then the other endpoints in probe order.
     pub(super) fn candidate_order(&self, request: &Request) -> CandidateOrder {
         let client = request.client_key();
         let Some(group) = &request.group else {
@@ -205,8 +206,8 @@
     /// that relays with slightly different samples assign groups in the same order.
     fn group_loads(&self, cluster_load: f64) -> Vec<GroupLoad> {
         let own_total = self.group_sample.total();
-        // A sample of nearly all connections is exact. The smaller the sample, the more of its differences
-        // are due to chance.
+        // A sample of nearly all connections is exact. The smaller the sample, the more of the differences in
+        // size between its groups are due to chance.
         let sampling_uncertainty = (f64::from(self.settings.relay_count) / own_total.max(1.0)).min(1.0);
         let MergedArrivals { sample, scale } = self.merged_arrivals(own_total);
         let load_per_arrival =
@@ -219,7 +220,7 @@
     }
 
     /// This relay's sample, scaled up and completed from the collector's sum if that sum rests on more
-    /// arrivals.
+    /// arrivals than this relay's sample.
     fn merged_arrivals(&self, own_total: f64) -> MergedArrivals {
         let mut sample = self.group_sample.clone();
         let merged = &self.merged_sample.merged_sizes;
--- a/src/policy/group_sample.rs
+++ b/src/policy/group_sample.rs
@@ -14,14 +14,14 @@
 pub(crate) const SAMPLE_SIZE: f64 = 256.0;
 /// A group whose count of arrivals has decayed to this is dropped from the sample.
 const MIN_ARRIVALS: f64 = 0.05;
-/// A relay reports its sample again once as many new arrivals have come as the sample's total divided by
-/// this.
+/// A relay reports its sample again once as many new arrivals have come as the sample's total divided by this
+/// number.
 const REPORT_DIVISOR: f64 = 3.0;
 
 /// A sample of arrivals by the slot of their group's key. Older arrivals count less.
 #[derive(Clone, Default)]
 pub(crate) struct GroupSample {
-    /// Arrivals by slot.
+    /// Arrivals by the slot of their group's key.
     pub arrivals: BTreeMap<u32, f64>,
 }
 
@@ -40,7 +40,7 @@
         self.arrivals.values().sum()
     }
 
-    /// A message with the largest groups, as many as fit.
+    /// A message with the sizes of the largest groups, as many as fit into the message.
     pub fn to_message(&self, is_sum: bool) -> GroupSizes {
         let arrivals = self.arrivals.iter();
         let mut groups: Vec<GroupArrivals> = arrivals
@@ -52,7 +52,7 @@
     }
 }
 
-/// The sum of several relays' samples, and this relay's part in making it, as sender and as collector.
+/// The sum of several relays' samples, and this relay's part in making that sum, as sender and as collector.
 #[derive(Default)]
 pub(crate) struct MergedSample {
     /// The relay that adds up the samples.
@@ -60,8 +60,8 @@
     /// When this relay sent the collector the sample that is still unanswered; `None` if there is none.
     unanswered_since: Option<Millis>,
     /// The collector's latest answer, or the sum that this relay has made as the collector.
+    /// The samples of arrivals by group that other relays have sent to this relay, by the sending relay.
     pub merged_sizes: GroupSizes,
-    /// Samples that other relays have sent to this one, by relay.
     received: BTreeMap<u32, Vec<GroupArrivals>>,
     /// Arrivals at this relay since it last sent a sample.
     arrivals_since_report: f64,
--- a/src/policy/learned_state.rs
+++ b/src/policy/learned_state.rs
@@ -107,7 +107,7 @@
 }
 
 impl LoadBalancer {
-    /// All that this relay has learned, in parts of at most 256 rows.
+    /// All that this relay has learned, in parts of at most 256 rows, one for each endpoint or group.
     pub(crate) fn export_learned_state(&self, now: Millis) -> Vec<LearnedState> {
         let endpoints = self.placements.endpoints.by_id.iter();
         let endpoints: Vec<_> =
@@ -127,8 +127,8 @@
 
     /// Applies one part of a learned state. The endpoint list must have been applied before.
     pub(crate) fn import_learned_state(&mut self, now: Millis, part: LearnedState) {
-        // A pause is never longer than a warm-up. A wrong value from outside must not block endpoints
-        // forever.
+        // The pause before new connections go to endpoints that are warming up is never longer than a
+        // warm-up. A wrong value from outside must not block endpoints forever.
         let max_pause = self.settings.warm_up_time;
         if part.slow_start_pause.is_finite() && part.slow_start_pause <= max_pause {
             let paused_until = now + part.slow_start_pause;
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -59,7 +59,7 @@
     /// Mean of the work, in ms per second, that connections report: the unit in which loads are counted.
     pub(super) reported_work: RunningMean,
     /// Whether message delays are reported. If they are, load limits track the endpoints better than an even
-    /// distribution of load can. Set by the first report, and never cleared.
+    /// distribution of load can. The flag is set by the first report of a message delay, and never cleared.
     pub(super) latency_is_reported: bool,
     /// Which endpoints hold which clients and groups, and the messages that relays exchange about that.
     pub(crate) cluster: ClusterState,
@@ -68,7 +68,8 @@
     /// Endpoint fault score: whether this relay's connections recently broke through the fault of their
     /// endpoint, from 1 (all of them) to -1 (none).
     pub(super) endpoint_fault_score: f64,
-    /// Whether the timer of the drain steps is set.
+    /// Whether the timer is set for the next step in which clients of draining endpoints are asked to
+    /// reconnect.
     pub(super) drain_timer_is_set: bool,
     /// State of the slow start: this relay's sends to endpoints that are warming up.
     pub(super) slow_start: SlowStart,
@@ -244,7 +245,7 @@
     }
 
     /// The latency objective of a request, in ms: that of its class, but at most half of the time that its
-    /// client waits. Without a class, the client's time is all that is known.
+    /// client waits. Without a class, the time that the client waits is all that is known.
     pub(super) fn latency_objective(&self, tracked: &TrackedRequest) -> Millis {
         let class_objective =
             self.class(&tracked.request).map_or(f64::INFINITY, |class| class.latency_objective);
--- a/src/policy/load_limit.rs
+++ b/src/policy/load_limit.rs
@@ -3,8 +3,8 @@
 //! Inputs: this relay's load at the endpoint, in mean connections, and signs that the endpoint is slow or
 //! overloaded. Output: a limit on this relay's own load there. The limit is set to the present load when
 //! messages are slow, and is reduced further when messages come too late to be useful or connections are shed
-//! (multiplicative decrease). It grows while the endpoint is healthy, so that a limit learned in a bad minute
-//! does not last.
+//! (multiplicative decrease). The limit grows while the endpoint is healthy, so that a limit learned in a bad
+//! minute does not last.
 
 use super::api::Millis;
 
@@ -33,8 +33,8 @@
 }
 
 impl LoadLimit {
-    /// The current limit. `load_per_endpoint` is this relay's mean load per endpoint: it is part of what
-    /// grows, so that a limit near zero recovers too.
+    /// The current limit. `load_per_endpoint` is this relay's mean load per endpoint: this load is part of
+    /// what grows, so that a limit near zero recovers too.
     pub fn current(&self, now: Millis, load_per_endpoint: f64) -> f64 {
         if !self.limit.is_finite() {
             return self.limit;
--- a/src/policy/maglev.rs
+++ b/src/policy/maglev.rs
@@ -3,7 +3,7 @@
 //! Input: the ready endpoints, sorted by id, with their listed weights. Output: a table of [`TABLE_SLOTS`]
 //! entries. Every relay with the same list fills the table alike, and removing an endpoint moves few keys of
 //! the other endpoints. A key's slot is its hash modulo the table's length. The endpoints in the slots after
-//! it are the key's further choices, in the same order at every relay.
+//! that slot are the key's further choices, in the same order at every relay.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -11,8 +11,8 @@
 use super::api::*;
 use super::load_balancer::LoadBalancer;
 
-/// A report is ignored if its total is below this fraction of this relay's load times the number of relays:
-/// it covers few relays, because its collector has just started.
+/// A report of the load of all relays is ignored if its total is below this fraction of this relay's load
+/// times the number of relays: such a report covers few relays, because its collector has just started.
 const MIN_REPORTED_FRACTION: f64 = 0.25;
 /// The client of a connection whose attempt was sent within this span, in ms, is not asked to reconnect.
 const SETTLING_TIME_MS: Millis = 4000.0;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -13,8 +13,8 @@
 /// The retry budget if the settings state none.
 const UNLIMITED_BUDGET: RetryBudget =
     RetryBudget { window: 0.0, min_retries: f64::INFINITY, retry_ratio: 0.0 };
-/// The backoff is the backoff step times the sum of this and a random number in `[0, 1)`, so 0.5 to 1.5
-/// steps.
+/// The backoff is the backoff step times the sum of this number and a random number in `[0, 1)`, so 0.5 to
+/// 1.5 steps.
 const MIN_JITTER: f64 = 0.5;
 
 /// Counters from which the use of the retry budget is computed.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -18,8 +18,8 @@
 /// This relay's rate of sends to endpoints that are warming up, as a multiple of the rate that fills them.
 /// The factor is above 1 because few requests are ready at just the moment at which a send is allowed.
 const SEND_RATE_FACTOR: f64 = 1.35;
-/// The rate of sends to a single endpoint that is warming up, as a multiple of its part of the rate to all of
-/// them.
+/// The rate of sends to a single endpoint that is warming up, as a multiple of that endpoint's part of the
+/// rate of sends to all endpoints that are warming up.
 const SINGLE_ENDPOINT_RATE_FACTOR: f64 = 2.5;
 /// The shortest warm-up time that is used, in ms: the time is a divisor and must not be 0.
 const MIN_WARM_UP_TIME_MS: Millis = 1.0;
@@ -29,7 +29,7 @@
 pub(crate) struct SlowStart {
     /// No request goes to any endpoint that is warming up before this time.
     pub next_send_at: Millis,
-    /// When this relay started. What it has sent is known only since then.
+    /// When this relay started. What this relay has sent is known only since then.
     pub relay_started_at: Millis,
 }
 
@@ -89,8 +89,8 @@
         common_interval: impl Fn() -> Millis,
     ) -> Millis {
         let warm_up_time = self.settings.warm_up_time;
-        // A start time that lies far in the future comes from a wrong clock. It shows only that the endpoint
-        // may be warming up.
+        // A start time that lies far in the future comes from a wrong clock. Such a start time shows only
+        // that the endpoint may be warming up.
         if endpoint.started - now >= warm_up_time {
             return now;
         }
@@ -126,8 +126,8 @@
         }
     }
 
-    /// How long from now no new connection may go to an endpoint that is warming up, in ms; negative if one
-    /// may go now.
+    /// How long from now no new connection may go to an endpoint that is warming up, in ms; negative if a
+    /// connection may go there now.
     pub(crate) fn slow_start_pause(&self, now: Millis) -> Millis {
         self.slow_start.next_send_at - now
     }
--- a/src/relay/classes.rs
+++ b/src/relay/classes.rs
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Frees the positions of dropped classes that no connection refers to, except for those dropped last.
+    /// Frees the positions of dropped classes that no connection refers to, except for the classes that were
+    /// dropped last.
     fn free_unused(&mut self, in_use: &BTreeSet<ClassId>) {
         let mut unused = self.unused(in_use);
         unused.sort_by(|a, b| b.dropped_at.total_cmp(&a.dropped_at));
@@ -117,7 +118,8 @@
         self.slots.iter().flatten().map(accepted).collect()
     }
 
-    /// The position of the class with this name: the one in force, or else the one that was dropped last.
+    /// The position of the class with this name: the class in force, or else the class of this name that was
+    /// dropped last.
     pub(super) fn position(&self, name: &str) -> Option<ClassId> {
         let dropped_at = |slot: &NamedClass| slot.dropped_at.unwrap_or(f64::INFINITY);
         let slots = self.slots.iter().enumerate().filter_map(|(i, slot)| Some((ClassId(i), slot.as_ref()?)));
--- a/src/relay/connections.rs
+++ b/src/relay/connections.rs
@@ -1,7 +1,7 @@
 //! The table of requests and connections, with the stage that each is in.
 //!
-//! An entry has one [`RequestId`] from its acceptance to its end: the entry is a request until an endpoint
-//! accepts it, and a connection from then on. The table decides nothing.
+//! An entry of the table has one [`RequestId`] from its acceptance to its end: the entry is a request until
+//! an endpoint accepts it, and a connection from then on. The table decides nothing.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -36,9 +36,9 @@
     pub(super) migrating: bool,
     /// Whether the transfer of the connection to another process was commanded.
     pub(super) transferring: bool,
-    /// The tenant for which the entry counts.
+    /// The tenant for whose quota the request or connection counts.
     pub(super) tenant: Option<Key>,
-    /// Whether the entry counts for its tenant as established.
+    /// Whether the connection counts for its tenant as established.
     pub(super) counted_established: bool,
 }
 
@@ -100,7 +100,7 @@
 }
 
 impl ConnectionTable {
-    /// Allocates an id that no entry has had.
+    /// Allocates an id that no request or connection has had.
     pub(super) fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -127,24 +127,24 @@
         self.entries.is_empty()
     }
 
-    /// All entries, in arbitrary order.
+    /// All requests and connections, in arbitrary order.
     pub(super) fn values(&self) -> impl Iterator<Item = &Connection> {
         self.entries.values()
     }
 
-    /// The classes that entries refer to.
+    /// The classes that requests and connections refer to.
     pub(super) fn classes_in_use(&self) -> BTreeSet<ClassId> {
         self.values().filter_map(|connection| connection.class).collect()
     }
 
-    /// Ids of the entries that match the predicate, in ascending order.
+    /// Ids of the requests and connections that match the predicate, in ascending order.
     pub(super) fn sorted_ids(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<RequestId> {
         let mut ids: Vec<RequestId> = self.ids(predicate).collect();
         ids.sort_unstable();
         ids
     }
 
-    /// The lowest id of the entries that match the predicate.
+    /// The lowest id of the requests and connections that match the predicate.
     pub(super) fn lowest_id(&self, predicate: impl Fn(&Connection) -> bool) -> Option<RequestId> {
         self.ids(predicate).min()
     }
--- a/src/relay/drain_exchange.rs
+++ b/src/relay/drain_exchange.rs
@@ -1,8 +1,8 @@
 //! Exchanges messages with other relays about draining endpoints while discovery is slow to answer. All uses
 //! of [`DrainGossip`](sandgw_cluster::drain_gossip::DrainGossip) are here.
 //!
-//! Another relay's message can make this relay stop sending to an endpoint, but never makes it send anything
-//! to one.
+//! Another relay's message can make this relay stop sending to an endpoint, but never makes this relay send
+//! anything to an endpoint.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +26,7 @@
 }
 
 impl Relay {
-    /// Discovery is at another address from now on.
+    /// Records that discovery is at another address from now on.
     pub fn discovery_changed(&mut self, now: Millis) {
         self.drain_gossip.discovery_replaced(now, self.gossip_cluster());
         self.send_drain_gossip(now, Outbox::new());
--- a/src/relay/endpoints.rs
+++ b/src/relay/endpoints.rs
@@ -29,10 +29,11 @@
     pub attempts: u64,
 }
 
-/// An endpoint whose messages are slow, or were slow at the last report.
+/// An endpoint whose messages are slow, or were slow at the last report to the load balancer.
 struct SlowEndpoint {
     endpoint: EndpointId,
-    /// Median of the round trips since the last report.
+    /// Median round-trip time between this relay and the endpoint, of the messages on established connections
+    /// since the last report to the load balancer.
     median_ms: Millis,
 }
 
@@ -44,7 +45,7 @@
     attempts: u64,
     /// Round trips measured since the last tick.
     round_trips_ms: Vec<Millis>,
-    /// Whether messages were slow at the last report.
+    /// Whether messages were slow at the last report to the load balancer.
     is_slow: bool,
 }
 
--- a/src/relay/list_lease.rs
+++ b/src/relay/list_lease.rs
@@ -31,25 +31,27 @@
 }
 
 impl Relay {
-    /// From now on the driver reports how polls end. The list that the relay has is of unknown age.
+    /// Records that from now on the driver reports how polls end. The list that the relay has is of unknown
+    /// age.
     pub fn track_list_lease(&mut self, now: Millis) {
         self.list_lease.is_tracked = true;
         self.apply_list_lease(now);
     }
 
-    /// Discovery has answered, or the predecessor process has handed over a list that discovery had answered
-    /// with.
+    /// Records that discovery has answered, or that the predecessor process has handed over a list that
+    /// discovery had answered with.
     pub fn discovery_answered(&mut self, now: Millis) {
         self.renew_list_lease(now);
     }
 
-    /// A poll found that discovery can't be reached: the relay goes on serving by the list that it has.
+    /// Records that a poll found that discovery can't be reached: the relay goes on serving by the list that
+    /// it has.
     pub fn discovery_unreachable(&mut self, now: Millis) {
         self.renew_list_lease(now);
     }
 
-    /// A poll has failed, though discovery could be reached. If this was the first poll, the relay serves by
-    /// the list with which it was started rather than not at all.
+    /// Records that a poll has failed, though discovery could be reached. If this was the first poll, the
+    /// relay serves by the list with which it was started rather than not at all.
     pub fn discovery_poll_failed(&mut self, now: Millis) {
         if !self.list_lease.first_poll_ended {
             self.renew_list_lease(now);
--- a/src/relay/migration_schedule.rs
+++ b/src/relay/migration_schedule.rs
@@ -10,7 +10,7 @@
 /// Time after the start of standby by which all clients have been asked to reconnect. The rest of a drain is
 /// for endpoints' last messages and for connections that were being set up.
 const LAST_MIGRATION_MS: Millis = 2500.0;
-/// Time between two steps.
+/// Time between two steps of the migration off a relay on standby.
 pub const MIGRATION_STEP_MS: Millis = 100.0;
 
 /// How many of the remaining connections are to be migrated now, `elapsed_ms` after the start of standby.
--- a/src/relay/quota_accounting.rs
+++ b/src/relay/quota_accounting.rs
@@ -17,18 +17,19 @@
 use super::timers::CoreTimer;
 use crate::policy::api::{Event, Key, Millis, PeerMessage, Request, RequestId, Settings, UsageReport};
 
-/// A request waits for a decision for this fraction of the time until its client's deadline.
+/// A request waits for a quota decision for this fraction of the time until its client's deadline.
 const DECISION_WAIT_FRACTION: f64 = 0.25;
 /// Time from the end of a connection to the next poll of grants.
 const GRANT_POLL_MS: Millis = 20.0;
 /// Longest time after which a client may retry whose request was not decided about in time.
 const NOT_GRANTED_RETRY_MS: Millis = 500.0;
 
-/// The counts of tenants' connections, the requests that wait for decisions, and the state of reports.
+/// The counts of tenants' connections, the requests that wait for quota decisions, and the state of usage
+/// reports.
 pub(super) struct QuotaAccounting {
     tenant_quotas: TenantQuotas,
     report_timer_set: bool,
-    /// Requests that wait for a decision.
+    /// Requests that wait for the decision whether their tenant is within its quota.
     undecided: BTreeMap<Ticket, UndecidedRequest>,
     grant_timer_set: bool,
     /// Rejections that have been logged, by reason.
@@ -54,7 +55,7 @@
     }
 }
 
-/// Whether counts and reports are the same under both settings.
+/// Whether connections are counted and usage is reported in the same way under both settings.
 fn has_same_accounting(left: &Settings, right: &Settings) -> bool {
     left.quotas == right.quotas
         && left.local_index == right.local_index
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Places the requests that wait for a decision: the counts on which the decision would be based are
-    /// void.
+    /// Places the requests that wait for a quota decision: the counts on which the decision would be based
+    /// are void.
     fn place_undecided(&mut self) {
         for UndecidedRequest { request, tenant, .. } in
             std::mem::take(&mut self.quota.undecided).into_values()
@@ -157,7 +158,7 @@
         let connection = self.connections.get_mut(request.id);
         match (verdict, connection) {
             (Verdict::Reject(reason), _) => self.reject_over_quota(now, request.id, reason),
-            // The client has left while its request waited.
+            // The client has left while its request waited for a quota decision.
             (_, None) => self.quota.tenant_quotas.closed(now, &tenant.0, false),
             (_, Some(connection)) => {
                 connection.tenant = Some(tenant);
--- a/src/relay/requests.rs
+++ b/src/relay/requests.rs
@@ -82,8 +82,8 @@
         self.events.push_back(Event::ExistingConnection { request, endpoint });
     }
 
-    /// The endpoint has accepted the connection, `elapsed` milliseconds after the attempt was sent: this
-    /// acceptance is the final reply.
+    /// Handles the endpoint's acceptance of the connection, `elapsed` milliseconds after the attempt was
+    /// sent: this acceptance is the final reply.
     pub fn connection_established(&mut self, now: Millis, id: RequestId, elapsed: Millis) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let ConnectionStage::Attempting(endpoint) = &connection.stage else { return };
@@ -98,7 +98,7 @@
         self.handle_queued_events(now);
     }
 
-    /// The attempt in flight, or the established connection, has ended.
+    /// Handles the end of the attempt in flight, or of the established connection.
     pub fn attempt_ended(&mut self, now: Millis, id: RequestId, outcome: Outcome) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Some(EndedAttempt { endpoint, was_established }) = connection.end_attempt() else { return };
@@ -131,7 +131,8 @@
         }
     }
 
-    /// The client has left without a final reply, or got one that the core did not command.
+    /// Handles a client that has left without a final reply, or got a final reply that the core did not
+    /// command.
     pub fn client_disconnected(&mut self, now: Millis, id: RequestId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.answered {
--- a/src/relay/takeover.rs
+++ b/src/relay/takeover.rs
@@ -6,12 +6,13 @@
 use crate::policy::learned_state::LearnedState;
 
 impl Relay {
-    /// Another process serves in place of this process from now on.
+    /// Records that another process serves in place of this process from now on.
     pub fn hand_over(&mut self, now: Millis) {
         self.standby.handed_over_at = Some(now);
     }
 
-    /// The other process has failed, and this process serves again.
+    /// Records that the process that served in place of this process has failed, and that this process serves
+    /// again.
     pub fn resume_serving(&mut self) {
         self.standby.handed_over_at = None;
     }
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -11,7 +11,7 @@
 pub(super) struct Fields<'a> {
     /// The message's name.
     pub name: &'a str,
-    /// Its values.
+    /// The message's values.
     pub values: &'a [Value],
 }
 
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -36,8 +36,8 @@
 }
 
 /// Reads values of the settings and collects their faults. An invalid value is reported as a fault and
-/// replaced by its default. If it were used, a misread value, or one that the load balancer can't work with,
-/// would silently break a rule or stop the relay much later.
+/// replaced by its default. If it were used, a misread value, or a value that the load balancer can't work
+/// with, would silently break a rule or stop the relay much later.
 #[derive(Default)]
 struct SettingsReader {
     faults: Vec<SettingError>,
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Adds the statistics of the affinity tables (subtree 5).
+/// Adds the statistics of the affinity tables (`sandgwAffinity`, subtree 5 of the MIB).
 fn put_affinity(view: &mut View, relay: &Relay, writer_stats: WriterStats) {
     let affinity = relay.affinity_statistics();
     for (object, value) in (1..).zip([affinity.sessions, affinity.groups, affinity.max_bytes]) {
