--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
-//! The cold budget with 20 and 30 processes of the program: endpoints start again cold and new ones join
-//! under load, while relays are killed, end as planned and start again. What counts is what all processes
-//! together send.
+//! Slow start with 20 and 30 relay processes: endpoints restart and new ones join under load, while relays
+//! are killed, terminated and restarted. The tests check the total load that all relays put on a warming
+//! endpoint.
 
 use sandgw_test_cluster::fault_schedule::{Fault, FaultSchedule, FaultStep};
 use sandgw_test_cluster::invariants::Rule;
@@ -9,27 +9,27 @@
 use sandgw_test_cluster::{ClusterConfig, TestCluster};
 use tokio::sync::Mutex;
 
-/// Endpoints at the start, all of them warm.
+/// Number of endpoints at the start, none of them warming up.
 const WARM_ENDPOINTS: usize = 6;
-/// Set-ups a second that a warm endpoint takes, by which its budget while cold is computed.
+/// Set-ups per second that a warm endpoint accepts. Its budget during slow start is computed from this rate.
 const SETUPS_PER_S: f64 = 6.0;
-/// Clients that arrive a second: a little more than the warm endpoints take, so that a cold endpoint is
-/// well over its budget if it gets an equal part of them.
+/// Clients that arrive per second: a little more than the warm endpoints accept, so that an equal part of
+/// them would put a warming endpoint well over its budget.
 const CLIENTS_PER_S: f64 = 40.0;
 const SCHEDULE_MS: f64 = 15_000.0;
 
 fn schedule(relays: usize) -> FaultSchedule {
-    let killed: Vec<_> = (0..relays).filter(|n| n % 3 == 0).collect();
+    let killed_relays: Vec<_> = (0..relays).filter(|n| n % 3 == 0).collect();
     let steps = vec![
         step(3000.0, Fault::KillEndpoint(0)),
         step(3000.0, Fault::KillEndpoint(1)),
-        // Two start again, and one joins.
+        // Two endpoints restart, and a new one joins.
         step(4000.0, Fault::StartEndpoint(0)),
         step(4000.0, Fault::StartEndpoint(1)),
         step(4000.0, Fault::AddEndpoint),
-        step(5500.0, Fault::KillRelays(killed.clone())),
-        step(5800.0, Fault::StartRelays(killed)),
-        // The next one joins while others are half warm.
+        step(5500.0, Fault::KillRelays(killed_relays.clone())),
+        step(5800.0, Fault::StartRelays(killed_relays)),
+        // Another endpoint joins while the others are halfway through their warm-up.
         step(8800.0, Fault::AddEndpoint),
         step(8800.0, Fault::TerminateRelays(vec![1, 2])),
         step(9800.0, Fault::StartRelays(vec![1, 2])),
@@ -41,11 +41,11 @@
     FaultStep { at_ms, fault }
 }
 
-/// One cluster at a time: together they would overload the machine.
-static ALONE: Mutex<()> = Mutex::const_new(());
+/// Makes the clusters run one at a time, as several would overload the machine.
+static CLUSTER_LOCK: Mutex<()> = Mutex::const_new(());
 
-async fn all_spare_cold_endpoints(relays: usize) {
-    let _alone = ALONE.lock().await;
+async fn check_slow_start(relays: usize) {
+    let _guard = CLUSTER_LOCK.lock().await;
     let mut config = ClusterConfig::new(env!("CARGO_BIN_EXE_sandgw"), relays, WARM_ENDPOINTS);
     config.setups_per_s = SETUPS_PER_S;
     let mut cluster = TestCluster::new(config).await.unwrap();
@@ -57,23 +57,25 @@
     let results = clients.finish(20_000.0).await;
     let verdict = cluster.verdict();
     println!("{verdict}");
-    // The rule is about relays that were informed of the start; the load fraction and the overload of a
-    // stand-in are about all requests that arrived.
-    let overloaded = cluster.log.count(|w| matches!(w, EventKind::EndpointOverloaded(_)));
+    // The rule covers only relays that were informed of the endpoint's start; the load fraction and the
+    // overload of a stub endpoint cover all requests that arrived.
+    let overloaded = cluster.log.count(|event| matches!(event, EventKind::EndpointOverloaded(_)));
     let satisfied =
         verdict.satisfies(Rule::SlowStart) && verdict.max_cold_load_fraction <= 1.0 && overloaded == 0;
     assert!(
         satisfied,
-        "{overloaded} overloaded, {:.2} of the budget at most: {verdict}",
+        "{overloaded} overloaded endpoints, at most {:.2} of the slow-start budget: {verdict}",
         verdict.max_cold_load_fraction
     );
-    // They were cold under load: else the check shows nothing.
+    // The check is only meaningful if the endpoints that joined were under load.
     let attempts = |id: &str| {
-        cluster.log.count(|w| matches!(w, EventKind::AttemptReceived { endpoint, .. } if &**endpoint == id))
+        cluster
+            .log
+            .count(|event| matches!(event, EventKind::AttemptReceived { endpoint, .. } if &**endpoint == id))
     };
     assert!(
         ["s006", "s007"].iter().all(|id| attempts(id) >= 4),
-        "too few attempts at those that joined: {verdict}"
+        "too few attempts at the endpoints that joined: {verdict}"
     );
     assert!(results.all.served * 10 >= results.all.total() * 8, "{results:?}");
     assert!(verdict.service_levels.check_minimum(0.5).is_ok(), "{verdict}");
@@ -83,11 +85,11 @@
 }
 
 #[tokio::test]
-async fn twenty_relays_spare_streamers_that_start_again_and_join_while_relays_restart() {
-    all_spare_cold_endpoints(20).await;
+async fn twenty_relays_keep_the_slow_start_budget_while_endpoints_and_relays_restart() {
+    check_slow_start(20).await;
 }
 
 #[tokio::test]
-async fn thirty_relays_spare_streamers_that_start_again_and_join_while_relays_restart() {
-    all_spare_cold_endpoints(30).await;
+async fn thirty_relays_keep_the_slow_start_budget_while_endpoints_and_relays_restart() {
+    check_slow_start(30).await;
 }
