--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The shared helper of the tests that start the real program: a relay as a process, and stand-ins for
-//! discovery, endpoints and clients. Every relay has loopback addresses of its own, so that tests can't meet.
+//! Shared support for the tests that start the real program: a relay process, stubs of discovery and of
+//! endpoints, and clients. Every relay has loopback addresses of its own, so that tests don't collide.
 
 #![allow(dead_code)]
 
@@ -12,10 +12,10 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Longer than anything that a test waits for; only a failing test gets there.
+/// Time-out of all waits. It is longer than any wait in a passing test.
 pub const LONG: Duration = Duration::from_secs(20);
 
-/// A loopback address that nobody else uses.
+/// Returns a loopback address that no other test uses.
 pub fn host() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(2);
     let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -27,18 +27,18 @@
 }
 
 #[derive(Default)]
-struct List {
+struct EndpointList {
     revision: u64,
-    /// Entry and the revision that brought it.
-    members: BTreeMap<String, (String, u64)>,
+    /// The JSON entry of each endpoint, and the revision that last changed it.
+    entries: BTreeMap<String, (String, u64)>,
     down: bool,
 }
 
-/// Discovery: the whole list, and watches on changes.
+/// A stub of discovery that serves the full list, and subscriptions to its changes.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: String,
-    list: Arc<(Mutex<List>, Condvar)>,
+    list: Arc<(Mutex<EndpointList>, Condvar)>,
 }
 
 impl Discovery {
@@ -56,17 +56,17 @@
         discovery
     }
 
-    /// The same list, for a relay that asks for it at another address.
+    /// Returns a handle to the same list for a relay that calls discovery at another address.
     pub fn asked_at(&self, address: &str) -> Discovery {
         Discovery { address: address.to_owned(), list: self.list.clone() }
     }
 
-    /// Changes or adds an entry; tells when.
+    /// Changes or adds an entry in zone `a`. Returns the time of the change.
     pub fn set(&self, id: &str, address: &str, phase: &str, up_since: u64) -> Instant {
         self.set_in(id, address, phase, up_since, "a")
     }
 
-    /// The same in a zone.
+    /// Changes or adds an entry in `zone`. Returns the time of the change.
     pub fn set_in(&self, id: &str, address: &str, phase: &str, up_since: u64, zone: &str) -> Instant {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
@@ -75,7 +75,7 @@
             r#"{{"id":"{id}","host_port":"{address}","locality":"{zone}","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":{up_since}}}"#
         );
         let revision = list.revision;
-        list.members.insert(id.into(), (entry, revision));
+        list.entries.insert(id.into(), (entry, revision));
         changed.notify_all();
         Instant::now()
     }
@@ -90,9 +90,9 @@
 
     pub fn json(&self, after: u64) -> String {
         let list = self.list.0.lock().unwrap();
-        let members = list.members.values().filter(|(_, r)| *r > after).map(|(e, _)| e.as_str());
-        let members = members.collect::<Vec<_>>().join(",");
-        format!(r#"{{"revision":{},"complete":{},"members":[{members}]}}"#, list.revision, after == 0)
+        let entries = list.entries.values().filter(|(_, r)| *r > after).map(|(entry, _)| entry.as_str());
+        let entries = entries.collect::<Vec<_>>().join(",");
+        format!(r#"{{"revision":{},"complete":{},"members":[{entries}]}}"#, list.revision, after == 0)
     }
 
     fn answer(&self, mut stream: TcpStream) {
@@ -106,22 +106,26 @@
         };
         let (after, wait) = (number("after="), number("wait_ms="));
         let (list, changed) = &*self.list;
-        let newer = |l: &mut List| l.revision <= after && !l.down;
-        drop(changed.wait_timeout_while(list.lock().unwrap(), Duration::from_millis(wait), newer).unwrap());
+        let is_unchanged = |l: &mut EndpointList| l.revision <= after && !l.down;
+        drop(
+            changed
+                .wait_timeout_while(list.lock().unwrap(), Duration::from_millis(wait), is_unchanged)
+                .unwrap(),
+        );
         let body = self.json(after);
         let status = if list.lock().unwrap().down { "503 Service Unavailable" } else { "200 OK" };
         let _ = write!(stream, "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     }
 }
 
-/// What a stand-in has seen, with the time.
+/// The lines and events that a stub has received, each with its time.
 pub type Log = Arc<Mutex<Vec<(Instant, String)>>>;
 
 pub fn note(log: &Log, text: impl Into<String>) {
     log.lock().unwrap().push((Instant::now(), text.into()));
 }
 
-/// An endpoint that treats each connection as told.
+/// A stub of an endpoint that passes each connection to a function.
 pub struct Endpoint {
     pub address: String,
     pub log: Log,
@@ -141,7 +145,8 @@
         Endpoint { address, log }
     }
 
-    /// One that reads the first line, notes it and gives this answer; then returns lines until told `bye`.
+    /// Starts an endpoint that logs each line it reads, replies with `answer` to the first, and echoes the
+    /// others until it reads `bye`.
     pub fn lines(answer: &'static str) -> Endpoint {
         Endpoint::start(move |stream, log| {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
@@ -149,16 +154,19 @@
             let mut writer = stream;
             while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
                 note(log, line.trim_end());
-                let first = line.starts_with("OPEN");
-                let bye = line.starts_with("bye");
-                let reply = if first {
+                let is_first = line.starts_with("OPEN");
+                let is_last = line.starts_with("bye");
+                let reply = if is_first {
                     answer
-                } else if bye {
+                } else if is_last {
                     "BYE\r\n"
                 } else {
                     line.as_str()
                 };
-                if writer.write_all(reply.as_bytes()).is_err() || bye || first && !answer.starts_with("UP") {
+                if writer.write_all(reply.as_bytes()).is_err()
+                    || is_last
+                    || is_first && !answer.starts_with("UP")
+                {
                     return;
                 }
                 line.clear();
@@ -172,7 +180,7 @@
     }
 }
 
-/// The relay as a process, killed when dropped.
+/// A relay process, which is killed when dropped.
 pub struct Relay {
     child: Child,
     pub line: String,
@@ -182,15 +190,21 @@
     folder: tempfile::TempDir,
 }
 
-/// The program's settings, as the platform gives them.
+/// The relay's settings in the platform's configuration.
 pub const SETTINGS: &str = r#"{"realms":[{"name":"acme"},{"name":"me"}],"discovery":"on_request","nInstances":2,"me":0,"resolutionMs":2.0,
 "lanes":[{"name":"subtitle-stream","semantics":"safe","aimMs":500.0,"hardLimitMs":3000.0,"worth":1.0}],
 "limits":{"maxAttempts":5,"connectTimeoutMs":200.0,"retryAfter":true,"maxRetryAfterMs":1500.0,"peerMessages":true},
 "rules":{"askEveryMs":10000.0,"coldFrom":0.31,"warmWithinMs":8600.0,"tipMultiple":3.0},
 "domain":{"mode":"pass","groups":true,"messageAimMs":[150.0]}}"#;
 
-/// The platform's file for a relay. What it knows of the list is what discovery has now.
-fn platform(line: &str, peers: &[String], local_index: usize, discovery: &Discovery, sockets: u32) -> String {
+/// The platform's configuration for a relay, with discovery's current entries as the cached endpoint list.
+fn platform_configuration(
+    line: &str,
+    peers: &[String],
+    local_index: usize,
+    discovery: &Discovery,
+    sockets: u32,
+) -> String {
     format!(
         r#"{{"name":"n0","limits":{{"sockets":{sockets}}},"listen":"{line}","ops":"{}","discovery":"{}","seed":"1","peer_listen":"{}","peers":{peers:?},
         "known":{},"settings":{}}}"#,
@@ -204,7 +218,8 @@
     )
 }
 
-/// The program on the files in a folder, held to limits that the shell sets.
+/// A command that runs the program with the configuration files in `folder`, after the shell command
+/// `limits`, which usually sets resource limits.
 pub fn command(folder: &std::path::Path, limits: &str) -> Command {
     let mut command = Command::new("sh");
     command.args(["-c", &format!("{limits}; exec \"$0\" \"$@\""), env!("CARGO_BIN_EXE_sandgw")]);
@@ -215,63 +230,66 @@
 }
 
 impl Relay {
-    /// Starts a relay that knows what discovery has now, with both fronts and the SNMP agent.
+    /// Starts a relay that has discovery's current list, with the listeners of both client protocols and the
+    /// SNMP agent.
     pub fn start(discovery: &Discovery) -> Relay {
         Self::start_with(discovery, 1024)
     }
 
-    /// The same, with so many descriptors.
+    /// Starts a relay like [`Relay::start`], limited to `sockets` descriptors.
     pub fn start_with(discovery: &Discovery, sockets: u32) -> Relay {
         Self::start_one(discovery, sockets, &[host()], 0)
     }
 
-    /// One of a tier, of which each has an address.
-    pub fn start_one(discovery: &Discovery, sockets: u32, tier: &[String], local_index: usize) -> Relay {
-        Self::start_more(discovery, sockets, tier, local_index, "")
+    /// Starts relay number `local_index` of the cluster whose relays have the addresses `cluster`.
+    pub fn start_one(discovery: &Discovery, sockets: u32, cluster: &[String], local_index: usize) -> Relay {
+        Self::start_more(discovery, sockets, cluster, local_index, "")
     }
 
-    /// The same, with more in the application's file.
+    /// Starts a relay like [`Relay::start_one`], with `more` appended to the application's file.
     pub fn start_more(
         discovery: &Discovery,
         sockets: u32,
-        tier: &[String],
+        cluster: &[String],
         local_index: usize,
         more: &str,
     ) -> Relay {
-        // It is held to what it is told that it may hold.
-        Self::start_limited(discovery, &format!("ulimit -n {sockets}"), sockets, tier, local_index, more)
+        // The operating system's limit equals the configured number of descriptors.
+        Self::start_limited(discovery, &format!("ulimit -n {sockets}"), sockets, cluster, local_index, more)
     }
 
-    /// The same, held to these limits whatever it is told.
+    /// Starts a relay like [`Relay::start_more`], under the limits that the shell command `limits` sets. They
+    /// may differ from the configured number of descriptors, `sockets`.
     pub fn start_limited(
         discovery: &Discovery,
         limits: &str,
         sockets: u32,
-        tier: &[String],
+        cluster: &[String],
         local_index: usize,
         more: &str,
     ) -> Relay {
-        let (host, folder) = (&tier[local_index], tempfile::tempdir().unwrap());
+        let (host, folder) = (&cluster[local_index], tempfile::tempdir().unwrap());
         let [line, rtmp, snmp, ops] = [8443, 1935, 1161, 8444].map(|port| format!("{host}:{port}"));
-        let peers: Vec<_> = tier.iter().map(|host| format!("{host}:7946")).collect();
+        let peers: Vec<_> = cluster.iter().map(|host| format!("{host}:7946")).collect();
         let file = format!(
             "[rtmp]\nlisten = \"{rtmp}\"\nclass = \"subtitle-stream\"\ntrusted = [\"127.0.0.1\"]\n\
              [snmp]\nlisten = \"{snmp}\"\ncommunity = \"hall\"\n{more}"
         );
         std::fs::write(folder.path().join("app.toml"), file).unwrap();
-        let text = platform(&line, &peers, local_index, discovery, sockets);
+        let text = platform_configuration(&line, &peers, local_index, discovery, sockets);
         std::fs::write(folder.path().join("config.json"), text).unwrap();
         let child = command(folder.path(), limits).spawn().unwrap();
         let relay = Relay { child, line, rtmp, snmp, ops, folder };
         let start = Instant::now();
         while TcpStream::connect(&relay.line).is_err() {
-            assert!(start.elapsed() < LONG, "the relay does not start");
+            assert!(start.elapsed() < LONG, "the relay does not listen for clients");
             thread::sleep(Duration::from_millis(10));
         }
         relay
     }
 
-    /// One of a tier on a host of its own, that sees the others where sockets stand in for them.
+    /// Starts one relay of a cluster on `host`. It reaches its peers at the addresses `seen`, where the test
+    /// listens.
     pub fn start_seen(
         discovery: &Discovery,
         host: &str,
@@ -279,19 +297,20 @@
         local_index: usize,
         more: &str,
     ) -> Relay {
-        let mut tier = seen.to_vec();
-        tier[local_index] = host.to_owned();
-        Self::start_more(discovery, 256, &tier, local_index, more)
+        let mut cluster = seen.to_vec();
+        cluster[local_index] = host.to_owned();
+        Self::start_more(discovery, 256, &cluster, local_index, more)
     }
 
-    /// What operators are answered when they send this, without its end.
+    /// Sends an operators' call. Returns the first line of the answer without its line end.
     pub fn call(&self, text: &[u8]) -> String {
         let mut caller = connect(&self.ops);
         caller.write_all(text).unwrap();
         Client(BufReader::new(caller)).line()
     }
 
-    /// The program once more with all the same but the operators' address, without waiting for anything.
+    /// Starts a second process of this relay. Its configuration differs only in the operators' address. Does
+    /// not wait until the process is ready.
     pub fn beside(&self) -> Relay {
         static NEXT: AtomicU32 = AtomicU32::new(9000);
         let folder = tempfile::tempdir().unwrap();
@@ -305,7 +324,7 @@
         Relay { child, line, rtmp, snmp, ops, folder }
     }
 
-    /// What operators are answered, or nothing where nobody is there yet.
+    /// The answer to the operators' call `status`, or an empty text if no process listens yet.
     pub fn status(&self) -> String {
         let Ok(mut caller) = TcpStream::connect(&self.ops) else { return String::new() };
         caller.set_read_timeout(Some(LONG)).unwrap();
@@ -315,12 +334,12 @@
 
     /// Whether the process has ended.
     pub fn has_ended(&self) -> bool {
-        // Nobody has waited for it yet: its state is Z.
-        self.state() == 'Z'
+        // The test has not waited for the process yet, so it stays in the kernel's process table as a zombie.
+        self.process_state() == 'Z'
     }
 
-    /// The process's state, as the kernel has it.
-    fn state(&self) -> char {
+    /// The letter of the process's state in the kernel's process table.
+    fn process_state(&self) -> char {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         stat.rsplit(')').next().unwrap().trim_start().chars().next().unwrap()
     }
@@ -329,29 +348,31 @@
         Client(BufReader::new(connect(&self.line)))
     }
 
-    /// Replaces the platform's configuration, or breaks it where no discovery is given, and says so.
+    /// Replaces the platform's configuration and sends SIGHUP. Without `discovery` the new configuration is
+    /// malformed.
     pub fn reload(&self, discovery: Option<&Discovery>) {
         let peers = [self.line.replace("8443", "7946")];
-        let text = discovery.map_or_else(|| "{".into(), |d| platform(&self.line, &peers, 0, d, 1024));
-        self.replace(&text);
+        let text =
+            discovery.map_or_else(|| "{".into(), |d| platform_configuration(&self.line, &peers, 0, d, 1024));
+        self.write_configuration(&text);
     }
 
-    fn replace(&self, text: &str) {
+    fn write_configuration(&self, text: &str) {
         std::fs::write(self.folder.path().join("config.json"), text).unwrap();
         self.signal("HUP");
     }
 
-    /// The platform's configuration as it stands.
+    /// The current text of the platform's configuration.
     pub fn configuration(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("config.json")).unwrap()
     }
 
-    /// Replaces the platform's configuration and says so; waits until it is read.
+    /// Replaces the platform's configuration, sends SIGHUP, and waits until the relay has logged it.
     pub fn configure(&self, text: &str) {
-        let read = || self.log().matches("SIGHUP").count();
-        let before = read();
-        self.replace(text);
-        until("SIGHUP is heard", || read() > before);
+        let reloads_logged = || self.log().matches("SIGHUP").count();
+        let before = reloads_logged();
+        self.write_configuration(text);
+        until("the relay logs SIGHUP", || reloads_logged() > before);
     }
 
     /// Replaces a part of the application's file, which is read with the next [`Relay::configure`].
@@ -362,7 +383,7 @@
         std::fs::write(path, text.replace(old, new)).unwrap();
     }
 
-    /// What it has logged so far.
+    /// The relay's log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("log")).unwrap()
     }
@@ -374,13 +395,13 @@
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Stops the process until `CONT`; returns when it has stopped.
+    /// Stops the process until it gets SIGCONT, and waits until it has stopped.
     pub fn freeze(&self) {
         self.signal("STOP");
-        until("it has stopped", || self.state() == 'T');
+        until("the process has stopped", || self.process_state() == 'T');
     }
 
-    /// From now on it gets no descriptor of this number or above.
+    /// Limits the process to descriptor numbers below `most` from now on.
     pub fn limit_descriptors(&self, most: u64) {
         use rustix::process::{Pid, Resource, Rlimit, prlimit};
         let limits = std::fs::read_to_string(format!("/proc/{}/limits", self.child.id())).unwrap();
@@ -390,20 +411,20 @@
         prlimit(pid, Resource::Nofile, Rlimit { current: Some(most), maximum }).unwrap();
     }
 
-    /// Descriptors that it holds now.
+    /// The number of descriptors that the process has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Places for descriptors that it has ever needed at a time: the system doubles them, 64 being the
-    /// least, and takes none back.
-    pub fn descriptor_places(&self) -> usize {
+    /// The size of the process's descriptor table. The kernel starts with 64 entries, doubles the table when
+    /// it is full, and never shrinks it.
+    pub fn descriptor_table_size(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("FDSize")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Asks the process to end, as a planned restart does.
+    /// Sends SIGTERM, as a planned restart does.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
@@ -428,7 +449,7 @@
     stream
 }
 
-/// A client that speaks lines.
+/// A client of the line protocol.
 pub struct Client(pub BufReader<TcpStream>);
 
 impl Client {
@@ -437,7 +458,7 @@
         self
     }
 
-    /// Opens a connection that asks to be placed.
+    /// Sends a request, with `more` appended to its keys.
     pub fn open(&mut self, more: &str) -> &mut Client {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let id = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -446,7 +467,7 @@
         ))
     }
 
-    /// The next line without its end, or how the connection ended.
+    /// Reads the next line, without its line end. If the connection has ended, returns how it ended.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
@@ -456,7 +477,7 @@
         }
     }
 
-    /// All that still comes.
+    /// Reads everything up to the end of the connection.
     pub fn rest(&mut self) -> String {
         let mut rest = String::new();
         let _ = self.0.read_to_string(&mut rest);
@@ -464,23 +485,23 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until `holds` returns true, and fails the test after [`LONG`].
 pub fn until(what: &str, holds: impl Fn() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < LONG, "not in time: {what}");
+        assert!(start.elapsed() < LONG, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The next connection of a listener that doesn't block; one that never comes fails the test, and does not
-/// hold it.
+/// Returns the next connection of a non-blocking listener. The test fails, and does not hang, if no client
+/// connects.
 pub fn accepted<S, A>(accept: impl Fn() -> std::io::Result<(S, A)>) -> S {
     let start = Instant::now();
     loop {
         match accept() {
             Ok((stream, _)) => return stream,
-            Err(e) => assert!(start.elapsed() < LONG, "nobody connects: {e}"),
+            Err(e) => assert!(start.elapsed() < LONG, "no client connects: {e}"),
         }
         thread::sleep(Duration::from_millis(2));
     }
