--- a/crates/affinity-store/benches/startup.rs
+++ b/crates/affinity-store/benches/startup.rs
@@ -1,5 +1,5 @@
-//! Time from opening a store to tables that are ready, by its size; and what a batch costs to write.
-//! `cargo bench -p sandgw-affinity-store --bench startup`
+//! Measures the time from opening a store until the tables are restored, and the time to write a batch, by
+//! the number of entries. `cargo bench -p sandgw-affinity-store --bench startup`
 
 use std::time::Instant;
 
@@ -21,23 +21,23 @@
 
 fn main() {
     const RUNS: usize = 5;
-    println!("median of {RUNS} (least to most)");
+    println!("median of {RUNS} (minimum to maximum)");
     for entries in [10_000u64, 100_000, 1_000_000] {
         let folder = tempfile::tempdir().expect("a folder");
         let store = Store::open(folder.path()).expect("a store").store;
-        let whole = Changes { updated: (0..entries).map(record).collect(), ..Changes::default() };
-        store.write(&whole).expect("written");
-        let mut batches = Vec::new();
+        let all_records = Changes { updated: (0..entries).map(record).collect(), ..Changes::default() };
+        store.write(&all_records).expect("written");
+        let mut batch_times = Vec::new();
         for run in 0..RUNS as u64 {
-            // A second's worth at twelve connections a second, and a hundred times that.
-            let set = (0..1200).map(|n| record((run * 7919 + n * 31) % entries)).collect();
+            // A hundred times the changes of a second at twelve connections a second.
+            let batch = (0..1200).map(|n| record((run * 7919 + n * 31) % entries)).collect();
             let start = Instant::now();
-            store.write(&Changes { updated: set, ..Changes::default() }).expect("written");
-            batches.push(start.elapsed().as_secs_f64() * 1e3);
+            store.write(&Changes { updated: batch, ..Changes::default() }).expect("written");
+            batch_times.push(start.elapsed().as_secs_f64() * 1e3);
         }
         drop(store);
-        let mut starts = Vec::new();
-        let mut taken = 0;
+        let mut start_times = Vec::new();
+        let mut accepted_records = 0;
         for _ in 0..RUNS {
             let start = Instant::now();
             let store = Store::open(folder.path()).expect("a store").store;
@@ -45,19 +45,20 @@
             let mut affinity = Affinity::new(limits, NOW);
             let mut records = Vec::new();
             store.load(|r| records.push(r)).expect("read");
-            taken = affinity.restore(NOW, records.into_iter()).accepted;
-            starts.push(start.elapsed().as_secs_f64() * 1e3);
+            accepted_records = affinity.restore(NOW, records.into_iter()).accepted;
+            start_times.push(start.elapsed().as_secs_f64() * 1e3);
         }
         let bytes = std::fs::metadata(folder.path().join(FILE)).expect("a file").len();
-        for all in [&mut starts, &mut batches] {
-            all.sort_by(f64::total_cmp);
+        for times in [&mut start_times, &mut batch_times] {
+            times.sort_by(f64::total_cmp);
         }
-        let show = |all: &[f64]| format!("{:.1} ms ({:.1} to {:.1})", all[RUNS / 2], all[0], all[RUNS - 1]);
-        let each = bytes as f64 / entries as f64;
+        let format_times =
+            |times: &[f64]| format!("{:.1} ms ({:.1} to {:.1})", times[RUNS / 2], times[0], times[RUNS - 1]);
+        let bytes_per_entry = bytes as f64 / entries as f64;
         println!(
-            "{entries} entries: start {}, {taken} taken; a batch of 1,200 {}; {each:.0} bytes an entry on disk",
-            show(&starts),
-            show(&batches)
+            "{entries} entries: start {}, {accepted_records} accepted; a batch of 1,200 {}; {bytes_per_entry:.0} bytes per entry on disk",
+            format_times(&start_times),
+            format_times(&batch_times)
         );
     }
 }
--- a/crates/affinity-store/src/commands/export_line.rs
+++ b/crates/affinity-store/src/commands/export_line.rs
@@ -1,4 +1,4 @@
-//! One line of an export, and its conversion from and to records.
+//! The lines of an export, and their conversion from and to records.
 
 use std::io;
 
@@ -9,8 +9,8 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-/// One line of an export. Keys and tags are hexadecimal digits: not every reader of JSON takes integers of
-/// 64 bits.
+/// A line of an export. Keys and tags are written as hexadecimal digits, because not every JSON parser reads
+/// 64-bit integers exactly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ExportLine {
@@ -20,7 +20,7 @@
         key: String,
         /// The endpoint's tag.
         holder: String,
-        /// When it was placed, in milliseconds.
+        /// When the client's connection was placed, in milliseconds.
         #[serde(deserialize_with = "read_millis")]
         at_ms: Millis,
     },
@@ -30,24 +30,25 @@
         key: String,
         /// Tags of the endpoints and the load on them, in mean connections.
         holders: Vec<(String, f32)>,
-        /// When it was last changed, in milliseconds.
+        /// When the group's entry was last changed, in milliseconds.
         #[serde(deserialize_with = "read_millis")]
         at_ms: Millis,
     },
-    /// The endpoint that a tag stands for.
+    /// The endpoint that a tag identifies.
     #[serde(rename = "streamer")]
     Endpoint {
         /// The tag.
         tag: String,
         /// The endpoint's id.
         id: String,
-        /// When it started, in milliseconds; 0 for long past.
+        /// When the endpoint started, in milliseconds; 0 for long past.
         #[serde(deserialize_with = "read_millis")]
         started_ms: Millis,
     },
 }
 
-/// Reads a time as it was written. `serde_json` itself may be off by one unit in the last place.
+/// Reads a time exactly as it was written. The number parser of `serde_json` may be off by one unit in the
+/// last place.
 fn read_millis<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Millis, D::Error> {
     let number = Box::<RawValue>::deserialize(deserializer)?;
     number.get().parse().map_err(D::Error::custom)
@@ -56,26 +57,26 @@
 /// Why a line can't be imported.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// It could not be read.
+    /// The line could not be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is no JSON of an [`ExportLine`].
+    /// The line is not the JSON form of an [`ExportLine`].
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A tag is malformed.
-    #[error("{0:?} is no tag of eight hexadecimal digits")]
+    #[error("{0:?} is not a tag; a tag has up to eight hexadecimal digits")]
     InvalidTag(String),
     /// A key is malformed.
-    #[error("key: {0:?} is no hexadecimal number of 64 bits")]
+    #[error("key: {0:?} is not a hexadecimal number of up to 64 bits")]
     InvalidKey(String),
     /// A time is negative or not finite.
-    #[error("at_ms: {0} is no time")]
+    #[error("at_ms: {0} is not a time; it must be finite and not negative")]
     InvalidTime(Millis),
     /// A load is negative or not finite.
-    #[error("holders: {0} is no load")]
+    #[error("holders: {0} is not a load; it must be finite and not negative")]
     InvalidLoad(f32),
-    /// A tag is not the one of its endpoint.
-    #[error("streamer: {tag} is not the tag of {id} started at {started_ms}")]
+    /// A tag does not belong to the endpoint's id and start.
+    #[error("streamer: {tag} is not the tag of endpoint {id} started at {started_ms}")]
     WrongTag {
         /// The tag.
         tag: String,
@@ -107,7 +108,7 @@
 }
 
 impl ExportLine {
-    /// Adds the line's content to a batch.
+    /// Adds the line's content to a batch of changes.
     pub(super) fn add_to(self, changes: &mut Changes) -> Result<(), LineError> {
         match self {
             ExportLine::Client { key, holder, at_ms } => {
--- a/crates/affinity-store/src/commands/mod.rs
+++ b/crates/affinity-store/src/commands/mod.rs
@@ -1,5 +1,5 @@
-//! What the operators' command `state` does with a store: show, verify, export, import and compact. A store
-//! that a running relay has open is refused.
+//! Implements the operators' command `state` on a store: show, verify, export, import and compact. The
+//! command is refused while a running relay has the store open.
 
 mod export_line;
 mod summary;
@@ -15,7 +15,8 @@
 pub use export_line::{ExportLine, LineError};
 pub use summary::{EndpointSummary, GroupSummary, Summary, show};
 
-/// Reads every page and every record. The database checks the file's own checksums as it opens it.
+/// Verifies a store by reading every page and every record. The database checks the file's own checksums when
+/// it opens the file.
 ///
 /// # Errors
 /// Where the store can't be opened or read.
@@ -23,7 +24,8 @@
     Store::open_existing(folder)?.load(|_| {})
 }
 
-/// Writes all content as lines of JSON: endpoints, groups, clients. Returns the number of lines.
+/// Writes a store's content as lines of JSON: endpoints, then groups, then clients. Returns the number of
+/// lines.
 ///
 /// # Errors
 /// Where the store can't be opened or read, or `out` can't be written.
@@ -50,15 +52,15 @@
     writeln!(out, "{text}")
 }
 
-/// Why an import was refused; nothing was written.
+/// Why an import was refused. Nothing was written to the store.
 #[derive(Debug, Error)]
 pub enum ImportError {
     /// A line can't be used.
-    #[error("line {number}: {source}; nothing was taken")]
+    #[error("line {number}: {source}; nothing was imported")]
     Line {
         /// The line's number, from 1.
         number: u64,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         source: LineError,
     },
     /// The store could not be used.
@@ -66,8 +68,8 @@
     Store(#[source] StoreError),
 }
 
-/// Writes lines as [`export`] gives them over the content of a store: all of them or, where one is invalid,
-/// none. Returns the number of lines.
+/// Imports lines in the format of [`export`] into a store, where they replace entries of the same keys. If
+/// any line is invalid, none is imported. Returns the number of lines.
 ///
 /// # Errors
 /// Where a line is invalid, or the store can't be opened or written.
@@ -84,7 +86,7 @@
     Ok(line_count)
 }
 
-/// Adds a line's content to the changes; `false` of an empty line.
+/// Adds a line's content to the changes; returns `false` for an empty line.
 fn add_line(line: &str, changes: &mut Changes) -> Result<bool, LineError> {
     if line.trim().is_empty() {
         return Ok(false);
@@ -93,12 +95,12 @@
     Ok(true)
 }
 
-/// The size of a file before and after unused space in it was released.
+/// The size of the file before and after its unused space was released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Compacted {
-    /// Bytes before.
+    /// Bytes before compaction.
     pub before_bytes: u64,
-    /// Bytes after.
+    /// Bytes after compaction.
     pub after_bytes: u64,
 }
 
--- a/crates/affinity-store/src/commands/summary.rs
+++ b/crates/affinity-store/src/commands/summary.rs
@@ -11,53 +11,53 @@
 use super::file_bytes;
 use crate::{Store, StoreError};
 
-/// A summary of a store's content. The names of its fields are those of the command's JSON.
+/// A summary of a store's content. Its field names appear in the JSON output of the command.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
-    /// Records of clients.
+    /// Number of records of clients.
     pub clients: u64,
-    /// Records of groups.
+    /// Number of records of groups.
     pub groups: u64,
-    /// Records skipped because their checksum or encoding is wrong.
+    /// Number of records skipped because their checksum or encoding is wrong.
     pub damaged: u64,
-    /// Size of the file.
+    /// Size of the file in bytes.
     pub file_bytes: u64,
     /// When the oldest record was set, in milliseconds; `None` where there is no record.
     pub oldest_ms: Option<Millis>,
     /// When the newest record was set, in milliseconds; `None` where there is no record.
     pub newest_ms: Option<Millis>,
-    /// Endpoints by load, the greatest first.
+    /// Endpoints by load, the highest load first.
     pub holders: Vec<EndpointSummary>,
-    /// The groups of the greatest load, the greatest first.
+    /// The groups with the highest load, the highest first.
     pub largest: Vec<GroupSummary>,
 }
 
-/// What is assigned to an endpoint.
+/// The clients, groups and load of an endpoint.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct EndpointSummary {
-    /// Its id, or its tag where the store has no name for it.
+    /// The endpoint's id, or its tag where the store has no name for the tag.
     #[serde(rename = "streamer")]
     pub endpoint: String,
-    /// Clients.
+    /// Number of clients that the endpoint holds.
     pub clients: u64,
-    /// Groups.
+    /// Number of groups that the endpoint holds.
     pub groups: u64,
-    /// Load of those groups, in mean connections.
+    /// Load of those groups on the endpoint, in mean connections.
     pub load: f64,
 }
 
 /// A group and its load.
 #[derive(Clone, Debug, Serialize)]
 pub struct GroupSummary {
-    /// Its key.
+    /// The group's key.
     pub key: String,
-    /// Its load, in mean connections.
+    /// The group's load on all its endpoints, in mean connections.
     pub load: f64,
-    /// Its endpoints.
+    /// The endpoints that hold the group.
     pub holders: Vec<String>,
 }
 
-/// Summarizes a store, with `max_groups` of the largest groups.
+/// Summarizes a store, with at most `max_groups` of the largest groups.
 ///
 /// # Errors
 /// Where the store can't be opened or read.
--- a/crates/affinity-store/src/error.rs
+++ b/crates/affinity-store/src/error.rs
@@ -8,30 +8,30 @@
 /// Why a store could not be opened or used.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Another process has it open.
+    /// Another process has the store open.
     #[error("another process has the store open")]
     InUse,
-    /// The folder can't be used: it is no folder, or may not be written.
+    /// The folder can't be used: it is not a folder, or the process may not write to it.
     #[error("the folder can't be used: {0}")]
     Folder(#[source] io::Error),
     /// The disk failed or is full.
     #[error("the disk failed: {0}")]
     Disk(#[source] DiskError),
-    /// The file is damaged or another program's.
-    #[error("the file is damaged or of another program: {0}")]
+    /// The file is damaged or belongs to another program.
+    #[error("the file is damaged or belongs to another program: {0}")]
     Damaged(#[source] Damage),
-    /// The file is of a newer version than this program; it is left as it is.
+    /// The file is of a newer version than this program supports; the file is left unchanged.
     #[error("the file is of form {version}, and this process reads up to form {newest}")]
     TooNew {
-        /// The file's version, or the one that it should be migrated to.
+        /// The file's version, or the version to which the file should be migrated.
         version: u64,
-        /// The newest that this program supports.
+        /// The newest version that this program supports.
         newest: u64,
     },
-    /// The file can't go back to a version that this process may write.
+    /// The file can't be migrated back to a version that this process may write.
     #[error("the file is finalized at form {finalized}, and this process goes up to form {newest_allowed}")]
     Finalized {
-        /// The version below which it is not migrated.
+        /// The finalized version, below which the file is not migrated.
         finalized: u64,
         /// The newest version that this process may write.
         newest_allowed: u64,
@@ -47,7 +47,7 @@
     /// The database's storage failed.
     #[error(transparent)]
     Storage(StorageError),
-    /// The database takes nothing more after an earlier failure.
+    /// The database accepts no more operations after an earlier failure.
     #[error(transparent)]
     Database(Box<redb::Error>),
     /// A record could not be encoded.
@@ -58,53 +58,53 @@
     Export(#[source] io::Error),
 }
 
-/// How a file is damaged, or why it is another program's.
+/// How a file is damaged, or why it does not belong to this program.
 #[derive(Debug, Error)]
 pub enum Damage {
-    /// It ends early, or its content is invalid.
+    /// The file ends early, or its content is invalid.
     #[error(transparent)]
     Io(io::Error),
-    /// The database found a contradiction in it.
+    /// The database found the file to be inconsistent.
     #[error("{0}")]
     Corrupted(String),
-    /// It is no database that can be opened.
+    /// The file is not a database that can be opened.
     #[error(transparent)]
     Database(DatabaseError),
-    /// Its tables are not those of a store.
+    /// The tables of the file are not those of a store.
     #[error(transparent)]
     Table(Box<redb::Error>),
-    /// Its version number is invalid.
-    #[error("{0} is no form")]
+    /// The version number of the file is invalid.
+    #[error("{0} is not a valid schema version")]
     InvalidVersion(u64),
-    /// It is a database without a version number.
-    #[error("it is no store of affinity tables")]
+    /// The file is a database without a version number.
+    #[error("the database is not a store of affinity tables")]
     NoVersion,
-    /// The database's library panicked.
-    #[error("reading it failed in an unforeseen way")]
+    /// The database library panicked while it read the file.
+    #[error("the database library panicked while it read the file")]
     Panic,
 }
 
 impl StoreError {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn help(&self) -> &'static str {
         match self {
-            StoreError::InUse => "stop the process that has it, or give each its own folder",
-            StoreError::Folder(_) => "make the folder's parent, and let the process's user write there",
-            StoreError::Disk(_) => "look at the disk; what is not written is kept for a while",
+            StoreError::InUse => "stop the other process, or give each process its own folder",
+            StoreError::Folder(_) => "create the folder's parent, and let the process's user write there",
+            StoreError::Disk(_) => "check the disk; unwritten entries are kept in memory for a while",
             StoreError::Damaged(_) => {
-                "nothing: it is set aside and kept; send it to who looks into such things"
+                "nothing: the file is set aside and kept; send it to the maintainers for analysis"
             }
             StoreError::TooNew { .. } => {
-                "start the version that wrote it, have it go back (`state form FOLDER --to N`), or name another folder"
+                "start the version that wrote it, migrate the file back (`state form FOLDER --to N`), or name another folder"
             }
             StoreError::Finalized { .. } => {
-                "start a version that reads the finalized form, or raise forms.most to it; there is no way back"
+                "start a version that reads the finalized form, or raise forms.most to it; the file can't be migrated back"
             }
         }
     }
 
-    /// Classifies any error of the database: what is not of the disk is of a file whose tables are not a
-    /// store's.
+    /// Classifies any error of the database. An error that is neither the disk's nor a sign of damage means
+    /// that the tables of the file are not those of a store.
     pub(crate) fn from_redb(error: impl Into<redb::Error>) -> StoreError {
         match error.into() {
             redb::Error::Io(e) => e.into(),
--- a/crates/affinity-store/src/file_format.rs
+++ b/crates/affinity-store/src/file_format.rs
@@ -1,13 +1,14 @@
-//! Versions of the file, and the migration between them.
+//! Schema versions of the file, and the migration between them.
 //!
 //! | version | content |
 //! | --- | --- |
-//! | 1 | clients, groups and endpoints; what version 1 lacks is in a table that its programs never open |
-//! | 2 | the same, rows of tenants' usage, and the finalized version |
+//! | 1 | clients, groups and endpoints; usage rows are kept in a table that version 1 programs never open |
+//! | 2 | clients, groups and endpoints, rows of tenants' usage, and the finalized version |
 //!
-//! A migration is one transaction, and so is finalizing: a process that is killed leaves one version or the
-//! other. The table of usage rows is only renamed, so a migration takes the same time whatever the number
-//! of rows, and going back loses none. A file of a newer version is refused and stays as it is.
+//! A migration is one transaction, and so is finalizing, so a process that is killed leaves the file at
+//! either the old or the new version. The table of usage rows is only renamed, so a migration takes the same
+//! time whatever the number of rows, and migrating back loses no rows. A file of a newer version is refused
+//! and left unchanged.
 
 use std::ops::RangeInclusive;
 
@@ -17,7 +18,7 @@
 use crate::record_codec::{decode, encode};
 use crate::store::{META, Store, VERSION_KEY, catch_panics};
 
-/// The versions that are read and written.
+/// The versions that this program reads and writes.
 pub const VERSIONS: RangeInclusive<u64> = 1..=2;
 /// The version of a new file.
 pub const FIRST: u64 = *VERSIONS.start();
@@ -28,15 +29,15 @@
 
 /// Usage rows of a version 2 file.
 const USAGE: TableDefinition<u32, &[u8]> = TableDefinition::new("shares");
-/// Usage rows of a version 1 file, whose programs don't know the table.
+/// Usage rows of a version 1 file. Version 1 programs do not know this table.
 const HIDDEN_USAGE: TableDefinition<u32, &[u8]> = TableDefinition::new("aside-2");
 
-/// A row of tenants' usage; its content is opaque here.
+/// A row of tenants' usage. The store does not interpret its content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageRow {
-    /// Its key in the table.
+    /// The row's key in the table.
     pub key: u32,
-    /// Its content.
+    /// The row's content.
     pub bytes: Vec<u8>,
 }
 
@@ -49,7 +50,7 @@
         Ok(self.meta(VERSION_KEY)?.unwrap_or(FIRST))
     }
 
-    /// The version below which the file is not migrated any more.
+    /// The finalized version, below which the file is no longer migrated.
     ///
     /// # Errors
     /// Where the disk fails or the file is damaged.
@@ -63,7 +64,8 @@
         Ok(meta.get(key).map_err(StoreError::from_redb)?.map(|value| value.value()))
     }
 
-    /// Migrates the file to a version, in one transaction; returns whether that was needed.
+    /// Migrates the file to a version in one transaction; returns `false` where the file has that version
+    /// already.
     ///
     /// # Errors
     /// [`StoreError::TooNew`] where the version is not supported, [`StoreError::Finalized`] where it is
@@ -82,7 +84,8 @@
         Ok(true)
     }
 
-    /// Ends the possibility to go back below a version; the file is migrated to it where it is older.
+    /// Finalizes a version, so that the file can't be migrated below it any more. A file of an older version
+    /// is migrated to it.
     ///
     /// # Errors
     /// [`StoreError::TooNew`] where the version is not supported; and where the disk fails or the file is
@@ -113,7 +116,7 @@
         Ok(if self.version()? >= SECOND { USAGE } else { HIDDEN_USAGE })
     }
 
-    /// Replaces all usage rows, whole or not at all.
+    /// Replaces all usage rows, in one transaction.
     ///
     /// # Errors
     /// Where the disk fails or the file is damaged.
@@ -130,7 +133,7 @@
         })
     }
 
-    /// All usage rows; damaged ones are skipped.
+    /// Reads all usage rows; damaged rows are skipped.
     ///
     /// # Errors
     /// Where the disk fails or the file is damaged.
@@ -157,7 +160,7 @@
     Err(StoreError::TooNew { version, newest: *VERSIONS.end() })
 }
 
-/// Gives the usage table, if there is one, its name of a version.
+/// Renames the usage table, if there is one, to its name in a version.
 fn rename_usage_table(write: &WriteTransaction, version: u64) -> Result<(), StoreError> {
     let (old, new) = if version >= SECOND { (HIDDEN_USAGE, USAGE) } else { (USAGE, HIDDEN_USAGE) };
     let mut tables = write.list_tables().map_err(StoreError::from_redb)?;
--- a/crates/affinity-store/src/lib.rs
+++ b/crates/affinity-store/src/lib.rs
@@ -1,14 +1,14 @@
-//! Durable storage of the affinity tables, in one redb file in a folder.
+//! Durable storage of the affinity tables in a folder, in a single redb file.
 //!
-//! - [`Store`] reads and writes the file. It is fed changes and gives records back.
+//! - [`Store`] reads and writes the file: it stores changes and loads records.
 //! - [`file_format`] describes the versions of the file and the migration between them.
-//! - [`writer`] writes behind, on a thread of its own, so that no connection waits for the disk.
-//! - [`commands`] is what the operators' command `state` does.
+//! - [`writer`] writes changes on a background thread, so that no connection waits for the disk.
+//! - [`commands`] implements the operators' command `state`.
 //!
-//! Each batch is one transaction: a process that is killed at any write leaves the state before it or the
-//! one after. Each record has a checksum of its own besides the file's. A file that is damaged or another
-//! program's is moved aside, never deleted, and never keeps a relay from starting. A file of a newer
-//! version is neither moved nor read.
+//! Each batch is one transaction: a process that is killed at any write leaves the state before the batch or
+//! the state after it. Each record has a checksum of its own besides those of the file. A file that is
+//! damaged or belongs to another program is moved aside, never deleted, and never keeps a relay from
+//! starting. A file of a newer version is neither moved nor read.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/affinity-store/src/store.rs
+++ b/crates/affinity-store/src/store.rs
@@ -17,7 +17,7 @@
 
 /// Name of the file in the folder.
 pub const FILE: &str = "affinity.redb";
-/// Size of the database's cache: the file is read once, then only written.
+/// Size of the database's cache. A small cache suffices, as the file is read once and then only written.
 const CACHE_BYTES: usize = 1 << 20;
 
 pub(crate) const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
@@ -27,7 +27,7 @@
 const GROUPS: TableDefinition<u64, &[u8]> = TableDefinition::new("groups");
 const ENDPOINTS: TableDefinition<u32, &[u8]> = TableDefinition::new("streamers");
 
-/// A table of records.
+/// A database table of records, and the affinity table that it stores.
 struct RecordTable {
     definition: TableDefinition<'static, u64, &'static [u8]>,
     kind: TableKind,
@@ -52,9 +52,9 @@
 /// A file that could not be used and was renamed.
 #[derive(Debug)]
 pub struct SetAside {
-    /// Its new path.
+    /// The file's new path.
     pub path: PathBuf,
-    /// Why it could not be used.
+    /// Why the file could not be used.
     pub reason: Damage,
 }
 
@@ -63,12 +63,12 @@
 pub struct Opened {
     /// The store.
     pub store: Store,
-    /// The unusable file that it replaces, if there was one.
+    /// The unusable file that the store replaces, if there was one.
     pub set_aside: Option<SetAside>,
 }
 
 impl Opened {
-    /// The store; logs what was set aside.
+    /// Returns the store; logs the file that was set aside, if there was one.
     pub fn log_set_aside(self) -> Store {
         if let Some(SetAside { path, reason }) = self.set_aside {
             error!("state.folder: {reason}; it is kept as {}, and an empty one is begun", path.display());
@@ -84,12 +84,12 @@
 }
 
 impl Store {
-    /// Opens the store in a folder. The folder is made if its parent is there; a file that can't be used is
-    /// set aside.
+    /// Opens the store in a folder. The folder is created if its parent exists; a file that can't be used is
+    /// set aside and replaced by an empty store.
     ///
     /// # Errors
-    /// Where another process has it open, the folder can't be used, the disk fails, or the file is of a
-    /// newer version.
+    /// Where another process has the store open, the folder can't be used, the disk fails, or the file is of
+    /// a newer version.
     pub fn open(folder: &Path) -> Result<Opened, StoreError> {
         match std::fs::create_dir(folder) {
             Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(e.into()),
@@ -112,24 +112,24 @@
         Store::open_with(|builder| builder.create(path))
     }
 
-    /// Opens the store that is in a folder; makes none and sets nothing aside.
+    /// Opens the existing store in a folder; creates no store and sets no file aside.
     ///
     /// # Errors
-    /// As [`Store::open`], and where there is no store or it is damaged.
+    /// As for [`Store::open`], and where there is no store or the file is damaged.
     pub fn open_existing(folder: &Path) -> Result<Store, StoreError> {
         let path = folder.join(FILE);
         Store::open_with(|builder| builder.open(&path))
     }
 
-    /// Opens a store by the caller's own means, such as a storage backend of a test.
+    /// Opens a store by a function of the caller's, such as one that uses the storage backend of a test.
     ///
     /// # Errors
-    /// As [`Store::open`], and where the file is damaged.
+    /// As for [`Store::open`], and where the file is damaged.
     pub fn open_with(
         open: impl FnOnce(&redb::Builder) -> Result<Database, DatabaseError>,
     ) -> Result<Store, StoreError> {
         let mut builder = Database::builder();
-        // The whole file is read at the start in any case, so its integrity is checked then.
+        // The whole file is read at the start in any case, so checking its integrity then costs little more.
         builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
         let database = catch_panics(|| Ok(open(&builder)?))?;
         let store = Store { database };
@@ -137,7 +137,7 @@
         Ok(store)
     }
 
-    /// Checks that the file is a store of a supported version; makes an empty file one.
+    /// Checks that the file is a store of a supported version; creates the tables in an empty file.
     fn check_version(&self) -> Result<(), StoreError> {
         let read = self.database.begin_read().map_err(StoreError::from_redb)?;
         let table_count = read.list_tables().map_err(StoreError::from_redb)?.count();
@@ -168,7 +168,8 @@
         })
     }
 
-    /// Runs a write transaction: it is committed where `change` succeeds, and has no effect otherwise.
+    /// Runs `change` in a write transaction, which is committed if `change` succeeds and has no effect
+    /// otherwise.
     pub(crate) fn transaction<T>(
         &self,
         change: impl FnOnce(&WriteTransaction) -> Result<T, StoreError>,
@@ -182,7 +183,8 @@
     /// Reads all records, groups first.
     ///
     /// # Errors
-    /// Where the disk fails or the file is damaged; records before that were passed to `each`.
+    /// Where the disk fails or the file is damaged; the records read before the failure were passed to
+    /// `each`.
     pub fn load(&self, mut each: impl FnMut(Record)) -> Result<Loaded, StoreError> {
         let mut loaded = Loaded::default();
         let read = self.database.begin_read().map_err(StoreError::from_redb)?;
@@ -203,7 +205,7 @@
         Ok(loaded)
     }
 
-    /// The endpoints that the tags in the records stand for.
+    /// Reads the names of the endpoints that the tags in the records identify.
     ///
     /// # Errors
     /// Where the disk fails or the file is damaged.
@@ -218,7 +220,7 @@
         Ok(names)
     }
 
-    /// Writes a batch, whole or not at all.
+    /// Writes a batch of changes in one transaction.
     ///
     /// # Errors
     /// Where the disk fails or the file is damaged.
@@ -240,7 +242,7 @@
         })
     }
 
-    /// Removes records last set before `oldest`, damaged ones, and endpoint names that no record uses.
+    /// Removes records last set before `oldest`, damaged records, and endpoint names that no record uses.
     /// Returns the number of records removed.
     ///
     /// # Errors
@@ -268,7 +270,7 @@
         })
     }
 
-    /// Releases unused space in the file; returns whether there was any.
+    /// Releases unused space in the file; returns whether any was released.
     ///
     /// # Errors
     /// Where the disk fails or the file is damaged.
@@ -294,12 +296,13 @@
     }
 }
 
-/// Runs what reads a file of any content: a panic of the database's library over it counts as damage.
+/// Runs a function that reads a file of possibly invalid content. A panic of the database library is reported
+/// as damage.
 pub(crate) fn catch_panics<T>(call: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(call)).unwrap_or_else(|_| Err(Damage::Panic.into()))
 }
 
-/// The first path beside a file that is not in use.
+/// The first unused path, in the folder of a file, for setting the file aside.
 fn unused_path(path: &Path) -> PathBuf {
     let candidate = |n: u32| path.with_extension(format!("damaged-{n}"));
     let is_unused = |path: &PathBuf| std::fs::symlink_metadata(path).is_err();
--- a/crates/affinity-store/src/writer/mod.rs
+++ b/crates/affinity-store/src/writer/mod.rs
@@ -1,10 +1,11 @@
-//! Write-behind: a thread of its own takes batches and writes them, so that a slow or full disk never
-//! delays a connection.
+//! Write-behind: a background thread writes batches of changes to the store, so that a slow or full disk
+//! never delays a connection.
 //!
-//! [`Writer`] is the handle of the thread. Inputs: batches and orders, over a short queue; where it is
-//! full, the caller keeps its changes and tries again. Output: figures. The thread owns the store and what
-//! a failed disk has not taken yet: after a failure it opens the store anew, with exponential backoff, and
-//! writes what has come up meanwhile, each entry once and as it is by then.
+//! [`Writer`] is the handle of the thread. Its inputs are batches and other commands, sent over a short
+//! queue; where the queue is full, the caller keeps its changes and tries again. Its outputs are statistics.
+//! The thread owns the store and the entries that a failed disk has not stored yet. After a failure the
+//! thread reopens the store, with exponential backoff, and writes the pending entries, each once and with its
+//! latest value.
 
 mod pending;
 mod worker;
@@ -19,10 +20,10 @@
 use crate::{Opened, Store, StoreError};
 use worker::Worker;
 
-/// Orders that may wait for the thread.
+/// Most commands that may wait for the thread.
 const QUEUE_CAPACITY: usize = 2;
 
-/// Opens the store anew after a failure.
+/// Reopens the store after a failure.
 pub type Opener = Box<dyn FnMut() -> Result<Opened, StoreError> + Send>;
 
 /// Totals since the start.
@@ -34,11 +35,11 @@
     pub failures: u64,
     /// Entries dropped because the disk failed for too long.
     pub dropped_entries: u64,
-    /// Whether the disk fails at the moment.
+    /// Whether the disk has failed and has not been written successfully since.
     pub is_failing: bool,
 }
 
-/// What the thread and its handle share.
+/// State that the thread and its handle share.
 #[derive(Default)]
 struct SharedState {
     entries: AtomicU64,
@@ -48,75 +49,77 @@
     needs_resync: AtomicBool,
 }
 
-/// What the thread is to do.
-enum Order {
+/// A command to the thread.
+enum Command {
     Write(Changes),
     Prune { oldest: Millis },
     Migrate(TargetVersion),
 }
 
-/// The version that the file is to have, and the one below which it is not to go back.
+/// The version to which the file is to be migrated, and the version to be finalized.
 #[derive(Clone, Copy, Debug)]
 struct TargetVersion {
     version: u64,
     finalized: u64,
 }
 
-/// The handle of the writing thread. The thread ends once this is dropped and all is written that the disk
-/// takes.
+/// The handle of the writing thread. When the handle is dropped, the thread executes the queued commands,
+/// tries once more to write all pending entries, and ends.
 pub struct Writer {
-    orders: Option<SyncSender<Order>>,
+    commands: Option<SyncSender<Command>>,
     shared: Arc<SharedState>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Writer {
-    /// Starts the thread. Without a `store`, because the disk failed at the start, `open` is tried later.
+    /// Starts the thread. Where `store` is `None` because the disk failed at the start, the thread retries
+    /// `open`.
     ///
     /// # Errors
     /// Where the thread can't be started.
     pub fn start(store: Option<Store>, open: Opener) -> std::io::Result<Writer> {
-        let (orders, incoming) = sync_channel(QUEUE_CAPACITY);
+        let (commands, receiver) = sync_channel(QUEUE_CAPACITY);
         let shared = Arc::new(SharedState::default());
         shared.is_failing.store(store.is_none(), Relaxed);
         let worker = Worker::new(store, open, shared.clone());
         let builder = std::thread::Builder::new().name("state-writer".into());
-        let thread = builder.spawn(move || worker.run(&incoming))?;
-        Ok(Writer { orders: Some(orders), shared, thread: Some(thread) })
+        let thread = builder.spawn(move || worker.run(&receiver))?;
+        Ok(Writer { commands: Some(commands), shared, thread: Some(thread) })
     }
 
-    /// Hands a batch over.
+    /// Hands a batch over to the thread.
     ///
     /// # Errors
-    /// Gives the batch back where the queue is full.
+    /// Returns the batch to the caller where the queue is full.
     pub fn write(&self, changes: Changes) -> Result<(), Changes> {
-        self.send(Order::Write(changes)).map_err(|order| match order {
-            Order::Write(changes) => changes,
+        self.send(Command::Write(changes)).map_err(|command| match command {
+            Command::Write(changes) => changes,
             _ => Changes::default(),
         })
     }
 
-    /// Has records removed that were last set before `oldest`; skipped where the queue is full.
+    /// Requests the removal of records last set before `oldest`. The request is dropped where the queue is
+    /// full.
     pub fn prune(&self, oldest: Millis) {
-        let _ = self.send(Order::Prune { oldest });
+        let _ = self.send(Command::Prune { oldest });
     }
 
-    /// Has the file migrated to a version, and finalized at another or the same; returns whether the queue
-    /// had room.
+    /// Requests that the file be migrated to `version` and finalized at `finalized`, which may be another
+    /// version; returns whether the queue had room.
     pub fn migrate(&self, version: u64, finalized: u64) -> bool {
-        self.send(Order::Migrate(TargetVersion { version, finalized })).is_ok()
+        self.send(Command::Migrate(TargetVersion { version, finalized })).is_ok()
     }
 
-    fn send(&self, order: Order) -> Result<(), Order> {
-        match self.orders.as_ref().map(|orders| orders.try_send(order)) {
-            Some(Err(TrySendError::Full(order) | TrySendError::Disconnected(order))) => Err(order),
+    fn send(&self, command: Command) -> Result<(), Command> {
+        match self.commands.as_ref().map(|commands| commands.try_send(command)) {
+            Some(Err(TrySendError::Full(command) | TrySendError::Disconnected(command))) => Err(command),
             _ => Ok(()),
         }
     }
 
-    /// Whether the store lacks entries that were handed over: some were dropped, or the file was begun
-    /// anew. Returns `true` once, when the disk works again; the owner of the entries is to hand over all
-    /// of them then.
+    /// Whether the store lacks entries that were handed over, because some were dropped or the file was
+    /// replaced by an empty one. Returns `true` only once, when the disk works again; the owner of the
+    /// entries must then hand over all of them.
     pub fn take_resync_request(&self) -> bool {
         !self.shared.is_failing.load(Relaxed) && self.shared.needs_resync.swap(false, Relaxed)
     }
@@ -134,7 +137,7 @@
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        drop(self.orders.take());
+        drop(self.commands.take());
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/affinity-store/src/writer/pending.rs
+++ b/crates/affinity-store/src/writer/pending.rs
@@ -1,4 +1,4 @@
-//! What has changed and is not written yet: each entry as it is by now.
+//! The changes that are not written yet, with the latest value of each entry.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,12 +6,13 @@
 use sandgw_affinity::endpoint_registry::{EndpointName, EndpointTag};
 use sandgw_affinity::{Changes, Record};
 
-/// Most entries that wait for a failing disk, a few MB; more are dropped until they change again.
+/// Most entries that wait for a failing disk; they take a few MB. Further entries are dropped until they
+/// change again.
 const MAX_PENDING_ENTRIES: usize = 16_384;
 
 #[derive(Default)]
 pub(super) struct Pending {
-    /// By table and key; `None` where the entry is to be removed.
+    /// Changed entries by table and key; `None` where the entry is to be removed.
     entries: BTreeMap<(TableKind, u64), Option<Record>>,
     names: HashMap<EndpointTag, EndpointName>,
 }
@@ -42,7 +43,7 @@
         self.entries.len() as u64
     }
 
-    /// All of it as one batch.
+    /// All pending changes as one batch.
     pub fn changes(&self) -> Changes {
         let removed = self.entries.iter().filter(|(_, record)| record.is_none());
         Changes {
--- a/crates/affinity-store/src/writer/worker.rs
+++ b/crates/affinity-store/src/writer/worker.rs
@@ -1,4 +1,4 @@
-//! The writing thread: executes orders, and retries after a failure of the disk.
+//! The writing thread: executes commands, and retries after a failure of the disk.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -9,21 +9,21 @@
 use sandgw_affinity::{Changes, Millis};
 
 use super::pending::Pending;
-use super::{Opener, Order, SharedState, TargetVersion};
+use super::{Command, Opener, SharedState, TargetVersion};
 use crate::store::catch_panics;
 use crate::{Store, StoreError};
 
-/// Delay before the first retry after a failure; it doubles with each further one.
+/// Delay before the first retry after a failure; the delay doubles with each further failure.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Longest delay between retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
 
 pub(super) struct Worker {
-    /// `None` after a failure, until it is opened anew.
+    /// `None` after a failure, until the store is reopened.
     store: Option<Store>,
     open: Opener,
     pending: Pending,
-    /// The version that the file is to have, until it has.
+    /// The version to which the file is still to be migrated.
     target_version: Option<TargetVersion>,
     retry_delay: Duration,
     next_retry: Instant,
@@ -44,12 +44,12 @@
     }
 
     /// Runs until the handle is dropped.
-    pub fn run(mut self, orders: &Receiver<Order>) {
+    pub fn run(mut self, commands: &Receiver<Command>) {
         loop {
-            match self.next_order(orders) {
-                Ok(Order::Write(changes)) => self.write(changes),
-                Ok(Order::Prune { oldest }) => self.prune(oldest),
-                Ok(Order::Migrate(target)) => {
+            match self.next_command(commands) {
+                Ok(Command::Write(changes)) => self.write(changes),
+                Ok(Command::Prune { oldest }) => self.prune(oldest),
+                Ok(Command::Migrate(target)) => {
                     self.target_version = Some(target);
                     self.migrate();
                 }
@@ -59,13 +59,13 @@
         }
     }
 
-    /// Waits for an order; while the disk fails, until the next retry at the latest.
-    fn next_order(&self, orders: &Receiver<Order>) -> Result<Order, RecvTimeoutError> {
+    /// Waits for a command; while the disk fails, until the next retry at the latest.
+    fn next_command(&self, commands: &Receiver<Command>) -> Result<Command, RecvTimeoutError> {
         if self.is_failing() {
             let until_retry = self.next_retry.saturating_duration_since(Instant::now());
-            orders.recv_timeout(until_retry)
+            commands.recv_timeout(until_retry)
         } else {
-            orders.recv().map_err(|_| RecvTimeoutError::Disconnected)
+            commands.recv().map_err(|_| RecvTimeoutError::Disconnected)
         }
     }
 
@@ -77,7 +77,7 @@
         let dropped = self.pending.add(changes);
         self.shared.dropped_entries.fetch_add(dropped, Relaxed);
         self.shared.needs_resync.fetch_or(dropped > 0, Relaxed);
-        // The retry delay holds whatever arrives meanwhile.
+        // Batches that arrive during the retry delay neither shorten nor extend it.
         if !self.is_failing() || Instant::now() >= self.next_retry {
             self.flush();
         }
@@ -87,12 +87,12 @@
         let Some(store) = &self.store else { return };
         match catch_panics(|| store.prune(oldest)) {
             Ok(0) => {}
-            Ok(removed) => info!("state.folder: {removed} old or damaged entries dropped"),
+            Ok(removed) => info!("state.folder: removed {removed} old or damaged entries"),
             Err(e) => self.handle_failure(&e),
         }
     }
 
-    /// Opens the store anew where it failed, and writes all that is pending.
+    /// Reopens the store after a failure, and writes all pending changes.
     fn flush(&mut self) {
         if let Err(e) = self.try_flush() {
             return self.handle_failure(&e);
@@ -123,8 +123,8 @@
         Ok(())
     }
 
-    /// Migrates the file to the target version. A failure of the disk is retried as for any write; a
-    /// version that is refused is not tried again.
+    /// Migrates the file to the target version. A disk failure is retried as for any write; a migration that
+    /// the store refuses is not retried.
     fn migrate(&mut self) {
         let (Some(store), Some(target)) = (&self.store, self.target_version) else { return };
         match migrate_and_finalize(store, target) {
@@ -142,21 +142,24 @@
         }
     }
 
-    /// Closes the store, as the database's library takes nothing more after a failure, and schedules a retry.
+    /// Closes the store, because the database library accepts no operations after a failure, and schedules a
+    /// retry.
     fn handle_failure(&mut self, e: &StoreError) {
         self.store = None;
         self.shared.failures.fetch_add(1, Relaxed);
         if self.shared.is_failing.swap(true, Relaxed) {
             self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
         } else {
-            // Logged once for each failure, not for each retry.
-            error!("state.folder: {e}; serving goes on, and what is not written is kept for a while");
+            // Logged at the first failure, not for each failed retry.
+            error!(
+                "state.folder: {e}; the relay keeps serving, and unwritten entries are kept in memory for a while"
+            );
         }
         self.next_retry = Instant::now() + self.retry_delay;
     }
 }
 
-/// Returns whether the file was migrated.
+/// Migrates and finalizes the file; returns whether the file was migrated.
 fn migrate_and_finalize(store: &Store, target: TargetVersion) -> Result<bool, StoreError> {
     let is_migrated = store.migrate(target.version)?;
     store.finalize(target.finalized)?;
--- a/crates/affinity-store/tests/disk/mod.rs
+++ b/crates/affinity-store/tests/disk/mod.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that fails where a test wants it to.
-#![allow(dead_code)] // each test crate uses its own part
+//! An in-memory disk that fails at an operation of the test's choice.
+#![allow(dead_code)] // each test crate uses only some of the helpers
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
@@ -9,63 +9,64 @@
 use redb::StorageBackend;
 use sandgw_affinity_store::{Opened, Store, StoreError};
 
-/// What a disk holds, and what of it would survive a power cut.
+/// The contents of a disk, and the parts of them that would survive a power cut.
 #[derive(Debug, Default)]
-struct Platter {
-    /// As the process sees it.
-    seen: Vec<u8>,
-    /// As of the last sync, and the writes since.
+struct Contents {
+    /// The contents as the process reads them.
+    current: Vec<u8>,
+    /// The contents as of the last sync.
     synced: Vec<u8>,
+    /// Position and bytes of each write since the last sync.
     unsynced: Vec<(u64, Vec<u8>)>,
 }
 
-/// A disk in memory that fails from a certain operation on.
+/// An in-memory disk that fails once its remaining operations are used up, or while it is full.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    platter: Arc<Mutex<Platter>>,
+    contents: Arc<Mutex<Contents>>,
     pub operations: Arc<AtomicU64>,
-    /// Operations that succeed yet; more fail.
-    pub left: Arc<AtomicU64>,
-    pub full: Arc<AtomicBool>,
+    /// Operations that still succeed; all later ones fail. `u64::MAX` for no limit.
+    pub remaining_operations: Arc<AtomicU64>,
+    pub is_full: Arc<AtomicBool>,
 }
 
 impl Disk {
     pub fn new() -> Disk {
         let disk = Disk::default();
-        disk.left.store(u64::MAX, SeqCst);
+        disk.remaining_operations.store(u64::MAX, SeqCst);
         disk
     }
 
-    fn operate(&self) -> io::Result<()> {
+    fn record_operation(&self) -> io::Result<()> {
         self.operations.fetch_add(1, SeqCst);
-        if self.full.load(SeqCst) {
+        if self.is_full.load(SeqCst) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let left = self
-            .left
+        let remaining_operations = self
+            .remaining_operations
             .fetch_update(SeqCst, SeqCst, |n| Some(if n == u64::MAX { n } else { n.saturating_sub(1) }));
-        if left == Ok(0) { Err(io::Error::other("the disk is gone")) } else { Ok(()) }
+        if remaining_operations == Ok(0) { Err(io::Error::other("the disk has failed")) } else { Ok(()) }
     }
 
-    /// The disk as the next process finds it. Of a power cut, a draw decides which of the writes that were
-    /// not synced have reached the platter.
-    pub fn after(&self, power_cut: Option<u64>) -> Disk {
-        let platter = self.platter.lock().unwrap();
-        let mut seen = platter.seen.clone();
-        if let Some(draw) = power_cut {
-            seen = platter.synced.clone();
-            for (i, (at, bytes)) in platter.unsynced.iter().enumerate() {
-                if draw >> (i % 61) & 1 == 1 {
-                    write_at(&mut seen, *at, bytes);
+    /// The disk as the next process finds it. After a power cut, the given random bits decide which of the
+    /// writes that were not synced have reached the disk.
+    pub fn after_restart(&self, power_cut: Option<u64>) -> Disk {
+        let contents = self.contents.lock().unwrap();
+        let mut current = contents.current.clone();
+        if let Some(random_bits) = power_cut {
+            current = contents.synced.clone();
+            for (i, (at, bytes)) in contents.unsynced.iter().enumerate() {
+                if random_bits >> (i % 61) & 1 == 1 {
+                    write_at(&mut current, *at, bytes);
                 }
             }
         }
         let disk = Disk::new();
-        *disk.platter.lock().unwrap() = Platter { synced: seen.clone(), seen, unsynced: Vec::new() };
+        *disk.contents.lock().unwrap() = Contents { synced: current.clone(), current, unsynced: Vec::new() };
         disk
     }
 
-    /// As a writer opens it again.
+    /// Opens the store as a writer does after a failure.
     pub fn reopen(&self) -> Result<Opened, StoreError> {
         self.open().map(|store| Opened { store, set_aside: None })
     }
@@ -85,46 +86,49 @@
 
 impl StorageBackend for Disk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.platter.lock().unwrap().seen.len() as u64)
+        Ok(self.contents.lock().unwrap().current.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let platter = self.platter.lock().unwrap();
-        let from = platter.seen.get(offset as usize..offset as usize + out.len());
+        let contents = self.contents.lock().unwrap();
+        let from = contents.current.get(offset as usize..offset as usize + out.len());
         out.copy_from_slice(from.ok_or(io::ErrorKind::UnexpectedEof)?);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.operate()?;
-        let mut platter = self.platter.lock().unwrap();
-        platter.seen.resize(len as usize, 0);
-        // A file's length is taken as kept: a file system that loses it loses the file.
-        platter.synced.resize(len as usize, 0);
+        self.record_operation()?;
+        let mut contents = self.contents.lock().unwrap();
+        contents.current.resize(len as usize, 0);
+        // The file's length is assumed to survive: a file system that loses the length loses the file.
+        contents.synced.resize(len as usize, 0);
         Ok(())
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.operate()?;
-        let mut platter = self.platter.lock().unwrap();
-        platter.synced = platter.seen.clone();
-        platter.unsynced.clear();
+        self.record_operation()?;
+        let mut contents = self.contents.lock().unwrap();
+        contents.synced = contents.current.clone();
+        contents.unsynced.clear();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.operate()?;
-        let mut platter = self.platter.lock().unwrap();
-        write_at(&mut platter.seen, offset, data);
-        platter.unsynced.push((offset, data.to_vec()));
+        self.record_operation()?;
+        let mut contents = self.contents.lock().unwrap();
+        write_at(&mut contents.current, offset, data);
+        contents.unsynced.push((offset, data.to_vec()));
         Ok(())
     }
 }
 
-pub fn until(what: &str, holds: impl Fn() -> bool) {
+pub fn wait_until(expectation: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < Duration::from_secs(20), "not in time: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < Duration::from_secs(20),
+            "timed out after 20 s waiting until {expectation}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/affinity-store/tests/export.rs
+++ b/crates/affinity-store/tests/export.rs
@@ -1,8 +1,8 @@
-//! Lines of an export, read again.
+//! Tests that exported lines are read back unchanged.
 
 use sandgw_affinity_store::commands::ExportLine;
 
-/// Guards against times that an import changes in their last digit.
+/// Guards against an import that changes the last digit of a time.
 #[test]
 fn times_are_imported_as_they_were_exported() {
     let mut changed = 0;
@@ -12,5 +12,5 @@
         let text = serde_json::to_string(&line).unwrap();
         changed += usize::from(serde_json::from_str::<ExportLine>(&text).unwrap() != line);
     }
-    assert_eq!(changed, 0, "of 2,000");
+    assert_eq!(changed, 0, "times changed, of 2,000");
 }
--- a/crates/affinity-store/tests/file_format.rs
+++ b/crates/affinity-store/tests/file_format.rs
@@ -1,5 +1,5 @@
-//! The file's forms: today's bytes are read, a step that is killed anywhere leaves one form or the other, and
-//! going back loses nothing.
+//! Tests of the file's schema versions: a file of version 1 is read, an interrupted migration leaves the old
+//! or the new version, and migrating back loses nothing.
 
 mod disk;
 
@@ -14,8 +14,9 @@
 use sandgw_affinity_store::writer::Writer;
 use sandgw_affinity_store::{FILE, Store, StoreError};
 
-/// A file as the program of before forms had numbers wrote it: three clients, a group, two endpoints.
-const FORM_1: &[u8] = include_bytes!("fixtures/form-1.redb");
+/// A file written by a program from before schema versions were numbered: three clients, a group, two
+/// endpoints.
+const VERSION_1_FILE: &[u8] = include_bytes!("fixtures/form-1.redb");
 
 fn contents(store: &Store) -> Vec<((TableKind, u64), Record)> {
     let mut all = Vec::new();
@@ -41,8 +42,8 @@
 }
 
 #[test]
-fn a_file_of_before_is_read_moved_and_moved_back() {
-    let folder = folder(FORM_1);
+fn version_1_file_is_read_migrated_and_migrated_back() {
+    let folder = folder(VERSION_1_FILE);
     let store = open(folder.path());
     assert_eq!((store.version().unwrap(), store.endpoint_names().unwrap().len()), (1, 2));
     let before = contents(&store);
@@ -54,7 +55,8 @@
         assert!(store.migrate(2).unwrap() && !store.migrate(2).unwrap());
         store.write_usage(&rows(n)).unwrap();
         assert!(store.migrate(1).unwrap());
-        // Kept aside, where programs of before do not look, and back with the next step up.
+        // In version 1 the usage rows are in a table that earlier programs do not open. The next migration to
+        // version 2 brings them back.
         assert_eq!((store.version().unwrap(), store.usage().unwrap()), (1, rows(n)));
         assert!(store.migrate(2).unwrap());
         assert_eq!((store.version().unwrap(), store.usage().unwrap()), (2, rows(n)));
@@ -63,40 +65,46 @@
     }
 }
 
-/// The process is killed at every single operation of a step in turn, or the power is cut there.
+/// The process is killed, or the power is cut, at each single disk operation of a migration in turn.
 #[test]
-fn a_step_killed_anywhere_leaves_one_form_or_the_other() {
-    type Step = fn(&Store) -> Result<(), StoreError>;
-    let up: Step = |store| store.migrate(2).map(drop);
-    let back: Step = |store| store.migrate(1).map(drop);
-    let finalize: Step = |store| store.finalize(2);
-    for (from, step, to, finalized) in [(1, up, 2, 1), (2, back, 1, 1), (1, finalize, 2, 2)] {
-        let (begun, mut seen) = (Disk::new(), [0, 0]);
-        let store = begun.open().unwrap();
+fn interrupted_migration_leaves_one_version_or_the_other() {
+    type Migration = fn(&Store) -> Result<(), StoreError>;
+    let upgrade: Migration = |store| store.migrate(2).map(drop);
+    let downgrade: Migration = |store| store.migrate(1).map(drop);
+    let finalize: Migration = |store| store.finalize(2);
+    for (from, migration, to, finalized) in [(1, upgrade, 2, 1), (2, downgrade, 1, 1), (1, finalize, 2, 2)] {
+        let (initial_disk, mut outcome_counts) = (Disk::new(), [0, 0]);
+        let store = initial_disk.open().unwrap();
         store.write(&Changes { updated: vec![client(1), client(2)], ..Changes::default() }).unwrap();
         store.migrate(from).unwrap();
         store.write_usage(&rows(5)).unwrap();
         let before = contents(&store);
         drop(store);
         for fails_at in 0.. {
-            let disk = begun.after(None);
+            let disk = initial_disk.after_restart(None);
             let store = disk.open().unwrap();
-            disk.left.store(fails_at, SeqCst);
-            let done = step(&store).is_ok();
+            disk.remaining_operations.store(fails_at, SeqCst);
+            let is_done = migration(&store).is_ok();
             drop(store);
-            for cut in [None, Some(0), Some(u64::MAX), Some(0x5a5a_a5a5_9696_6969 ^ fails_at)] {
-                let store = disk.after(cut).open().unwrap();
+            for power_cut in [None, Some(0), Some(u64::MAX), Some(0x5a5a_a5a5_9696_6969 ^ fails_at)] {
+                let store = disk.after_restart(power_cut).open().unwrap();
                 let found = (store.version().unwrap(), store.finalized_version().unwrap());
-                assert!(found == (from, 1) || found == (to, finalized), "at {fails_at}: {found:?}");
-                assert!(!done || found == (to, finalized), "at {fails_at}: it was said to be done");
+                assert!(
+                    found == (from, 1) || found == (to, finalized),
+                    "killed at operation {fails_at}: {found:?}"
+                );
+                assert!(
+                    !is_done || found == (to, finalized),
+                    "killed at operation {fails_at}: the migration was reported as done"
+                );
                 assert_eq!((store.usage().unwrap(), contents(&store)), (rows(5), before.clone()));
-                seen[usize::from(found == (to, finalized))] += 1;
+                outcome_counts[usize::from(found == (to, finalized))] += 1;
             }
-            if done {
+            if is_done {
                 break;
             }
         }
-        assert!(seen.iter().all(|n| *n > 0), "{seen:?}");
+        assert!(outcome_counts.iter().all(|n| *n > 0), "{outcome_counts:?}");
     }
 }
 
@@ -105,8 +113,8 @@
 }
 
 #[test]
-fn what_is_finalized_does_not_go_back_and_what_is_to_come_stays_as_it_is() {
-    let folder = folder(FORM_1);
+fn finalized_file_is_not_downgraded_and_newer_file_is_left_unchanged() {
+    let folder = folder(VERSION_1_FILE);
     let store = open(folder.path());
     store.finalize(2).unwrap();
     let refused = store.migrate(1);
@@ -124,21 +132,21 @@
     let before = std::fs::read_dir(folder.path()).unwrap().count();
     let refused = Store::open(folder.path()).unwrap_err();
     assert!(refused.to_string().contains("form 7") && refused.help().contains("version that wrote it"));
-    assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), before, "nothing is set aside");
+    assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), before, "no file is set aside");
 }
 
-/// A disk that is full does not lose the order: the file is moved once there is room.
+/// A full disk does not lose the request to migrate: the file is migrated once there is room.
 #[test]
-fn the_writer_moves_the_file_when_the_disk_lets_it() {
+fn writer_migrates_the_file_once_the_disk_has_room() {
     let disk = Disk::new();
     let reopened = disk.clone();
     let writer = Writer::start(Some(disk.open().unwrap()), Box::new(move || reopened.reopen())).unwrap();
-    disk.full.store(true, SeqCst);
+    disk.is_full.store(true, SeqCst);
     assert!(writer.migrate(2, 2));
-    disk::until("the disk fails", || writer.stats().is_failing);
-    disk.full.store(false, SeqCst);
-    disk::until("it is written", || !writer.stats().is_failing);
+    disk::wait_until("the disk fails", || writer.stats().is_failing);
+    disk.is_full.store(false, SeqCst);
+    disk::wait_until("the file is migrated", || !writer.stats().is_failing);
     drop(writer);
-    let store = disk.after(None).open().unwrap();
+    let store = disk.after_restart(None).open().unwrap();
     assert_eq!((store.version().unwrap(), store.finalized_version().unwrap()), (2, 2));
 }
--- a/crates/affinity/benches/table.rs
+++ b/crates/affinity/benches/table.rs
@@ -1,4 +1,4 @@
-//! Cost of a lookup, an insert and an insert that makes room, by the number of entries.
+//! Measures lookups, updates, inserts that evict an entry, and group connections, by the number of entries.
 //! `cargo bench -p sandgw-affinity --bench table`
 
 use std::hint::black_box;
@@ -8,12 +8,12 @@
 use sandgw_affinity::endpoint_registry::{ListedEndpoint, ListedState};
 use sandgw_affinity::{Affinity, Limits};
 
-/// Keys of a full period, spread over the table.
+/// The n-th key; the multiplication spreads the keys over the table.
 fn key(n: u64) -> u64 {
     n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24
 }
 
-fn filled(entries: u64) -> Affinity {
+fn filled_tables(entries: u64) -> Affinity {
     let limits = Limits { bytes: entries as usize * 160, max_age: 1e9, ..Limits::default() };
     let mut affinity = Affinity::new(limits, 0.0);
     let id: Arc<str> = Arc::from("s-1");
@@ -29,7 +29,7 @@
     let mut group = c.benchmark_group("sessions");
     group.sample_size(30);
     for entries in [10_000u64, 100_000, 1_000_000] {
-        let mut affinity = filled(entries);
+        let mut affinity = filled_tables(entries);
         let sessions = affinity.statistics().sessions;
         let mut n = 0;
         group.bench_function(BenchmarkId::new("lookup", entries), |b| {
@@ -38,7 +38,7 @@
                 black_box(affinity.session(key(n)))
             });
         });
-        // One hot client: what is left when memory is not waited for.
+        // A single client, whose entry stays in the CPU cache: the cost without waiting for memory.
         group.bench_function(BenchmarkId::new("lookup-hot", entries), |b| {
             b.iter(|| black_box(affinity.session(key(1))));
         });
@@ -70,7 +70,7 @@
         let table_bytes = affinity.max_table_bytes();
         let statistics = affinity.statistics();
         eprintln!(
-            "{entries}: {} clients stored at {:.1} bytes an entry, groups' table {} bytes of {}",
+            "{entries}: {} clients stored at {:.1} bytes per entry, table of groups {} bytes of {}",
             statistics.sessions,
             table_bytes.sessions as f64 / statistics.sessions as f64,
             table_bytes.groups,
--- a/crates/affinity/src/affinity/changes.rs
+++ b/crates/affinity/src/affinity/changes.rs
@@ -1,4 +1,4 @@
-//! What a store gets of the tables, and what it gives back at the start.
+//! The changes that the tables give to a store, and the records that they restore from it at the start.
 
 use super::Affinity;
 use crate::Millis;
@@ -7,12 +7,12 @@
 use crate::group::{GroupEntry, Holder};
 use crate::record::{Changes, Record, RestoreSummary};
 
-/// Removed keys take at most this part of the bytes.
+/// Removed keys may take one part in this many of the byte limit.
 const REMOVED_KEYS_DIVISOR: usize = 16;
 
 impl Affinity {
-    /// From now on removed keys are tracked for [`Affinity::take_changes`], and all entries and names count
-    /// as changed: a store begins, or has lost some.
+    /// Starts to track removed keys for [`Affinity::take_changes`], and marks all entries and names as
+    /// changed. Called when a store is attached, and when a store has lost entries.
     pub fn track_changes(&mut self) {
         self.tracks_changes = true;
         self.sessions.mark_all_changed();
@@ -20,28 +20,30 @@
         self.registry.forget_given_names();
     }
 
-    /// What has changed since the last call, at most `max_entries` entries; the rest comes with the next
-    /// call.
+    /// Returns the changes since the last call, with at most `max_entries` updated entries; the next call
+    /// returns the rest.
     pub fn take_changes(&mut self, now: Millis, max_entries: usize) -> Changes {
         let tick = self.clock.advance(now);
         let mut updated = Vec::new();
         self.take_changed_groups(tick, max_entries, &mut updated);
         self.take_changed_sessions(max_entries, &mut updated);
         let mut removed = std::mem::take(&mut self.removed_keys);
-        // An entry that was removed and set again since is stored.
+        // An entry that was removed and then set again has to stay in the store.
         removed.retain(|(table, key)| !self.contains(*table, *key));
         let names = self.registry.take_new_names().collect();
         Changes { updated, removed, names }
     }
 
-    /// Takes what was stored, at the start: nothing of it counts before the list names its holder as ready.
+    /// Restores stored records at the start. A lookup returns a restored entry only once the endpoint list
+    /// names its holder as ready.
     pub fn restore(&mut self, now: Millis, records: impl Iterator<Item = Record>) -> RestoreSummary {
         self.clock.advance(now);
         let mut summary = RestoreSummary::default();
         let mut has_groups = false;
         for record in records {
             let at = record.at();
-            // Neither a clock stepped back nor a foreign number may make an entry that never expires.
+            // Neither a clock that was stepped back nor an invalid number may make an entry that never
+            // expires.
             let in_future = !at.is_finite() || at > self.clock.now();
             summary.in_future += u64::from(in_future);
             let at = if in_future { self.clock.now() } else { at };
@@ -62,8 +64,9 @@
         summary
     }
 
-    /// Tracks keys that the store is to drop. Changes are taken far more often than they fill the room for
-    /// these keys; what exceeds it stays in the store until it is too old.
+    /// Tracks keys that the store has to remove. The room for these keys is limited, but changes are taken
+    /// far more often than it fills up; entries whose keys exceed it stay in the store until they are too
+    /// old.
     pub(super) fn track_removed(&mut self, table: TableKind, keys: impl IntoIterator<Item = u64>) {
         if !self.tracks_changes {
             return;
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Whether there was room for it.
+    /// Restores one record; returns whether there was room for it.
     fn restore_record(&mut self, record: Record, at: Millis) -> bool {
         let tick = self.clock.tick_of(at);
         match record {
--- a/crates/affinity/src/affinity/groups.rs
+++ b/crates/affinity/src/affinity/groups.rs
@@ -1,4 +1,4 @@
-//! The table of groups and the endpoints that hold them, with their loads.
+//! Operations on the table of groups: the endpoints that hold each group, with their loads.
 
 use super::{Affinity, NEGLIGIBLE_LOAD, SWEPT_PER_CHANGE};
 use crate::Millis;
@@ -7,23 +7,23 @@
 use crate::statistics::{GroupSize, HolderLoad};
 use crate::table::Evicted;
 
-/// Loads are sent in fractions of a mean connection: this many make one.
+/// Loads are sent in units of a fraction of a mean connection; this many units make one connection.
 pub(super) const LOAD_UNITS_PER_CONNECTION: f32 = 16.0;
 
 impl Affinity {
-    /// Records a connection of a group, with its load in mean connections.
+    /// Records a connection of a group on an endpoint, with its load in mean connections.
     pub fn record_group_connection(&mut self, now: Millis, group: u64, endpoint: &str, load: f64) {
         let tick = self.clock.advance(now);
         let Some(endpoint) = self.registry.listed(endpoint) else { return };
         self.count_load(load);
-        // A lookup that counts as use: further connections are what keeps a group in the table.
+        // The lookup counts as a use, so that a group with further connections stays in the table.
         let entry = self.groups.get(group).map(|stored| stored.value).unwrap_or_default();
         let added = Holder { endpoint, local_load: load as f32, reported_load: 0.0, updated_at: tick };
         let entry = self.with_added(&entry, added, tick);
         self.set_group(tick, group, entry);
     }
 
-    /// The endpoints that hold a group and are ready, the heaviest first.
+    /// The endpoints that hold a group and are ready, the one with the most load of the group first.
     pub fn group_holders(&self, now: Millis, group: u64) -> Vec<HolderLoad> {
         let tick = self.clock.tick_no_earlier(now);
         let Some(stored) = self.groups.peek(group).filter(|stored| stored.set_at >= self.oldest_tick())
@@ -42,9 +42,9 @@
         ready
     }
 
-    /// Estimates of the largest groups' load on the whole cluster, the largest first. Every relay sees a
-    /// part of a group's connections; what others have reported stands for theirs until this relay has
-    /// observed as long itself.
+    /// Estimates of the largest groups' load across the whole cluster, the largest first. Each relay places
+    /// only some of a group's connections. After a start, the loads reported by other relays represent their
+    /// connections until this relay has observed connections for as long itself.
     pub fn group_sizes(&self, now: Millis, max_groups: usize) -> Vec<GroupSize> {
         let tick = self.clock.tick_no_earlier(now);
         let scale = self.scale_to_cluster(now);
@@ -60,7 +60,7 @@
         sizes.into_iter().map(scaled).collect()
     }
 
-    /// Another relay reports a group's load on each of its holders, which is added to what is known.
+    /// Adds a group's load on each of its holders, as another relay reported it, to the group's entry.
     pub(crate) fn merge_group(&mut self, now: Millis, row: &GroupRow) {
         let tick = self.clock.advance(now);
         let group = u64::from_le_bytes(row.key);
--- a/crates/affinity/src/affinity/mod.rs
+++ b/crates/affinity/src/affinity/mod.rs
@@ -1,8 +1,8 @@
-//! The two tables and what they share: the clock, the registry of endpoints and the estimate of the
-//! cluster's load.
+//! The two tables, and the clock, the endpoint registry and the estimate of the cluster's load that they
+//! share.
 //!
-//! [`sessions`] and [`groups`] are the tables' own operations, [`sync`] is what relays exchange of them,
-//! [`changes`] is what a store gets and gives back.
+//! [`sessions`] and [`groups`] implement the operations on each table, [`sync`] prepares the table content
+//! that relays exchange, and [`changes`] exchanges entries with a store.
 
 mod changes;
 mod groups;
@@ -26,35 +26,36 @@
 
 pub(crate) use sync::by_bucket;
 
-/// Entries that are checked for their age with every change of a table.
+/// Entries whose age is checked with each change of a table.
 const SWEPT_PER_CHANGE: usize = 2;
-/// Load under which a holder counts as none, in mean connections.
+/// A holder with less load than this, in mean connections, is treated as having none.
 const NEGLIGIBLE_LOAD: f32 = 0.05;
 
-/// Which endpoints hold clients and groups; see the crate's documentation.
+/// The tables of which endpoints hold clients and groups; see the crate's documentation.
 pub struct Affinity {
     limits: Limits,
     registry: EndpointRegistry,
     sessions: Table<StickyEndpoint>,
     groups: Table<GroupEntry>,
     clock: TickClock,
-    /// Other relays whose loads are included.
+    /// Number of other relays whose loads are included in the tables; it decays like those loads.
     included_relays: DecayingSum,
-    /// When a store or a relay last reported loads.
+    /// When loads were last restored from a store or reported by another relay.
     learned_at: Option<Millis>,
-    /// All loads placed, reported and restored, whether or not their groups are still known.
+    /// Sum of all loads placed, reported and restored, whether or not their groups are still in the table.
     counted_load: DecayingSum,
-    /// Removed keys that were not given to the store yet.
+    /// Removed keys that [`Affinity::take_changes`] has not returned yet.
     removed_keys: Vec<(TableKind, u64)>,
     tracks_changes: bool,
     stale_lookups: Cell<u64>,
 }
 
 impl Affinity {
-    /// Empty tables.
+    /// Creates empty tables.
     pub fn new(limits: Limits, now: Millis) -> Self {
-        // A quarter is for what is being sent to other relays and for removed keys. The rest is shared
-        // evenly: there are many clients to a group, but a group's entry is four times as large.
+        // A quarter of the bytes is reserved for answers being sent to other relays and for removed keys.
+        // Each table gets half of the rest: there are more clients than groups, but a group's entry is four
+        // times as large.
         let table_bytes = limits.bytes / 4 * 3;
         Affinity {
             limits,
@@ -71,27 +72,27 @@
         }
     }
 
-    /// The limits as of now.
+    /// The current limits.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// This relay's place in the cluster.
+    /// This relay's cluster position.
     pub fn position(&self) -> ClusterPosition {
         self.limits.position
     }
 
-    /// The cluster was resized, or this relay has another index in it.
+    /// Sets the cluster position, after the cluster was resized or this relay got another index in it.
     pub fn set_position(&mut self, position: ClusterPosition) {
         self.limits.position = position;
     }
 
-    /// The key of a client in the table of sessions.
+    /// The key of the client of this name in the table of sessions.
     pub fn client_key(name: &[u8]) -> u64 {
         xxh3_64(name) & Client::KEY_MASK
     }
 
-    /// Takes a list of endpoints, the full one or changes to it.
+    /// Applies an endpoint list, either the full list or changes to it.
     pub fn apply_list<'a>(
         &mut self,
         now: Millis,
@@ -102,15 +103,15 @@
         self.registry.apply_list(self.clock.now(), is_full, entries);
     }
 
-    /// An estimate of the load that is established on the whole cluster, and how much to trust it: it rests
-    /// on what a store or other relays reported, and loses weight as connections end. Without a report the
-    /// confidence is 0.
+    /// Estimates the load of the connections established across the whole cluster, and how much to trust the
+    /// estimate. It relies on loads from a store or from other relays, and its confidence falls as the
+    /// connections behind them end. Without such loads the confidence is 0.
     pub fn estimated_load(&self, now: Millis) -> LoadEstimate {
         let confidence = self.learned_at.map_or(0.0, |at| self.decay(now - at));
         LoadEstimate { load: self.counted_load(now) * self.scale_to_cluster(now), confidence }
     }
 
-    /// Connections that all sizes rest on, decayed like them.
+    /// The decayed sum of all loads that this relay knows, on which the estimates are based.
     pub fn counted_load(&self, now: Millis) -> f64 {
         self.counted_load.value_at(now, self.limits.mean_lifetime)
     }
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Bytes that the tables take at most.
+    /// Most bytes that each table may take.
     pub fn max_table_bytes(&self) -> TableBytes {
         TableBytes {
             sessions: Table::<StickyEndpoint>::bytes_for(self.sessions.capacity()),
@@ -139,21 +140,22 @@
         }
     }
 
-    /// The loads of this many other relays are now included.
+    /// Records that the loads of this many other relays are now included in the tables.
     pub(crate) fn include_relays(&mut self, now: Millis, relays: f64) {
         let now = self.clock.now().max(now);
         self.included_relays.add(now, relays, self.limits.mean_lifetime);
         self.learned_at = Some(now);
     }
 
-    /// Counts load that came to be known.
+    /// Adds load that was placed, reported or restored to the sum of counted load.
     fn count_load(&mut self, load: f64) {
         self.counted_load.add(self.clock.now(), load, self.limits.mean_lifetime);
     }
 
-    /// How many times the loads known here the cluster carries: known are those of this relay, which after
-    /// its restart are few because the others carry them, and those of the included relays. Reported loads
-    /// decay; what arrives after them is known at this relay alone.
+    /// The factor from the loads known at this relay to those of the whole cluster. Known loads are this
+    /// relay's own, which are few after a restart because the other relays carry the connections, and those
+    /// of the included relays. Reported loads decay; of the connections placed since the reports, this relay
+    /// knows only its own.
     fn scale_to_cluster(&self, now: Millis) -> f64 {
         let relay_count = f64::from(self.limits.position.relay_count);
         relay_count / (1.0 + self.included_relays.value_at(now, self.limits.mean_lifetime))
@@ -167,7 +169,7 @@
         self.stale_lookups.set(self.stale_lookups.get() + lookups as u64);
     }
 
-    /// Entries set before this tick are expired.
+    /// The tick before which entries have expired.
     fn oldest_tick(&self) -> u32 {
         self.clock.tick_of(self.clock.now() - self.limits.max_age)
     }
--- a/crates/affinity/src/affinity/sessions.rs
+++ b/crates/affinity/src/affinity/sessions.rs
@@ -1,4 +1,4 @@
-//! The table of clients and the endpoints that hold their connections.
+//! Operations on the table of clients: the endpoint that holds each client's connection.
 
 use std::sync::Arc;
 
@@ -10,7 +10,8 @@
 use crate::table::Evicted;
 
 impl Affinity {
-    /// Records where a client's connection is established; whether that is a new location.
+    /// Records the endpoint on which a client's connection is established; returns whether the client's
+    /// location has changed.
     pub fn record_session(&mut self, now: Millis, client: u64, endpoint: &str) -> bool {
         let tick = self.clock.advance(now);
         let Some(holder) = self.registry.listed(endpoint) else { return false };
@@ -19,23 +20,24 @@
         before != Some(holder)
     }
 
-    /// The endpoint that holds a client's connection, if that is known and it is ready.
+    /// The endpoint that holds a client's connection, if it is known and ready.
     pub fn session(&self, client: u64) -> Option<Arc<str>> {
-        // A lookup does not keep the entry: each client is placed once, and older ones are dropped first.
+        // The lookup does not count as a use: each client is placed once, and older entries are dropped
+        // first.
         let stored = self.sessions.peek(client).filter(|stored| stored.set_at >= self.oldest_tick())?;
         let id = self.ready_id(stored.value);
         self.count_stale_lookups(usize::from(id.is_none()));
         id
     }
 
-    /// Another relay reports a client's holder, with its age in steps of the maximum age. A newer entry
-    /// here stays.
+    /// Merges a client's holder as another relay reported it, with its age in steps of the maximum age. A
+    /// newer entry of this relay stays.
     pub(crate) fn merge_session(&mut self, now: Millis, client: u64, tag: EndpointTag, age: u8) {
         let tick = self.clock.advance(now);
         let age_ticks = f64::from(age) * self.limits.max_age / f64::from(AGE_STEPS) / TICK_MS;
         let set_at = tick.saturating_sub(age_ticks as u32);
-        let newer = self.sessions.peek(client).filter(|stored| stored.set_at > set_at);
-        if newer.is_some_and(|stored| !self.registry.has_ended(stored.value)) {
+        let newer_entry = self.sessions.peek(client).filter(|stored| stored.set_at > set_at);
+        if newer_entry.is_some_and(|stored| !self.registry.has_ended(stored.value)) {
             return;
         }
         let Some(holder) = self.registry.find_or_add(self.clock.now(), tag) else { return };
--- a/crates/affinity/src/affinity/sync.rs
+++ b/crates/affinity/src/affinity/sync.rs
@@ -1,4 +1,4 @@
-//! What relays exchange of the tables: rows, digests and location updates.
+//! The table content that relays exchange: rows, digests and location updates.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -13,8 +13,8 @@
 use crate::group::{GroupEntry, Holder};
 
 impl Affinity {
-    /// Locations of clients as others are sent them, cut into messages that fit a datagram each; of clients
-    /// that are not known, or whose holder's incarnation has ended, nothing.
+    /// Location updates of the given clients for other relays, split into messages that each fit a datagram.
+    /// Clients that are not known, or whose holder's incarnation has ended, are left out.
     pub fn location_updates(&self, clients: &[u64]) -> Vec<ClusterMessage> {
         let row = |key: &u64| {
             let holder = self.sessions.peek(*key)?.value;
@@ -26,7 +26,7 @@
         pack_sessions(rows.into_iter()).into_iter().map(location_update).collect()
     }
 
-    /// Clients with their holder and age. What expires soon is left out.
+    /// All clients with their holder and age, without those in the last age step, which expire soon.
     pub(crate) fn session_rows(&self, now: Millis) -> impl Iterator<Item = SessionRow> {
         let tick = self.clock.tick_of(now);
         let ticks_per_step = self.limits.max_age / f64::from(AGE_STEPS) / TICK_MS;
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Groups with this relay's own load on each of their holders.
+    /// All groups with this relay's own load on each of their holders.
     pub(crate) fn local_group_rows(&self, now: Millis) -> impl Iterator<Item = GroupRow> {
         let tick = self.clock.tick_of(now);
         self.groups.iter().filter_map(move |entry| {
@@ -52,8 +52,8 @@
         })
     }
 
-    /// A digest of each bucket of clients by which two tables are compared, whatever the order of their
-    /// entries.
+    /// A digest of each bucket of clients, by which two relays compare their tables. The order of the entries
+    /// does not matter.
     pub(crate) fn session_digests(&self, now: Millis) -> Vec<[u8; 4]> {
         let mut digests = vec![[0; 4]; BUCKETS];
         for row in self.session_rows(now) {
@@ -64,7 +64,7 @@
         digests
     }
 
-    /// The holders of a group that carry load of this relay, decayed until a tick.
+    /// The holders of a group that carry more than negligible load of this relay, decayed until a tick.
     pub(super) fn locally_loaded(&self, entry: &GroupEntry, tick: u32) -> impl Iterator<Item = Holder> {
         entry
             .decayed_holders(tick, self.limits.mean_lifetime)
@@ -77,7 +77,7 @@
     ClusterMessage::LocationUpdate(rows.into_iter().map(located).collect())
 }
 
-/// The bucket that a key falls into, by its upper bits.
+/// The bucket of a key, which its upper bits determine.
 fn bucket(table: TableKind, key: u64) -> usize {
     let bucket_bits = BUCKETS.ilog2();
     let key_bits = match table {
@@ -87,7 +87,7 @@
     (key >> (key_bits - bucket_bits)) as usize % BUCKETS
 }
 
-/// Rows by the bucket of their key.
+/// Sorts rows into buckets by their key.
 pub(crate) fn by_bucket<T>(
     table: TableKind,
     rows: impl Iterator<Item = T>,
--- a/crates/affinity/src/clock.rs
+++ b/crates/affinity/src/clock.rs
@@ -1,17 +1,17 @@
-//! The clock of the tables: ticks of a tenth of a second, which never go back.
+//! The clock of the tables. It counts ticks of a tenth of a second and never goes back.
 
 use crate::Millis;
 
 /// The length of a tick.
 pub(crate) const TICK_MS: Millis = 100.0;
 
-/// Converts times to ticks. Ticks count from the maximum age of an entry before the clock was made, so that
-/// a restored entry has a tick of its own.
+/// Converts times to ticks. Tick 0 lies the maximum age of an entry before the creation of the clock, so that
+/// entries restored from the time before the start have ticks too.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TickClock {
     /// Time of tick 0.
     origin: Millis,
-    /// The latest time.
+    /// The latest time that the clock was given.
     now: Millis,
 }
 
@@ -20,18 +20,18 @@
         TickClock { origin: now - max_age, now }
     }
 
-    /// Takes a new time, unless it is before the latest one; gives the tick as of now.
+    /// Advances the clock to a time, unless that is before the latest one; returns the current tick.
     pub fn advance(&mut self, now: Millis) -> u32 {
         self.now = self.now.max(now);
         self.tick_of(self.now)
     }
 
-    /// The latest time.
+    /// The latest time that the clock was given.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// Time of tick 0: what is older can't be stored.
+    /// Time of tick 0. Entries set before it can't be stored.
     pub fn origin(&self) -> Millis {
         self.origin
     }
@@ -40,7 +40,7 @@
         ((time - self.origin) / TICK_MS) as u32
     }
 
-    /// The tick of a query's time, which may lie before the latest time.
+    /// The tick of a query's time; of the latest time where the query's time lies before it.
     pub fn tick_no_earlier(&self, time: Millis) -> u32 {
         self.tick_of(time.max(self.now))
     }
--- a/crates/affinity/src/codec/packing.rs
+++ b/crates/affinity/src/codec/packing.rs
@@ -1,14 +1,14 @@
-//! Packs rows of the tables into chunks that fit a message each.
+//! Packs rows of the tables into chunks that each fit a message.
 
 use super::{Client, GroupRow, ROWS_BYTES, SessionRow, StickyClients};
 use crate::endpoint_registry::EndpointTag;
 
-/// Bytes of a holder, its age and the number of its clients.
+/// Bytes of a holder's tag, the age of its clients' entries and the number of those clients.
 const STICKY_HEAD_BYTES: usize = size_of::<EndpointTag>() + 2;
-/// Bytes of a holder of a group: its load takes up to three.
+/// Most bytes of a holder of a group, of which the load takes up to three.
 const HOLDER_ROW_BYTES: usize = size_of::<EndpointTag>() + 3;
 
-/// Packs clients, which are to be sorted by holder and age.
+/// Packs clients, which must be sorted by holder and age.
 pub(crate) fn pack_sessions(sessions: impl Iterator<Item = SessionRow>) -> Vec<Vec<StickyClients>> {
     let mut chunks: Vec<Vec<StickyClients>> = Vec::new();
     let mut rows: Vec<StickyClients> = Vec::new();
--- a/crates/affinity/src/decay.rs
+++ b/crates/affinity/src/decay.rs
@@ -2,12 +2,12 @@
 
 use crate::Millis;
 
-/// What is left of a load after a span of time.
+/// The fraction of a load that remains after a span of time.
 pub(crate) fn decay_factor(span: Millis, mean_lifetime: Millis) -> f64 {
     (-span.max(0.0) / mean_lifetime.max(1.0)).exp()
 }
 
-/// A decaying sum, as of its latest change.
+/// A decaying sum, stored with its value at its latest change.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingSum {
     value: f64,
--- a/crates/affinity/src/endpoint_registry.rs
+++ b/crates/affinity/src/endpoint_registry.rs
@@ -1,10 +1,10 @@
-//! Which incarnations of endpoints there are, and which of them may be given out.
+//! The known incarnations of endpoints, and which of them are ready.
 //!
-//! An incarnation is an endpoint's id and the time of its start. Entries of the tables name one by a small
-//! handle ([`StickyEndpoint`]) that is void once the incarnation has ended: so one lookup tells whether an
-//! entry still counts, and an endpoint's end costs the same however many entries name it. Inputs are lists
-//! and tags; outputs are handles and names. It never gives out an endpoint that the list does not name as
-//! ready.
+//! An incarnation is an endpoint's id and the time of its start. Entries of the tables refer to an
+//! incarnation by a small handle ([`StickyEndpoint`]) that becomes void once the incarnation has ended: one
+//! lookup tells whether an entry is still valid, and the end of an incarnation costs the same however many
+//! entries refer to it. Inputs are endpoint lists and tags; outputs are handles and names. The registry never
+//! returns an endpoint that the endpoint list does not name as ready.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,54 +13,55 @@
 
 use crate::Millis;
 
-/// Incarnations, reported by others or restored, that no list has named yet; more are refused.
+/// Most incarnations, reported by other relays or restored, that no endpoint list has named yet. Further ones
+/// are refused.
 const MAX_UNLISTED: usize = 4096;
-/// How long one of them may wait for a list to name it. Lists come seconds late.
+/// How long such an incarnation may wait for an endpoint list to name it. Lists arrive seconds late.
 const UNLISTED_TTL_MS: Millis = 60_000.0;
 
-/// What the list says of an endpoint.
+/// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It accepts connections.
+    /// The endpoint accepts connections.
     Ready,
-    /// It completes its connections and accepts none.
+    /// The endpoint completes its connections and accepts no new ones.
     Draining,
-    /// It is no longer there.
+    /// The endpoint no longer exists.
     Removed,
 }
 
-/// An entry of the list of endpoints.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint<'a> {
     /// The endpoint's id.
     pub id: &'a Arc<str>,
-    /// When it started, in milliseconds; 0 for long past.
+    /// When the endpoint started, in milliseconds; 0 for long past.
     pub started: Millis,
     /// Its state.
     pub state: ListedState,
 }
 
-/// An incarnation as other relays and the store name it: a hash of id and start.
+/// The identifier of an incarnation in cluster messages and in the store: a hash of its id and start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct EndpointTag(pub [u8; 4]);
 
 impl EndpointTag {
-    /// The tag of an endpoint that started then, in milliseconds; 0 for long past.
+    /// The tag of an endpoint that started at the given time, in milliseconds; 0 for long past.
     pub fn of(id: &str, started: Millis) -> EndpointTag {
-        // Whole milliseconds: the same however the list's number was parsed.
+        // Rounded to whole milliseconds, so that the tag does not depend on how the list's number was parsed.
         let start = started.max(0.0).round() as u64;
         EndpointTag((xxh3_64_with_seed(id.as_bytes(), start) as u32).to_le_bytes())
     }
 }
 
-/// What a tag stands for.
+/// The endpoint id and start that a tag identifies.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct EndpointName {
     /// The tag.
     pub tag: EndpointTag,
     /// The endpoint's id.
     pub id: String,
-    /// When it started, in milliseconds; 0 for long past.
+    /// When the endpoint started, in milliseconds; 0 for long past.
     pub started: Millis,
 }
 
@@ -74,17 +75,17 @@
 struct Slot {
     generation: u16,
     tag: EndpointTag,
-    /// None while no list has named it.
+    /// `None` while no endpoint list has named the incarnation.
     id: Option<Arc<str>>,
     added_at: Millis,
     started: Millis,
     state: ListedState,
-    /// Its name has been given out by [`EndpointRegistry::take_new_names`].
+    /// Whether [`EndpointRegistry::take_new_names`] has returned the incarnation's name.
     name_given: bool,
 }
 
 impl Slot {
-    /// A slot that no list has named yet.
+    /// The slot of an incarnation that no endpoint list has named yet.
     fn unlisted(generation: u16, tag: EndpointTag, now: Millis) -> Slot {
         Slot {
             generation,
@@ -102,7 +103,7 @@
     }
 }
 
-/// The incarnations that entries of the tables may name.
+/// The incarnations that entries of the tables may refer to.
 #[derive(Default)]
 pub struct EndpointRegistry {
     slots: Vec<Slot>,
@@ -113,7 +114,7 @@
 }
 
 impl EndpointRegistry {
-    /// Takes a list of endpoints, the full one or changes to it.
+    /// Applies an endpoint list, either the full list or changes to it.
     pub fn apply_list<'a>(
         &mut self,
         now: Millis,
@@ -129,8 +130,8 @@
         }
         for index in 0..self.slots.len() {
             let slot = &self.slots[index];
-            let is_missing = slot.id.is_some() && is_named.get(index) == Some(&false);
-            if is_missing || slot.has_waited_too_long(now) {
+            let is_unlisted = slot.id.is_some() && is_named.get(index) == Some(&false);
+            if is_unlisted || slot.has_waited_too_long(now) {
                 self.release(index as u16);
             }
         }
@@ -141,20 +142,20 @@
         self.by_id.get(id).map(|slot| self.handle(*slot))
     }
 
-    /// The handle of an incarnation that was reported or restored; nothing if too many wait for a list to
-    /// name them. It counts once a list does.
+    /// The handle of an incarnation that was reported or restored; `None` if too many incarnations wait for
+    /// an endpoint list to name them. The handle is valid for lookups once a list names the incarnation.
     pub fn find_or_add(&mut self, now: Millis, tag: EndpointTag) -> Option<StickyEndpoint> {
         let slot = self.find_or_allocate(now, tag)?;
         Some(self.handle(slot))
     }
 
-    /// The endpoint's id, if the incarnation is the present one and ready.
+    /// The endpoint's id, if the incarnation is the current one and ready.
     pub fn ready_id(&self, endpoint: StickyEndpoint) -> Option<&Arc<str>> {
         let slot = self.current(endpoint)?;
         slot.id.as_ref().filter(|_| slot.state == ListedState::Ready)
     }
 
-    /// Names of incarnations that a list has named since the last call.
+    /// Returns the names of incarnations that an endpoint list has named since the last call.
     pub fn take_new_names(&mut self) -> impl Iterator<Item = EndpointName> {
         self.slots.iter_mut().filter_map(|slot| {
             let id = slot.id.as_ref()?.to_string();
@@ -163,19 +164,19 @@
         })
     }
 
-    /// All names count as new again.
+    /// Marks all names as new again, so that [`EndpointRegistry::take_new_names`] returns them once more.
     pub fn forget_given_names(&mut self) {
         for slot in &mut self.slots {
             slot.name_given = false;
         }
     }
 
-    /// Whether the incarnation has ended, so that entries that name it will never count again.
+    /// Whether the incarnation has ended, so that entries that refer to it stay void for ever.
     pub fn has_ended(&self, endpoint: StickyEndpoint) -> bool {
         self.current(endpoint).is_none()
     }
 
-    /// The tag of an incarnation; nothing once it has ended.
+    /// The tag of an incarnation; `None` once the incarnation has ended.
     pub fn tag(&self, endpoint: StickyEndpoint) -> Option<EndpointTag> {
         self.current(endpoint).map(|slot| slot.tag)
     }
@@ -190,7 +191,7 @@
         StickyEndpoint { slot, generation: self.slots[usize::from(slot)].generation }
     }
 
-    /// Takes an entry of a list; gives the slot that it names.
+    /// Applies an entry of an endpoint list; returns the slot of the endpoint that the entry names.
     fn apply_entry(&mut self, now: Millis, entry: ListedEndpoint<'_>) -> Option<u16> {
         let tag = EndpointTag::of(entry.id, entry.started);
         if let Some(known) = self.by_id.get(entry.id).copied() {
@@ -219,7 +220,7 @@
         Some(index)
     }
 
-    /// The slot of an incarnation, a new one where it has none.
+    /// The slot of an incarnation; allocates a new slot where the incarnation has none.
     fn find_or_allocate(&mut self, now: Millis, tag: EndpointTag) -> Option<u16> {
         if let Some(slot) = self.by_tag.get(&tag) {
             return Some(*slot);
@@ -244,7 +245,7 @@
         Some(index)
     }
 
-    /// Frees a slot, which voids all entries that name its incarnation.
+    /// Frees a slot, which voids all entries that refer to its incarnation.
     fn release(&mut self, index: u16) {
         let slot = &mut self.slots[usize::from(index)];
         slot.state = ListedState::Removed;
@@ -253,7 +254,7 @@
             Some(id) => drop(self.by_id.remove(&id)),
             None => self.unlisted -= 1,
         }
-        // A slot whose generations are used up is retired: reused, it would make an old entry count again.
+        // A slot whose generations are used up is not reused: an old entry would become valid again.
         if slot.generation < u16::MAX {
             slot.generation += 1;
             self.free.push(index);
--- a/crates/affinity/src/group.rs
+++ b/crates/affinity/src/group.rs
@@ -1,21 +1,22 @@
-//! A group's entry: the endpoints that hold it, with the load on each.
+//! A group's entry in the table: the endpoints that hold the group, with the group's load on each.
 
 use crate::Millis;
 use crate::clock::TICK_MS;
 use crate::decay::decay_factor;
 use crate::endpoint_registry::{EndpointRegistry, StickyEndpoint};
 
-/// Holders that a group's entry names at most; the lightest gives way.
+/// Most holders in a group's entry; a further one replaces the holder with the least load.
 pub const MAX_HOLDERS: usize = 6;
 
-/// An endpoint's part of a group.
+/// An endpoint that holds a group, with the group's load there.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Holder {
     pub endpoint: StickyEndpoint,
-    /// Load that this relay placed there, as of the tick.
+    /// Load that this relay placed on the endpoint, as of `updated_at`.
     pub local_load: f32,
-    /// Load that the other relays reported, as of the tick.
+    /// Load that other relays reported for the endpoint, as of `updated_at`.
     pub reported_load: f32,
+    /// Tick of the latest change or decay of the loads.
     pub updated_at: u32,
 }
 
@@ -24,7 +25,7 @@
         self.local_load + self.reported_load
     }
 
-    /// The same holder with its loads decayed until a tick.
+    /// This holder with its loads decayed until a tick.
     pub fn decayed(&self, tick: u32, mean_lifetime: Millis) -> Holder {
         let age = f64::from(tick.saturating_sub(self.updated_at)) * TICK_MS;
         let factor = decay_factor(age, mean_lifetime) as f32;
@@ -58,7 +59,7 @@
         self.holders().iter().map(move |holder| holder.decayed(tick, mean_lifetime))
     }
 
-    /// The entry with a holder's load added. Holders whose incarnation has ended are left out.
+    /// This entry with a holder's load added. Holders whose incarnation has ended are left out.
     pub fn with_added(
         &self,
         added: Holder,
@@ -85,7 +86,7 @@
     }
 }
 
-/// The last one was just added: it stays even if it is the lightest.
+/// Removes the holder with the least load. The last holder was just added and stays in any case.
 fn remove_lightest_but_last(holders: &mut Vec<Holder>) {
     let last = holders.len() - 1;
     let lightest = (0..last).min_by(|a, b| holders[*a].load().total_cmp(&holders[*b].load()));
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -1,10 +1,11 @@
-//! What a relay remembers of where clients' connections are placed and which endpoints hold which groups.
+//! A relay's tables of which endpoint holds each client's connection and which endpoints hold each group.
 //!
-//! [`Affinity`] owns both tables within a fixed number of bytes. Its inputs are placements, the list of
-//! endpoints, other relays' messages ([`replication`]) and stored entries ([`Record`]), each with the time
-//! in milliseconds; its outputs are holders that are ready now, the groups' estimated sizes, and the
-//! changes to be stored. It never does I/O, never decides where a connection goes, and never names an
-//! endpoint that the list does not name as ready: entries point at incarnations, see [`endpoint_registry`].
+//! [`Affinity`] owns both tables within a fixed number of bytes. Its inputs are placements, the endpoint
+//! list, cluster messages of other relays ([`replication`]) and stored entries ([`Record`]), each with the
+//! time in milliseconds. Its outputs are the holders that are ready now, the groups' estimated sizes, and the
+//! changes to be stored. The crate does no I/O and does not decide which endpoint a connection goes to. It
+//! never returns an endpoint that the endpoint list does not name as ready: entries refer to incarnations,
+//! see [`endpoint_registry`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/affinity/src/limits.rs
+++ b/crates/affinity/src/limits.rs
@@ -1,30 +1,30 @@
-//! What the tables may take up and for how long.
+//! Limits on the size of the tables and on the age of their entries.
 
 use crate::Millis;
 use crate::position::ClusterPosition;
 
-/// Size of the tables by default: room for some ten thousand clients.
+/// Default size of the tables: room for some ten thousand clients.
 const DEFAULT_BYTES: usize = 1 << 20;
-/// Age after which entries are dropped by default.
+/// Default age after which entries are dropped.
 const DEFAULT_MAX_AGE_MS: Millis = 900_000.0;
-/// Mean lifetime of a connection by default.
+/// Default mean lifetime of a connection.
 const DEFAULT_MEAN_LIFETIME_MS: Millis = 55_000.0;
-/// Bytes a second that are sent to other relays by default.
+/// Default limit on the bytes sent to other relays within a second.
 const DEFAULT_SYNC_BYTES_PER_S: f64 = 65_536.0;
 
-/// What the tables may take up and for how long, and the relay's place in the cluster.
+/// Limits on the size of the tables and on the age of their entries, and the relay's cluster position.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of everything: both tables, and what is being sent to other relays.
+    /// Most bytes of both tables and of the data being sent to other relays, together.
     pub bytes: usize,
-    /// Entries not set for this long, in milliseconds, are dropped.
+    /// Entries that were last set longer ago than this, in milliseconds, are dropped.
     pub max_age: Millis,
-    /// Mean lifetime of a connection, in milliseconds: loads decay with it, so that their sum is about what
-    /// is established.
+    /// Mean lifetime of a connection, in milliseconds. Loads decay with it, so that their sum is about the
+    /// load of the established connections.
     pub mean_lifetime: Millis,
-    /// This relay's place in the cluster.
+    /// This relay's cluster position.
     pub position: ClusterPosition,
-    /// Bytes that are sent to other relays within a second at most, location updates aside.
+    /// Most bytes sent to other relays within a second, location updates not included.
     pub sync_bytes_per_s: f64,
 }
 
--- a/crates/affinity/src/outbox.rs
+++ b/crates/affinity/src/outbox.rs
@@ -1,8 +1,8 @@
-//! Messages that are to be sent to other relays.
+//! Cluster messages that are to be sent to other relays.
 
 use crate::codec::ClusterMessage;
 
-/// A message and the relay that it is for.
+/// A cluster message and the relay that receives it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
     /// Index of the receiving relay.
@@ -12,7 +12,7 @@
 }
 
 impl OutgoingMessage {
-    /// A message for a relay.
+    /// A message to the relay with the index `peer`.
     pub fn new(peer: u32, message: ClusterMessage) -> Self {
         OutgoingMessage { peer, message }
     }
--- a/crates/affinity/src/record.rs
+++ b/crates/affinity/src/record.rs
@@ -1,4 +1,4 @@
-//! Entries of the tables as they are stored and restored, with times of the caller's clock.
+//! Entries of the tables in the form in which they are stored and restored. Times are the caller's clock's.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,31 +6,32 @@
 use crate::codec::TableKind;
 use crate::endpoint_registry::{EndpointName, EndpointTag};
 
-/// One entry as it is stored.
+/// A stored entry of a table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A client and its holder.
+    /// A client and the endpoint that holds its connection.
     Session {
         /// The client's key.
         key: u64,
-        /// Its holder.
+        /// The tag of the endpoint that holds the client's connection.
         holder: EndpointTag,
-        /// When it was placed, in milliseconds.
+        /// When the connection was placed, in milliseconds.
         at: Millis,
     },
-    /// A group and its holders, with the load that this relay had there at that time.
+    /// A group and its holders, with the load that this relay had placed on each as of `at`.
     Group {
         /// The group's key.
         key: u64,
         /// Holders and loads, in mean connections.
         holders: Vec<(EndpointTag, f32)>,
-        /// When it was last changed, in milliseconds.
+        /// When the entry was last changed, in milliseconds.
         at: Millis,
     },
 }
 
 impl Record {
-    /// The table that it belongs to, and its key there: what it is stored under.
+    /// The table that the record belongs to, and its key in that table. The store files the record under
+    /// both.
     pub fn key(&self) -> (TableKind, u64) {
         match self {
             Record::Session { key, .. } => (TableKind::Sessions, *key),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// When it was last set, in milliseconds.
+    /// When the entry was last set, in milliseconds.
     pub fn at(&self) -> Millis {
         match self {
             Record::Session { at, .. } | Record::Group { at, .. } => *at,
@@ -46,34 +47,35 @@
     }
 }
 
-/// What has changed since changes were last taken.
+/// The changes of the tables since changes were last taken.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
-    /// Entries that were set, as they are now.
+    /// Entries that were set, with their current values.
     pub updated: Vec<Record>,
     /// Keys of entries that were removed.
     pub removed: Vec<(TableKind, u64)>,
-    /// What the holders' tags stand for, where that was not given before.
+    /// The names behind the holders' tags, as far as earlier changes did not include them.
     pub names: Vec<EndpointName>,
 }
 
 impl Changes {
-    /// Whether there are none.
+    /// Whether there are no changes.
     pub fn is_empty(&self) -> bool {
         self.updated.is_empty() && self.removed.is_empty() && self.names.is_empty()
     }
 }
 
-/// What became of restored entries.
+/// How many restored entries were accepted or not, and why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RestoreSummary {
-    /// Entries taken. They count once the list names their holders.
+    /// Entries accepted. Lookups return them once the endpoint list names their holders.
     pub accepted: u64,
-    /// Entries too old.
+    /// Entries dropped because they were too old.
     pub expired: u64,
-    /// Entries whose time lies in the future: the clock was stepped back. They are taken as set now.
+    /// Entries whose time lies in the future because the clock was stepped back. They are accepted as set
+    /// now.
     pub in_future: u64,
-    /// Entries for which there was no room.
+    /// Entries dropped for lack of room.
     pub rejected: u64,
 }
 
--- a/crates/affinity/src/replication/mod.rs
+++ b/crates/affinity/src/replication/mod.rs
@@ -1,15 +1,15 @@
-//! How a relay that starts gets its tables back from the other relays.
+//! Recovers a starting relay's tables from the other relays.
 //!
-//! [`Replication`] owns the requests and the answers in flight. Inputs are messages and the time in
-//! milliseconds; outputs are messages to send and when it wants to be called again. It never sends
-//! unrequested, and never more than the stated rate allows. Updates of clients' locations are sent by
-//! another crate, `sandgw-cluster`.
+//! [`Replication`] owns the requests and the answers in flight. Inputs are cluster messages and the time in
+//! milliseconds; outputs are messages to send and the time of the next timer call. It sends chunks of tables
+//! only on request, and limits them to the configured rate. The crate `sandgw-cluster` sends the updates of
+//! clients' locations.
 //!
-//! A relay that starts requests every relay's groups, whose loads add up, and clients from one relay after
-//! another, of which all know the same but for what was lost: digests see to it that only the difference is
-//! sent (`requester`). The answer is planned first, then sent in numbered chunks (`responder`); lost ones
-//! are requested again. Duplicates and answers to earlier requests are ignored, so loads are never added
-//! twice.
+//! A relay that starts requests groups from the other relays at once, as the loads of all relays add up. It
+//! requests clients from one relay after another, as all relays know the same clients apart from lost
+//! messages: by comparing digests, each relay sends only the buckets that differ (`requester`). The responder
+//! first sends a plan, then numbered chunks (`responder`); the requester requests lost chunks again.
+//! Duplicates and answers to earlier requests are ignored, so that no load is added twice.
 
 mod requester;
 mod responder;
@@ -26,26 +26,26 @@
 
 pub use crate::position::FULL_MESH_RELAYS;
 
-/// While chunks are queued, a timer of this length sends the next of them: shorter ones would be too many.
+/// Interval of the timer that sends queued chunks. A shorter interval would cause too many timer calls.
 const SEND_INTERVAL_MS: Millis = 10.0;
 
-/// What identifies one request and all messages that answer it.
+/// Identifies a request and all messages that answer it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RequestId {
-    /// The other relay: the responder at the requester, the requester at the responder.
+    /// The other relay: at the requester, this is the responder; at the responder, the requester.
     peer: u32,
     round: u32,
     table: TableKind,
 }
 
-/// A chunk's place in its answer.
+/// The position of a chunk in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ChunkId {
     bucket: u8,
     chunk: u16,
 }
 
-/// Where messages go, with the rate that bounds them.
+/// Puts messages into the outbox and charges them to the send budget.
 struct Sender<'a> {
     budget: &'a mut SendBudget,
     out: &'a mut Outbox,
@@ -66,7 +66,7 @@
 }
 
 impl Replication {
-    /// Nothing is in flight yet. `seed` is a new one with every start.
+    /// Creates an exchange with nothing in flight. `seed` should differ with each start of the relay.
     pub fn new(seed: u64) -> Self {
         Replication {
             requester: Requester::new(seed),
@@ -76,17 +76,17 @@
         }
     }
 
-    /// Chunks that were requested again, by this relay or by others.
+    /// Number of chunks that were requested again, by this relay or by others.
     pub fn resent_chunks(&self) -> u64 {
         self.requester.resend_requests() + self.responder.resent_chunks()
     }
 
-    /// Whether a request is in flight.
+    /// Whether any request of this relay is in flight.
     pub fn is_recovering(&self) -> bool {
         self.requester.is_recovering()
     }
 
-    /// Whether groups have come in since the last call.
+    /// Whether groups have been received since the last call.
     pub fn take_learned(&mut self) -> bool {
         self.requester.take_learned()
     }
@@ -97,7 +97,7 @@
         self.requester.recover(affinity, now, sender);
     }
 
-    /// Takes another relay's message.
+    /// Handles a message of another relay.
     pub fn receive(
         &mut self,
         affinity: &mut Affinity,
@@ -131,7 +131,7 @@
                 let request = RequestId { peer, round, table };
                 self.responder.handle_resend(now, request, bucket, chunks, sender);
             }
-            // For other parts of the relay.
+            // Other parts of the relay handle these messages.
             ClusterMessage::LocationQuery(_)
             | ClusterMessage::LoadReport(_)
             | ClusterMessage::ClusterLoads { .. }
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Requests again what is overdue, and sends queued chunks as far as the rate allows.
+    /// Retries overdue requests, and sends queued chunks as far as the rate allows.
     pub fn on_timer(&mut self, affinity: &Affinity, now: Millis, out: &mut Outbox) {
         self.timer.acknowledge(now);
         self.budget.refill(now, affinity.limits().sync_bytes_per_s);
@@ -151,7 +151,8 @@
         self.responder.send_queued(now, sender);
     }
 
-    /// In how long to call [`Replication::on_timer`], unless that was requested before.
+    /// The time until [`Replication::on_timer`] is to be called; `None` if nothing is due or an earlier
+    /// result already covers the call.
     pub fn timer(&mut self, now: Millis) -> Option<Millis> {
         let retries = self.requester.retry_deadlines();
         let queued = self.responder.has_queued().then_some(now + SEND_INTERVAL_MS);
--- a/crates/affinity/src/replication/requester.rs
+++ b/crates/affinity/src/replication/requester.rs
@@ -1,4 +1,5 @@
-//! The requesting side: which tables this relay has requested from which relay, and what of them has come in.
+//! The requesting side: which tables this relay has requested from which relay, and which chunks it has
+//! received.
 
 use std::collections::VecDeque;
 
@@ -8,31 +9,32 @@
 use crate::codec::{BUCKETS, ClusterMessage, TableKind};
 use crate::{Affinity, Millis};
 
-/// Relays whose groups are requested in a small cluster.
+/// Most relays whose groups are requested in a small cluster.
 const MAX_GROUP_PEERS: usize = 8;
-/// The same in a large one: a mean over the cluster is known from few. With more requests than each relay
-/// answers at a time, most would be sent again and again.
+/// Most relays whose groups are requested in a large cluster. The loads of a few relays suffice to estimate
+/// the mean over the cluster. With more requests than each relay answers at a time, most requests would be
+/// sent again and again.
 const MAX_GROUP_PEERS_IN_LARGE_CLUSTER: usize = 2;
-/// Relays whose clients are requested, one after another, in a small cluster. In a large one no relay knows
-/// all.
+/// Most relays whose clients are requested, one after another, in a small cluster. In a large cluster no
+/// relay knows all clients, so none are requested.
 const MAX_SESSION_PEERS: usize = 3;
-/// Without progress for this long, what is missing is requested again.
+/// Time without progress after which a request is sent again, or its missing chunks are requested again.
 pub(super) const RETRY_AFTER_MS: Millis = 300.0;
-/// Retries without progress before a request is given up.
+/// Retries without progress before a request is abandoned.
 const MAX_RETRIES: u32 = 8;
-/// The time to a retry grows with each up to this one.
+/// The delay before a retry grows with each retry up to this number of retries.
 const MAX_BACKOFF_STEPS: u32 = 3;
-/// Chunks stored that overtook their plan; more are requested again.
+/// Most chunks kept that arrived before their plan. Further ones are dropped and requested again.
 const MAX_EARLY_CHUNKS: usize = 64;
-/// Chunks requested again at a time.
+/// Most chunks requested again at a time.
 const MAX_RESENT_AT_A_TIME: usize = 48;
 
 /// A request in flight.
 struct PendingRequest {
     id: RequestId,
-    /// The chunks that have come in, by bucket and index, once the plan is known.
+    /// Whether each chunk has been received, by bucket and index, once the plan is known.
     received: Option<Vec<Vec<bool>>>,
-    /// Chunks that overtook their plan.
+    /// Chunks that arrived before their plan.
     early_chunks: Vec<ClusterMessage>,
     missing: usize,
     total: usize,
@@ -53,7 +55,7 @@
         }
     }
 
-    fn retry_at_interval(&self) -> Millis {
+    fn retry_delay(&self) -> Millis {
         RETRY_AFTER_MS * f64::from(1 + self.retries.min(MAX_BACKOFF_STEPS))
     }
 
@@ -70,7 +72,7 @@
         self.record_progress(now);
     }
 
-    /// Whether a chunk is part of the plan and has not come in before.
+    /// Marks a chunk as received; returns whether it is part of the plan and was not received before.
     fn take_chunk(&mut self, now: Millis, chunk: ChunkId) -> bool {
         let Some(received) = self.received.as_mut() else { return false };
         let bucket = received.get_mut(usize::from(chunk.bucket));
@@ -85,7 +87,7 @@
         true
     }
 
-    /// Messages that request missing chunks, and how many chunks those are.
+    /// Messages that request missing chunks again, and the number of those chunks.
     fn resend_messages(&self) -> (Vec<ClusterMessage>, usize) {
         let mut messages = Vec::new();
         let mut room = MAX_RESENT_AT_A_TIME;
@@ -137,7 +139,7 @@
 
     pub fn recover(&mut self, affinity: &Affinity, now: Millis, sender: &mut Sender<'_>) {
         let position = affinity.position();
-        // From the next index on, so that many relays that start together request from different ones first.
+        // Begins with the next index, so that relays that start together first request from different peers.
         let others = (1..position.relay_count).map(|i| (position.local_index + i) % position.relay_count);
         let is_large = position.is_large();
         let session_peers = if is_large { 0 } else { MAX_SESSION_PEERS };
@@ -163,7 +165,7 @@
         request.apply_plan(now, chunk_counts);
         let early_chunks = std::mem::take(&mut request.early_chunks);
         if request.missing == 0 {
-            // The loads of a relay that carries nothing are included as well.
+            // A relay without loads counts as included, too.
             if id.table == TableKind::Groups {
                 affinity.include_relays(now, 1.0);
             }
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Takes a chunk of an answer; one that has overtaken its plan is stored until the plan comes in.
+    /// Handles a chunk of an answer; a chunk that arrives before its plan is kept until the plan arrives.
     pub fn handle_chunk(
         &mut self,
         affinity: &mut Affinity,
@@ -203,8 +205,7 @@
     }
 
     pub fn retry_overdue(&mut self, affinity: &Affinity, now: Millis, sender: &mut Sender<'_>) {
-        let is_overdue =
-            |request: &&PendingRequest| now - request.last_progress_at >= request.retry_at_interval();
+        let is_overdue = |request: &&PendingRequest| now - request.last_progress_at >= request.retry_delay();
         let overdue: Vec<u32> =
             self.requests.iter().filter(is_overdue).map(|request| request.id.round).collect();
         for round in overdue {
@@ -213,7 +214,7 @@
     }
 
     pub fn retry_deadlines(&self) -> impl Iterator<Item = Millis> {
-        self.requests.iter().map(|request| request.last_progress_at + request.retry_at_interval())
+        self.requests.iter().map(|request| request.last_progress_at + request.retry_delay())
     }
 
     fn request_next_sessions(&mut self, affinity: &Affinity, now: Millis, sender: &mut Sender<'_>) {
@@ -230,15 +231,15 @@
         table: TableKind,
         sender: &mut Sender<'_>,
     ) {
-        // The round depends on the time too: where a configuration gives every start the same seed, an
-        // answer to the earlier incarnation's request would be taken for one to this.
+        // The round depends on the time too. If a configuration gives each start the same seed, an answer to
+        // a request of the earlier incarnation would otherwise be mistaken for an answer to this request.
         let round = self.random.next_u64_at(now) as u32;
         let id = RequestId { peer, round, table };
         self.requests.push(PendingRequest::new(id, now));
         sender.send(peer, request_message(affinity, now, id));
     }
 
-    /// Whether a chunk is one that was requested and has not come in before.
+    /// Marks a chunk as received; returns whether it was requested and not received before.
     fn take_chunk(&mut self, affinity: &mut Affinity, now: Millis, id: RequestId, chunk: ChunkId) -> bool {
         let Some(request) = self.requests.iter_mut().find(|request| request.id == id) else { return false };
         let is_new = request.take_chunk(now, chunk);
@@ -248,7 +249,7 @@
         is_new
     }
 
-    /// All chunks have come in, or no more will.
+    /// Ends a request whose chunks have all been received, or that is abandoned.
     fn finish(&mut self, affinity: &Affinity, now: Millis, round: u32, sender: &mut Sender<'_>) {
         let Some(index) = self.requests.iter().position(|request| request.id.round == round) else { return };
         let request = self.requests.swap_remove(index);
@@ -279,7 +280,8 @@
     }
 }
 
-/// A request. The groups' loads are each relay's own, so there is nothing to compare: all are requested.
+/// The message of a request. Clients are compared by digests if this relay knows any. The loads of groups are
+/// each relay's own, so there is nothing to compare and all groups are requested.
 fn request_message(affinity: &Affinity, now: Millis, id: RequestId) -> ClusterMessage {
     let compares = id.table == TableKind::Sessions && affinity.statistics().sessions > 0;
     let digests = if compares { affinity.session_digests(now) } else { Vec::new() };
--- a/crates/affinity/src/replication/responder.rs
+++ b/crates/affinity/src/replication/responder.rs
@@ -1,4 +1,4 @@
-//! The answering side: what other relays have requested, and which chunks of it are still to be sent.
+//! The answering side: which tables other relays have requested, and which chunks are still to be sent.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -10,13 +10,13 @@
 };
 use crate::{Affinity, Millis};
 
-/// Answers in flight; a relay that requests when there are so many requests again.
+/// Most answers in flight. A request beyond them is ignored, and the requester sends it again.
 const MAX_ANSWERS: usize = 4;
-/// An answer that is neither sent nor requested again for this long is dropped.
+/// An answer is dropped once none of its chunks has been sent or requested again for this long.
 const ANSWER_TTL_MS: Millis = 10_000.0;
-/// All answers together take at most this part of the tables' bytes.
+/// All answers together may take one part in this many of the byte limit.
 const ANSWERS_BYTES_DIVISOR: usize = 8;
-/// A bucket may have this many chunks whatever the bytes.
+/// Number of chunks that a bucket may have whatever the byte limit.
 const MIN_CHUNKS_PER_BUCKET: usize = 4;
 
 /// An answer in flight.
@@ -46,7 +46,7 @@
         self.answers.iter().any(|answer| !answer.queue.is_empty())
     }
 
-    /// Answers a request: sends the plan at once, the chunks as the rate allows.
+    /// Answers a request: sends the plan at once, and the chunks as the rate allows.
     pub fn handle_request(
         &mut self,
         affinity: &Affinity,
@@ -59,7 +59,7 @@
             return;
         }
         if let Some(answer) = self.answers.iter_mut().find(|answer| answer.id == id) {
-            // The plan was lost.
+            // The requester repeats its request because the plan was lost.
             answer.last_used_at = now;
             return sender.send(id.peer, answer.plan.clone());
         }
@@ -75,7 +75,7 @@
         self.send_queued(now, sender);
     }
 
-    /// Queues chunks again that were lost.
+    /// Queues lost chunks again.
     pub fn handle_resend(
         &mut self,
         now: Millis,
@@ -97,7 +97,7 @@
         self.send_queued(now, sender);
     }
 
-    /// Sends queued chunks as far as the rate allows, one of each answer in turn.
+    /// Sends queued chunks as far as the rate allows, one chunk of each answer in turn.
     pub fn send_queued(&mut self, now: Millis, sender: &mut Sender<'_>) {
         while sender.budget.is_available() {
             let mut has_sent = false;
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Drops answers that are no longer used, and those to an earlier incarnation of the requester.
+    /// Drops answers that are no longer used, and those that a new request of the same peer for the same
+    /// table replaces, such as answers to an earlier incarnation of the requester.
     fn remove_outdated(&mut self, now: Millis, id: RequestId) {
         self.answers.retain(|answer| {
             let is_replaced = answer.id.peer == id.peer && answer.id.table == id.table;
@@ -126,7 +127,7 @@
     }
 }
 
-/// The chunks of all buckets that differ from the requester's; without digests all are wanted.
+/// The chunks of all buckets that differ from the requester's; without digests, those of all buckets.
 fn differing_chunks(
     affinity: &Affinity,
     now: Millis,
@@ -146,7 +147,8 @@
     chunks
 }
 
-/// What is being sent stays within its part of the bytes; the rest is left out.
+/// Most chunks per bucket, so that answers stay within their part of the byte limit; further chunks are left
+/// out.
 fn max_chunks_per_bucket(bytes: usize) -> usize {
     let chunks_per_answer = bytes / ANSWERS_BYTES_DIVISOR / MAX_ANSWERS / MAX_MESSAGE_BYTES;
     (chunks_per_answer / BUCKETS).max(MIN_CHUNKS_PER_BUCKET)
@@ -169,7 +171,7 @@
     let buckets = by_bucket(TableKind::Groups, affinity.local_group_rows(now), key);
     let mut chunks = Vec::with_capacity(BUCKETS);
     for (bucket, mut rows) in (0..).zip(buckets) {
-        // The largest first: if anything is left out or lost it is the smallest.
+        // The largest groups come first, so that the smallest are the ones left out or lost.
         rows.sort_by_key(|row| (Reverse(total_load(row)), row.key));
         let packed = pack_groups(rows.into_iter()).into_iter().zip(0..);
         let message = |(rows, chunk)| ClusterMessage::Groups { round, bucket, chunk, rows };
@@ -194,8 +196,8 @@
     let longest = chunks.iter().map(Vec::len).max().unwrap_or(0);
     let mut order = VecDeque::new();
     for chunk in 0..longest {
-        for (bucket, of_bucket) in chunks.iter().enumerate() {
-            if of_bucket.len() > chunk {
+        for (bucket, bucket_chunks) in chunks.iter().enumerate() {
+            if bucket_chunks.len() > chunk {
                 order.push_back(ChunkId { bucket: bucket as u8, chunk: chunk as u16 });
             }
         }
--- a/crates/affinity/src/statistics.rs
+++ b/crates/affinity/src/statistics.rs
@@ -2,59 +2,59 @@
 
 use std::sync::Arc;
 
-/// Totals since the start and gauges as of now.
+/// Totals since the start, and current gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
-    /// Clients known now.
+    /// Clients in the table now.
     pub sessions: u64,
-    /// Groups known now.
+    /// Groups in the table now.
     pub groups: u64,
-    /// Bytes that the tables take at most.
+    /// Most bytes that the tables may take.
     pub max_bytes: u64,
-    /// Entries in use that had to make room.
+    /// Entries evicted from the main queue to make room for others.
     pub evicted: u64,
-    /// Entries seen once that were not admitted to the main queue.
+    /// Entries evicted from the small queue without having been admitted to the main queue.
     pub not_admitted: u64,
-    /// Entries that were dropped for their age.
+    /// Entries dropped because of their age.
     pub expired: u64,
-    /// Lookups of an entry whose holder is not ready: used, they would have gone wrong.
+    /// Lookups of entries whose holder is not ready: a connection sent to that holder would have failed.
     pub stale_lookups: u64,
     /// Replicated chunks that were requested again.
     pub resent_chunks: u64,
 }
 
-/// Bytes that each table takes at most.
+/// Most bytes that each table may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableBytes {
-    /// Of the clients' table.
+    /// Bytes of the table of clients.
     pub sessions: usize,
-    /// Of the groups' table.
+    /// Bytes of the table of groups.
     pub groups: usize,
 }
 
-/// An endpoint that holds a part of a group.
+/// An endpoint that holds some of a group's connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HolderLoad {
     /// The endpoint's id.
     pub endpoint: Arc<str>,
-    /// The group's load there, in mean connections, as far as it is known here.
+    /// The group's load on the endpoint, in mean connections, as far as this relay knows it.
     pub load: f64,
 }
 
-/// A group and its estimated load on the whole cluster.
+/// A group and its estimated load across the whole cluster.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GroupSize {
     /// The group's key.
     pub group: u64,
-    /// Its load, in mean connections.
+    /// The group's load, in mean connections.
     pub load: f64,
 }
 
-/// An estimate of the load on the whole cluster.
+/// An estimate of the load across the whole cluster.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadEstimate {
-    /// In mean connections.
+    /// The estimated load, in mean connections.
     pub load: f64,
-    /// How much to trust it over what this relay counts itself, from 0 to 1.
+    /// How much to trust the estimate over this relay's own counts, from 0 to 1.
     pub confidence: f64,
 }
--- a/crates/affinity/src/table/ghost.rs
+++ b/crates/affinity/src/table/ghost.rs
@@ -1,13 +1,14 @@
 //! The ghost queue of S3-FIFO, approximated by a direct-mapped array of fingerprints.
 
-/// Keys that were evicted from the small queue lately. Each fingerprint has its own slot: a newer one
-/// replaces an older one.
+/// Keys that were recently evicted from the small queue. Each key maps to one slot, where its fingerprint
+/// replaces that of an older key.
 pub(super) struct GhostKeys {
     fingerprints: Vec<u32>,
 }
 
 impl GhostKeys {
-    /// Slots for a table of `capacity` entries: a key is remembered for two to four turnovers of the table.
+    /// Number of slots for a table of `capacity` entries, with which a key is remembered for two to four
+    /// turnovers of the table.
     pub const fn slots_for(capacity: usize) -> usize {
         (2 * capacity).next_power_of_two()
     }
@@ -22,7 +23,7 @@
         self.fingerprints[slot] = fingerprint(key);
     }
 
-    /// Whether a key was remembered; it no longer is.
+    /// Forgets a key; returns whether it was remembered.
     pub fn take(&mut self, key: u64) -> bool {
         let slot = self.slot(key);
         let was_remembered = self.fingerprints[slot] == fingerprint(key);
@@ -37,7 +38,7 @@
     }
 }
 
-/// Never zero, which stands for an empty slot.
+/// The fingerprint of a key. It is never zero, which marks an empty slot.
 fn fingerprint(key: u64) -> u32 {
     (key >> 32) as u32 ^ key as u32 | 1
 }
--- a/crates/affinity/src/table/mod.rs
+++ b/crates/affinity/src/table/mod.rs
@@ -1,14 +1,14 @@
 //! A table of fixed size, keyed by hash, that a flood of new keys can't empty.
 //!
-//! It owns its entries, an index and the ghost keys; all are of a size settled when it is made, so its
-//! bytes are bounded whatever comes. Inputs are lookups and inserts, with the time in ticks of the
-//! caller's; outputs are values, and the entry that was evicted. It never allocates after it is made beyond
-//! the room reserved then, and no operation's cost grows with the entries it holds.
+//! A [`Table`] owns its entries, an index and the ghost keys. Their sizes are fixed at creation, so the
+//! table's bytes are bounded whatever keys arrive. Inputs are lookups and inserts, with the time in the
+//! caller's ticks; outputs are values, and the entry that was evicted. The table never allocates beyond the
+//! room that it reserves at creation, and the cost of an operation does not grow with the number of entries.
 //!
 //! Admission is S3-FIFO (Yang et al., SOSP 2023): a new key enters a small queue of a tenth of the capacity
-//! and moves on to the main queue only if it was looked up meanwhile, or if it returns soon after its
-//! eviction, while it is a ghost. A flood of keys that are seen once passes through the small queue and
-//! leaves the main queue alone. `docs/affinity.md` compares it with other policies.
+//! and moves on to the main queue only if it was looked up meanwhile, or if it is inserted again soon after
+//! its eviction, while it is a ghost key. A flood of keys that are inserted only once passes through the
+//! small queue and leaves the main queue unchanged. `docs/affinity.md` compares it with other policies.
 
 mod ghost;
 mod rows;
@@ -19,11 +19,11 @@
 use ghost::GhostKeys;
 pub use rows::{Evicted, Losses, Stored, TableEntry};
 
-/// Lookups that count; more say nothing more.
+/// Most lookups that are counted for an entry; further ones have no effect on eviction.
 const MAX_FREQUENCY: u8 = 3;
-/// The small queue takes this part of the capacity.
+/// The small queue takes one part in this many of the capacity.
 const SMALL_QUEUE_DIVISOR: usize = 10;
-/// No entry: the end of a queue.
+/// In place of an entry's number: no entry, the end of a queue.
 const NIL: u32 = u32::MAX;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,15 +35,16 @@
 
 struct Entry<V> {
     key: u64,
-    /// Neighbours in the queue, toward its newest and its oldest end.
+    /// Neighbours in the queue, towards its newest and its oldest end.
     newer: u32,
     older: u32,
-    /// In the caller's ticks.
+    /// When the entry was set, in the caller's ticks.
     set_at: u32,
     frequency: u8,
     queue: Queue,
-    /// Set since it was last given by [`Table::next_changed`], and whether it is in the queue of changes.
+    /// Whether the entry was set since [`Table::next_changed`] last returned it.
     is_changed: bool,
+    /// Whether the entry's number is in the queue of changes.
     in_change_queue: bool,
     value: V,
 }
@@ -63,33 +64,34 @@
 pub struct Table<V> {
     entries: Vec<Entry<V>>,
     capacity: usize,
-    /// Entry numbers plus one, zero where free; linear probing.
+    /// Entry numbers plus one, zero where a slot is free. Collisions are resolved by linear probing.
     index: Vec<u32>,
     ghosts: GhostKeys,
     small: QueueEnds,
     main: QueueEnds,
     free: Vec<u32>,
-    /// Entries set since they were last given as changed, oldest first, each at most once; some may be
-    /// dropped already.
+    /// Numbers of entries set since they were last returned as changed, the oldest change first, each at most
+    /// once. Some of these entries may have been removed since.
     changed: VecDeque<u32>,
     sweep_position: usize,
     losses: Losses,
 }
 
 impl<V: Copy> Table<V> {
-    /// The bytes that a table of so many entries takes at most.
+    /// Most bytes that a table of this capacity takes.
     pub fn bytes_for(capacity: usize) -> usize {
-        // An entry, its place in the queue of changes and in the list of free ones, index and ghosts.
+        // Each entry with its number in the queue of changes and in the list of free entries, then the index
+        // and the ghost keys.
         capacity * (size_of::<Entry<V>>() + 2 * size_of::<u32>())
             + (Self::index_slots_for(capacity) + GhostKeys::slots_for(capacity)) * size_of::<u32>()
     }
 
-    /// At most two thirds of the index are used, so that probes stay short.
+    /// Number of index slots, of which at most two thirds are used so that probes stay short.
     fn index_slots_for(capacity: usize) -> usize {
         (capacity + capacity / 2 + 1).next_power_of_two()
     }
 
-    /// The largest table that stays within so many bytes; of one entry at least.
+    /// Creates the largest table that stays within this many bytes, with a capacity of at least one entry.
     pub fn with_byte_budget(bytes: usize) -> Self {
         let mut fits = 1;
         let mut too_large = bytes / size_of::<Entry<V>>() + 2;
@@ -104,11 +106,11 @@
         Self::new(fits)
     }
 
-    /// A table of at most so many entries.
+    /// Creates a table of this capacity, in entries.
     pub fn new(capacity: usize) -> Self {
         let capacity = capacity.clamp(1, NIL as usize - 1);
         Table {
-            // Reserved, not filled: memory that is not used yet is not resident.
+            // Reserved but not filled: memory that is not used yet is not resident.
             entries: Vec::with_capacity(capacity),
             capacity,
             index: vec![0; Self::index_slots_for(capacity)],
@@ -122,30 +124,30 @@
         }
     }
 
-    /// Entries as of now.
+    /// The current number of entries.
     pub fn len(&self) -> usize {
         self.small.len + self.main.len
     }
 
-    /// Whether it has no entries.
+    /// Whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Entries that it ever has at most.
+    /// Most entries that the table may hold.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// What it has dropped so far.
+    /// How many entries the table has dropped so far, and why.
     pub fn losses(&self) -> Losses {
         self.losses
     }
 
     /// A key's value. The lookup counts as a use, which is what keeps a key in the table.
     pub fn get(&mut self, key: u64) -> Option<Stored<V>> {
-        let at = self.find(key)?;
-        let entry = &mut self.entries[at as usize];
+        let entry_index = self.find(key)?;
+        let entry = &mut self.entries[entry_index as usize];
         entry.frequency = (entry.frequency + 1).min(MAX_FREQUENCY);
         Some(Stored { value: entry.value, set_at: entry.set_at })
     }
@@ -156,32 +158,32 @@
         Some(Stored { value: entry.value, set_at: entry.set_at })
     }
 
-    /// Sets a key's value; gives the entry that had to make room for it.
+    /// Sets a key's value; returns the entry that was evicted to make room for it.
     pub fn insert(&mut self, now: u32, key: u64, value: V) -> Option<Evicted<V>> {
-        if let Some(at) = self.find(key) {
-            let entry = &mut self.entries[at as usize];
+        if let Some(entry_index) = self.find(key) {
+            let entry = &mut self.entries[entry_index as usize];
             entry.value = value;
             entry.set_at = now;
-            self.mark_changed(at);
+            self.mark_changed(entry_index);
             return None;
         }
         let evicted = if self.len() >= self.capacity { Some(self.evict()) } else { None };
         let is_ghost = self.ghosts.take(key);
-        let at = self.allocate(now, key, value);
-        self.enqueue(at, if is_ghost { Queue::Main } else { Queue::Small });
-        self.add_to_index(key, at);
-        self.mark_changed(at);
+        let entry_index = self.allocate(now, key, value);
+        self.enqueue(entry_index, if is_ghost { Queue::Main } else { Queue::Small });
+        self.add_to_index(key, entry_index);
+        self.mark_changed(entry_index);
         evicted
     }
 
-    /// Removes a key.
+    /// Removes a key; returns its value.
     pub fn remove(&mut self, key: u64) -> Option<V> {
-        let at = self.find(key)?;
-        Some(self.remove_entry(at).value)
+        let entry_index = self.find(key)?;
+        Some(self.remove_entry(entry_index).value)
     }
 
-    /// Checks the next `max_checked` entries and removes those that were set before `oldest` or are dead,
-    /// as the caller sees it. Called now and then it passes all entries, at a bounded cost.
+    /// Checks the next `max_checked` entries and removes those that were set before `oldest` or for which
+    /// `is_dead` holds. Repeated calls check all entries in turn, each call at a bounded cost.
     pub fn sweep(
         &mut self,
         max_checked: usize,
@@ -210,10 +212,11 @@
         used.map(|entry| TableEntry { key: entry.key, value: &entry.value, set_at: entry.set_at })
     }
 
-    /// The next entry that was set since it was last given here, the one that was set first.
+    /// The next entry that was set since this method last returned it, the one that was marked as changed
+    /// first.
     pub fn next_changed(&mut self) -> Option<TableEntry<V>> {
-        while let Some(at) = self.changed.pop_front() {
-            let entry = &mut self.entries[at as usize];
+        while let Some(entry_index) = self.changed.pop_front() {
+            let entry = &mut self.entries[entry_index as usize];
             entry.in_change_queue = false;
             if std::mem::take(&mut entry.is_changed) && entry.queue != Queue::Free {
                 return Some(TableEntry { key: entry.key, value: entry.value, set_at: entry.set_at });
@@ -222,24 +225,24 @@
         None
     }
 
-    /// All entries count as changed: a store that follows the changes has lost some.
+    /// Marks all entries as changed, for a store that is new or has lost entries.
     pub fn mark_all_changed(&mut self) {
-        for at in 0..self.entries.len() {
-            if self.entries[at].queue != Queue::Free {
-                self.mark_changed(at as u32);
+        for entry_index in 0..self.entries.len() {
+            if self.entries[entry_index].queue != Queue::Free {
+                self.mark_changed(entry_index as u32);
             }
         }
     }
 
-    fn mark_changed(&mut self, at: u32) {
-        let entry = &mut self.entries[at as usize];
+    fn mark_changed(&mut self, entry_index: u32) {
+        let entry = &mut self.entries[entry_index as usize];
         entry.is_changed = true;
         if !std::mem::replace(&mut entry.in_change_queue, true) {
-            self.changed.push_back(at);
+            self.changed.push_back(entry_index);
         }
     }
 
-    /// A new entry in no queue yet.
+    /// Allocates a new entry that is in no queue yet; returns its number.
     fn allocate(&mut self, now: u32, key: u64, value: V) -> u32 {
         let entry = Entry {
             key,
@@ -253,11 +256,12 @@
             value,
         };
         match self.free.pop() {
-            Some(at) => {
-                // The slot's last entry may still be in the queue of changes: its place there is taken over.
-                let in_change_queue = self.entries[at as usize].in_change_queue;
-                self.entries[at as usize] = Entry { in_change_queue, ..entry };
-                at
+            Some(entry_index) => {
+                // The number may still be in the queue of changes from the entry that used it before. The new
+                // entry takes over that place in the queue.
+                let in_change_queue = self.entries[entry_index as usize].in_change_queue;
+                self.entries[entry_index as usize] = Entry { in_change_queue, ..entry };
+                entry_index
             }
             None => {
                 self.entries.push(entry);
@@ -275,12 +279,12 @@
         (slot + 1) & (self.index.len() - 1)
     }
 
-    fn add_to_index(&mut self, key: u64, at: u32) {
+    fn add_to_index(&mut self, key: u64, entry_index: u32) {
         let mut slot = self.home_slot(key);
         while self.index[slot] != 0 {
             slot = self.next_slot(slot);
         }
-        self.index[slot] = at + 1;
+        self.index[slot] = entry_index + 1;
     }
 
     fn find_slot(&self, key: u64) -> Option<usize> {
@@ -288,7 +292,7 @@
         loop {
             match self.index[slot] {
                 0 => return None,
-                at if self.entries[at as usize - 1].key == key => return Some(slot),
+                stored if self.entries[stored as usize - 1].key == key => return Some(slot),
                 _ => slot = self.next_slot(slot),
             }
         }
@@ -298,20 +302,21 @@
         self.find_slot(key).map(|slot| self.index[slot] - 1)
     }
 
-    /// Frees a slot of the index: what was probed past it moves back, so that no probe ends too soon.
+    /// Frees a slot of the index. Entries that were placed behind the slot because it was in use move back,
+    /// so that no later probe ends too early at the gap.
     fn remove_from_index(&mut self, mut gap: usize) {
         let mask = self.index.len() - 1;
         let mut slot = gap;
         loop {
             slot = self.next_slot(slot);
-            let at = self.index[slot];
-            if at == 0 {
+            let stored = self.index[slot];
+            if stored == 0 {
                 break;
             }
-            let home = self.home_slot(self.entries[at as usize - 1].key);
-            // Whether its home lies outside of what is between the gap and it.
+            let home = self.home_slot(self.entries[stored as usize - 1].key);
+            // The entry may move to the gap unless its home slot lies between the gap and its current slot.
             if slot.wrapping_sub(home) & mask >= slot.wrapping_sub(gap) & mask {
-                self.index[gap] = at;
+                self.index[gap] = stored;
                 gap = slot;
             }
         }
@@ -322,23 +327,23 @@
         if queue == Queue::Small { &mut self.small } else { &mut self.main }
     }
 
-    fn enqueue(&mut self, at: u32, queue: Queue) {
+    fn enqueue(&mut self, entry_index: u32, queue: Queue) {
         let ends = self.ends(queue);
-        let before = std::mem::replace(&mut ends.newest, at);
+        let before = std::mem::replace(&mut ends.newest, entry_index);
         ends.len += 1;
         if before == NIL {
-            ends.oldest = at;
+            ends.oldest = entry_index;
         } else {
-            self.entries[before as usize].newer = at;
+            self.entries[before as usize].newer = entry_index;
         }
-        let entry = &mut self.entries[at as usize];
+        let entry = &mut self.entries[entry_index as usize];
         entry.older = before;
         entry.newer = NIL;
         entry.queue = queue;
     }
 
-    fn dequeue(&mut self, at: u32) {
-        let Entry { older, newer, queue, .. } = self.entries[at as usize];
+    fn dequeue(&mut self, entry_index: u32) {
+        let Entry { older, newer, queue, .. } = self.entries[entry_index as usize];
         match older {
             NIL => self.ends(queue).oldest = newer,
             older => self.entries[older as usize].newer = newer,
@@ -351,36 +356,37 @@
     }
 
     /// Removes an entry from its queue and the index.
-    fn remove_entry(&mut self, at: u32) -> Evicted<V> {
-        self.dequeue(at);
-        let entry = &mut self.entries[at as usize];
+    fn remove_entry(&mut self, entry_index: u32) -> Evicted<V> {
+        self.dequeue(entry_index);
+        let entry = &mut self.entries[entry_index as usize];
         entry.queue = Queue::Free;
         let removed = Evicted { key: entry.key, value: entry.value };
         if let Some(slot) = self.find_slot(removed.key) {
             self.remove_from_index(slot);
         }
-        self.free.push(at);
+        self.free.push(entry_index);
         removed
     }
 
-    /// Makes room for one entry. Each step evicts one, or takes a use from one in the main queue, of which
-    /// every lookup added one: over time no more steps than lookups and inserts.
+    /// Evicts one entry to make room. Each step evicts an entry, moves one from the small to the main queue,
+    /// or takes one counted use from an entry in the main queue. As each lookup adds at most one use, there
+    /// are over time no more steps than lookups and inserts.
     fn evict(&mut self) -> Evicted<V> {
         loop {
             let from_small = self.small.len > self.capacity / SMALL_QUEUE_DIVISOR || self.main.len == 0;
-            let at = if from_small { self.small.oldest } else { self.main.oldest };
-            let entry = &mut self.entries[at as usize];
+            let entry_index = if from_small { self.small.oldest } else { self.main.oldest };
+            let entry = &mut self.entries[entry_index as usize];
             if entry.frequency == 0 {
-                return self.evict_entry(at, from_small);
+                return self.evict_entry(entry_index, from_small);
             }
             entry.frequency = if from_small { 0 } else { entry.frequency - 1 };
-            self.dequeue(at);
-            self.enqueue(at, Queue::Main);
+            self.dequeue(entry_index);
+            self.enqueue(entry_index, Queue::Main);
         }
     }
 
-    fn evict_entry(&mut self, at: u32, from_small: bool) -> Evicted<V> {
-        let evicted = self.remove_entry(at);
+    fn evict_entry(&mut self, entry_index: u32, from_small: bool) -> Evicted<V> {
+        let evicted = self.remove_entry(entry_index);
         if from_small {
             self.losses.not_admitted += 1;
             self.ghosts.insert(evicted.key);
--- a/crates/affinity/src/table/rows.rs
+++ b/crates/affinity/src/table/rows.rs
@@ -1,22 +1,22 @@
-//! What a table gives to its caller.
+//! The values that a table returns to its caller.
 
-/// Entries that a table has dropped since it was made, and why.
+/// Numbers of entries that a table has dropped since its creation, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Losses {
-    /// Entries in use that had to make room.
+    /// Entries evicted from the main queue to make room for others.
     pub evicted: u64,
-    /// Entries that were seen once and never admitted to the main queue.
+    /// Entries evicted from the small queue without having been admitted to the main queue.
     pub not_admitted: u64,
-    /// Entries that were too old.
+    /// Entries removed because they were too old.
     pub expired: u64,
 }
 
-/// A stored value.
+/// A stored value and when it was set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stored<V> {
     /// The value.
     pub value: V,
-    /// When it was set, in the caller's ticks.
+    /// When the value was set, in the caller's ticks.
     pub set_at: u32,
 }
 
@@ -27,11 +27,11 @@
     pub key: u64,
     /// Its value.
     pub value: V,
-    /// When it was set, in the caller's ticks.
+    /// When the entry was set, in the caller's ticks.
     pub set_at: u32,
 }
 
-/// An entry that is no longer there.
+/// An entry that was removed from the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Evicted<V> {
     /// Its key.
