--- a/crates/schema-version/src/version_advertisement.rs
+++ b/crates/schema-version/src/version_advertisement.rs
@@ -39,7 +39,7 @@
     /// The finalized version: no process writes an older version any more.
     pub finalized: SchemaVersion,
     /// The latest sighting of an older process for each version.
-    pub older: Vec<OlderSighting>,
+    pub older_sightings: Vec<OlderSighting>,
 }
 
 /// An advertisement at the head of a datagram.
@@ -58,8 +58,9 @@
     /// use sandgw_schema_version::version_advertisement::{OlderSighting, VersionAdvertisement};
     /// use sandgw_schema_version::{SchemaVersion, SupportedVersions};
     /// let supported = SupportedVersions::up_to(SchemaVersion::SECOND)?;
-    /// let older = vec![OlderSighting { version: SchemaVersion::FIRST, age_ms: 1500.0 }];
-    /// let advertisement = VersionAdvertisement { supported, finalized: SchemaVersion::FIRST, older };
+    /// let older_sightings = vec![OlderSighting { version: SchemaVersion::FIRST, age_ms: 1500.0 }];
+    /// let advertisement =
+    ///     VersionAdvertisement { supported, finalized: SchemaVersion::FIRST, older_sightings };
     /// assert_eq!(advertisement.encode(), "312110g");
     /// let head = VersionAdvertisement::decode("312110g|more")?;
     /// assert_eq!((head.advertisement.supported, head.rest), (supported, Some("more")));
@@ -67,7 +68,7 @@
     /// ```
     pub fn encode(&self) -> String {
         let mut text = self.encode_without_sightings();
-        for sighting in &self.older {
+        for sighting in &self.older_sightings {
             let age = age_units(sighting.age_ms);
             text.extend([digit(sighting.version.0.into()), digit(age / BASE), digit(age % BASE)]);
         }
@@ -98,14 +99,14 @@
         let ([oldest, newest, finalized], sightings) =
             digits.split_first_chunk::<3>().ok_or_else(malformed)?;
         let supported = SupportedVersions::new(version_from_digit(*oldest)?, version_from_digit(*newest)?)?;
-        let mut older = Vec::new();
+        let mut older_sightings = Vec::new();
         for sighting in sightings.chunks(3) {
             let [number, high, low] = sighting else { return Err(malformed()) };
             let age_ms = f64::from(high * BASE + low) * AGE_UNIT_MS;
-            older.push(OlderSighting { version: version_from_digit(*number)?, age_ms });
+            older_sightings.push(OlderSighting { version: version_from_digit(*number)?, age_ms });
         }
         let finalized = version_from_digit(*finalized)?;
-        let advertisement = VersionAdvertisement { supported, finalized, older };
+        let advertisement = VersionAdvertisement { supported, finalized, older_sightings };
         Ok(AdvertisementHead { advertisement, rest })
     }
 }
--- a/crates/schema-version/src/version_negotiator.rs
+++ b/crates/schema-version/src/version_negotiator.rs
@@ -238,8 +238,8 @@
     pub fn advertisement(&self, now: Millis) -> VersionAdvertisement {
         let sightings = self.older_seen_at.iter();
         let sightings = sightings.map(|(version, at)| OlderSighting { version: *version, age_ms: now - at });
-        let older = sightings.filter(|sighting| sighting.age_ms < QUIET_PERIOD_MS).collect();
-        VersionAdvertisement { supported: self.supported, finalized: self.finalized, older }
+        let older_sightings = sightings.filter(|sighting| sighting.age_ms < QUIET_PERIOD_MS).collect();
+        VersionAdvertisement { supported: self.supported, finalized: self.finalized, older_sightings }
     }
 
     /// Handles a relay's advertisement.
@@ -269,7 +269,7 @@
 
     /// Merges the sightings and the finalized version of an advertisement.
     fn merge(&mut self, now: Millis, advertisement: &VersionAdvertisement) -> Result<(), SchemaVersionError> {
-        for sighting in &advertisement.older {
+        for sighting in &advertisement.older_sightings {
             self.record_sighting(sighting.version, now - sighting.age_ms);
         }
         let finalized = advertisement.finalized;
--- a/crates/schema-version/src/versioned_message.rs
+++ b/crates/schema-version/src/versioned_message.rs
@@ -67,7 +67,11 @@
 /// use sandgw_schema_version::versioned_message::{VersionedMessage, downgrade, upgrade};
 /// use sandgw_schema_version::{SchemaVersion, SupportedVersions};
 /// let supported = SupportedVersions::up_to(SchemaVersion::SECOND)?;
-/// let advertisement = VersionAdvertisement { supported, finalized: SchemaVersion::FIRST, older: Vec::new() };
+/// let advertisement = VersionAdvertisement {
+///     supported,
+///     finalized: SchemaVersion::FIRST,
+///     older_sightings: Vec::new(),
+/// };
 /// let message = VersionedMessage { advertisement, text: Some("1s a".into()), rows: None };
 /// assert_eq!(upgrade(downgrade(message.clone())), message);
 /// # Ok::<(), sandgw_schema_version::SchemaVersionError>(())
--- a/crates/schema-version/tests/datagrams.rs
+++ b/crates/schema-version/tests/datagrams.rs
@@ -14,11 +14,11 @@
 use sandgw_schema_version::{SchemaVersion, SchemaVersionError, SupportedVersions};
 
 fn advertisement() -> VersionAdvertisement {
-    let older = vec![OlderSighting { version: SchemaVersion::FIRST, age_ms: 19_900.0 }];
+    let older_sightings = vec![OlderSighting { version: SchemaVersion::FIRST, age_ms: 19_900.0 }];
     VersionAdvertisement {
         supported: SupportedVersions::up_to(SchemaVersion::NEWEST).unwrap(),
         finalized: SchemaVersion::FIRST,
-        older,
+        older_sightings,
     }
 }
 
@@ -40,7 +40,7 @@
         .handle_advertisement(
             QUIET_PERIOD_MS,
             1,
-            &VersionAdvertisement { older: Vec::new(), ..advertisement() },
+            &VersionAdvertisement { older_sightings: Vec::new(), ..advertisement() },
         )
         .unwrap();
     VersionedChannel::new(negotiator)
--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -263,7 +263,7 @@
     let advertisement = VersionAdvertisement {
         supported: SupportedVersions::UNADVERTISED,
         finalized: SchemaVersion::FIRST,
-        older: Vec::new(),
+        older_sightings: Vec::new(),
     };
     (1..12).for_each(|peer| channel.negotiator.handle_advertisement(now, peer, &advertisement).unwrap());
     let line = status(&channel, now + 3000.0);
