--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,5 @@
-//! The adapter through its real binary: batches in, replies out, and every kind of bad input.
+//! Tests of the simulator's adapter with its real binary: replies to batches, and each kind of malformed
+//! input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,7 +13,7 @@
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("a pipe");
     let text = input.to_owned();
-    // The adapter may stop reading at bad input; a broken pipe is no failure of the test.
+    // The adapter may stop reading at malformed input, so a broken pipe does not fail the test.
     let writer = std::thread::spawn(move || drop(stdin.write_all(text.as_bytes())));
     let output = child.wait_with_output().expect("the adapter ends");
     writer.join().expect("the writer ends");
@@ -32,15 +33,15 @@
     String::from_utf8(bytes.to_vec()).expect("UTF-8")
 }
 
-fn knock(id: u64, class: &str) -> String {
+fn request_event(id: u64, class: &str) -> String {
     format!(r#"["KNOCK","balancer_0",{id},null,null,0,2500.0,null,"{class}","user:{id}","extra"]"#)
 }
 
 #[test]
-fn batches_are_answered_in_order_and_a_clean_end_is_no_error() {
-    let knocks = format!("{}\n{}", knock(697431238545860, "a"), knock(8, "nobody-knows"));
+fn batches_are_answered_in_order_and_the_end_of_the_input_is_no_error() {
+    let requests = format!("{}\n{}", request_event(697431238545860, "a"), request_event(8, "nobody-knows"));
     let input =
-        format!("{}[\"ROUND\",1001.25,1]\n{knocks}\n[\"GO\"]\n[\"ROUND\",1002.0,2]\n[\"GO\"]\n", start());
+        format!("{}[\"ROUND\",1001.25,1]\n{requests}\n[\"GO\"]\n[\"ROUND\",1002.0,2]\n[\"GO\"]\n", start());
     let output = run(&input);
     assert!(output.status.success(), "{}", text(&output.stderr));
     let out = text(&output.stdout);
@@ -65,34 +66,42 @@
     let ended = |server: &str, n: u32, reason: u32| {
         format!(r#"["CLOSED_ATTEMPT","balancer_0",8,"{server}",1.5,{n},{reason},false,{{"x0":0.5}}]"#)
     };
-    let first = run(&(start() + &round(1, &knock(8, "b"))));
+    let first = run(&(start() + &round(1, &request_event(8, "b"))));
     let out = text(&first.stdout);
     let at = if out.contains("10.0.0.1:80") {
         ["10.0.0.1:80", "10.0.0.2:80"]
     } else {
         ["10.0.0.2:80", "10.0.0.1:80"]
     };
-    let events = [knock(8, "b"), ended(at[0], 0, 50), ended(at[1], 1, 60)];
+    let events = [request_event(8, "b"), ended(at[0], 0, 50), ended(at[1], 1, 60)];
     let rounds: String = events.iter().zip(1..).map(|(e, n)| round(n, e)).collect();
     let timers = r#"["TICK_DUE","balancer_0",8]"#;
     let late = format!("[\"ROUND\",2493.0,9]\n{timers}\n[\"GO\"]\n");
     let out = text(&run(&(start() + &rounds + &late)).stdout);
     assert!(out.contains(&format!(r#"["DELIVER","balancer_0",8,"{}""#, at[1])), "{out}");
-    // A dropped connection may have run: unsafe, so neither a refusal nor a third attempt.
+    // A request whose connection was dropped may have been executed. Its class is unsafe, so neither a
+    // rejection nor a third attempt follows.
     assert!(out.contains(r#"["FAIL","balancer_0",8]"#), "{out}");
     assert_eq!(out.matches("DELIVER").count(), 2);
     assert!(!out.contains("NOT_NOW"));
 }
 
 #[test]
-fn an_instance_restarts_within_a_batch_and_others_are_untouched() {
+fn an_instance_restarts_within_a_batch_and_others_are_unaffected() {
     let other = |s: &str| s.replace("balancer_0", "balancer_1");
     let boot = start();
     let both = format!("{boot}{}", other(&boot).replace("1000.0,0", "1000.0,1"));
     let restart = START.replace('\n', "");
     let stop = "[\"SHUTDOWN\",\"balancer_0\"]";
-    let events =
-        [knock(1, "a"), stop.into(), restart, LIST.into(), knock(2, "a"), other(&knock(3, "a"))].join("\n");
+    let events = [
+        request_event(1, "a"),
+        stop.into(),
+        restart,
+        LIST.into(),
+        request_event(2, "a"),
+        other(&request_event(3, "a")),
+    ]
+    .join("\n");
     let output = run(&format!("{both}[\"ROUND\",1001.0,2]\n{events}\n[\"GO\"]\n"));
     assert!(output.status.success(), "{}", text(&output.stderr));
     let out = text(&output.stdout);
@@ -102,14 +111,14 @@
 
 #[test]
 fn a_large_batch_is_answered_whole() {
-    let knocks: String = (0..5000).map(|id| knock(id, "a") + "\n").collect();
-    let output = run(&format!("{}[\"ROUND\",1001.0,1]\n{knocks}[\"GO\"]\n", start()));
+    let requests: String = (0..5000).map(|id| request_event(id, "a") + "\n").collect();
+    let output = run(&format!("{}[\"ROUND\",1001.0,1]\n{requests}[\"GO\"]\n", start()));
     assert!(output.status.success());
     assert_eq!(text(&output.stdout).matches("DELIVER").count(), 5000);
 }
 
 #[test]
-fn bad_input_gets_one_plain_line_and_no_half_reply() {
+fn malformed_input_gets_a_one_line_error_and_no_partial_reply() {
     let round = |line: &str| format!("{}[\"ROUND\",1001.0,7]\n{line}\n[\"GO\"]\n", start());
     let cases = [
         (round("this is no JSON"), "round 7: not a JSON line"),
@@ -120,7 +129,7 @@
             round(r#"["KNOCK","balancer_0","x",null,null,0,1.0,null,"a",null]"#),
             "value 2 must be a whole number",
         ),
-        (round(&knock(1, "a").replace("balancer_0", "balancer_9")), "round 7: KNOCK for balancer_9"),
+        (round(&request_event(1, "a").replace("balancer_0", "balancer_9")), "round 7: KNOCK for balancer_9"),
         (round(r#"["WHISPER","balancer_0",1]"#), "round 7: unknown event WHISPER"),
         (round(r#"["START","balancer_1",1,null]"#), "round 7: START: the settings must be an object"),
         (round(r#"["ROUND",1002.0,8]"#), "round 7: ROUND before the previous round's GO"),
@@ -129,28 +138,31 @@
             "must be a known endpoint state",
         ),
         (start() + "[\"GO\"]\n", "GO outside of a round"),
-        (start() + "[\"ROUND\",1001.0,7]\n" + &knock(1, "a"), "round 7: the input ends inside the round"),
+        (
+            start() + "[\"ROUND\",1001.0,7]\n" + &request_event(1, "a"),
+            "round 7: the input ends inside the round",
+        ),
     ];
-    for (input, wanted) in cases {
+    for (input, expected) in cases {
         let output = run(&input);
-        assert!(!output.status.success(), "{wanted}: exit 0");
+        assert!(!output.status.success(), "{expected}: exit 0");
         let err = text(&output.stderr);
         assert_eq!(err.lines().count(), 1, "{err}");
-        assert!(err.contains(wanted), "{err} lacks {wanted}");
+        assert!(err.contains(expected), "{err} lacks {expected}");
         let out = text(&output.stdout);
         assert!(out.ends_with("[\"FINISHED\",0]\n") && !out.contains("DELIVER"), "{out}");
     }
 }
 
-/// The budget of further attempts: a figure left out is 0, without its window there is none, and one misread
-/// would break a rule in silence.
+/// The retry budget: an omitted number is 0, and without `resendSpanMs` there is no budget. A malformed value
+/// must be an error, as the rule would otherwise be broken unnoticed.
 #[test]
-fn the_budget_of_further_attempts_is_read_or_refused() {
+fn the_retry_budget_is_read_or_rejected() {
     let with =
         |rules: &str| start().replace(r#","limits":{"#, &format!(r#","rules":{{{rules}}},"limits":{{"#));
-    let play = |rules: &str| {
+    let run_with_rules = |rules: &str| {
         let fails = r#"["CLOSED_ATTEMPT","balancer_0",8,"10.0.0.1:80",1.5,0,50,false,null]"#;
-        run(&format!("{}[\"ROUND\",1001.0,1]\n{}\n{fails}\n[\"GO\"]\n", with(rules), knock(8, "a")))
+        run(&format!("{}[\"ROUND\",1001.0,1]\n{}\n{fails}\n[\"GO\"]\n", with(rules), request_event(8, "a")))
     };
     for (rules, sends) in [
         (r#""spareAttempts":0,"furtherRatio":0"#, 2),
@@ -160,7 +172,7 @@
         (r#""resendSpanMs":500,"furtherRatio":1.0"#, 2),
         (r#""resendSpanMs":500,"furtherRatio":0.5"#, 1),
     ] {
-        let output = play(rules);
+        let output = run_with_rules(rules);
         assert!(output.status.success(), "{rules}: {}", text(&output.stderr));
         assert_eq!(text(&output.stdout).matches("DELIVER").count(), sends, "{rules}");
     }
@@ -168,19 +180,19 @@
         for value in ["-1", "\"5\"", "true", "[1]"] {
             let output = run(&with(&format!(r#""{key}":{value}"#)));
             assert!(!output.status.success(), "{key}: {value}");
-            let wanted = format!("START: rules.{key} must be a number from 0 up; ");
-            assert!(text(&output.stderr).contains(&wanted), "{}", text(&output.stderr));
+            let expected = format!("START: rules.{key} must be a number from 0 up; ");
+            assert!(text(&output.stderr).contains(&expected), "{}", text(&output.stderr));
         }
     }
 }
 
-/// A peer may be of another version or broken: its message is no fault of the wire, and is not answered. A
-/// sample is, with the sum of all samples; where the message itself is malformed, the line is at fault.
+/// A malformed message of a peer, which may be of another version or faulty, is no input error and is not
+/// answered. A sample is answered with the sum of all samples. A line with too few values is an input error.
 #[test]
 fn messages_of_peers_are_read_checked_and_answered() {
     let long = format!("1s 64{}", " 1f:a".repeat(60));
-    let odd = ["", "1s", "2s 64 1f:32", "1s 64 1f", "1s 64 xyz:1", "1s -5 1f:32", "1t zz", &long];
-    for raw in odd {
+    let malformed = ["", "1s", "2s 64 1f:32", "1s 64 1f", "1s 64 xyz:1", "1s -5 1f:32", "1t zz", &long];
+    for raw in malformed {
         let input =
             format!("{}[\"ROUND\",1001.0,1]\n[\"MAIL\",\"balancer_0\",1,\"{raw}\"]\n[\"GO\"]\n", start());
         let output = run(&input);
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -1,11 +1,11 @@
-//! Every decision of the load balancer over a long seeded run, pinned as a digest.
+//! Pins every decision of the load balancer over a long seeded run as a digest.
 //!
-//! A small world of clients, endpoints and peers is simulated from fixed seeds and played through the real
-//! adapter program: lists, requests, outcomes, measurements, peers' messages, and timers as they were
-//! armed. The replies' digest and the counts of events and actions are snapshots. A change that is meant to
-//! leave decisions as they are must leave the snapshots as they are.
+//! Clients, endpoints and peers are simulated from fixed seeds, and their events are sent to the real adapter
+//! program: lists, requests, outcomes, measurements, peers' messages, and the timers that the adapter has
+//! set. The digest of the replies and the counts of events and actions are snapshots. A change that is not
+//! meant to alter decisions must not alter the snapshots.
 
-#![allow(clippy::too_many_lines, reason = "one world, played in order")]
+#![allow(clippy::too_many_lines, reason = "one simulation, its steps in order")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Write};
@@ -48,7 +48,7 @@
     }
 }
 
-/// The adapter program at the end of two pipes.
+/// The running adapter program and the pipes to it.
 struct Adapter {
     child: Child,
     input: ChildStdin,
@@ -67,7 +67,7 @@
         Adapter { child, input, output }
     }
 
-    /// Plays one batch and gives the reply's lines.
+    /// Sends one batch and returns the reply's lines.
     fn round(&mut self, now: f64, number: u64, events: &[Value]) -> Vec<String> {
         let mut text = format!("{}\n", json!(["ROUND", now, number]));
         for event in events {
@@ -93,43 +93,43 @@
     }
 }
 
-/// An endpoint of the simulated world.
+/// A simulated endpoint.
 struct Endpoint {
     id: String,
     weight: f64,
     started: f64,
     /// As in the list: 0 removed, 1 ready, 2 draining.
     state: u64,
-    /// How its attempts and connections fare at present.
-    mood: Mood,
+    /// How the endpoint handles attempts and connections at present.
+    condition: Condition,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Mood {
+enum Condition {
     Healthy,
     Slow,
     Refusing,
     Resetting,
 }
 
-/// What is still to be delivered to a relay, at its time.
+/// An event that is to be delivered to a relay at its time.
 struct Pending {
     at: f64,
     /// Order of scheduling, for events that fall due at the same time.
     order: u64,
     event: Value,
-    then: Then,
+    follow_up: FollowUp,
 }
 
-/// What follows once an event has been delivered.
+/// The change to the simulation once an event has been delivered.
 #[derive(Clone)]
-enum Then {
+enum FollowUp {
     Nothing,
     Established { relay: usize, request: u64, attempt: u64, endpoint: usize },
     Ended { relay: usize, request: u64 },
 }
 
-struct World {
+struct Simulation {
     random: Random,
     relays: usize,
     pushed_lists: bool,
@@ -143,15 +143,15 @@
     open_attempts: BTreeSet<(usize, u64)>,
     attempts: BTreeMap<(usize, u64), u64>,
     clients: BTreeMap<(usize, u64), usize>,
-    /// Relays that hear of changes to the list.
+    /// Whether each relay is subscribed to changes of the list.
     subscribed: Vec<bool>,
 }
 
-fn name(relay: usize) -> String {
+fn instance_name(relay: usize) -> String {
     format!("balancer_{relay}")
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, relays: usize, pushed_lists: bool, classes: Vec<&'static str>) -> Self {
         let mut random = Random(seed);
         let endpoint = |i: usize| Endpoint {
@@ -159,10 +159,10 @@
             weight: [1.0, 2.0, 0.5, 1.5][random.below(4)],
             started: 0.0,
             state: 1,
-            mood: Mood::Healthy,
+            condition: Condition::Healthy,
         };
         let endpoints = (0..ENDPOINTS).map(endpoint).collect();
-        World {
+        Simulation {
             random,
             relays,
             pushed_lists,
@@ -179,9 +179,9 @@
         }
     }
 
-    fn schedule(&mut self, at: f64, event: Value, then: Then) {
+    fn schedule(&mut self, at: f64, event: Value, follow_up: FollowUp) {
         self.order += 1;
-        self.pending.push(Pending { at, order: self.order, event, then });
+        self.pending.push(Pending { at, order: self.order, event, follow_up });
     }
 
     fn list(&self, relay: usize, kind: u64, only: Option<usize>) -> Value {
@@ -190,22 +190,22 @@
             let zone = if i % 2 == 0 { "north" } else { "south" };
             json!([i / 4, e.weight, "kind", e.id, e.started, e.state, zone])
         });
-        json!(["MEMBERSHIP", name(relay), kind, 1, rows.collect::<Vec<_>>()])
+        json!(["MEMBERSHIP", instance_name(relay), kind, 1, rows.collect::<Vec<_>>()])
     }
 
-    /// Changes in the fleet: moods, drains, removals, restarts, replacements.
-    fn change_fleet(&mut self, now: f64) {
+    /// Changes an endpoint at random: its condition, a drain, a removal, a restart, or its weight.
+    fn change_endpoints(&mut self, now: f64) {
         let i = self.random.below(ENDPOINTS);
         match self.random.below(16) {
-            0..=3 | 12..=15 => self.endpoints[i].mood = Mood::Healthy,
-            4 | 5 => self.endpoints[i].mood = Mood::Slow,
-            6 => self.endpoints[i].mood = Mood::Refusing,
-            7 => self.endpoints[i].mood = Mood::Resetting,
+            0..=3 | 12..=15 => self.endpoints[i].condition = Condition::Healthy,
+            4 | 5 => self.endpoints[i].condition = Condition::Slow,
+            6 => self.endpoints[i].condition = Condition::Refusing,
+            7 => self.endpoints[i].condition = Condition::Resetting,
             8 if self.endpoints.iter().filter(|e| e.state == 1).count() > 6 => self.endpoints[i].state = 2,
             9 if self.endpoints[i].state == 2 => self.endpoints[i].state = 0,
             10 if self.endpoints[i].state != 1 => {
                 (self.endpoints[i].state, self.endpoints[i].started) = (1, now);
-                self.endpoints[i].mood = Mood::Healthy;
+                self.endpoints[i].condition = Condition::Healthy;
             }
             11 => self.endpoints[i].weight = [1.0, 2.0, 0.0, 3.0][self.random.below(4)],
             _ => {}
@@ -214,110 +214,129 @@
             let delay = self.random.between(0.0, 300.0);
             if self.subscribed[relay] {
                 let event = self.list(relay, 0, Some(i));
-                self.schedule(now + delay, event, Then::Nothing);
+                self.schedule(now + delay, event, FollowUp::Nothing);
             }
             if self.subscribed[relay] && !self.pushed_lists && self.random.chance(0.05) {
                 self.subscribed[relay] = false;
-                let event = json!(["MEMBERSHIP", name(relay), 3, 1, []]);
-                self.schedule(now + delay + 1.0, event, Then::Nothing);
+                let event = json!(["MEMBERSHIP", instance_name(relay), 3, 1, []]);
+                self.schedule(now + delay + 1.0, event, FollowUp::Nothing);
             }
         }
     }
 
-    fn arrive(&mut self, now: f64, client: usize, returned: bool, mid_flow: bool) {
+    fn schedule_request(&mut self, now: f64, client: usize, returned: bool, mid_flow: bool) {
         let relay = self.random.below(self.relays);
         let id = self.next_request;
         self.next_request += 1;
         let marks = 1 | if returned { 2 } else { 0 } | if mid_flow { 8 } else { 0 };
-        // A few groups are large, most are small, some clients have none.
+        // A few groups are large, most are small, and some clients have no group.
         let draw = self.random.unit();
         let group =
             if draw < 0.1 { Value::Null } else { json!(format!("film:{}", (draw.powi(3) * 40.0) as u64)) };
         let class = self.classes[self.random.below(self.classes.len())];
         let key = if self.random.chance(0.05) { Value::Null } else { json!(format!("user:{client}")) };
         let load = self.random.between(1.0, 20.0);
-        let patience = self.random.between(400.0, 3000.0);
+        let time_limit = self.random.between(400.0, 3000.0);
         self.clients.insert((relay, id), client);
-        let event = json!(["KNOCK", name(relay), id, load, null, marks, now + patience, group, class, key]);
-        self.schedule(now, event, Then::Nothing);
+        let event = json!([
+            "KNOCK",
+            instance_name(relay),
+            id,
+            load,
+            null,
+            marks,
+            now + time_limit,
+            group,
+            class,
+            key
+        ]);
+        self.schedule(now, event, FollowUp::Nothing);
         if self.random.chance(0.04) {
-            let gone = now + self.random.between(1.0, patience);
-            self.schedule(gone, json!(["EXPIRED", name(relay), id]), Then::Ended { relay, request: id });
+            let gone = now + self.random.between(1.0, time_limit);
+            self.schedule(
+                gone,
+                json!(["EXPIRED", instance_name(relay), id]),
+                FollowUp::Ended { relay, request: id },
+            );
         }
     }
 
-    /// Decides how an attempt fares.
+    /// Decides the outcome of an attempt.
     fn attempt(&mut self, now: f64, relay: usize, request: u64, endpoint: &str) {
         let attempts = self.attempts.entry((relay, request)).or_default();
         let attempt = *attempts;
         *attempts += 1;
         self.open_attempts.insert((relay, request));
         let at = self.endpoints.iter().position(|e| e.id == endpoint).expect("a listed endpoint");
-        let (mood, state) = (self.endpoints[at].mood, self.endpoints[at].state);
-        let (ok, setup) = match mood {
-            Mood::Healthy => (0.97, self.random.between(5.0, 60.0)),
-            Mood::Slow => (0.7, self.random.between(100.0, 900.0)),
-            Mood::Refusing => (0.2, self.random.between(1.0, 20.0)),
-            Mood::Resetting => (0.4, self.random.between(5.0, 80.0)),
+        let (condition, state) = (self.endpoints[at].condition, self.endpoints[at].state);
+        let (ok, setup) = match condition {
+            Condition::Healthy => (0.97, self.random.between(5.0, 60.0)),
+            Condition::Slow => (0.7, self.random.between(100.0, 900.0)),
+            Condition::Refusing => (0.2, self.random.between(1.0, 20.0)),
+            Condition::Resetting => (0.4, self.random.between(5.0, 80.0)),
         };
         if state != 0 && self.random.chance(ok) {
-            let event = json!(["OPENED", name(relay), request, setup, attempt]);
-            self.schedule(now + setup, event, Then::Established { relay, request, attempt, endpoint: at });
+            let event = json!(["OPENED", instance_name(relay), request, setup, attempt]);
+            self.schedule(
+                now + setup,
+                event,
+                FollowUp::Established { relay, request, attempt, endpoint: at },
+            );
             return;
         }
-        let outcome = match mood {
-            Mood::Healthy => [20, 30, 50][self.random.below(3)],
-            Mood::Slow => [20, 40, 40][self.random.below(3)],
-            Mood::Refusing => [30, 50, 80][self.random.below(3)],
-            Mood::Resetting => [60, 60, 70][self.random.below(3)],
+        let outcome = match condition {
+            Condition::Healthy => [20, 30, 50][self.random.below(3)],
+            Condition::Slow => [20, 40, 40][self.random.below(3)],
+            Condition::Refusing => [30, 50, 80][self.random.below(3)],
+            Condition::Resetting => [60, 60, 70][self.random.below(3)],
         };
         self.close(now + setup, relay, request, attempt, at, (outcome, false));
     }
 
     fn close(&mut self, at: f64, relay: usize, request: u64, attempt: u64, to: usize, end: (u64, bool)) {
         let id = &self.endpoints[to].id;
-        let event = json!(["CLOSED_ATTEMPT", name(relay), request, id, null, attempt, end.0, end.1]);
-        self.schedule(at, event, Then::Ended { relay, request });
+        let event = json!(["CLOSED_ATTEMPT", instance_name(relay), request, id, null, attempt, end.0, end.1]);
+        self.schedule(at, event, FollowUp::Ended { relay, request });
     }
 
-    /// The life of an established connection: measurements, and its end.
-    fn stand(&mut self, now: f64, relay: usize, request: u64, attempt: u64, at: usize) {
+    /// Schedules the measurements and the end of an established connection.
+    fn establish(&mut self, now: f64, relay: usize, request: u64, attempt: u64, at: usize) {
         self.open_attempts.remove(&(relay, request));
         self.established.insert((relay, request), (attempt, at));
-        let life = self.random.between(200.0, 6000.0);
+        let duration = self.random.between(200.0, 6000.0);
         let mut when = now;
-        while when < now + life {
+        while when < now + duration {
             when += self.random.between(150.0, 900.0);
-            let slow = self.endpoints[at].mood == Mood::Slow;
+            let slow = self.endpoints[at].condition == Condition::Slow;
             let (kind, level) = match self.random.below(2) {
                 0 => (1, self.random.between(500.0, 30_000.0)),
                 _ => {
                     (2, if slow { self.random.between(10.0, 150.0) } else { self.random.between(1.0, 21.0) })
                 }
             };
-            let event = json!(["PROGRESS", name(relay), request, null, null, kind, level]);
-            self.schedule(when, event, Then::Nothing);
+            let event = json!(["PROGRESS", instance_name(relay), request, null, null, kind, level]);
+            self.schedule(when, event, FollowUp::Nothing);
         }
-        let resets = self.endpoints[at].mood == Mood::Resetting || self.random.chance(0.05);
+        let resets = self.endpoints[at].condition == Condition::Resetting || self.random.chance(0.05);
         let (outcome, finished) =
             if resets { (60, self.random.chance(0.3)) } else { ([10, 10, 70][self.random.below(3)], true) };
-        self.close(now + life, relay, request, attempt, at, (outcome, finished));
+        self.close(now + duration, relay, request, attempt, at, (outcome, finished));
     }
 
-    /// The events that are due, in order; what follows from each is scheduled.
-    fn due(&mut self, now: f64) -> Vec<Value> {
+    /// Removes the events that are due and returns them in order, after applying each one's change.
+    fn take_due_events(&mut self, now: f64) -> Vec<Value> {
         let (mut due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.at <= now);
         self.pending = later;
         due.sort_by(|a, b| a.at.total_cmp(&b.at).then(a.order.cmp(&b.order)));
         let mut events = Vec::new();
-        for Pending { event, then, .. } in due {
-            match then {
-                Then::Nothing => {}
-                Then::Established { relay, request, attempt, endpoint } => {
-                    self.stand(now, relay, request, attempt, endpoint);
+        for Pending { event, follow_up, .. } in due {
+            match follow_up {
+                FollowUp::Nothing => {}
+                FollowUp::Established { relay, request, attempt, endpoint } => {
+                    self.establish(now, relay, request, attempt, endpoint);
                 }
-                Then::Ended { relay, request } => {
+                FollowUp::Ended { relay, request } => {
                     self.open_attempts.remove(&(relay, request));
                     self.established.remove(&(relay, request));
                 }
@@ -327,8 +346,8 @@
         events
     }
 
-    /// Follows one action of a relay.
-    fn follow(&mut self, now: f64, action: &Value) {
+    /// Applies one action of a relay.
+    fn apply_action(&mut self, now: f64, action: &Value) {
         let kind = action[0].as_str().expect("a name");
         let who = action[1].as_str().unwrap_or_default();
         let relay: usize = who.trim_start_matches("balancer_").parse().unwrap_or_default();
@@ -336,9 +355,9 @@
         match kind {
             "DELIVER" => self.attempt(now, relay, request, action[3].as_str().expect("an endpoint")),
             "ARM" => {
-                let after = action[2].as_f64().expect("a span");
+                let after = action[2].as_f64().expect("a duration");
                 let event = json!(["TICK_DUE", who, action[3]]);
-                self.schedule(now + after, event, Then::Nothing);
+                self.schedule(now + after, event, FollowUp::Nothing);
             }
             "TAIL" => {
                 let failed = self.random.chance(0.25);
@@ -346,7 +365,7 @@
                 let event =
                     if failed { json!(["MEMBERSHIP", who, 3, 1, []]) } else { self.list(relay, 1, None) };
                 let delay = self.random.between(20.0, 400.0);
-                self.schedule(now + delay, event, Then::Nothing);
+                self.schedule(now + delay, event, FollowUp::Nothing);
             }
             "MOVE" => {
                 let Some((attempt, at)) = self.established.remove(&(relay, request)) else { return };
@@ -354,24 +373,24 @@
                 let gap = self.random.between(20.0, 200.0);
                 self.close(now + gap, relay, request, attempt, at, (70, true));
                 let client = self.clients[&(relay, request)];
-                self.arrive(now + 2.0 * gap, client, true, false);
+                self.schedule_request(now + 2.0 * gap, client, true, false);
             }
             "NOT_NOW" | "FAIL" if self.random.chance(0.5) => {
                 let client = self.clients[&(relay, request)];
                 let gap = self.random.between(50.0, 500.0);
-                self.arrive(now + gap, client, true, false);
+                self.schedule_request(now + gap, client, true, false);
             }
             "MEMO_TO" => {
                 let text = &action[3];
                 let peer = action[2].as_u64().expect("a number") as usize;
-                // Peers that this run does not host fall to one that it does; some messages are lost or
-                // doubled.
+                // Messages to peers that this run does not simulate go to one that it does; some messages are
+                // lost or duplicated.
                 let to = peer % self.relays;
                 let copies = [0, 1, 1, 1, 1, 2][self.random.below(6)];
                 for _ in 0..copies {
                     let delay = self.random.between(1.0, 60.0);
-                    let event = json!(["MAIL", name(to), relay, text]);
-                    self.schedule(now + delay, event, Then::Nothing);
+                    let event = json!(["MAIL", instance_name(to), relay, text]);
+                    self.schedule(now + delay, event, FollowUp::Nothing);
                 }
             }
             _ => {}
@@ -379,10 +398,10 @@
     }
 }
 
-/// Plays a world; gives the digest of all replies and the counts of events and actions.
-fn play(seed: u64, settings: &Value, hosted: usize, classes: Vec<&'static str>) -> String {
+/// Runs a simulation; returns the digest of all replies and the counts of events and actions.
+fn simulate(seed: u64, settings: &Value, simulated_relays: usize, classes: Vec<&'static str>) -> String {
     let pushed = settings["discovery"] == "pushed";
-    let mut world = World::new(seed, hosted, pushed, classes);
+    let mut simulation = Simulation::new(seed, simulated_relays, pushed, classes);
     let mut adapter = Adapter::start();
     let mut digest = Xxh3::new();
     let (mut events_by_kind, mut actions_by_kind) =
@@ -391,21 +410,21 @@
     for round in 0..ROUNDS {
         let mut events = Vec::new();
         if round == 0 {
-            for relay in 0..hosted {
+            for relay in 0..simulated_relays {
                 let mut own = settings.clone();
                 own["me"] = json!(relay);
-                events.push(json!(["START", name(relay), 7 + relay, own]));
-                events.push(world.list(relay, 2, None));
+                events.push(json!(["START", instance_name(relay), 7 + relay, own]));
+                events.push(simulation.list(relay, 2, None));
                 for id in 0..3 {
                     let request = 1_000_000 + id;
-                    let to = world.endpoints[id as usize].id.clone();
-                    world.clients.insert((relay, request), 5000 + id as usize);
-                    world.attempts.insert((relay, request), 1);
-                    world.established.insert((relay, request), (0, id as usize));
-                    let class = world.classes[0];
+                    let to = simulation.endpoints[id as usize].id.clone();
+                    simulation.clients.insert((relay, request), 5000 + id as usize);
+                    simulation.attempts.insert((relay, request), 1);
+                    simulation.established.insert((relay, request), (0, id as usize));
+                    let class = simulation.classes[0];
                     events.push(json!([
                         "OPEN",
-                        name(relay),
+                        instance_name(relay),
                         request,
                         class,
                         null,
@@ -416,27 +435,27 @@
                         1,
                         to
                     ]));
-                    world.close(now + 3000.0, relay, request, 0, id as usize, (10, true));
+                    simulation.close(now + 3000.0, relay, request, 0, id as usize, (10, true));
                 }
-                events.push(json!(["HEALTH", name(relay), null]));
+                events.push(json!(["HEALTH", instance_name(relay), null]));
             }
         }
-        // Load comes in waves, so that queues fill and empty again.
-        let busy = if (round / 300) % 2 == 0 { 0.4 } else { 1.1 };
-        while world.random.chance(busy / (busy + 1.0)) {
-            let client = world.random.below(400);
-            let mid_flow = settings["domain"]["mode"] == "pass" && world.random.chance(0.15);
-            let returned = world.random.chance(0.1);
-            world.arrive(now, client, returned, mid_flow);
+        // The load alternates between low and high, so that queues fill and empty again.
+        let arrivals_per_round = if (round / 300) % 2 == 0 { 0.4 } else { 1.1 };
+        while simulation.random.chance(arrivals_per_round / (arrivals_per_round + 1.0)) {
+            let client = simulation.random.below(400);
+            let mid_flow = settings["domain"]["mode"] == "pass" && simulation.random.chance(0.15);
+            let returned = simulation.random.chance(0.1);
+            simulation.schedule_request(now, client, returned, mid_flow);
         }
-        if world.random.chance(0.05) {
-            world.change_fleet(now);
+        if simulation.random.chance(0.05) {
+            simulation.change_endpoints(now);
         }
-        if world.random.chance(0.002) {
-            let relay = world.random.below(hosted);
-            events.push(json!(["MAIL", name(relay), 1, "no message of any version"]));
+        if simulation.random.chance(0.002) {
+            let relay = simulation.random.below(simulated_relays);
+            events.push(json!(["MAIL", instance_name(relay), 1, "no message of any version"]));
         }
-        events.extend(world.due(now));
+        events.extend(simulation.take_due_events(now));
         for event in &events {
             *events_by_kind.entry(event[0].as_str().expect("a name").to_owned()).or_default() += 1;
         }
@@ -445,7 +464,7 @@
             digest.update(line.as_bytes());
             let action: Value = serde_json::from_str(line).expect("JSON");
             *actions_by_kind.entry(action[0].as_str().expect("a name").to_owned()).or_default() += 1;
-            world.follow(now, &action);
+            simulation.apply_action(now, &action);
         }
         now += ROUND_MS;
     }
@@ -476,7 +495,7 @@
                   "spareAttempts": 5, "furtherRatio": 0.2, "resendSpanMs": 2000.0},
         "domain": {"mode": "proxy", "messageAimMs": [60.0, 80.0, 100.0]}
     });
-    insta::assert_snapshot!(play(11, &settings, 4, vec!["keyed", "cell", "unsafe", "unnamed"]));
+    insta::assert_snapshot!(simulate(11, &settings, 4, vec!["keyed", "cell", "unsafe", "unnamed"]));
 }
 
 #[test]
@@ -491,7 +510,7 @@
         "rules": {"askEveryMs": 2000.0, "coldFrom": 0.31, "warmWithinMs": 8600.0, "tipMultiple": 3.0},
         "domain": {"mode": "pass", "messageAimMs": [50.0, 70.0]}
     });
-    insta::assert_snapshot!(play(23, &settings, 3, vec!["safe", "all"]));
+    insta::assert_snapshot!(simulate(23, &settings, 3, vec!["safe", "all"]));
 }
 
 #[test]
@@ -506,5 +525,5 @@
         "rules": {"askEveryMs": 10000.0, "coldFrom": 0.31, "warmWithinMs": 8600.0, "tipMultiple": 3.0},
         "domain": {"mode": "pass", "messageAimMs": [70.0, 90.0]}
     });
-    insta::assert_snapshot!(play(37, &settings, 5, vec!["a", "b"]));
+    insta::assert_snapshot!(simulate(37, &settings, 5, vec!["a", "b"]));
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery's clock, with real processes: whatever a call ran into before, the relay has asked again and
-//! was answered 6 s after the service had a change and could be reached.
+//! Tests of discovery's timing, with real processes: however earlier polls failed, a relay polls again and
+//! receives a changed list within 6 s once the service can be reached.
 
-#![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
+#![allow(clippy::too_many_lines, reason = "one scenario, its steps in order")]
 
 mod common;
 
@@ -13,61 +13,61 @@
 
 use common::*;
 
-/// From then on a change counts as told.
-const TOLD: Duration = Duration::from_secs(6);
-/// After SIGHUP it is less.
-const TOLD_MOVED: Duration = Duration::from_secs(4);
-/// What a busy machine may be late by.
+/// Within this time of the service's return, each relay must have received a change.
+const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
+/// The same limit after a SIGHUP that names another service.
+const NOTIFICATION_LIMIT_AFTER_RELOAD: Duration = Duration::from_secs(4);
+/// Added to the limits, for the delays of a busy machine.
 const SLACK: Duration = Duration::from_millis(1500);
-/// Only a failing test waits so long.
-const OUTAGE: Duration = Duration::from_secs(90);
-/// After so many failed calls a pause that doubles has reached its most.
-const FAILURES: usize = 6;
+/// Longest simulated outage: a test fails where it lasts longer.
+const MAX_OUTAGE: Duration = Duration::from_secs(90);
+/// After this many failed polls a pause that doubles has reached its maximum.
+const FAILURES_TO_MAX_PAUSE: usize = 6;
 
-/// What a service does with calls.
+/// How a discovery service handles polls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mode {
+enum ServiceMode {
     Up,
     /// Nothing listens.
     Refuses,
     /// The connection is accepted and reset.
     Resets,
-    /// Each call is answered with 503.
+    /// Each poll is answered with 503.
     Unavailable,
-    /// Each call is accepted and never answered, then or later.
+    /// Each poll is accepted and never answered, even if the mode changes later.
     Silent,
-    /// The answer ends in its body.
-    Cuts,
-    /// The answer has begun and goes on for ever, a blank at a time.
+    /// The connection is closed in the middle of the body.
+    Truncates,
+    /// The answer begins and never ends: it continues with single blanks.
     Trickles,
-    /// The next answer is written in this way, those after it well.
-    Odd(Odd),
+    /// The next answer is unusual in this way, and later ones are normal.
+    Once(UnusualAnswer),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Odd {
+enum UnusualAnswer {
     Indented,
-    SecondBehind,
+    SecondAnswerAppended,
     LengthTooLarge,
     LengthTooSmall,
     NoLength,
-    NoJson,
+    NotJson,
     Reset,
     Unavailable,
-    Cut,
+    Truncated,
 }
 
 struct State {
-    mode: Mode,
-    /// When each call came.
-    calls: Vec<Instant>,
-    /// When the latest odd answer was begun, and how many calls had come by then.
-    odd: Option<(Instant, usize)>,
-    /// When an answer was written whole, and up to which revision.
-    told: Vec<(Instant, u64)>,
+    mode: ServiceMode,
+    /// When each poll arrived.
+    polls: Vec<Instant>,
+    /// When the latest unusual answer was begun, and how many polls had arrived by then.
+    unusual: Option<(Instant, usize)>,
+    /// When each complete answer was written, and its revision.
+    complete_answers: Vec<(Instant, u64)>,
 }
 
-/// One relay's way to a list that it may share with others.
+/// The discovery service that one relay polls. Several services may have the same list.
 #[derive(Clone)]
 struct Service {
     address: String,
@@ -78,7 +78,8 @@
 impl Service {
     fn start(list: &Discovery) -> Service {
         let address = format!("{}:8500", host());
-        let state = State { mode: Mode::Up, calls: Vec::new(), odd: None, told: Vec::new() };
+        let state =
+            State { mode: ServiceMode::Up, polls: Vec::new(), unusual: None, complete_answers: Vec::new() };
         let service = Service { address, list: list.clone(), state: Arc::new(Mutex::new(state)) };
         let (served, first) = (service.clone(), TcpListener::bind(&service.address).unwrap());
         thread::spawn(move || served.listen(first));
@@ -88,7 +89,7 @@
     fn listen(&self, first: TcpListener) {
         let mut listener = Some(first);
         loop {
-            if self.mode() == Mode::Refuses {
+            if self.mode() == ServiceMode::Refuses {
                 listener = None;
             } else if listener.is_none() {
                 listener = TcpListener::bind(&self.address).ok();
@@ -105,38 +106,39 @@
         }
     }
 
-    fn mode(&self) -> Mode {
+    fn mode(&self) -> ServiceMode {
         self.state.lock().unwrap().mode
     }
 
-    fn set(&self, mode: Mode) {
+    fn set(&self, mode: ServiceMode) {
         self.state.lock().unwrap().mode = mode;
     }
 
-    fn calls(&self) -> usize {
-        self.state.lock().unwrap().calls.len()
+    fn polls(&self) -> usize {
+        self.state.lock().unwrap().polls.len()
     }
 
-    /// The answer that begins now is the odd one, those after it are well.
-    fn well_again(&self) {
+    /// Records that the unusual answer begins now, and returns to normal answers.
+    fn end_unusual_answer(&self) {
         let mut state = self.state.lock().unwrap();
-        (state.mode, state.odd) = (Mode::Up, Some((Instant::now(), state.calls.len())));
+        (state.mode, state.unusual) = (ServiceMode::Up, Some((Instant::now(), state.polls.len())));
     }
 
-    /// How long after the latest odd answer was begun the next call came.
-    fn anew(&self) -> Option<Duration> {
+    /// The time from the beginning of the latest unusual answer to the next poll.
+    fn next_poll_delay(&self) -> Option<Duration> {
         let state = self.state.lock().unwrap();
-        let (odd, calls) = state.odd?;
-        state.calls.get(calls).map(|call| *call - odd)
+        let (unusual, polls) = state.unusual?;
+        state.polls.get(polls).map(|poll| *poll - unusual)
     }
 
-    /// When an answer with this revision, or a later one, was first written.
-    fn told(&self, revision: u64) -> Option<Instant> {
+    /// When an answer with this revision or a later one was first written.
+    fn answered_at(&self, revision: u64) -> Option<Instant> {
         let state = self.state.lock().unwrap();
-        state.told.iter().find(|(_, to)| *to >= revision).map(|(at, _)| *at)
+        state.complete_answers.iter().find(|(_, to)| *to >= revision).map(|(at, _)| *at)
     }
 
-    /// Answers one call. What was asked stays unread until the answer, so that a drop resets the connection.
+    /// Answers one poll. The request stays unread until the answer, so that closing the socket resets the
+    /// connection.
     fn answer(&self, mut stream: TcpStream) {
         let (mut head, mut length) = ([0; 4096], 0);
         while !head[..length].windows(4).any(|w| w == b"\r\n\r\n") {
@@ -145,91 +147,97 @@
                 Ok(n) => length = n,
             }
         }
-        let asked = String::from_utf8_lossy(&head[..length]).into_owned();
+        let request = String::from_utf8_lossy(&head[..length]).into_owned();
         let number = |name: &str| -> u64 {
-            let text = asked.split(name).nth(1).unwrap_or("0");
+            let text = request.split(name).nth(1).unwrap_or("0");
             text.split(|c: char| !c.is_ascii_digit()).next().unwrap_or("0").parse().unwrap_or(0)
         };
         let (after, wait) = (number("after="), Duration::from_millis(number("wait_ms=")));
-        self.state.lock().unwrap().calls.push(Instant::now());
+        self.state.lock().unwrap().polls.push(Instant::now());
         let start = Instant::now();
-        while self.mode() == Mode::Up && self.list.revision() <= after && start.elapsed() < wait {
+        while self.mode() == ServiceMode::Up && self.list.revision() <= after && start.elapsed() < wait {
             thread::sleep(Duration::from_millis(2));
         }
         let (mode, body, revision) = (self.mode(), self.list.json(after), self.list.revision());
-        if matches!(mode, Mode::Odd(Odd::Reset)) {
-            self.well_again();
+        if matches!(mode, ServiceMode::Once(UnusualAnswer::Reset)) {
+            self.end_unusual_answer();
         }
-        if matches!(mode, Mode::Refuses | Mode::Resets | Mode::Odd(Odd::Reset)) {
+        if matches!(
+            mode,
+            ServiceMode::Refuses | ServiceMode::Resets | ServiceMode::Once(UnusualAnswer::Reset)
+        ) {
             return;
         }
         stream.read_exact(&mut head[..length]).unwrap();
         let whole = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let sized = |n: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {n}\r\n\r\n");
         let unavailable = || "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned();
-        let cut = || sized(body.len()) + &body[..body.len() / 2];
+        let truncated = || sized(body.len()) + &body[..body.len() / 2];
         let text = match mode {
-            Mode::Up => whole(&body),
-            Mode::Unavailable => unavailable(),
-            Mode::Cuts => cut(),
-            Mode::Silent => String::new(),
-            Mode::Trickles => sized(1 << 20) + "{",
-            Mode::Odd(odd) => {
-                self.well_again();
-                match odd {
-                    Odd::Indented => whole(&body.replace(',', ",\n  ").replace('{', "{\n    ")),
-                    Odd::SecondBehind => whole(&body) + &whole(&self.list.json(0)),
-                    Odd::LengthTooLarge => sized(body.len() + 10) + &body,
-                    Odd::LengthTooSmall => sized(body.len() - 10) + &body,
-                    Odd::NoLength => format!("HTTP/1.1 200 OK\r\n\r\n{body}"),
-                    Odd::NoJson => whole("revision: 7"),
-                    Odd::Unavailable => unavailable(),
-                    Odd::Cut => cut(),
-                    Odd::Reset => return,
+            ServiceMode::Up => whole(&body),
+            ServiceMode::Unavailable => unavailable(),
+            ServiceMode::Truncates => truncated(),
+            ServiceMode::Silent => String::new(),
+            ServiceMode::Trickles => sized(1 << 20) + "{",
+            ServiceMode::Once(unusual) => {
+                self.end_unusual_answer();
+                match unusual {
+                    UnusualAnswer::Indented => whole(&body.replace(',', ",\n  ").replace('{', "{\n    ")),
+                    UnusualAnswer::SecondAnswerAppended => whole(&body) + &whole(&self.list.json(0)),
+                    UnusualAnswer::LengthTooLarge => sized(body.len() + 10) + &body,
+                    UnusualAnswer::LengthTooSmall => sized(body.len() - 10) + &body,
+                    UnusualAnswer::NoLength => format!("HTTP/1.1 200 OK\r\n\r\n{body}"),
+                    UnusualAnswer::NotJson => whole("revision: 7"),
+                    UnusualAnswer::Unavailable => unavailable(),
+                    UnusualAnswer::Truncated => truncated(),
+                    UnusualAnswer::Reset => return,
                 }
             }
-            Mode::Refuses | Mode::Resets => return,
+            ServiceMode::Refuses | ServiceMode::Resets => return,
         };
         if stream.write_all(text.as_bytes()).is_err() {
             return;
         }
         match mode {
-            Mode::Up | Mode::Odd(Odd::Indented | Odd::SecondBehind | Odd::NoLength) => {
-                self.state.lock().unwrap().told.push((Instant::now(), revision));
+            ServiceMode::Up
+            | ServiceMode::Once(
+                UnusualAnswer::Indented | UnusualAnswer::SecondAnswerAppended | UnusualAnswer::NoLength,
+            ) => {
+                self.state.lock().unwrap().complete_answers.push((Instant::now(), revision));
             }
-            Mode::Trickles => {
+            ServiceMode::Trickles => {
                 while stream.write_all(b" ").is_ok() {
                     thread::sleep(Duration::from_millis(50));
                 }
             }
-            // Until the caller hangs up, also where the service is well again long since.
-            Mode::Silent => drop(stream.read(&mut head)),
+            // Waits until the relay closes the connection, even if the mode has changed meanwhile.
+            ServiceMode::Silent => drop(stream.read(&mut head)),
             _ => {}
         }
     }
 }
 
-/// What a stand-in and clients see of relays and two endpoints.
-struct Tier {
+/// Relays, each with a discovery service of its own, and two endpoints.
+struct TestCluster {
     list: Discovery,
     endpoints: [Endpoint; 2],
     services: Vec<Service>,
     relays: Vec<Relay>,
 }
 
-impl Tier {
-    /// So many relays, each on its watch. Their settings would let pauses grow to 20 s.
-    fn start(relays: usize) -> Tier {
+impl TestCluster {
+    /// Starts relays and waits for each one's long poll. Their settings would let pauses grow to 20 s.
+    fn start(relays: usize) -> TestCluster {
         Self::start_with(relays, 800)
     }
 
-    /// The same, with this time for a connect, which is also the first pause at the least.
-    fn start_with(relays: usize, connect_ms: u32) -> Tier {
+    /// Like [`Self::start`], with this connect time-out, which is also the shortest first pause.
+    fn start_with(relays: usize, connect_ms: u32) -> TestCluster {
         Self::start_as(relays, connect_ms, "on_request")
     }
 
-    /// The same, where lists come in this way.
-    fn start_as(relays: usize, connect_ms: u32, way: &str) -> Tier {
+    /// Like [`Self::start_with`], with this value of the `discovery` setting.
+    fn start_as(relays: usize, connect_ms: u32, discovery: &str) -> TestCluster {
         let list = Discovery::start();
         let endpoints = ["UP 1\r\n", "UP 2\r\n"].map(Endpoint::lines);
         for (i, endpoint) in endpoints.iter().enumerate() {
@@ -238,31 +246,31 @@
         let services: Vec<_> = (0..relays).map(|_| Service::start(&list)).collect();
         let hosts: Vec<_> = (0..relays).map(|_| host()).collect();
         let start = |local_index: usize| {
-            let settings = settings(relays, local_index, connect_ms).replace("on_request", way);
+            let settings = settings(relays, local_index, connect_ms).replace("on_request", discovery);
             let relay = Relay::start_more(&list, 1024, &hosts, local_index, &settings);
             relay.configure(&relay.configuration().replace(&list.address, &services[local_index].address));
             relay
         };
         let relays = (0..relays).map(start).collect();
-        let tier = Tier { list, endpoints, services, relays };
-        for service in &tier.services {
-            until("the list is had, and watched", || service.told(2).is_some() && service.calls() > 1);
+        let test_cluster = TestCluster { list, endpoints, services, relays };
+        for service in &test_cluster.services {
+            until("the long poll is open", || service.answered_at(2).is_some() && service.polls() > 1);
         }
-        tier
+        test_cluster
     }
 
-    /// Lists the first endpoint as one that drains; the list's revision then.
+    /// Lists the first endpoint as draining; returns the list's new revision.
     fn drain(&self) -> u64 {
         self.list.set("s-0", &self.endpoints[0].address, "Terminating", 0);
         self.list.revision()
     }
 
-    /// Each relay was answered in time, and sends nothing to the endpoint that drains.
-    fn told(&self, back: Instant, revision: u64, within: Duration) {
+    /// Checks that each relay received the list in time and sends nothing to the draining endpoint.
+    fn assert_notified(&self, returned_at: Instant, revision: u64, within: Duration) {
         for (service, relay) in self.services.iter().zip(&self.relays) {
-            until("it asks again", || service.told(revision).is_some());
-            let after = service.told(revision).unwrap().saturating_duration_since(back);
-            assert!(after < within + SLACK, "told {after:?} after discovery was back: {}", relay.log());
+            until("the relay receives the list", || service.answered_at(revision).is_some());
+            let after = service.answered_at(revision).unwrap().saturating_duration_since(returned_at);
+            assert!(after < within + SLACK, "notified {after:?} after discovery was back: {}", relay.log());
         }
         thread::sleep(Duration::from_secs(1));
         let sent = || self.endpoints[0].seen().iter().filter(|line| line.starts_with("OPEN")).count();
@@ -273,7 +281,7 @@
             }
             assert!(!relay.has_ended());
         }
-        assert_eq!(sent(), before, "a streamer that drains was sent to");
+        assert_eq!(sent(), before, "a request was sent to the draining endpoint");
     }
 }
 
@@ -295,137 +303,138 @@
     )
 }
 
-/// The service fails in one way until each relay's pause would have grown to its most, and comes back with
-/// a change right after a call that failed, or while one is out that will.
-fn comes_back(mode: Mode, relays: usize) {
-    let tier = Tier::start(relays);
+/// Lets the service fail in one way until each relay's pause would have grown to its maximum. The service
+/// then returns with a change, right after a failed poll or during a poll that will fail.
+fn check_recovery(mode: ServiceMode, relays: usize) {
+    let test_cluster = TestCluster::start(relays);
     let failures = |relay: &Relay| relay.log().matches("discovery at ").count();
-    let before: Vec<_> = tier.relays.iter().map(failures).collect();
-    tier.services.iter().for_each(|service| service.set(mode));
+    let before: Vec<_> = test_cluster.relays.iter().map(failures).collect();
+    test_cluster.services.iter().for_each(|service| service.set(mode));
     let start = Instant::now();
-    let failed = |i: usize| failures(&tier.relays[i]) - before[i];
-    while (0..relays).any(|i| failed(i) < FAILURES) {
-        assert!(start.elapsed() < OUTAGE, "{mode:?}: {:?}", (0..relays).map(failed).collect::<Vec<_>>());
+    let failed = |i: usize| failures(&test_cluster.relays[i]) - before[i];
+    while (0..relays).any(|i| failed(i) < FAILURES_TO_MAX_PAUSE) {
+        assert!(start.elapsed() < MAX_OUTAGE, "{mode:?}: {:?}", (0..relays).map(failed).collect::<Vec<_>>());
         thread::sleep(Duration::from_millis(2));
     }
-    if matches!(mode, Mode::Silent | Mode::Trickles) {
-        let (last, calls) = (&tier.services[relays - 1], tier.services[relays - 1].calls());
-        while last.calls() == calls {
-            assert!(start.elapsed() < OUTAGE, "{mode:?}: no further call");
+    if matches!(mode, ServiceMode::Silent | ServiceMode::Trickles) {
+        let (last, polls) = (&test_cluster.services[relays - 1], test_cluster.services[relays - 1].polls());
+        while last.polls() == polls {
+            assert!(start.elapsed() < MAX_OUTAGE, "{mode:?}: no further poll");
             thread::sleep(Duration::from_millis(2));
         }
     }
-    let revision = tier.drain();
-    let back = Instant::now();
-    tier.services.iter().for_each(|service| service.set(Mode::Up));
-    tier.told(back, revision, TOLD);
+    let revision = test_cluster.drain();
+    let returned_at = Instant::now();
+    test_cluster.services.iter().for_each(|service| service.set(ServiceMode::Up));
+    test_cluster.assert_notified(returned_at, revision, NOTIFICATION_LIMIT);
 }
 
 #[test]
-fn a_lone_relay_is_told_in_time_after_a_service_that_refused() {
-    comes_back(Mode::Refuses, 1);
+fn a_lone_relay_is_notified_in_time_after_a_service_that_refused() {
+    check_recovery(ServiceMode::Refuses, 1);
 }
 
 #[test]
-fn four_relays_are_told_in_time_after_a_service_that_refused() {
-    comes_back(Mode::Refuses, 4);
+fn four_relays_are_notified_in_time_after_a_service_that_refused() {
+    check_recovery(ServiceMode::Refuses, 4);
 }
 
 #[test]
-fn relays_are_told_in_time_after_a_service_that_reset_each_call() {
-    comes_back(Mode::Resets, 1);
-    comes_back(Mode::Resets, 4);
+fn relays_are_notified_in_time_after_a_service_that_reset_each_poll() {
+    check_recovery(ServiceMode::Resets, 1);
+    check_recovery(ServiceMode::Resets, 4);
 }
 
 #[test]
-fn relays_are_told_in_time_after_a_service_that_answered_503() {
-    comes_back(Mode::Unavailable, 1);
-    comes_back(Mode::Unavailable, 4);
+fn relays_are_notified_in_time_after_a_service_that_answered_503() {
+    check_recovery(ServiceMode::Unavailable, 1);
+    check_recovery(ServiceMode::Unavailable, 4);
 }
 
 #[test]
-fn a_lone_relay_is_told_in_time_after_a_service_that_said_nothing() {
-    comes_back(Mode::Silent, 1);
+fn a_lone_relay_is_notified_in_time_after_a_service_that_did_not_answer() {
+    check_recovery(ServiceMode::Silent, 1);
 }
 
 #[test]
-fn four_relays_are_told_in_time_after_a_service_that_said_nothing() {
-    comes_back(Mode::Silent, 4);
+fn four_relays_are_notified_in_time_after_a_service_that_did_not_answer() {
+    check_recovery(ServiceMode::Silent, 4);
 }
 
 #[test]
-fn relays_are_told_in_time_after_a_service_that_cut_its_answers() {
-    comes_back(Mode::Cuts, 1);
-    comes_back(Mode::Cuts, 4);
+fn relays_are_notified_in_time_after_a_service_that_truncated_its_answers() {
+    check_recovery(ServiceMode::Truncates, 1);
+    check_recovery(ServiceMode::Truncates, 4);
 }
 
 #[test]
-fn a_lone_relay_is_told_in_time_after_a_service_whose_answers_never_ended() {
-    comes_back(Mode::Trickles, 1);
+fn a_lone_relay_is_notified_in_time_after_a_service_whose_answers_never_ended() {
+    check_recovery(ServiceMode::Trickles, 1);
 }
 
 #[test]
-fn four_relays_are_told_in_time_after_a_service_whose_answers_never_ended() {
-    comes_back(Mode::Trickles, 4);
+fn four_relays_are_notified_in_time_after_a_service_whose_answers_never_ended() {
+    check_recovery(ServiceMode::Trickles, 4);
 }
 
-/// A watch that breaks once says nothing of the service: the call after it is made at once, not after a
-/// pause, which would be of a second at the least with these settings.
+/// A single long poll that breaks is no sign of a failed service: the relay polls again at once, not after a
+/// pause, which would be at least a second with these settings.
 #[test]
-fn a_watch_that_breaks_once_is_asked_anew_without_a_pause() {
-    let tier = Tier::start_with(1, 2000);
-    let service = &tier.services[0];
-    for odd in [Odd::Reset, Odd::Unavailable, Odd::Cut] {
-        // Two that break within seconds are another matter.
+fn a_long_poll_that_breaks_once_is_repeated_without_a_pause() {
+    let test_cluster = TestCluster::start_with(1, 2000);
+    let service = &test_cluster.services[0];
+    for unusual in [UnusualAnswer::Reset, UnusualAnswer::Unavailable, UnusualAnswer::Truncated] {
+        // The relay does pause after the second of two long polls that break within seconds.
         thread::sleep(Duration::from_millis(3500));
-        service.set(Mode::Odd(odd));
-        until("the watch is broken", || service.mode() == Mode::Up);
-        // By the service's own record: the relay may have asked anew before this thread looks.
-        until("it asks anew", || service.anew().is_some());
-        let after = service.anew().unwrap();
-        assert!(after < Duration::from_millis(900), "{odd:?}: after {after:?}");
+        service.set(ServiceMode::Once(unusual));
+        until("the long poll is broken", || service.mode() == ServiceMode::Up);
+        // The service records the times, as the relay may have polled again before this thread checks.
+        until("the relay polls again", || service.next_poll_delay().is_some());
+        let after = service.next_poll_delay().unwrap();
+        assert!(after < Duration::from_millis(900), "{unusual:?}: after {after:?}");
     }
-    let revision = tier.drain();
-    tier.told(Instant::now(), revision, TOLD);
+    let revision = test_cluster.drain();
+    test_cluster.assert_notified(Instant::now(), revision, NOTIFICATION_LIMIT);
 }
 
 #[test]
-fn an_answer_of_any_form_is_taken_or_refused_whole_and_the_next_call_works() {
+fn an_unusual_answer_is_applied_or_rejected_as_a_whole_and_the_next_poll_works() {
     let all = [
-        Odd::Indented,
-        Odd::SecondBehind,
-        Odd::LengthTooLarge,
-        Odd::LengthTooSmall,
-        Odd::NoLength,
-        Odd::NoJson,
+        UnusualAnswer::Indented,
+        UnusualAnswer::SecondAnswerAppended,
+        UnusualAnswer::LengthTooLarge,
+        UnusualAnswer::LengthTooSmall,
+        UnusualAnswer::NoLength,
+        UnusualAnswer::NotJson,
     ];
-    let tier = Tier::start(1);
-    for (n, odd) in all.into_iter().enumerate() {
-        tier.services[0].set(Mode::Odd(odd));
-        tier.list.set("s-1", &tier.endpoints[1].address, "Ready", n as u64);
-        let revision = tier.list.revision();
+    let test_cluster = TestCluster::start(1);
+    for (n, unusual) in all.into_iter().enumerate() {
+        test_cluster.services[0].set(ServiceMode::Once(unusual));
+        test_cluster.list.set("s-1", &test_cluster.endpoints[1].address, "Ready", n as u64);
+        let revision = test_cluster.list.revision();
         let start = Instant::now();
-        until("it is told", || tier.services[0].told(revision).is_some());
-        let after = tier.services[0].told(revision).unwrap() - start;
-        assert!(after < TOLD + SLACK, "{odd:?}: after {after:?}");
-        assert!(tier.relays[0].client().open("").line().starts_with("UP"), "{odd:?}");
+        until("the relay receives the list", || test_cluster.services[0].answered_at(revision).is_some());
+        let after = test_cluster.services[0].answered_at(revision).unwrap() - start;
+        assert!(after < NOTIFICATION_LIMIT + SLACK, "{unusual:?}: after {after:?}");
+        assert!(test_cluster.relays[0].client().open("").line().starts_with("UP"), "{unusual:?}");
     }
-    let revision = tier.drain();
-    tier.told(Instant::now(), revision, TOLD);
+    let revision = test_cluster.drain();
+    test_cluster.assert_notified(Instant::now(), revision, NOTIFICATION_LIMIT);
 }
 
-/// The relay asks the next service, whatever the one before does with the call that is out.
-fn moves(before: Mode, twice: bool) {
-    let tier = Tier::start(1);
-    let (old, relay) = (&tier.services[0], &tier.relays[0]);
-    let calls = old.calls();
-    if before != Mode::Up {
+/// Checks that the relay polls the service that a reload names, whatever the previous service does with the
+/// open poll.
+fn check_relocation(before: ServiceMode, twice: bool) {
+    let test_cluster = TestCluster::start(1);
+    let (old, relay) = (&test_cluster.services[0], &test_cluster.relays[0]);
+    let polls = old.polls();
+    if before != ServiceMode::Up {
         old.set(before);
-        until("a call is out", || old.calls() > calls);
+        until("a poll is open", || old.polls() > polls);
     }
     let mut at = old.address.clone();
-    let others: Vec<_> = (0..if twice { 3 } else { 1 }).map(|_| Service::start(&tier.list)).collect();
-    let revision = tier.drain();
+    let others: Vec<_> = (0..if twice { 3 } else { 1 }).map(|_| Service::start(&test_cluster.list)).collect();
+    let revision = test_cluster.drain();
     let start = Instant::now();
     for next in &others {
         let text = relay.configuration().replace(&at, &next.address);
@@ -433,29 +442,29 @@
         relay.configure(&text);
     }
     let last = others.last().unwrap();
-    until("the last service is asked", || last.told(revision).is_some());
-    let after = last.told(revision).unwrap() - start;
-    assert!(after < TOLD_MOVED + SLACK, "{before:?}: after {after:?}");
-    let calls = last.calls();
-    until("its watch goes on", || last.calls() > calls + 1);
+    until("the last service answers a poll", || last.answered_at(revision).is_some());
+    let after = last.answered_at(revision).unwrap() - start;
+    assert!(after < NOTIFICATION_LIMIT_AFTER_RELOAD + SLACK, "{before:?}: after {after:?}");
+    let polls = last.polls();
+    until("the relay keeps polling the last service", || last.polls() > polls + 1);
 }
 
 #[test]
-fn a_service_that_moves_is_asked_at_its_new_place_while_a_call_is_out_at_the_old_one() {
-    for before in [Mode::Up, Mode::Silent, Mode::Trickles, Mode::Resets] {
-        moves(before, false);
+fn a_service_that_moves_is_polled_at_its_new_address_while_a_poll_is_open_at_the_old_one() {
+    for before in [ServiceMode::Up, ServiceMode::Silent, ServiceMode::Trickles, ServiceMode::Resets] {
+        check_relocation(before, false);
     }
 }
 
 #[test]
-fn a_service_that_moves_again_at_once_is_asked_at_its_last_place() {
-    for before in [Mode::Up, Mode::Silent] {
-        moves(before, true);
+fn a_service_that_moves_again_at_once_is_polled_at_its_last_address() {
+    for before in [ServiceMode::Up, ServiceMode::Silent] {
+        check_relocation(before, true);
     }
 }
 
 #[test]
-fn a_service_that_moves_right_as_it_answers_is_asked_at_its_new_place() {
+fn a_service_that_moves_right_as_it_answers_is_polled_at_its_new_address() {
     let list = Discovery::start();
     let endpoint = Endpoint::lines("UP 1\r\n");
     list.set("s-0", &endpoint.address, "Ready", 0);
@@ -464,10 +473,10 @@
     relay.configure(&relay.configuration().replace(&list.address, &services[1].address));
     for n in 0..8_usize {
         let (next, before) = (&services[n % 2], &services[(n + 1) % 2]);
-        until("the watch is out", || before.told(list.revision()).is_some());
-        let calls = next.calls();
+        until("the previous service has answered", || before.answered_at(list.revision()).is_some());
+        let polls = next.polls();
         let text = relay.configuration().replace(&before.address, &next.address);
-        // The change wakes the watch just as the signal comes: before it, or after.
+        // The change ends the long poll just before the signal, or just after it.
         let change = || list.set("s-0", &endpoint.address, "Ready", n as u64);
         if n % 4 < 2 {
             change();
@@ -477,53 +486,56 @@
         if n % 4 >= 2 {
             change();
         }
-        until("the new place is asked", || next.calls() > calls && next.told(list.revision()).is_some());
-        let after = next.told(list.revision()).unwrap().saturating_duration_since(start);
-        assert!(after < TOLD_MOVED + SLACK, "move {n}: after {after:?}");
+        until("the poll succeeds", || next.polls() > polls && next.answered_at(list.revision()).is_some());
+        let after = next.answered_at(list.revision()).unwrap().saturating_duration_since(start);
+        assert!(after < NOTIFICATION_LIMIT_AFTER_RELOAD + SLACK, "move {n}: after {after:?}");
     }
 }
 
-/// The second of two watches that break within seconds is followed by the load balancer's pause, of which
-/// there is time for.
+/// After the second of two long polls that break within seconds the load balancer pauses, and the list must
+/// still arrive in time.
 #[test]
-fn relays_are_told_in_time_where_two_watches_in_a_row_break() {
-    for (odd, relays) in [(Odd::Reset, 1), (Odd::Unavailable, 4), (Odd::Cut, 4)] {
-        let tier = Tier::start_with(relays, 2000);
+fn relays_are_notified_in_time_where_two_long_polls_in_a_row_break() {
+    for (unusual, relays) in
+        [(UnusualAnswer::Reset, 1), (UnusualAnswer::Unavailable, 4), (UnusualAnswer::Truncated, 4)]
+    {
+        let test_cluster = TestCluster::start_with(relays, 2000);
         let broken = || {
-            tier.services.iter().for_each(|service| service.set(Mode::Odd(odd)));
-            for service in &tier.services {
-                until("its watch is broken", || service.mode() == Mode::Up);
+            test_cluster.services.iter().for_each(|service| service.set(ServiceMode::Once(unusual)));
+            for service in &test_cluster.services {
+                until("the long poll is broken", || service.mode() == ServiceMode::Up);
             }
         };
-        let calls: Vec<_> = tier.services.iter().map(Service::calls).collect();
+        let polls: Vec<_> = test_cluster.services.iter().map(Service::polls).collect();
         broken();
-        for (service, before) in tier.services.iter().zip(calls) {
-            until("it has asked anew, and watches again", || service.calls() >= before + 2);
+        for (service, before) in test_cluster.services.iter().zip(polls) {
+            until("the relay polls again and its long poll is open", || service.polls() >= before + 2);
         }
         broken();
-        let revision = tier.drain();
-        tier.told(Instant::now(), revision, TOLD);
+        let revision = test_cluster.drain();
+        test_cluster.assert_notified(Instant::now(), revision, NOTIFICATION_LIMIT);
     }
 }
 
-/// The agent of pushed lists accepts calls and says nothing for a while: what it has at its return is heard
-/// in time.
+/// With pushed lists, the local agent accepts polls and leaves them unanswered for a while: the relay
+/// receives a change in time once the agent answers again.
 #[test]
-fn a_relay_is_told_in_time_by_an_agent_that_was_mute() {
-    let tier = Tier::start_as(1, 800, "pushed");
-    let (service, relay) = (&tier.services[0], &tier.relays[0]);
-    service.set(Mode::Silent);
-    until("calls fail", || relay.log().matches("no answer in time").count() > 1);
-    let calls = service.calls();
-    until("a call is out", || service.calls() > calls);
-    let revision = tier.drain();
-    let back = Instant::now();
-    service.set(Mode::Up);
-    tier.told(back, revision, TOLD);
-    println!("told {:?} after the return", service.told(revision).unwrap() - back);
+fn a_relay_is_notified_in_time_by_an_agent_that_did_not_answer_for_a_while() {
+    let test_cluster = TestCluster::start_as(1, 800, "pushed");
+    let (service, relay) = (&test_cluster.services[0], &test_cluster.relays[0]);
+    service.set(ServiceMode::Silent);
+    until("several polls have failed", || relay.log().matches("no answer in time").count() > 1);
+    let polls = service.polls();
+    until("a poll is open", || service.polls() > polls);
+    let revision = test_cluster.drain();
+    let returned_at = Instant::now();
+    service.set(ServiceMode::Up);
+    test_cluster.assert_notified(returned_at, revision, NOTIFICATION_LIMIT);
+    println!("notified {:?} after the return", service.answered_at(revision).unwrap() - returned_at);
 }
 
-/// Guards against a relay that starts and sends by the list of its last run to endpoints that left meanwhile.
+/// Guards against a relay that starts with the list of its last run and sends requests to endpoints that left
+/// meanwhile.
 #[test]
 fn a_relay_that_starts_sends_to_no_endpoint_that_left_while_it_was_down() {
     let endpoints = ["UP 1\r\n", "UP 2\r\n"].map(Endpoint::lines);
@@ -535,7 +547,7 @@
     }
     current.set("s-0", &endpoints[0].address, "Terminating", 0);
     let service = Service::start(&current);
-    // One of many relays, which poll in turn, and none tells another which endpoints have left.
+    // The relay is one of many that poll in turn, and peers do not report which endpoints have left.
     let settings = settings(200, 7, 200).replace("peerMessages = true", "peerMessages = false");
     let relay = Relay::start_more(&known.asked_at(&service.address), 1024, &[host()], 0, &settings);
     let mut clients: Vec<Client> = (0..20).map(|_| relay.client()).collect();
@@ -543,7 +555,7 @@
         client.open(&format!(",g={:x}", unix_ms()));
     }
     let is_ready = || relay.client().send("PING\r\n").line() == "PONG";
-    until("the list is had, and the relay is ready", || service.told(3).is_some() && is_ready());
+    until("the relay has the list and is ready", || service.answered_at(3).is_some() && is_ready());
     for mut client in clients {
         let answer = client.line();
         assert!(answer == "UP 2" || answer.starts_with("BUSY"), "{answer}: {}", relay.log());
--- a/tests/handover_messages.rs
+++ b/tests/handover_messages.rs
@@ -1,4 +1,4 @@
-//! The messages of a hand-over and the two sides of it, without any socket.
+//! Tests of the hand-over's messages and of its two state machines, without sockets.
 
 use sandgw::handover::*;
 
@@ -6,12 +6,13 @@
     Message::Hello { version: FIRST_PROTOCOL_VERSION, relay_name: "n0".into() }
 }
 
-fn yielded() -> Message {
+fn accepting_stopped() -> Message {
     Message::AcceptingStopped { descriptors: 9, standby: None, slow_start_pause: -1.0 }
 }
 
-/// One hand-over between two sides that are cut off from each other after so many messages: who accepts then.
-fn cut_after(messages: usize, terminated: bool) -> (bool, bool) {
+/// Runs a hand-over whose connection breaks after this many messages. Returns whether the predecessor process
+/// and the successor accept clients after that.
+fn run_interrupted_hand_over(messages: usize, terminated: bool) -> (bool, bool) {
     let (mut predecessor, mut successor) = (PredecessorProcess::default(), SuccessorProcess::default());
     let (mut predecessor_accepts, mut successor_accepts, mut sent) = (true, false, 0);
     let mut queue = std::collections::VecDeque::from([(true, hello())]);
@@ -29,7 +30,7 @@
                 }
                 PredecessorAction::StopAccepting => {
                     predecessor_accepts = false;
-                    queue.push_back((false, yielded()));
+                    queue.push_back((false, accepting_stopped()));
                 }
                 PredecessorAction::GrantOwnership => queue.push_back((false, Message::OwnershipGranted)),
                 PredecessorAction::Refuse(why) => panic!("{why}"),
@@ -45,29 +46,30 @@
         }
     }
     if !successor_accepts {
-        // It is gone; it never accepts by this link.
+        // The successor has disconnected and never accepts clients.
         predecessor_accepts |= predecessor.resumes_accepting(terminated);
     }
     (predecessor_accepts, successor_accepts)
 }
 
 #[test]
-fn wherever_it_is_cut_exactly_one_accepts() {
+fn exactly_one_process_accepts_wherever_the_hand_over_breaks() {
     for messages in 0..=7 {
-        let (predecessor, successor) = cut_after(messages, false);
+        let (predecessor, successor) = run_interrupted_hand_over(messages, false);
         assert!(predecessor != successor, "after {messages} messages: {predecessor} {successor}");
     }
-    assert_eq!(cut_after(7, false), (false, true), "all of it");
-    // Told to end before it has handed over, it serves on as ever where the other fails.
+    assert_eq!(run_interrupted_hand_over(7, false), (false, true), "the hand-over is complete");
+    // A predecessor that receives SIGTERM before it grants ownership continues to serve where the successor
+    // fails.
     for messages in 0..=5 {
-        assert_eq!(cut_after(messages, true), (true, false), "after {messages} messages");
+        assert_eq!(run_interrupted_hand_over(messages, true), (true, false), "after {messages} messages");
     }
-    // The relay had been given away: it finishes what it has.
-    assert_eq!(cut_after(6, true), (false, false));
+    // A predecessor that receives SIGTERM after it has granted ownership only finishes its connections.
+    assert_eq!(run_interrupted_hand_over(6, true), (false, false));
 }
 
 #[test]
-fn who_speaks_out_of_turn_or_is_another_is_refused() {
+fn a_message_out_of_turn_or_from_another_relay_is_refused() {
     let mut predecessor = PredecessorProcess::default();
     assert!(matches!(
         predecessor.handle_message(&Message::TakeoverRequest, "n0"),
@@ -82,15 +84,19 @@
         predecessor.handle_message(&none, "n0"),
         PredecessorAction::Refuse(RefusalReason::VersionMismatch)
     ));
-    assert_eq!(predecessor, PredecessorProcess::AwaitingHello, "none of it counts");
+    assert_eq!(predecessor, PredecessorProcess::AwaitingHello, "a refused message changed the state");
     assert_eq!(RefusalReason::OtherRelay.to_string(), "it is another relay");
     assert_eq!(RefusalReason::VersionMismatch.to_string(), VERSION_MISMATCH);
-    // A form to come is met with the newest that is known here.
+    // A later version is answered with the newest one that this process speaks.
     assert_eq!(negotiate_version(&Message::Hello { version: 9, relay_name: String::new() }, 2), 2);
     assert_eq!(negotiate_version(&hello(), 2), FIRST_PROTOCOL_VERSION);
     let mut successor = SuccessorProcess::default();
-    for early in [Message::OwnershipGranted, yielded(), Message::DescriptorsInUse { descriptors: 1 }, hello()]
-    {
+    for early in [
+        Message::OwnershipGranted,
+        accepting_stopped(),
+        Message::DescriptorsInUse { descriptors: 1 },
+        hello(),
+    ] {
         assert!(matches!(successor.handle_message(&early), SuccessorAction::Fail(_)), "{early:?}");
     }
     assert_eq!(successor, SuccessorProcess::ReceivingSnapshot);
@@ -100,9 +106,13 @@
 }
 
 #[test]
-fn messages_are_read_however_they_are_cut_and_what_is_none_is_refused() {
-    let messages =
-        [hello(), yielded(), Message::ListeningSockets(vec!["a".into()]), Message::OwnershipGranted];
+fn messages_are_decoded_in_parts_of_any_size_and_malformed_ones_are_rejected() {
+    let messages = [
+        hello(),
+        accepting_stopped(),
+        Message::ListeningSockets(vec!["a".into()]),
+        Message::OwnershipGranted,
+    ];
     let bytes: Vec<u8> = messages.iter().flat_map(encode).collect();
     for size in 1..bytes.len() {
         let (mut decoder, mut read) = (MessageDecoder::default(), Vec::new());
@@ -112,7 +122,7 @@
                 read.push(message);
             }
         }
-        assert_eq!(read, messages, "in parts of {size}");
+        assert_eq!(read, messages, "in parts of {size} bytes");
     }
     let mut decoder = MessageDecoder::default();
     decoder.feed(&u32::MAX.to_le_bytes());
@@ -126,7 +136,8 @@
     assert_eq!(invalid.to_string(), VERSION_MISMATCH);
 }
 
-/// Processes of two builds hand over to each other: the variants and their fields are encoded by position.
+/// Processes of two builds hand over to each other: variants and fields are encoded by position, so their
+/// bytes must not change.
 #[test]
 fn messages_keep_their_bytes() {
     let agreement = Message::VersionAgreement { version: 2, listened_ms: 0.0, advertisement: "w".into() };
@@ -139,7 +150,7 @@
         (Message::ListeningSockets(vec!["a".into()]), &[5, 1, 1, b'a']),
         (Message::SnapshotComplete, &[6]),
         (Message::TakeoverRequest, &[7]),
-        (yielded(), &[8, 9, 0, 0, 0, 0, 0, 0, 0, 0xf0, 0xbf]),
+        (accepting_stopped(), &[8, 9, 0, 0, 0, 0, 0, 0, 0, 0xf0, 0xbf]),
         (Message::OwnershipClaim, &[9]),
         (Message::OwnershipGranted, &[10]),
         (Message::DescriptorsInUse { descriptors: 3 }, &[12, 3]),
--- a/tests/line.rs
+++ b/tests/line.rs
@@ -1,4 +1,4 @@
-//! The platform's front through the real program.
+//! Tests of the line protocol with the real program.
 
 mod common;
 
@@ -9,20 +9,20 @@
 
 use common::*;
 
-fn one(endpoint: &Endpoint) -> (Discovery, Relay) {
+fn start_relay(endpoint: &Endpoint) -> (Discovery, Relay) {
     let discovery = Discovery::start();
     discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start(&discovery);
     (discovery, relay)
 }
 
-/// The time left, in lines that an endpoint has seen.
+/// Replaces the remaining time in the lines that an endpoint has received, as it differs between runs.
 fn redacted(seen: Vec<String>) -> Vec<String> {
     let redact = |line: String| match line.split_once("d=") {
         Some((head, tail)) => {
             let (ms, rest) = tail.split_at(tail.find(',').unwrap_or(tail.len()));
             let ms: u32 = ms.parse().unwrap();
-            assert!((1..=500).contains(&ms), "the first attempt has the set-up time at most: {ms}");
+            assert!((1..=500).contains(&ms), "the first attempt must have 1 to 500 ms: {ms}");
             format!("{head}d=[left]{rest}")
         }
         None => line,
@@ -33,7 +33,7 @@
 #[test]
 fn a_flow_is_placed_passes_lines_and_ends_with_its_streamer() {
     let endpoint = Endpoint::lines("UP 17\r\n");
-    let (_discovery, relay) = one(&endpoint);
+    let (_discovery, relay) = start_relay(&endpoint);
     let mut client = relay.client();
     client.send("PI").send("NG\r\nOPEN 9b1f 7f3a c=subtitle-stream,t=acme,d=20");
     assert_eq!(client.line(), "PONG");
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn what_is_malformed_or_too_long_is_an_error_and_reaches_no_streamer() {
+fn a_malformed_or_too_long_line_is_an_error_and_reaches_no_endpoint() {
     let endpoint = Endpoint::lines("UP 17\r\n");
-    let (_discovery, relay) = one(&endpoint);
+    let (_discovery, relay) = start_relay(&endpoint);
     let long = format!("OPEN 1 2 c=subtitle-stream,t=acme,d=2000,x={}", "y".repeat(4096));
     let lines = [
         "HELLO",
@@ -76,8 +76,8 @@
         assert_eq!(answers, ["ERR", "(end)"], "{line}");
     }
     assert_eq!(endpoint.seen(), Vec::<String>::new());
-    // The id of another client's open connection, whatever else is said with it; it is free once that has
-    // ended.
+    // The id of another client's open connection is rejected, whatever the rest of the line; the id is free
+    // once that connection has ended.
     let mut first = relay.client();
     assert_eq!(first.send("OPEN 5 2 c=subtitle-stream,t=acme,d=2000\r\n").line(), "UP 17");
     let again = || relay.client().send("OPEN 5 3 c=subtitle-stream,t=acme,d=2000\r\n").line();
@@ -86,10 +86,11 @@
     until("the id is free", || again() == "UP 17");
 }
 
-/// Connections that say nothing once took all descriptors: nobody else was accepted, and forwards failed. Now
-/// the longest silent makes room, each is ended in time, and what is turned away gets a `BUSY`.
+/// Guards against silent connections that take all descriptors, so that no other client is accepted and
+/// attempts fail. The relay closes the connection that has been silent for longest to free a descriptor, ends
+/// each silent connection in time, and answers rejected ones with `BUSY`.
 #[test]
-fn silent_connections_make_room_and_are_ended_in_time() {
+fn silent_connections_free_descriptors_and_are_ended_in_time() {
     let endpoint = Endpoint::lines("UP 1\r\n");
     let discovery = Discovery::start();
     discovery.set("s-1", &endpoint.address, "Ready", 0);
@@ -98,12 +99,12 @@
     let mut silent: Vec<_> = (0..200).map(|_| relay.client()).collect();
     let mut connection = relay.client();
     assert_eq!(connection.send("OPEN 1 2 c=subtitle-stream,t=acme,d=3000\r\n").line(), "UP 1");
-    assert_eq!(silent[0].line(), "BUSY 1500", "the first to come has made room");
-    // Half a line, and then nothing, is no more.
+    assert_eq!(silent[0].line(), "BUSY 1500", "the oldest silent connection was not closed");
+    // A client that stops within a line counts as silent as well.
     silent[199].send("OPEN 7 7 c=subti");
     assert_eq!(silent[199].line(), "ERR");
     assert!(start.elapsed() < Duration::from_secs(6), "ended after {:?}", start.elapsed());
-    // Connections are bounded too: what is over that is refused, not left waiting.
+    // Established connections are limited as well: requests above the limit are rejected, not left waiting.
     let mut connections: Vec<_> = (10..60).map(|id| (id, relay.client())).collect();
     let answers = connections
         .iter_mut()
@@ -111,7 +112,7 @@
     let answers: Vec<_> = answers.collect();
     assert!(answers.iter().all(|a| a == "UP 1" || a == "BUSY 1500"), "{answers:?}");
     assert!(answers.contains(&"BUSY 1500".into()) && answers[0] == "UP 1", "{answers:?}");
-    // One after the other: however many connections stand, a newcomer is heard, if only to be refused.
+    // However many connections are established, each new client gets an answer, if only a rejection.
     for _ in 0..20 {
         let mut client = relay.client();
         let answer = client.open("").line();
@@ -121,10 +122,10 @@
     assert_eq!(connection.send("still?\r\n").line(), "still?");
 }
 
-/// Clients that stop reading hold a buffer each and no more, whatever their endpoints send; when they read
-/// again they get all of it, and new connections are served.
+/// A client that stops reading costs the relay one buffer, whatever its endpoint sends. It receives
+/// everything when it reads again, and new connections are served.
 #[test]
-fn clients_that_stop_reading_cost_no_memory_and_get_all_of_it_later() {
+fn clients_that_stop_reading_cost_no_memory_and_receive_everything_later() {
     const BYTES: usize = 16 << 20;
     let endpoint = Endpoint::start(|mut stream, _| {
         BufReader::new(stream.try_clone().unwrap()).read_line(&mut String::new()).unwrap();
@@ -133,7 +134,7 @@
         let _ = (0..BYTES / line.len()).try_for_each(|_| stream.write_all(&line));
         let _ = stream.write_all(b"BYE\r\n");
     });
-    let (_discovery, relay) = one(&endpoint);
+    let (_discovery, relay) = start_relay(&endpoint);
     let before = relay.memory();
     let mut clients: Vec<_> = (0..12).map(|_| relay.client()).collect();
     assert!(clients.iter_mut().all(|client| client.open("").line() == "UP 1"));
@@ -147,11 +148,11 @@
     assert_eq!(relay.client().open("").line(), "UP 1");
 }
 
-/// A process with fewer descriptors than it was told of: connections are refused with a wait, discovery is
-/// heard all the same, and with room again connections are served at once. The log had a line for each that
-/// made room for another.
+/// A process has fewer descriptors than its configuration says: connections are rejected with a retry delay,
+/// discovery is still polled, and connections are served at once when descriptors are free again. Guards also
+/// against a log line for each connection that is closed to free a descriptor.
 #[test]
-fn with_descriptors_again_flows_are_served_and_the_list_is_fresh() {
+fn after_a_shortage_of_descriptors_connections_are_served_by_the_current_list() {
     let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
     let discovery = Discovery::start();
     discovery.set("s-1", &endpoints[0].address, "Ready", 0);
@@ -165,10 +166,10 @@
             other => break other.to_owned(),
         }
     };
-    // The last descriptor is mostly the client's own; where it is a forward's, the next client is not
-    // accepted.
+    // The last descriptor usually goes to the client's connection; where an attempt takes it, the next client
+    // is not accepted.
     assert!(["BUSY 1500", "(WouldBlock)"].contains(&refused.as_str()), "{refused}");
-    // Discovery fails, its descriptor is free for others, and many wait to be accepted.
+    // Discovery fails, which frees its descriptor for others, and many clients wait to be accepted.
     discovery.down(true);
     discovery.set("s-1", &endpoints[0].address, "Terminating", 0);
     discovery.set("s-2", &endpoints[1].address, "Ready", 0);
@@ -182,17 +183,17 @@
     let again = connections.split_off(connections.len() / 2);
     drop(silent);
     drop(again);
-    until("a new flow goes where the new list says", || relay.client().open("").line() == "UP 2");
+    until("a connection goes to the endpoint of the new list", || relay.client().open("").line() == "UP 2");
     assert!(connections.iter_mut().all(|connection| connection.send("still?\r\n").line() == "still?"));
     let lines = relay.log().matches("accept: ").count();
-    assert!((1..=2).contains(&lines), "{lines} lines for one shortage at two listeners: {}", relay.log());
+    assert!((1..=2).contains(&lines), "{lines} log lines for one shortage at two listeners: {}", relay.log());
 }
 
-/// A client that sends without end is cut off soon after its answer, and costs no memory.
+/// A client that sends an endless line is disconnected soon after its answer, and costs no memory.
 #[test]
-fn an_endless_line_is_answered_and_cut_off() {
+fn an_endless_line_is_answered_and_disconnected() {
     let endpoint = Endpoint::lines("UP 1\r\n");
-    let (_discovery, relay) = one(&endpoint);
+    let (_discovery, relay) = start_relay(&endpoint);
     let before = relay.memory();
     let clients: Vec<_> = (0..8).map(|_| relay.client()).collect();
     let senders = clients.into_iter().map(|client| {
@@ -225,8 +226,8 @@
     insta::assert_debug_snapshot!((answers, endpoints.map(|s| s.seen().len())));
 }
 
-/// A refusal was once held back until near the deadline so that the client would not ask again: what the
-/// module has given up on is answered at once, with the time to come again.
+/// A request that the load balancer has given up on is answered at once, with a retry delay. Guards against a
+/// rejection that is held back until shortly before the deadline to keep the client from retrying.
 #[test]
 fn a_flow_that_no_streamer_takes_is_refused_at_once() {
     let endpoints = [(); 3].map(|()| Endpoint::lines("BUSY\r\n"));
@@ -238,13 +239,14 @@
     let start = Instant::now();
     let mut client = relay.client();
     let answer = client.send("OPEN 1 2 c=subtitle-stream,t=acme,d=19000\r\n").line();
-    assert!(start.elapsed() < LONG / 2, "held for {:?}", start.elapsed());
+    assert!(start.elapsed() < LONG / 2, "the rejection was held back for {:?}", start.elapsed());
     let sends: usize =
         endpoints.iter().map(|s| s.seen().iter().filter(|l| l.starts_with("OPEN")).count()).sum();
     insta::assert_debug_snapshot!((answer, client.line(), sends));
 }
 
-/// An error, a reset and a refused connect each lead to the other endpoint; never are two attempts out.
+/// An error, a reset and a refused connect each lead to an attempt at the other endpoint; two attempts are
+/// never open at the same time.
 #[test]
 fn an_attempt_that_fails_is_followed_by_another() {
     for kind in ["error", "reset", "refused"] {
@@ -258,7 +260,7 @@
         };
         let good = Endpoint::lines("UP 2\r\n");
         let discovery = Discovery::start();
-        // Nobody listens at the third kind's address.
+        // Nothing listens at the address of the refused connect.
         let address = if kind == "refused" { format!("{}:1", host()) } else { bad.address.clone() };
         discovery.set("s-1", &address, "Ready", 0);
         discovery.set("s-2", &good.address, "Ready", 0);
@@ -266,52 +268,60 @@
         for group in 0..8 {
             assert_eq!(relay.client().open(&format!(",g={group}")).line(), "UP 2", "{kind}");
         }
-        assert!(kind == "refused" || !bad.seen().is_empty(), "{kind}: no group was placed there first");
+        assert!(
+            kind == "refused" || !bad.seen().is_empty(),
+            "{kind}: no first attempt went to the bad endpoint"
+        );
     }
 }
 
-/// Nothing comes back from an endpoint that vanished, and TCP does not notice: its clients are told to move.
+/// Nothing comes back from an endpoint that vanished, and TCP does not notice: the relay migrates its
+/// clients.
 #[test]
-fn the_client_of_a_silent_streamer_is_told_to_move() {
+fn the_client_of_a_silent_endpoint_is_migrated() {
     let endpoint = Endpoint::start(|stream, _| {
         (&stream).write_all(b"UP 1\r\n").unwrap();
         thread::sleep(LONG);
     });
-    let (_discovery, relay) = one(&endpoint);
+    let (_discovery, relay) = start_relay(&endpoint);
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
     let start = Instant::now();
     assert_eq!(client.send("anyone?\r\n").line(), "MOVE");
-    assert!(start.elapsed() < Duration::from_secs(7), "moved after {:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(7),
+        "the client was told to migrate after {:?}",
+        start.elapsed()
+    );
     assert_eq!(client.line(), "(end)");
 }
 
 #[test]
-fn each_side_is_ended_the_way_the_other_ends() {
+fn each_side_ends_as_the_other_does() {
     let endpoint = Endpoint::lines("UP 1\r\n");
-    let (_discovery, relay) = one(&endpoint);
+    let (_discovery, relay) = start_relay(&endpoint);
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
-    // A half-close: what was sent before it still comes back.
+    // The client half-closes: the reply to its last line still arrives.
     client.send("last\r\n").0.get_mut().shutdown(Shutdown::Write).unwrap();
     assert_eq!(client.rest(), "last\r\n");
-    until("the streamer sees the end", || endpoint.seen().contains(&"end".into()));
-    // A reset: the client sees a reset, not an end in good order.
+    until("the endpoint sees the end", || endpoint.seen().contains(&"end".into()));
+    // The endpoint resets: the client sees a reset, not an orderly end.
     let endpoint = Endpoint::start(|mut stream, _| {
         BufReader::with_capacity(1, &stream).read_line(&mut String::new()).unwrap();
         stream.write_all(b"UP 1\r\n").unwrap();
-        // Closed with bytes unread, a connection is reset.
+        // A connection that is closed with unread bytes is reset.
         let _ = stream.read(&mut [0; 5]);
     });
-    let (_discovery, relay) = one(&endpoint);
+    let (_discovery, relay) = start_relay(&endpoint);
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
     assert_eq!(client.send("more than five bytes\r\n").line(), "(ConnectionReset)");
 }
 
-/// Nothing new goes to a draining endpoint later than a second after the notice.
+/// No new request is sent to a draining endpoint later than a second after the notice.
 #[test]
-fn a_drain_notice_ends_new_forwards() {
+fn a_drain_notice_ends_new_attempts() {
     let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
     let discovery = Discovery::start();
     discovery.set("s-1", &endpoints[0].address, "Ready", 0);
@@ -322,7 +332,7 @@
         group += 1;
         relay.client().open(&format!(",g={group}")).line()
     };
-    until("both are used", || endpoints.iter().all(|s| !s.seen().is_empty()) || place_some(&relay));
+    until("both endpoints are used", || endpoints.iter().all(|s| !s.seen().is_empty()) || place_ten(&relay));
     let notice = discovery.set("s-2", &endpoints[1].address, "Terminating", 0);
     while notice.elapsed() < Duration::from_millis(1200) {
         place();
@@ -336,19 +346,19 @@
     assert_eq!(later(&endpoints[1]), 0);
 }
 
-/// An endpoint that drains while a connect to it is on its way: what comes up more than a second after the
-/// notice must not be used. Its queue of connections is full, so the connect is repeated by the kernel
-/// after 1 s and 3 s.
+/// An endpoint starts to drain during a connect to it: a connect that succeeds more than a second after the
+/// notice must not be used. The endpoint's accept queue is full, so the kernel repeats the connect after 1 s
+/// and 3 s.
 #[test]
-fn a_connect_that_comes_up_after_the_drain_notice_is_not_used() {
+fn a_connect_that_succeeds_after_the_drain_notice_is_not_used() {
     let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let address: std::net::SocketAddr = format!("{}:8443", host()).parse().unwrap();
     listener.bind(&address.into()).unwrap();
     listener.listen(0).unwrap();
     let listener: std::net::TcpListener = listener.into();
-    let full: Vec<_> =
+    let connected: Vec<_> =
         (0..2).map(|_| TcpStream::connect_timeout(&address, Duration::from_millis(300)).is_ok()).collect();
-    assert!(full[0] && !full[1], "the queue is not full: {full:?}");
+    assert!(connected[0] && !connected[1], "the accept queue is not full: {connected:?}");
     let discovery = Discovery::start();
     discovery.set("s-1", &address.to_string(), "Ready", 0);
     let template = include_str!("../src/application.toml");
@@ -361,7 +371,7 @@
     thread::sleep(Duration::from_millis(300));
     discovery.set("s-1", &address.to_string(), "Terminating", 0);
     thread::sleep(Duration::from_millis(1300));
-    // There is room now; the kernel's next try comes after that.
+    // From here on the endpoint accepts; the kernel repeats the connect later.
     let (seen, lines) = std::sync::mpsc::channel();
     thread::spawn(move || {
         for stream in listener.incoming().take(2) {
@@ -372,20 +382,24 @@
             seen.send(line).unwrap();
         }
     });
-    let lines: Vec<_> = (0..2).map(|_| lines.recv_timeout(LONG).expect("the connect comes up")).collect();
-    assert!(lines.iter().all(|line| !line.starts_with("OPEN")), "sent late: {lines:?}");
+    let lines: Vec<_> =
+        (0..2).map(|_| lines.recv_timeout(LONG).expect("the connect does not succeed")).collect();
+    assert!(
+        lines.iter().all(|line| !line.starts_with("OPEN")),
+        "a request was sent more than a second after the notice: {lines:?}"
+    );
 }
 
-fn place_some(relay: &Relay) -> bool {
+fn place_ten(relay: &Relay) -> bool {
     (100..110).for_each(|g| drop(relay.client().open(&format!(",g={g}")).line()));
     false
 }
 
-/// SIGTERM announces a restart: clients keep arriving, and what stands is served until the kill.
+/// SIGTERM announces a restart: clients keep arriving, and established connections are served until SIGKILL.
 #[test]
 fn a_relay_serves_on_after_sigterm() {
     let endpoint = Endpoint::lines("UP 1\r\n");
-    let (_discovery, relay) = one(&endpoint);
+    let (_discovery, relay) = start_relay(&endpoint);
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
     relay.terminate();
@@ -394,14 +408,14 @@
     assert_eq!(relay.client().open("").line(), "UP 1");
 }
 
-/// SIGHUP once ended the program. It takes the file anew, whole or not at all; what stands goes on; another
-/// discovery service is asked at once for its whole list, whose versions have nothing to do with the old
-/// one's.
+/// SIGHUP reloads the file, as a whole or not at all, and established connections continue. Another discovery
+/// service is polled at once for its whole list, whose revisions are unrelated to the old service's. Guards
+/// also against SIGHUP ending the program.
 #[test]
-fn sighup_takes_a_new_configuration_and_keeps_the_old_one_where_it_is_bad() {
+fn sighup_applies_a_new_configuration_and_keeps_the_old_one_where_the_new_is_faulty() {
     let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
-    let (old, relay) = one(&endpoints[0]);
-    // The old place is far ahead in its versions, and its watch is out.
+    let (old, relay) = start_relay(&endpoints[0]);
+    // The old service's revision is far ahead, and the long poll to it is open.
     for _ in 0..50 {
         old.set("s-1", &endpoints[0].address, "Ready", 0);
     }
@@ -416,29 +430,29 @@
     new.down(true);
     let start = Instant::now();
     relay.reload(Some(&new));
-    // The first calls fail: it is asked again soon, whatever the load balancer would wait by now.
+    // The first polls fail: the relay polls again soon, however long the load balancer would pause by now.
     thread::sleep(Duration::from_millis(700));
     new.down(false);
     until("the new list is used", || relay.client().open("").line() == "UP 2");
     assert!(start.elapsed() < Duration::from_secs(4), "used after {:?}", start.elapsed());
     assert_eq!(client.send("still?\r\n").line(), "still?");
-    // Its watch goes on from there.
+    // Long polls continue at the new service.
     new.set("s-2", &endpoints[1].address, "Terminating", 0);
     new.set("s-1", &endpoints[0].address, "Ready", 0);
-    until("a change is heard of", || relay.client().open("").line() == "UP 1");
+    until("a change is received", || relay.client().open("").line() == "UP 1");
 }
 
-/// Where lists are pushed, an agent on the relay's machine has them. It was never asked, and the list of
-/// the start was all that a relay ever knew.
+/// Where lists are pushed, the relay polls an agent on its machine for them. Guards against a relay that
+/// never polls the agent and keeps the list of its start.
 #[test]
-fn a_pushed_list_is_heard_of_from_the_agent() {
+fn a_pushed_list_is_received_from_the_agent() {
     let endpoints = [Endpoint::lines("UP 1\r\n"), Endpoint::lines("UP 2\r\n")];
     let discovery = Discovery::start();
     discovery.set("s-1", &endpoints[0].address, "Ready", 0);
     let pushed = "sed -i s/on_request/pushed/ \"$PROXY_CONFIG\"";
     let relay = Relay::start_limited(&discovery, pushed, 1024, &[host()], 0, "");
     assert_eq!(relay.client().open("").line(), "UP 1");
-    // An agent says nothing while discovery is down: a call that failed is followed by another soon.
+    // The agent does not answer while discovery is down: the relay polls again soon after a failed poll.
     discovery.down(true);
     thread::sleep(Duration::from_millis(300));
     discovery.down(false);
@@ -447,10 +461,10 @@
     until("the new list is used", || relay.client().open("").line() == "UP 2");
 }
 
-/// An endpoint that is short of power keeps answering messages at once on sockets; only its set-ups grow
-/// slow. It once kept its whole share of new connections.
+/// An overloaded endpoint still answers messages on sockets at once; only its set-ups become slow. Guards
+/// against such an endpoint that keeps its full part of new connections.
 #[test]
-fn a_streamer_whose_set_ups_are_slow_gets_few_flows() {
+fn an_endpoint_with_slow_set_ups_gets_few_connections() {
     let slow = Endpoint::start(|stream, log| {
         let mut lines = BufReader::new(stream.try_clone().unwrap());
         lines.read_line(&mut String::new()).unwrap();
@@ -473,46 +487,51 @@
         answers.push(clients[group].open(&format!(",g={group}")).line());
     }
     assert!(answers.iter().all(|a| a.starts_with("UP")), "{answers:?}");
-    // A quarter would be its share.
-    assert!((1..12).contains(&slow.seen().len()), "{} flows were sent there", slow.seen().len());
+    // An equal part would be a quarter.
+    assert!(
+        (1..12).contains(&slow.seen().len()),
+        "{} connections were sent to the slow endpoint",
+        slow.seen().len()
+    );
 }
 
-/// When the set of relays changes, open connections arrive at another one, or at a relay that has started
-/// again from nothing. They once went where the table points, which was not where half of them were.
+/// When the set of relays changes, open connections arrive mid-flow at another relay, or at one that has
+/// restarted without state. Guards against relays that send them to the endpoint of the Maglev table, which
+/// was the wrong one for half of them.
 #[test]
-fn a_mid_flow_arrival_finds_its_streamer_at_every_relay_of_the_tier() {
+fn a_mid_flow_arrival_reaches_its_endpoint_at_every_relay_of_the_cluster() {
     let endpoints = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Endpoint::lines);
     let discovery = Discovery::start();
     for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
-    let tier = [host(), host()];
-    let first = Relay::start_one(&discovery, 1024, &tier, 0);
-    let other = Relay::start_one(&discovery, 1024, &tier, 1);
+    let hosts = [host(), host()];
+    let first = Relay::start_one(&discovery, 1024, &hosts, 0);
+    let other = Relay::start_one(&discovery, 1024, &hosts, 1);
     let ask = |relay: &Relay, key: usize, more: &str| {
         let mut client = relay.client();
         let line = client
             .send(&format!("OPEN {key}{} {key} c=subtitle-stream,t=acme,d=2000,g=1{more}\r\n", more.len()));
         (line.line(), client)
     };
-    // A client that comes again is placed anew by chance: nothing in its key tells where.
+    // A returning client is placed at random: its key does not determine the endpoint.
     let held: Vec<_> = (0..40).map(|key| ask(&first, key, ",again=1")).collect();
     let at: Vec<_> = held.iter().map(|(up, _)| up.clone()).collect();
-    assert!(at.iter().any(|up| *up != at[0]), "all are at one streamer: {at:?}");
+    assert!(at.iter().any(|up| *up != at[0]), "all clients were placed at the same endpoint: {at:?}");
     let again = |relay: &Relay| (0..40).map(|key| ask(relay, key, ",mid=1").0).collect::<Vec<_>>();
-    // Told within half a second.
+    // Relays send each other the clients' locations within half a second.
     thread::sleep(Duration::from_secs(1));
     assert_eq!(again(&other), at, "at the other relay");
     drop((held, first));
-    let first = Relay::start_one(&discovery, 1024, &tier, 0);
+    let first = Relay::start_one(&discovery, 1024, &hosts, 0);
     thread::sleep(Duration::from_millis(500));
-    assert_eq!(again(&first), at, "at the relay that has started again");
+    assert_eq!(again(&first), at, "at the relay that has restarted");
 }
 
-/// On sockets nothing tells of a slow message: of the endpoints of a large group some once carried far more
-/// than their share, and messages came late there, while the others had room.
+/// Slow messages can't be measured on sockets. Guards against some endpoints of a large group that carry far
+/// more than their part and deliver messages late, while other endpoints of the group have spare capacity.
 #[test]
-fn large_groups_are_spread_evenly_over_their_streamers() {
+fn large_groups_are_spread_evenly_over_their_endpoints() {
     let endpoints = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"].map(Endpoint::lines);
     let discovery = Discovery::start();
     for (i, s) in endpoints.iter().enumerate() {
@@ -528,14 +547,14 @@
         clients.push(client);
     }
     let held = ["UP 0", "UP 1", "UP 2", "UP 3"].map(|up| ups.iter().filter(|u| *u == up).count());
-    assert!(held.iter().all(|n| *n <= 51), "{held:?} of 160 flows are at the streamers");
+    assert!(held.iter().all(|n| *n <= 51), "the endpoints hold {held:?} of 160 connections");
 }
 
-/// New settings are in force at SIGHUP, and what stands is not touched by them.
+/// New settings take effect at SIGHUP, and established connections are not affected by them.
 #[test]
 fn classes_come_and_go_with_the_configuration_and_a_faulty_one_changes_nothing() {
     let endpoint = Endpoint::lines("UP 17\r\n");
-    let (_discovery, relay) = one(&endpoint);
+    let (_discovery, relay) = start_relay(&endpoint);
     let open = |class: &str, more: &str| {
         let mut client = relay.client();
         let key = client.0.get_ref().local_addr().unwrap().port();
@@ -557,14 +576,14 @@
         relay.configure(wrong);
         assert_eq!(open("live", "").0, "UP 17", "after {wrong:?}");
     }
-    // It goes: who has not heard of that yet may name it a while longer, and mid-flow later too.
+    // The class is removed: clients may still name it for a while, and mid-flow arrivals also after that.
     relay.configure(&whole);
     assert_eq!(open("live", "").0, "UP 17");
-    until("the dropped class is refused", || open("live", "").0 == "ERR");
+    until("the removed class is rejected", || open("live", "").0 == "ERR");
     assert_eq!(open("live", ",mid=1").0, "UP 17");
     assert_eq!(open("subtitle-stream", "").0, "UP 17");
     assert_eq!(held.send("still\r\n").line(), "still");
-    // Reloads without end leave nothing behind.
+    // Repeated reloads leak no memory.
     let before = relay.memory();
     for n in 0..200 {
         relay.configure(&with(&format!("class-{n}")));
@@ -573,27 +592,28 @@
     assert!(relay.memory() < before + 1024, "{before} KiB before, {} after", relay.memory());
 }
 
-/// In a crowd that connects and never finishes, progress tells who makes room: a client that takes 2 s to
-/// write once lost its place to those who came after it, or its time was up.
+/// Among many clients that connect and never finish a request, the relay closes those without progress first.
+/// Guards against a client that takes 2 s to write its request and is closed in favour of later clients, or
+/// by its time limit.
 #[test]
-fn a_slow_writer_is_served_in_a_crowd_that_never_finishes() {
+fn a_slow_writer_is_served_among_clients_that_never_finish() {
     let endpoint = Endpoint::lines("UP 17\r\n");
     let discovery = Discovery::start();
     discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_with(&discovery, 128);
-    let (answer, quick, ends) = thread::scope(|scope| {
-        let crowd = ["", "PING\r\n", "OPEN 1 2 c=subtitle"].map(|says| {
+    let (answer, others, ends) = thread::scope(|scope| {
+        let unfinished_clients = ["", "PING\r\n", "OPEN 1 2 c=subtitle"].map(|text| {
             let relay = &relay;
             scope.spawn(move || {
-                let (start, mut here) = (Instant::now(), Vec::new());
+                let (start, mut clients) = (Instant::now(), Vec::new());
                 while start.elapsed() < Duration::from_secs(4) {
                     let mut client = connect(&relay.line);
-                    let _ = client.write_all(says.as_bytes());
-                    here.push(client);
+                    let _ = client.write_all(text.as_bytes());
+                    clients.push(client);
                     thread::sleep(Duration::from_millis(20));
                 }
-                // Whoever is here for 3 s must have had his end; all of these are, and the machine may be
-                // slow.
+                // Each connection must have been ended within 3 s; all are older by now, with time for a slow
+                // machine.
                 thread::sleep(Duration::from_millis(4500));
                 let ended = |client: &TcpStream| {
                     client.set_nonblocking(true).unwrap();
@@ -602,7 +622,7 @@
                     !end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
                         && !rest.starts_with(b"UP")
                 };
-                (here.len(), here.iter().filter(|client| ended(client)).count())
+                (clients.len(), clients.iter().filter(|client| ended(client)).count())
             })
         });
         thread::sleep(Duration::from_millis(300));
@@ -612,10 +632,10 @@
             thread::sleep(Duration::from_millis(250));
         }
         let answer = Client(BufReader::new(slow)).line();
-        let quick: Vec<_> = (0..10).map(|_| relay.client().open("").line()).collect();
-        (answer, quick, crowd.map(|c| c.join().unwrap()))
+        let others: Vec<_> = (0..10).map(|_| relay.client().open("").line()).collect();
+        (answer, others, unfinished_clients.map(|c| c.join().unwrap()))
     });
     assert_eq!(answer, "UP 17");
-    assert!(quick.iter().all(|up| up == "UP 17"), "{quick:?}");
+    assert!(others.iter().all(|up| up == "UP 17"), "{others:?}");
     assert!(ends.iter().all(|(came, ended)| came == ended && *came > 100), "{ends:?}");
 }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -1,4 +1,5 @@
-//! Maintenance windows through the real program: twelve relays in four zones, and faults between them.
+//! Tests of maintenance windows with the real program: twelve relays, twelve endpoints in four zones, and
+//! faults between the relays.
 
 mod common;
 
@@ -13,7 +14,7 @@
 const RELAYS: usize = 12;
 const LEASE: Duration = Duration::from_secs(4);
 
-/// Of twelve endpoints in four zones eight must remain.
+/// Settings with which eight of twelve endpoints must remain in service.
 const SECTION: &str = r#"
 [maintenance]
 floor = 8.0
@@ -28,7 +29,8 @@
 /// lapsed by then.
 const OBSERVATION: Duration = Duration::from_secs(2 * LEASE.as_secs());
 
-/// The network between the relays: one socket stands for each at all others, and forwards what it receives.
+/// The network between the relays: one socket represents each relay to all others and forwards what it
+/// receives.
 struct Network {
     /// The side of a partition of each relay, as bits; datagrams are forwarded within a side only.
     partition: Arc<AtomicU32>,
@@ -36,7 +38,7 @@
     datagrams: Arc<Mutex<Vec<String>>>,
 }
 
-/// The sockets that stand for relays, by relay.
+/// The sockets that represent the relays, by relay.
 fn proxy_sockets() -> Vec<UdpSocket> {
     (0..RELAYS).map(|_| UdpSocket::bind((host(), 7946)).unwrap()).collect()
 }
@@ -68,7 +70,7 @@
         network
     }
 
-    /// Cuts relays off from the others; none heals the network.
+    /// Cuts relays off from the others; an empty list heals the network.
     fn cut_off(&self, relays: impl IntoIterator<Item = usize>) {
         let sides = relays.into_iter().fold(0, |sides, relay| sides | 1 << relay);
         self.partition.store(sides, Ordering::SeqCst);
@@ -80,14 +82,14 @@
     }
 }
 
-struct Tier {
+struct TestCluster {
     discovery: Discovery,
     relays: Vec<Relay>,
     network: Network,
 }
 
-impl Tier {
-    fn start(section: &str) -> Tier {
+impl TestCluster {
+    fn start(section: &str) -> TestCluster {
         let discovery = Discovery::start();
         for n in 0..RELAYS {
             Self::endpoint(&discovery, n, "Ready");
@@ -101,7 +103,7 @@
                 Relay::start_seen(&discovery, &hosts[local_index], &proxies, local_index, section)
             })
             .collect();
-        Tier { discovery, relays, network }
+        TestCluster { discovery, relays, network }
     }
 
     fn endpoint(discovery: &Discovery, n: usize, phase: &str) {
@@ -130,7 +132,8 @@
         }
     }
 
-    /// The local windows of these relays that they list as granted. None of them may be stopped or killed.
+    /// The windows of these relays that each of them lists as granted. None of the relays may be stopped or
+    /// killed.
     fn granted(&self, relays: &[usize]) -> Vec<String> {
         let mut granted = Vec::new();
         for relay in relays {
@@ -151,7 +154,8 @@
         }
     }
 
-    /// The first relay, but for one, that has logged last that it is the leader.
+    /// The first relay, other than the excluded one, whose latest log line about leadership says that it is
+    /// the leader.
     fn leader_except(&self, excluded: Option<usize>) -> usize {
         let is_leader = |relay: &usize| {
             let log = self.relays[*relay].log();
@@ -168,22 +172,22 @@
 }
 
 #[test]
-fn windows_hold_the_floor_through_a_cut_a_kill_and_a_stop() {
-    let mut tier = Tier::start(SECTION);
+fn windows_keep_the_floor_through_a_partition_a_kill_and_a_stop() {
+    let mut cluster = TestCluster::start(SECTION);
     let all: Vec<usize> = (0..RELAYS).collect();
-    // Nobody has requested a window: nothing is sent about windows.
-    assert!(!tier.network.has_window_datagrams());
+    // No window has been requested: no datagram about windows is sent.
+    assert!(!cluster.network.has_window_datagrams());
     thread::sleep(LEASE);
 
-    // At three relays at once: a zone fits, of two that do not go together one waits.
+    // Three zones are requested at three relays at once: the floor allows one window, and two wait.
     let replies: Vec<String> = thread::scope(|scope| {
         let calls = [(2, "a"), (7, "b"), (11, "c")];
-        let asked = calls.map(|(relay, zone)| {
+        let requests = calls.map(|(relay, zone)| {
             let call = format!("window hall {zone} all 60");
-            let tier = &tier;
-            scope.spawn(move || tier.call(relay, &call))
+            let cluster = &cluster;
+            scope.spawn(move || cluster.call(relay, &call))
         });
-        asked.map(|asked| asked.join().unwrap()).to_vec()
+        requests.map(|request| request.join().unwrap()).to_vec()
     });
     assert_eq!(replies.iter().filter(|reply| reply.contains("granted until")).count(), 1, "{replies:?}");
     assert_eq!(replies.iter().filter(|reply| reply.contains("waits behind")).count(), 2, "{replies:?}");
@@ -191,100 +195,101 @@
 
     // The leader is killed: another is elected, the granted window stays granted, and none is
     // granted beside it.
-    let killed = tier.leader_except(None);
-    tier.relays[killed].signal("KILL");
+    let killed = cluster.leader_except(None);
+    cluster.relays[killed].signal("KILL");
     let live: Vec<usize> = all.iter().copied().filter(|relay| *relay != killed).collect();
-    tier.assert_at_most_one_granted(&live);
+    cluster.assert_at_most_one_granted(&live);
     if holder != killed {
-        assert!(tier.call(holder, "windows").contains("granted until"));
+        assert!(cluster.call(holder, "windows").contains("granted until"));
     }
 
     // The new leader is stopped for longer than its lease and continues: it grants nothing on its own.
-    let stopped = tier.leader_except(Some(killed));
-    tier.relays[stopped].signal("STOP");
+    let stopped = cluster.leader_except(Some(killed));
+    cluster.relays[stopped].signal("STOP");
     let awake: Vec<usize> = live.iter().copied().filter(|relay| *relay != stopped).collect();
-    tier.assert_at_most_one_granted(&awake);
-    tier.relays[stopped].signal("CONT");
+    cluster.assert_at_most_one_granted(&awake);
+    cluster.relays[stopped].signal("CONT");
     for _ in 0..20 {
-        let granted = tier.granted(&live);
+        let granted = cluster.granted(&live);
         assert!(granted.len() <= 1, "{granted:?}");
         thread::sleep(Duration::from_millis(50));
     }
 
-    // Five relays are cut off, with the window's: there it lapses, and nothing is granted.
-    let away = if holder == killed { awake[0] } else { holder };
-    let cut: Vec<usize> = (0..5).map(|n| (away + n) % RELAYS).collect();
-    tier.network.cut_off(cut.iter().copied());
-    let reply = tier.call(away, "window streamer s-11 5");
+    // Five relays are cut off, among them the one with the granted window unless it was killed: there the
+    // window lapses, and none is granted.
+    let requester = if holder == killed { awake[0] } else { holder };
+    let cut: Vec<usize> = (0..5).map(|n| (requester + n) % RELAYS).collect();
+    cluster.network.cut_off(cut.iter().copied());
+    let reply = cluster.call(requester, "window streamer s-11 5");
     assert!(!reply.contains("granted"), "{reply}");
     if holder != killed {
-        tier.wait_for(holder, "lapsed");
+        cluster.wait_for(holder, "lapsed");
     }
-    assert!(tier.granted(&cut.iter().copied().filter(|r| *r != killed).collect::<Vec<_>>()).is_empty());
-    tier.network.cut_off([]);
+    assert!(cluster.granted(&cut.iter().copied().filter(|r| *r != killed).collect::<Vec<_>>()).is_empty());
+    cluster.network.cut_off([]);
 
     // The window is done, and the next is granted.
     if holder != killed {
-        let windows = tier.wait_for(holder, "granted until");
+        let windows = cluster.wait_for(holder, "granted until");
         let mut rows = windows.split("; ");
         let row = rows.find(|row| row.contains("granted until") && row.contains(" hall ")).unwrap();
         let id = row.split(' ').next().unwrap().trim_start_matches("done ");
-        assert!(tier.call(holder, &format!("done {id}")).starts_with("done"));
+        assert!(cluster.call(holder, &format!("done {id}")).starts_with("done"));
     }
     let waiting: Vec<usize> = [2, 7, 11].into_iter().filter(|r| *r != holder && *r != killed).collect();
     let start = Instant::now();
-    while !waiting.iter().any(|relay| tier.call(*relay, "windows").contains("granted until")) {
-        assert!(start.elapsed() < 3 * LONG, "the next is never granted");
+    while !waiting.iter().any(|relay| cluster.call(*relay, "windows").contains("granted until")) {
+        assert!(start.elapsed() < 3 * LONG, "the next window is never granted");
         thread::sleep(Duration::from_millis(100));
     }
-    // No datagram was too long, whatever went on.
-    assert!(tier.network.datagrams.lock().unwrap().iter().all(|text| text.len() <= 256));
-    tier.relays.clear();
+    // No datagram was too long.
+    assert!(cluster.network.datagrams.lock().unwrap().iter().all(|text| text.len() <= 256));
+    cluster.relays.clear();
 }
 
 #[test]
-fn a_hall_that_is_lost_is_taken_out_of_what_is_granted_and_said() {
-    let tier = Tier::start(SECTION);
+fn a_lost_zone_counts_against_the_floor_and_is_reported() {
+    let cluster = TestCluster::start(SECTION);
     thread::sleep(LEASE);
-    assert!(tier.call(1, "window streamer s-0 100").contains("granted until"));
+    assert!(cluster.call(1, "window streamer s-0 100").contains("granted until"));
     assert_eq!(
-        tier.call(4, "window hall b all 100 by bob"),
+        cluster.call(4, "window hall b all 100 by bob"),
         "error this name may not override the floor; ask one of those in maintenance.override"
     );
-    let never = tier.call(4, "window hall nowhere all 10");
+    let never = cluster.call(4, "window hall nowhere all 10");
     assert!(never.starts_with("error no such hall in the list"), "{never}");
     // Two endpoints of zone c drain without a window.
     for n in [6, 7] {
-        Tier::endpoint(&tier.discovery, n, "Terminating");
+        TestCluster::endpoint(&cluster.discovery, n, "Terminating");
     }
-    tier.wait_for(1, "2 of hall c drain and nobody has asked for it");
-    // Twelve less three leave nine: one more fits, a second does not.
-    assert!(tier.call(4, "window streamer s-3 100").contains("granted until"));
-    let reply = tier.call(9, "window streamer s-4 100");
+    cluster.wait_for(1, "2 of hall c drain and nobody has asked for it");
+    // Twelve endpoints less three leave nine: one more window fits, a second does not.
+    assert!(cluster.call(4, "window streamer s-3 100").contains("granted until"));
+    let reply = cluster.call(9, "window streamer s-4 100");
     assert!(reply.contains("waits behind 0"), "{reply}");
-    // The rest of the zone is lost: too little remains, which is listed as an alarm.
+    // The rest of the zone is lost: fewer endpoints remain than the floor, which is listed as an alarm.
     for n in [6, 7, 8] {
-        Tier::endpoint(&tier.discovery, n, "Gone");
+        TestCluster::endpoint(&cluster.discovery, n, "Gone");
     }
-    tier.wait_for(1, "less than the floor");
-    assert!(tier.call(9, "windows").contains("waits behind"));
+    cluster.wait_for(1, "less than the floor");
+    assert!(cluster.call(9, "windows").contains("waits behind"));
     // An operator who may override the floor gets a window.
-    let forced = tier.call(9, "window streamer s-5 100 by eve");
+    let forced = cluster.call(9, "window streamer s-5 100 by eve");
     assert!(forced.contains("granted until"), "{forced}");
-    // The zone is back and the forced window done: the one that waited is granted.
+    // The zone is back and the forced window done: the waiting window is granted.
     for n in [6, 7, 8] {
-        Tier::endpoint(&tier.discovery, n, "Ready");
+        TestCluster::endpoint(&cluster.discovery, n, "Ready");
     }
-    assert!(tier.call(9, &format!("done {}", id(&forced))).contains("closed"));
-    tier.wait_for(9, "streamer s-4: granted until");
+    assert!(cluster.call(9, &format!("done {}", id(&forced))).contains("closed"));
+    cluster.wait_for(9, "streamer s-4: granted until");
 }
 
 #[test]
-fn off_without_the_section() {
-    let tier = Tier::start("");
+fn window_calls_are_unknown_without_the_section() {
+    let cluster = TestCluster::start("");
     let unknown = "error an unknown call; known are status, standby, active";
     for call in ["windows", "window hall a all 60", "window", "done 1.a"] {
-        assert_eq!(tier.call(0, call), unknown, "{call}");
+        assert_eq!(cluster.call(0, call), unknown, "{call}");
     }
-    assert!(!tier.network.has_window_datagrams());
+    assert!(!cluster.network.has_window_datagrams());
 }
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -1,4 +1,4 @@
-//! The operators' address and standby through the real program.
+//! Tests of the operators' address and of standby with the real program.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 use common::*;
 
-/// An application's settings under which connections end at the relay.
+/// An application's settings with which connections end at the relay instead of passing through.
 const PROXY: &str = r#"
 [settings]
 discovery = "on_request"
@@ -23,14 +23,14 @@
 domain = { mode = "proxy", groups = true, messageAimMs = [150.0] }
 "#;
 
-fn one(more: &str) -> (Endpoint, Discovery, Relay) {
+fn start_relay(more: &str) -> (Endpoint, Discovery, Relay) {
     let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
     discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_more(&discovery, 1024, &[host()], 0, more);
     (endpoint, discovery, relay)
 }
 
-fn stand(relay: &Relay) -> Client {
+fn establish(relay: &Relay) -> Client {
     let mut client = relay.client();
     assert_eq!(client.open("").line(), "UP 1");
     client
@@ -42,7 +42,7 @@
 
 #[test]
 fn each_call_has_one_answer() {
-    let (_endpoint, _discovery, relay) = one("");
+    let (_endpoint, _discovery, relay) = start_relay("");
     for (call, answer) in [
         (&b"status\n"[..], "done active, 0 standing"),
         (b"status\r\n", "done active, 0 standing"),
@@ -59,9 +59,9 @@
     ] {
         assert_eq!(relay.call(call), answer, "{:?}", &call[..call.len().min(20)]);
     }
-    // What was refused was not done.
+    // The rejected calls had no effect.
     assert_eq!(relay.call(b"status\n"), "done active, 0 standing");
-    // Ended in the middle, and in two parts.
+    // A call that ends within its line, and one that arrives in two parts.
     let mut caller = connect(&relay.ops);
     caller.write_all(b"stand").unwrap();
     caller.shutdown(Shutdown::Write).unwrap();
@@ -72,17 +72,18 @@
     assert_eq!(caller.send("tus\n").line(), "done active, 0 standing");
 }
 
-/// Far more calls have arrived than there are seats before the relay reads the first: who makes room has
-/// asked already, and is answered. He was closed on unread; and more were accepted than are counted before
-/// the first was let go.
+/// More calls arrive than there are descriptors for callers before the relay reads the first. A caller whose
+/// connection is closed to free its descriptor has already sent its call, which must be answered. Guards
+/// against connections that are closed with the call unread, and against accepting more callers than the
+/// limit before the first is closed.
 #[test]
 fn calls_that_arrive_together_are_all_answered_by_a_few_descriptors() {
-    /// Callers that may be there at a time, the next one, and what is held back for them.
+    /// The callers that may be connected at a time, the next caller, and the descriptor reserved for them.
     const DESCRIPTORS: u64 = 8 + 1 + 1;
-    let (_endpoint, discovery, relay) = one("");
+    let (_endpoint, discovery, relay) = start_relay("");
     drop(relay);
     let relay = Relay::start_limited(&discovery, "set -- \"$@\" --verbose", 1024, &[host()], 0, "");
-    until("the first client has gone", || relay.log().contains("list: "));
+    until("the first list has arrived", || relay.log().contains("list: "));
     thread::sleep(Duration::from_millis(200));
     relay.limit_descriptors(relay.descriptors() as u64 + DESCRIPTORS);
     relay.freeze();
@@ -98,18 +99,18 @@
     let answered = answers.iter().filter(|answer| *answer == "done active, 0 standing").count();
     assert!(
         answered == 400 && short.is_empty(),
-        "{answered} of 400 answered, {} faults: {:?}",
+        "{answered} of 400 calls answered, {} descriptor errors: {:?}",
         short.len(),
         short.first()
     );
 }
 
-/// Whoever calls is answered however many are there already who say nothing, or half of something.
+/// Each call is answered, however many callers are connected that have sent nothing or half a call.
 #[test]
-fn silent_callers_keep_nobody_out() {
-    let (_endpoint, _discovery, relay) = one("");
+fn silent_callers_keep_no_other_caller_out() {
+    let (_endpoint, _discovery, relay) = start_relay("");
     let mut silent: Vec<TcpStream> = (0..40).map(|_| connect(&relay.ops)).collect();
-    // One who is still at it is not cut off for those who say nothing.
+    // A caller that is still sending is not disconnected in favour of silent ones.
     let mut slow = Client(std::io::BufReader::new(connect(&relay.ops)));
     slow.send("st");
     for round in 0..30 {
@@ -117,20 +118,21 @@
         assert_eq!(relay.call(b"status\n"), "done active, 0 standing", "call {round}");
     }
     assert_eq!(slow.send("atus\n").line(), "done active, 0 standing");
-    // Those with half a call make room for each other.
+    // Among callers with half a call, the relay disconnects some to accept others.
     let halves: Vec<_> = (0..20).map(|_| connect(&relay.ops)).collect();
     halves.iter().for_each(|mut half| half.write_all(b"act").unwrap());
     assert_eq!(relay.call(b"status\n"), "done active, 0 standing");
 }
 
-/// A process that has fewer descriptors than it was told of has none left: clients wait, operators do not.
+/// A process that has fewer descriptors than its configuration says has none left: clients wait, and
+/// operators are answered at once.
 #[test]
 fn operators_are_answered_without_a_descriptor_left() {
     let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
     discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_limited(&discovery, "ulimit -n 80", 1024, &[host()], 0, "");
     let clients: Vec<TcpStream> = (0..200).map(|_| connect(&relay.line)).collect();
-    until("none is left", || relay.log().contains("accept:"));
+    until("no descriptor is left", || relay.log().contains("accept:"));
     for _ in 0..10 {
         let start = Instant::now();
         assert_eq!(relay.call(b"status\n"), "done active, 0 standing");
@@ -139,16 +141,16 @@
     drop(clients);
 }
 
-/// The same where time passes between the calls, and both listeners look for a descriptor in the same
-/// moment: one that a caller had given back was a client's by then, and so was each that clients made room
-/// for, for seconds.
+/// Operators are answered without a descriptor left, also where time passes between the calls and both
+/// listeners need a descriptor at the same moment. Guards against clients that take the descriptor which a
+/// caller has freed; for seconds they also took each descriptor that was freed by closing another client.
 #[test]
-fn a_descriptor_that_a_caller_gives_back_is_the_next_callers() {
+fn a_descriptor_that_a_caller_frees_goes_to_the_next_caller() {
     let (endpoint, discovery) = (Endpoint::lines("UP 1\r\n"), Discovery::start());
     discovery.set("s-1", &endpoint.address, "Ready", 0);
     let relay = Relay::start_limited(&discovery, "ulimit -n 80", 1024, &[host()], 0, "");
     let mut clients: Vec<TcpStream> = (0..900).map(|_| connect(&relay.line)).collect();
-    until("none is left", || relay.log().contains("accept:"));
+    until("no descriptor is left", || relay.log().contains("accept:"));
     let mut took = Vec::new();
     for _ in 0..40 {
         clients.extend((0..8).map(|_| connect(&relay.line)));
@@ -167,23 +169,23 @@
     assert!(late.is_empty(), "answered after {late:?}");
 }
 
-/// Where packets pass through, the front leads standing connections elsewhere: to move them would break
-/// what holds.
+/// With packet passthrough the front redirects established connections itself: migrating them would break
+/// connections that work.
 #[test]
-fn on_standby_new_ones_are_told_off_and_those_who_pass_through_stay() {
-    let (_endpoint, discovery, relay) = one("");
+fn on_standby_the_front_is_told_and_connections_that_pass_through_stay() {
+    let (_endpoint, discovery, relay) = start_relay("");
     let mut front = relay.client();
     assert_eq!(front.send("PING\r\n").line(), "PONG");
-    let mut held = stand(&relay);
+    let mut held = establish(&relay);
     relay.call(b"standby\n");
     assert_eq!(front.send("PING\r\n").line(), "STANDBY");
     assert_eq!(relay.client().send("PING\r\n").line(), "STANDBY");
-    // Who comes all the same is served.
-    let mut late = stand(&relay);
-    // Neither of these is a way back.
+    // A client that arrives nevertheless is served.
+    let mut late = establish(&relay);
+    // Neither SIGHUP nor SIGTERM ends standby.
     relay.reload(Some(&discovery));
     relay.terminate();
-    until("both are heard", || relay.log().contains("SIGHUP") && relay.log().contains("SIGTERM"));
+    until("both signals are logged", || relay.log().contains("SIGHUP") && relay.log().contains("SIGTERM"));
     assert_eq!(relay.client().send("PING\r\n").line(), "STANDBY");
     thread::sleep(Duration::from_secs(4));
     assert!(echoes(&mut held, "still") && echoes(&mut late, "here"));
@@ -192,42 +194,42 @@
     assert!(echoes(&mut held, "on") && echoes(&mut late, "on"));
 }
 
-/// Where connections end at the relay, all are told to move, also who comes to stand on the way; no later
-/// than 4 s after the call, with room for a slow machine.
+/// Where connections end at the relay, all are migrated, also those that are established meanwhile, no later
+/// than 4 s after the call, which leaves time for a slow machine.
 #[test]
-fn on_standby_those_who_would_be_lost_are_moved_in_time() {
-    let (_endpoint, _discovery, relay) = one(PROXY);
-    let mut clients: Vec<Client> = (0..30).map(|_| stand(&relay)).collect();
+fn on_standby_connections_that_end_at_the_relay_are_migrated_in_time() {
+    let (_endpoint, _discovery, relay) = start_relay(PROXY);
+    let mut clients: Vec<Client> = (0..30).map(|_| establish(&relay)).collect();
     relay.call(b"standby\n");
     let start = Instant::now();
-    clients.push(stand(&relay));
+    clients.push(establish(&relay));
     let moved: Vec<_> = clients.iter_mut().map(|c| (c.line(), c.line(), start.elapsed())).collect();
-    assert!(moved.iter().all(|(word, end, _)| word == "MOVE" && end == "(end)"), "{moved:?}");
+    assert!(moved.iter().all(|(reply, end, _)| reply == "MOVE" && end == "(end)"), "{moved:?}");
     let (first, last) = (moved.iter().map(|m| m.2).min(), moved[30].2);
     assert!(
         first > Some(Duration::from_millis(200)) && last < Duration::from_secs(4),
         "{first:?} to {last:?}"
     );
-    until("none is left", || relay.call(b"status\n") == "done standby, 0 standing");
-    // The second call ends the drain for good.
+    until("no connection is left", || relay.call(b"status\n") == "done standby, 0 standing");
+    // The call `active` ends the migrations for good.
     relay.call(b"active\n");
-    let mut back = stand(&relay);
+    let mut back = establish(&relay);
     thread::sleep(Duration::from_millis(500));
     assert!(echoes(&mut back, "here"));
 }
 
 #[test]
-fn the_way_back_in_the_middle_ends_the_moves() {
-    let (_endpoint, _discovery, relay) = one(PROXY);
-    let mut clients: Vec<Client> = (0..60).map(|_| stand(&relay)).collect();
+fn going_active_again_ends_the_migrations() {
+    let (_endpoint, _discovery, relay) = start_relay(PROXY);
+    let mut clients: Vec<Client> = (0..60).map(|_| establish(&relay)).collect();
     relay.call(b"standby\n");
-    assert_eq!(clients[0].line(), "MOVE", "the longest here is told first");
+    assert_eq!(clients[0].line(), "MOVE", "the oldest connection is not migrated first");
     relay.call(b"active\n");
-    let told: usize = relay.call(b"status\n").split(' ').nth(2).unwrap().parse().unwrap();
-    assert!(told > 30, "{told} stand in the middle of it");
+    let before: usize = relay.call(b"status\n").split(' ').nth(2).unwrap().parse().unwrap();
+    assert!(before > 30, "{before} connections remain in the middle of the migrations");
     thread::sleep(Duration::from_secs(4));
     let now: usize = relay.call(b"status\n").split(' ').nth(2).unwrap().parse().unwrap();
-    // Some had been told and were on their way out.
-    assert!(now + 5 > told, "{told} then, {now} now");
+    // Some clients had already been told to migrate and were about to leave.
+    assert!(now + 5 > before, "{before} connections then, {now} now");
     assert!(echoes(&mut clients[59], "here"));
 }
--- a/tests/rtmp.rs
+++ b/tests/rtmp.rs
@@ -1,4 +1,5 @@
-//! The RTMP front through the real program. The stand-ins use the library's chunks, not the relay's own.
+//! Tests of RTMP with the real program. The test's clients and endpoints use an RTMP library's chunks, not
+//! the relay's own.
 
 mod common;
 
@@ -24,16 +25,16 @@
 }
 
 impl Peer {
-    fn new(mut stream: TcpStream, kind: PeerType, slowly: Duration) -> Option<Peer> {
-        let mut shake = Handshake::new(kind);
-        let first = shake.generate_outbound_p0_and_p1().unwrap();
+    fn new(mut stream: TcpStream, kind: PeerType, pause: Duration) -> Option<Peer> {
+        let mut handshake = Handshake::new(kind);
+        let first = handshake.generate_outbound_p0_and_p1().unwrap();
         stream.write_all(&first[..1000]).ok()?;
-        thread::sleep(slowly);
+        thread::sleep(pause);
         stream.write_all(&first[1000..]).ok()?;
         let mut buffer = [0; 4096];
         loop {
             let n = stream.read(&mut buffer).ok().filter(|n| *n > 0)?;
-            match shake.process_bytes(&buffer[..n]).ok()? {
+            match handshake.process_bytes(&buffer[..n]).ok()? {
                 HandshakeProcessResult::InProgress { response_bytes } => {
                     stream.write_all(&response_bytes).ok()?
                 }
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A client that asks for a group; its first answer.
+    /// Connects a client that requests a group; returns the client and the first answer.
     fn open(relay: &Relay, app: &str, header: &[u8]) -> (Peer, String) {
         let mut stream = connect(&relay.rtmp);
         stream.write_all(header).unwrap();
@@ -64,7 +65,7 @@
     fn connect(&mut self, app: &str) -> String {
         let object = [("app".to_owned(), Amf0Value::Utf8String(app.into()))];
         self.command("connect", 1.0, Amf0Value::Object(object.into()), Vec::new());
-        self.told()
+        self.next_command()
     }
 
     fn command(&mut self, name: &str, transaction: f64, object: Amf0Value, more: Vec<Amf0Value>) -> bool {
@@ -110,8 +111,9 @@
         }
     }
 
-    /// The next command, as a line: its name, and its information object in order; or the end.
-    fn told(&mut self) -> String {
+    /// The next command as a line, with its name and its information object's properties in sorted order, or
+    /// how the connection ended.
+    fn next_command(&mut self) -> String {
         loop {
             match self.receive() {
                 Ok(RtmpMessage::Amf0Command {
@@ -132,8 +134,8 @@
         }
     }
 
-    /// The number of the next video message, or the end.
-    fn number(&mut self) -> Result<u32, String> {
+    /// The number of the next video message, or how the connection ended.
+    fn next_video_number(&mut self) -> Result<u32, String> {
         loop {
             if let RtmpMessage::VideoData { data } = self.receive()? {
                 return Ok(u32::from_be_bytes(*data.first_chunk().unwrap()));
@@ -149,15 +151,17 @@
 
 const SIGNATURE: [u8; 12] = *b"\r\n\r\n\0\r\nQUIT\n";
 
-/// The header of a trusted front: an entry for a connection that arrives mid-stream, or none.
-fn header(mid_stream: &str) -> Vec<u8> {
-    let entry = [&[0xe0, 0, mid_stream.len() as u8], mid_stream.as_bytes()].concat();
-    let entry = if mid_stream.is_empty() { Vec::new() } else { entry };
+/// The PROXY protocol header of a trusted front, with an entry for a connection that arrives mid-flow, or
+/// without entries.
+fn header(mid_flow: &str) -> Vec<u8> {
+    let entry = [&[0xe0, 0, mid_flow.len() as u8], mid_flow.as_bytes()].concat();
+    let entry = if mid_flow.is_empty() { Vec::new() } else { entry };
     [&SIGNATURE[..], &[0x20, 0, 0, entry.len() as u8], &entry].concat()
 }
 
-/// An endpoint that answers `connect` like this; where it takes it, it sends numbered messages at a pace and
-/// goes on with the number where a connection that it holds arrives mid-stream.
+/// An endpoint that answers `connect` with `answer`. Where that accepts the connection, the endpoint sends
+/// numbered messages at the given pace, and continues the numbers of a connection that it holds and that
+/// arrives mid-flow.
 fn endpoint(name: &'static str, answer: &'static str, pace: Duration) -> Endpoint {
     let sent = std::sync::Mutex::new(std::collections::HashMap::<String, u32>::new());
     Endpoint::start(move |mut stream, log| {
@@ -173,7 +177,7 @@
             let Some(number) = sent.lock().unwrap().get(&connection).copied() else {
                 return socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             };
-            // Chunks go on as they were: the same sizes, on streams that are already known to both sides.
+            // The chunks continue with the same sizes, on chunk streams that both sides already know.
             let (mut reader, mut writer) = (ChunkDeserializer::new(), ChunkSerializer::new());
             reader.set_max_chunk_size(4096).unwrap();
             writer.set_max_chunk_size(4096, RtmpTimestamp::new(0)).unwrap();
@@ -203,7 +207,7 @@
         };
         loop {
             number += 1;
-            // Over one chunk, so that there are places where nothing may be put in.
+            // Longer than one chunk, so that there are positions where no message may be inserted.
             if !peer.video(number, 10_000) {
                 return note(log, format!("end {connection}"));
             }
@@ -213,16 +217,16 @@
     })
 }
 
-const TAKES: &str = "_result NetConnection.Connect.Success";
+const ACCEPTS: &str = "_result NetConnection.Connect.Success";
 const PACE: Duration = Duration::from_millis(20);
 
-/// One test at a time: their streams together would slow each other's set-ups.
-fn alone() -> std::sync::MutexGuard<'static, ()> {
+/// Serialises the tests: their streams together would slow down each other's set-ups.
+fn run_exclusively() -> std::sync::MutexGuard<'static, ()> {
     static TESTS: std::sync::Mutex<()> = std::sync::Mutex::new(());
     TESTS.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-fn fleet(endpoints: &[Endpoint]) -> (Discovery, Relay) {
+fn start_relay(endpoints: &[Endpoint]) -> (Discovery, Relay) {
     let discovery = Discovery::start();
     for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
@@ -233,40 +237,39 @@
 
 #[test]
 fn a_flow_is_placed_at_connect_and_passes_unchanged() {
-    let _alone = alone();
-    let endpoints = [endpoint("one", TAKES, PACE)];
-    let (_discovery, relay) = fleet(&endpoints);
+    let _exclusive = run_exclusively();
+    let endpoints = [endpoint("one", ACCEPTS, PACE)];
+    let (_discovery, relay) = start_relay(&endpoints);
     let (mut client, answer) = Peer::open(&relay, "vod/teleserye/bisaya", &[]);
-    let numbers: Vec<_> = (0..5).map(|_| client.number()).collect();
+    let numbers: Vec<_> = (0..5).map(|_| client.next_video_number()).collect();
     insta::assert_debug_snapshot!((answer, numbers, endpoints[0].seen()));
 }
 
 #[test]
 fn refusals_errors_and_breaks_lead_to_another_streamer_or_a_fixed_response() {
-    let _alone = alone();
+    let _exclusive = run_exclusively();
     for bad in ["_error NetConnection.Connect.Failed", "_error NetConnection.Connect.Rejected", "break"] {
-        let endpoints = [endpoint("bad", bad, PACE), endpoint("good", TAKES, PACE)];
-        let (_discovery, relay) = fleet(&endpoints);
-        // A connection may be refused all the same where the load balancer's jittered pauses use up its
-        // attempts.
+        let endpoints = [endpoint("bad", bad, PACE), endpoint("good", ACCEPTS, PACE)];
+        let (_discovery, relay) = start_relay(&endpoints);
+        // A connection may still be rejected where the load balancer's jittered pauses use up its attempts.
         let answers: Vec<_> = (0..6).map(|g| Peer::open(&relay, &format!("vod/{g}"), &[]).1).collect();
         assert!(
             answers.iter().all(|a| a.contains("\"good\"") || a.contains("Rejected")),
             "{bad}: {answers:?}"
         );
         assert!(answers.iter().filter(|a| a.contains("\"good\"")).count() >= 3, "{bad}: {answers:?}");
-        assert!(!endpoints[0].seen().is_empty(), "{bad}: no group was placed there first");
+        assert!(!endpoints[0].seen().is_empty(), "{bad}: no first attempt went to the bad endpoint");
     }
-    let (_discovery, relay) = fleet(&[endpoint("bad", "_error NetConnection.Connect.Rejected", PACE)]);
+    let (_discovery, relay) = start_relay(&[endpoint("bad", "_error NetConnection.Connect.Rejected", PACE)]);
     let (mut client, answer) = Peer::open(&relay, "vod/1", &[]);
-    insta::assert_debug_snapshot!((answer, client.told()));
+    insta::assert_debug_snapshot!((answer, client.next_command()));
 }
 
-/// An endpoint that has refused a connection takes it some milliseconds later, or in the same breath:
-/// nobody gets that answer, whatever other connections are placed meanwhile.
+/// An endpoint rejects a connection and accepts it at once or some milliseconds later: no client receives the
+/// second answer, whatever other connections are placed meanwhile.
 #[test]
-fn a_second_answer_reaches_nobody() {
-    let _alone = alone();
+fn a_second_answer_of_an_endpoint_reaches_no_client() {
+    let _exclusive = run_exclusively();
     for gap in [Duration::ZERO, Duration::from_millis(15)] {
         let bad = Endpoint::start(move |stream, log| {
             let Some(mut peer) = Peer::new(stream, PeerType::Server, Duration::ZERO) else { return };
@@ -280,17 +283,17 @@
             peer.command("_result", 1.0, Amf0Value::Null, more("NetConnection.Connect.Success"));
             let _ = peer.receive();
         });
-        let endpoints = [bad, endpoint("good", TAKES, PACE)];
-        let (_discovery, relay) = fleet(&endpoints);
+        let endpoints = [bad, endpoint("good", ACCEPTS, PACE)];
+        let (_discovery, relay) = start_relay(&endpoints);
         let mut served = 0;
         for group in 0..4 {
             let open = || Peer::open(&relay, &format!("vod/{group}"), &[]).1;
             let answers = thread::scope(|scope| {
                 let all: Vec<_> = (0..3).map(|_| scope.spawn(open)).collect();
-                all.into_iter().map(|one| one.join().unwrap()).collect::<Vec<_>>()
+                all.into_iter().map(|client| client.join().unwrap()).collect::<Vec<_>>()
             });
             for answer in answers {
-                // A refusal is the relay's own: neither answer of that endpoint is passed on.
+                // A rejection is the relay's local reply: neither answer of the bad endpoint is passed on.
                 assert!(!answer.contains("\"bad\""), "{gap:?}: {answer}");
                 assert!(answer.starts_with("_error") || answer.contains("\"good\""), "{gap:?}: {answer}");
                 served += usize::from(answer.starts_with("_result"));
@@ -300,55 +303,59 @@
     }
 }
 
-/// The time to give up runs from accept: a handshake that eats the set-up time leaves the rest for placing,
-/// and one that stalls is answered before the client gives up.
+/// The relay's time limit runs from accept: a slow handshake leaves the remaining time for placing the
+/// connection, and a handshake that stalls is answered before the client gives up.
 #[test]
-fn slow_and_stalled_handshakes() {
-    let _alone = alone();
-    let endpoints = [endpoint("one", TAKES, PACE)];
-    let (_discovery, relay) = fleet(&endpoints);
+fn slow_handshakes_are_served_and_stalled_ones_are_answered_in_time() {
+    let _exclusive = run_exclusively();
+    let endpoints = [endpoint("one", ACCEPTS, PACE)];
+    let (_discovery, relay) = start_relay(&endpoints);
     let slow = Peer::new(connect(&relay.rtmp), PeerType::Client, Duration::from_millis(450));
     assert!(slow.unwrap().connect("vod/1").starts_with("_result"));
     let start = Instant::now();
     let mut stalled = connect(&relay.rtmp);
     stalled.write_all(&[3; 700]).unwrap();
     let mut silent = Peer::new(connect(&relay.rtmp), PeerType::Client, Duration::ZERO).unwrap();
-    assert!(silent.told().starts_with("_error 1 "), "a client that never sends connect");
+    assert!(
+        silent.next_command().starts_with("_error 1 "),
+        "a client that never sends connect gets no error"
+    );
     let _ = stalled.read_to_end(&mut Vec::new());
     assert!(start.elapsed() < Duration::from_secs(3), "answered after {:?}", start.elapsed());
-    // An endpoint that stalls is given up in time for the client, too.
-    let (_discovery, relay) = fleet(&[endpoint("stalls", "stall", PACE)]);
+    // The relay also gives up on an endpoint that stalls before the client gives up.
+    let (_discovery, relay) = start_relay(&[endpoint("stalls", "stall", PACE)]);
     let start = Instant::now();
     let (_, answer) = Peer::open(&relay, "vod/1", &[]);
     assert!(answer.starts_with("_error") && start.elapsed() < Duration::from_secs(3), "{answer}");
 }
 
 #[test]
-fn a_flow_ends_with_its_streamer() {
-    let _alone = alone();
+fn a_connection_ends_with_its_endpoint() {
+    let _exclusive = run_exclusively();
     let once = Endpoint::start(|stream, _| {
         let mut peer = Peer::new(stream, PeerType::Server, Duration::ZERO).unwrap();
         let _ = peer.receive();
         peer.command("_result", 1.0, Amf0Value::Null, Vec::new());
     });
-    let (_discovery, relay) = fleet(&[once]);
+    let (_discovery, relay) = start_relay(&[once]);
     let (mut client, answer) = Peer::open(&relay, "vod/1", &[]);
-    assert!(answer.starts_with("_result") && client.told().starts_with('('));
+    assert!(answer.starts_with("_result") && client.next_command().starts_with('('));
 }
 
-/// An endpoint asks its client to reconnect and is reset: the word arrives, and the client's side ends in
-/// order. It was reset as well, and the word went with it where the client sent something just then.
+/// An endpoint asks its client to reconnect and resets its connection: the client receives the request, and
+/// its connection ends in order. Guards against a reset of the client's connection too, which lost the
+/// request where the client sent something at that moment.
 #[test]
 fn a_request_to_reconnect_before_a_reset_reaches_the_client() {
-    let _alone = alone();
+    let _exclusive = run_exclusively();
     for resets_alone in [true, false] {
         let sender = Endpoint::start(|stream, log| {
             let mut peer = Peer::new(stream, PeerType::Server, Duration::ZERO).unwrap();
             let _ = peer.receive();
             peer.command("_result", 1.0, Amf0Value::Null, Vec::new());
-            // It goes on once the client has sent a message, and the relay has stopped.
+            // The endpoint continues once the client has sent a message and the relay is stopped.
             let _ = peer.receive();
-            until("the relay has stopped", || !log.lock().unwrap().is_empty());
+            until("the relay is stopped", || !log.lock().unwrap().is_empty());
             let code = information(&[("code", "NetConnection.Connect.ReconnectRequest")]);
             peer.command("onStatus", 0.0, Amf0Value::Null, code);
             socket2::SockRef::from(&peer.stream).set_linger(Some(Duration::ZERO)).unwrap();
@@ -356,28 +363,29 @@
             note(log, "reset");
         });
         let log = sender.log.clone();
-        let (_discovery, relay) = fleet(&[sender]);
+        let (_discovery, relay) = start_relay(&[sender]);
         let (mut client, answer) = Peer::open(&relay, "vod/1", &[]);
         assert!(answer.starts_with("_result"), "{answer}");
         assert!(client.video(1, 100));
         thread::sleep(Duration::from_millis(200));
         relay.freeze();
         note(&log, "stopped");
-        until("the streamer has reset", || log.lock().unwrap().len() > 1);
+        until("the endpoint has reset its connection", || log.lock().unwrap().len() > 1);
         if !resets_alone {
             assert!(client.video(2, 100));
         }
         relay.signal("CONT");
-        let told = client.told();
-        assert!(told.contains("NetConnection.Connect.ReconnectRequest"), "{told}");
-        assert_eq!(client.told(), "(end)");
+        let received = client.next_command();
+        assert!(received.contains("NetConnection.Connect.ReconnectRequest"), "{received}");
+        assert_eq!(client.next_command(), "(end)");
     }
 }
 
-/// Most that the relay holds of a client that is not placed yet: what it sends besides stands in the system.
-const ROOM: usize = 8192;
+/// Size in bytes of the relay's buffer for a client that is not placed yet: further bytes stay in the
+/// kernel's receive queue.
+const BUFFER_BYTES: usize = 8192;
 
-/// Bytes of a client that have arrived at the relay and were not read, by the system's table.
+/// Bytes of a client that have arrived at the relay's socket and were not read, from `/proc/net/tcp`.
 fn unread(client: &TcpStream) -> usize {
     let hex = |at: SocketAddr| {
         let SocketAddr::V4(at) = at else { unreachable!() };
@@ -391,13 +399,14 @@
     queue.map_or(0, |queue| usize::from_str_radix(&queue, 16).unwrap())
 }
 
-/// A client whose bytes there is no room for any more leaves while its attempt is out: its end stands
-/// behind what was not read, and is heard all the same. The attempt lasted until its time was up.
+/// A client that has filled the relay's buffer leaves during an attempt: the end of its connection is queued
+/// behind unread bytes, and the relay must notice it. Guards against an attempt that continued until its time
+/// limit.
 #[test]
-fn a_client_that_leaves_behind_a_full_buffer_is_noticed() {
-    const BEHIND: usize = 1000;
-    let _alone = alone();
-    // It takes what comes and never answers.
+fn the_end_of_a_client_is_noticed_behind_a_full_buffer() {
+    const UNREAD_BYTES: usize = 1000;
+    let _exclusive = run_exclusively();
+    // The endpoint reads everything and never answers.
     let silent = Endpoint::start(|mut stream, log| {
         let mut buffer = [0; 4096];
         let mut begun = false;
@@ -411,24 +420,24 @@
     });
     let seen = |log: &Log, what| log.lock().unwrap().iter().filter(|(_, text)| text == what).count();
     let log = silent.log.clone();
-    let (_discovery, relay) = fleet(&[silent]);
-    // Attempts that last until all is forced.
+    let (_discovery, relay) = start_relay(&[silent]);
+    // With these settings an attempt lasts until the relay is forced to give up.
     relay.replace_in_application("[rtmp]", "[rtmp]\ngive_up_ms = 19000");
     relay.configure(&relay.configuration().replace("\"aimMs\":500.0", "\"aimMs\":15000.0"));
-    for (n, way) in ["half", "whole", "reset"].into_iter().enumerate() {
+    for (n, ending) in ["half", "whole", "reset"].into_iter().enumerate() {
         let mut client = Peer::new(connect(&relay.rtmp), PeerType::Client, Duration::ZERO).unwrap();
         let object = [("app".to_owned(), Amf0Value::Utf8String(format!("vod/{n}")))];
         client.command("connect", 1.0, Amf0Value::Object(object.into()), Vec::new());
-        until("the attempt is out", || seen(&log, "begun") == n + 1);
-        client.stream.write_all(&[7; ROOM + BEHIND]).unwrap();
-        until("there is no more room", || unread(&client.stream) == BEHIND);
-        assert_eq!(seen(&log, "given up"), n, "{way}: it was given up before");
+        until("the attempt has begun", || seen(&log, "begun") == n + 1);
+        client.stream.write_all(&[7; BUFFER_BYTES + UNREAD_BYTES]).unwrap();
+        until("the relay's buffer is full", || unread(&client.stream) == UNREAD_BYTES);
+        assert_eq!(seen(&log, "given up"), n, "{ending}: the attempt ended before the client left");
         let left = Instant::now();
-        match way {
+        match ending {
             "half" => {
                 client.stream.shutdown(Shutdown::Write).unwrap();
-                let told = client.told();
-                assert!(told.starts_with("_error 1 "), "{told}");
+                let received = client.next_command();
+                assert!(received.starts_with("_error 1 "), "{received}");
             }
             "whole" => drop(client),
             _ => {
@@ -436,23 +445,23 @@
                 drop(client);
             }
         }
-        until(&format!("{way}: it is given up"), || seen(&log, "given up") == n + 1);
-        assert!(left.elapsed() < LONG / 4, "{way}: {:?}", left.elapsed());
+        until(&format!("{ending}: the attempt ends"), || seen(&log, "given up") == n + 1);
+        assert!(left.elapsed() < LONG / 4, "{ending}: {:?}", left.elapsed());
     }
     assert_eq!(seen(&log, "begun"), 3);
 }
 
-/// A front that sends a connection's packets to another relay marks them; the endpoint that holds the
-/// connection goes on where it was, and an unknown connection is reset.
+/// A front that sends a connection's packets to another relay marks them as mid-flow: the endpoint that holds
+/// the connection continues it, and an unknown connection is reset.
 #[test]
 fn a_mid_stream_arrival_goes_to_its_holder_or_is_reset() {
-    let _alone = alone();
-    let endpoints = [endpoint("one", TAKES, PACE), endpoint("two", TAKES, PACE)];
-    let (discovery, first) = fleet(&endpoints);
+    let _exclusive = run_exclusively();
+    let endpoints = [endpoint("one", ACCEPTS, PACE), endpoint("two", ACCEPTS, PACE)];
+    let (discovery, first) = start_relay(&endpoints);
     let second = Relay::start(&discovery);
     let (mut client, answer) = Peer::open(&first, "vod/1?flow=f7", &header(""));
     assert!(answer.starts_with("_result"), "{answer}");
-    let last = (0..3).map(|_| client.number().unwrap()).last();
+    let last = (0..3).map(|_| client.next_video_number().unwrap()).last();
     let mid = |connection: &str| {
         let mut stream = connect(&second.rtmp);
         stream.write_all(&header(&format!("{connection} vod/1"))).unwrap();
@@ -460,20 +469,19 @@
         reader.set_max_chunk_size(4096).unwrap();
         Peer { stream, reader, writer, early: Vec::new(), start: Instant::now() }
     };
-    let next = mid("f7").number();
-    assert!(next.clone().is_ok_and(|n| Some(n) > last), "{last:?} went on with {next:?}");
-    let lost = mid("f8").number();
+    let next = mid("f7").next_video_number();
+    assert!(next.clone().is_ok_and(|n| Some(n) > last), "{last:?} was followed by {next:?}");
+    let lost = mid("f8").next_video_number();
     let holders = endpoints.iter().filter(|s| s.seen().contains(&"MID f7".into())).count();
     let strays = endpoints.iter().flat_map(|s| s.seen()).filter(|l| l == "MID f8").count();
     insta::assert_debug_snapshot!((lost, holders, strays));
 }
 
-/// Many clients at once find an endpoint that has just started: the load balancer's pace for cold ones
-/// holds here too.
+/// Many clients arrive when an endpoint has just started: slow start holds for RTMP connections too.
 #[test]
-fn a_cold_streamer_is_not_pushed_over() {
-    let _alone = alone();
-    let endpoints = [endpoint("warm", TAKES, PACE), endpoint("cold", TAKES, PACE)];
+fn an_endpoint_in_slow_start_is_not_overloaded() {
+    let _exclusive = run_exclusively();
+    let endpoints = [endpoint("warm", ACCEPTS, PACE), endpoint("cold", ACCEPTS, PACE)];
     let discovery = Discovery::start();
     discovery.set("s-0", &endpoints[0].address, "Ready", 0);
     let relay = Relay::start(&discovery);
@@ -484,18 +492,23 @@
     discovery.set("s-1", &endpoints[1].address, "Ready", unix_ms());
     let _after = place(100..150);
     let cold = endpoints[1].seen().len();
-    // A third of its share while it is at a third of its capacity, and no more than its pace for the time.
+    // A third of an equal part while the endpoint is at a third of its capacity, and no more than slow start
+    // allows in that time.
     let paced = 2.0 + start.elapsed().as_secs_f64() * 10.0;
-    assert!(cold < 25 && (cold as f64) < paced, "{cold} of 50 in {:?}", start.elapsed());
+    assert!(
+        cold < 25 && (cold as f64) < paced,
+        "{cold} of 50 connections were sent to the endpoint in slow start in {:?}",
+        start.elapsed()
+    );
 }
 
-/// The proof asked for: an endpoint takes a drain notice under load. Nothing new goes to it later than 1 s
-/// after the notice, and every client that it holds is told to reconnect before it leaves.
+/// An endpoint receives a drain notice under load: no new request is sent to it later than 1 s after the
+/// notice, and each of its clients is told to reconnect before the endpoint leaves.
 #[test]
-fn a_drain_notice_under_load() {
-    let _alone = alone();
-    let endpoints = [endpoint("stays", TAKES, PACE), endpoint("leaves", TAKES, PACE)];
-    let (discovery, relay) = fleet(&endpoints);
+fn a_drain_notice_under_load_ends_new_requests_and_migrates_clients() {
+    let _exclusive = run_exclusively();
+    let endpoints = [endpoint("stays", ACCEPTS, PACE), endpoint("leaves", ACCEPTS, PACE)];
+    let (discovery, relay) = start_relay(&endpoints);
     let (relay, discovery) = (std::sync::Arc::new(relay), discovery);
     let clients: Vec<_> = (0..30)
         .map(|g| {
@@ -505,28 +518,31 @@
                 if answer.contains("\"stays\"") {
                     return None;
                 }
-                let told = client.told();
-                Some((Instant::now(), told, client.told()))
+                let received = client.next_command();
+                Some((Instant::now(), received, client.next_command()))
             })
         })
         .collect();
     let opened = || endpoints.iter().map(|s| s.seen().len()).sum::<usize>() >= 30;
-    until("all are placed", opened);
+    until("all clients are placed", opened);
     let notice = discovery.set("s-1", &endpoints[1].address, "Terminating", 0);
     let mut group = 1000;
     while notice.elapsed() < Duration::from_millis(1500) {
         group += 1;
         Peer::open(&relay, &format!("vod/{group}"), &[]);
     }
-    let told: Vec<_> = clients.into_iter().filter_map(|c| c.join().unwrap()).collect();
-    assert!(!told.is_empty() && !endpoints[1].seen().is_empty());
-    for (at, first, then) in &told {
+    let received: Vec<_> = clients.into_iter().filter_map(|c| c.join().unwrap()).collect();
+    assert!(!received.is_empty() && !endpoints[1].seen().is_empty());
+    for (at, first, then) in &received {
         println!("told to reconnect {:?} after the notice: {first}", at.duration_since(notice));
         assert!(
             first.contains("NetConnection.Connect.ReconnectRequest") && then.starts_with('('),
             "{first} {then}"
         );
-        assert!(at.duration_since(notice) < Duration::from_secs(5), "a drain may take 5 s");
+        assert!(
+            at.duration_since(notice) < Duration::from_secs(5),
+            "a client was told to reconnect later than 5 s after the drain notice"
+        );
     }
     let log = endpoints[1].log.lock().unwrap();
     let sends = log
@@ -534,28 +550,28 @@
         .filter(|(_, what)| what.starts_with("OPEN"))
         .map(|(at, _)| at.saturating_duration_since(notice));
     let late = sends
-        .inspect(|after| println!("sent to the draining streamer {after:?} after the notice"))
+        .inspect(|after| println!("sent to the draining endpoint {after:?} after the notice"))
         .max()
         .unwrap();
-    assert!(late <= Duration::from_secs(1), "a send {late:?} after the notice");
+    assert!(late <= Duration::from_secs(1), "a request was sent {late:?} after the notice");
 }
 
-/// No front can lead an RTMP connection elsewhere by itself: on standby all of them are moved, whatever the
-/// settings say of lines.
+/// No front can redirect an RTMP connection by itself: on standby all RTMP connections are migrated, whatever
+/// the settings say about the line protocol.
 #[test]
-fn on_standby_a_flow_is_told_to_reconnect() {
-    let _alone = alone();
-    let (_discovery, relay) = fleet(&[endpoint("one", TAKES, PACE)]);
+fn on_standby_a_client_is_told_to_reconnect() {
+    let _exclusive = run_exclusively();
+    let (_discovery, relay) = start_relay(&[endpoint("one", ACCEPTS, PACE)]);
     let (mut client, _) = Peer::open(&relay, "vod/1", &[]);
-    client.number().unwrap();
+    client.next_video_number().unwrap();
     assert_eq!(relay.call(b"standby\n"), "done standby, 1 standing");
-    let told = client.told();
-    assert!(told.contains("NetConnection.Connect.ReconnectRequest"), "{told}");
-    until("it is gone", || relay.call(b"status\n") == "done standby, 0 standing");
+    let received = client.next_command();
+    assert!(received.contains("NetConnection.Connect.ReconnectRequest"), "{received}");
+    until("the connection has ended", || relay.call(b"status\n") == "done standby, 0 standing");
 }
 
-/// An endpoint that takes a connection, has chunks of this size and then goes on as told.
-fn chunks(size: u32, goes_on: impl Fn(&TcpStream) + Send + Sync + 'static) -> Endpoint {
+/// An endpoint that accepts a connection, sets this chunk size, and then calls `continues`.
+fn endpoint_with_chunks(size: u32, continues: impl Fn(&TcpStream) + Send + Sync + 'static) -> Endpoint {
     Endpoint::start(move |stream, log| {
         let Some(mut peer) = Peer::new(stream, PeerType::Server, Duration::ZERO) else { return };
         let _ = peer.receive();
@@ -563,7 +579,7 @@
         peer.command("_result", 1.0, Amf0Value::Null, code);
         let packet = peer.writer.set_max_chunk_size(size, RtmpTimestamp::new(0)).unwrap();
         peer.stream.write_all(&packet.bytes).unwrap();
-        goes_on(&peer.stream);
+        continues(&peer.stream);
         note(log, "said");
         let _ = peer.stream.read(&mut [0; 64]);
     })
@@ -577,14 +593,14 @@
     chunk
 }
 
-/// Where the relay was in the middle of a chunk as its time for a move was up, no word could be put in and
-/// the client was cut off without one: of an endpoint that hangs there, and of one whose chunks never end
-/// as reading does.
+/// Guards against a client that is disconnected without a request to reconnect. The relay can't insert a
+/// message in the middle of a chunk; its time for a migration ended there with an endpoint that stalls within
+/// a chunk, and with one whose chunks never end where a read ends.
 #[test]
-fn a_flow_is_told_to_reconnect_wherever_its_streamer_is_in_a_chunk() {
-    let _alone = alone();
-    let hangs = |mut stream: &TcpStream| stream.write_all(&chunk(4000)[..3000]).unwrap();
-    let never_between = |mut stream: &TcpStream| {
+fn a_client_is_told_to_reconnect_wherever_its_endpoint_is_in_a_chunk() {
+    let _exclusive = run_exclusively();
+    let stalls_within_chunk = |mut stream: &TcpStream| stream.write_all(&chunk(4000)[..3000]).unwrap();
+    let never_between_chunks = |mut stream: &TcpStream| {
         let (start, whole) = (Instant::now(), chunk(60_000));
         let turned = [&whole[20_000..], &whole[..20_000]].concat();
         let _ = stream.write_all(&whole[..20_000]);
@@ -592,41 +608,48 @@
             thread::sleep(Duration::from_millis(20));
         }
     };
-    for (sender, goes_on) in [(chunks(4096, hangs), false), (chunks(65_536, never_between), true)] {
+    for (sender, continues) in [
+        (endpoint_with_chunks(4096, stalls_within_chunk), false),
+        (endpoint_with_chunks(65_536, never_between_chunks), true),
+    ] {
         let log = sender.log.clone();
-        let (_discovery, relay) = fleet(&[sender]);
+        let (_discovery, relay) = start_relay(&[sender]);
         let (mut client, answer) = Peer::open(&relay, "vod/1", &[]);
         assert!(answer.starts_with("_result"), "{answer}");
-        if goes_on {
-            client.number().unwrap();
+        if continues {
+            client.next_video_number().unwrap();
         } else {
-            until("it hangs", || !log.lock().unwrap().is_empty());
+            until("the endpoint stalls within a chunk", || !log.lock().unwrap().is_empty());
         }
         assert_eq!(relay.call(b"standby\n"), "done standby, 1 standing");
-        let told = client.told();
-        assert!(told.contains("NetConnection.Connect.ReconnectRequest"), "goes on: {goes_on}, {told}");
-        assert_eq!(client.told(), "(end)");
+        let received = client.next_command();
+        assert!(
+            received.contains("NetConnection.Connect.ReconnectRequest"),
+            "continues: {continues}, {received}"
+        );
+        assert_eq!(client.next_command(), "(end)");
     }
 }
 
-/// A connection whose chunks are not carried to the new process is told to reconnect, and the old one ends.
+/// RTMP connections are not passed to a new process: their clients are told to reconnect, and the old process
+/// ends.
 #[test]
-fn a_hand_over_tells_a_flow_to_reconnect() {
-    let _alone = alone();
-    let (endpoints, discovery) = ([endpoint("one", TAKES, PACE)], Discovery::start());
+fn a_hand_over_tells_a_client_to_reconnect() {
+    let _exclusive = run_exclusively();
+    let (endpoints, discovery) = ([endpoint("one", ACCEPTS, PACE)], Discovery::start());
     discovery.set("s-0", &endpoints[0].address, "Ready", 0);
     let folder = tempfile::tempdir().unwrap();
     let more = format!("[relay]\nhandover = {:?}\n", folder.path());
     let old = Relay::start_more(&discovery, 1024, &[host()], 0, &more);
-    until("it can be found", || folder.path().join("sandgw-handover").exists());
+    until("the hand-over socket exists", || folder.path().join("sandgw-handover").exists());
     let (mut client, _) = Peer::open(&old, "vod/1", &[]);
-    client.number().unwrap();
+    client.next_video_number().unwrap();
     let new = old.beside();
     until("the new process serves", || new.status().starts_with("done active"));
     old.terminate();
-    let told = client.told();
-    assert!(told.contains("NetConnection.Connect.ReconnectRequest"), "{told}");
+    let received = client.next_command();
+    assert!(received.contains("NetConnection.Connect.ReconnectRequest"), "{received}");
     until("the old process ends", || old.has_ended());
     let (mut client, _) = Peer::open(&new, "vod/1", &[]);
-    client.number().unwrap();
+    client.next_video_number().unwrap();
 }
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -1,5 +1,5 @@
-//! Tenants' quotas with real processes: a cluster of four relays, endpoints that are full, one tenant that
-//! floods them, and a relay that is killed meanwhile.
+//! Tests of tenants' quotas with real processes: a cluster of four relays, endpoints at their capacity, one
+//! tenant that floods them, and a relay that is killed meanwhile.
 
 mod common;
 
@@ -16,13 +16,13 @@
 const CAPACITY: u32 = 33;
 /// The tenants' quotas in connections.
 const QUOTAS: [usize; 2] = [40, 20];
-/// Connections that the small tenant wants, and arrivals of the big one in each round.
+/// Connections that the small tenant keeps open, and arrivals of the big tenant in each round.
 const SMALL: usize = 16;
 const FLOOD: usize = 32;
 const ROUNDS: usize = 16;
 
-/// An endpoint that accepts so many connections and rejects others.
-fn full_at(capacity: u32) -> Endpoint {
+/// An endpoint that accepts up to `capacity` connections and rejects others.
+fn endpoint_with_capacity(capacity: u32) -> Endpoint {
     let held = Arc::new(AtomicU32::new(0));
     Endpoint::start(move |stream, _| {
         let mut line = String::new();
@@ -41,7 +41,7 @@
 }
 
 /// An operator's file: settings with quotas, enforced or not.
-fn file(local_index: usize, enforce: bool) -> String {
+fn application_file(local_index: usize, enforce: bool) -> String {
     let [big, small] = QUOTAS;
     format!(
         r#"
@@ -81,23 +81,23 @@
     (at, client)
 }
 
-/// Rounds in which some of each tenant's connections end and others arrive. Returns the served fraction of
-/// the arrivals in the second half of the rounds, and the open connections at the end, by tenant.
-fn rounds(enforce: bool) -> ([f64; 2], [usize; 2]) {
-    let endpoints = [full_at(CAPACITY), full_at(CAPACITY)];
+/// Runs rounds in which some of each tenant's connections end and others arrive. Returns the served fraction
+/// of the arrivals in the second half of the rounds, and the open connections at the end, by tenant.
+fn run_rounds(enforce: bool) -> ([f64; 2], [usize; 2]) {
+    let endpoints = [endpoint_with_capacity(CAPACITY), endpoint_with_capacity(CAPACITY)];
     let discovery = Discovery::start();
     for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
     let hosts: Vec<String> = (0..RELAYS).map(|_| host()).collect();
     let start = |local_index: usize| {
-        Relay::start_more(&discovery, 1024, &hosts, local_index, &file(local_index, enforce))
+        Relay::start_more(&discovery, 1024, &hosts, local_index, &application_file(local_index, enforce))
     };
     let mut relays: Vec<Option<Relay>> = (0..RELAYS).map(|local_index| Some(start(local_index))).collect();
     let mut open: [Vec<(usize, Client)>; 2] = Default::default();
     let (mut arrived, mut served) = ([0; 2], [0; 2]);
     for round in 0..ROUNDS {
-        // Killed with all its connections; it restarts later, without any state.
+        // Relay 1 is killed with all its connections, and restarts later without any state.
         if round == 6 {
             relays[1] = None;
             open.iter_mut().for_each(|h| h.retain(|(at, _)| *at != 1));
@@ -124,42 +124,56 @@
     }
     let log: Vec<String> = relays.iter().flatten().map(Relay::log).collect();
     let logs_scarcity = log.iter().any(|log| log.contains("quota: capacity is short"));
-    assert_eq!(logs_scarcity, enforce, "refusals by share are logged, and there are none where it is off");
+    assert_eq!(
+        logs_scarcity, enforce,
+        "rejections by quota must be logged if and only if quotas are enforced"
+    );
     ([0, 1].map(|m| served[m] as f64 / arrived[m] as f64), [open[0].len(), open[1].len()])
 }
 
 #[test]
 fn a_flood_leaves_the_other_member_its_share_through_a_kill() {
-    let (off, open_off) = rounds(false);
-    let (on, open) = rounds(true);
-    println!("served of those who came, big and small: {off:.2?} without shares, {on:.2?} with them");
-    println!("standing at the end: {open_off:?} and {open:?} of shares {QUOTAS:?}");
-    assert!(off[1] < 0.8, "the flood hurts where nothing is done: {off:?}");
+    let (off, open_off) = run_rounds(false);
+    let (on, open) = run_rounds(true);
+    println!(
+        "served fraction of arrivals, big and small tenant: {off:.2?} without enforced quotas, {on:.2?} with them"
+    );
+    println!("open at the end: {open_off:?} and {open:?} of quotas {QUOTAS:?}");
+    assert!(off[1] < 0.8, "the flood does not hurt the small tenant without enforced quotas: {off:?}");
     assert!(on[1] >= 0.9, "{on:?}");
-    assert!(open[0] >= QUOTAS[0] * 3 / 4, "its own share is not refused: {open:?}");
+    assert!(
+        open[0] >= QUOTAS[0] * 3 / 4,
+        "connections within the big tenant's quota were rejected: {open:?}"
+    );
 }
 
-/// Guards against a flood that takes another tenant's part: at relays that do not know of each other's
-/// connections, that have just started, or that see no sign of scarcity themselves.
+/// Guards against a flood that takes another tenant's quota at relays that do not know of each other's
+/// connections, that have just started, or that see no scarcity themselves.
 #[test]
 fn a_flood_at_all_relays_leaves_a_small_tenant_its_quota() {
-    let (served, open) = rounds(true);
+    let (served, open) = run_rounds(true);
     println!(
-        "served of those who came, big and small: {served:.2?}; open at the end: {open:?} of {QUOTAS:?}"
+        "served fraction of arrivals, big and small tenant: {served:.2?}; open at the end: {open:?} of {QUOTAS:?}"
     );
     assert!(served[1] >= 0.9, "{served:?}");
     assert!(open[0] >= QUOTAS[0] * 3 / 4 && open[0] <= QUOTAS[0] * 5 / 4, "{open:?}");
 }
 
-/// While capacity is not scarce nobody is rejected, however far over quota.
+/// While capacity is not scarce, no request is rejected, however far its tenant is over quota.
 #[test]
-fn where_there_is_room_nobody_is_refused() {
-    let (endpoint, discovery) = (full_at(1000), Discovery::start());
+fn without_scarcity_no_request_is_rejected() {
+    let (endpoint, discovery) = (endpoint_with_capacity(1000), Discovery::start());
     discovery.set("s-0", &endpoint.address, "Ready", 0);
     let hosts: Vec<String> = (0..RELAYS).map(|_| host()).collect();
     let relays: Vec<_> = (0..RELAYS)
         .map(|local_index| {
-            Some(Relay::start_more(&discovery, 1024, &hosts, local_index, &file(local_index, true)))
+            Some(Relay::start_more(
+                &discovery,
+                1024,
+                &hosts,
+                local_index,
+                &application_file(local_index, true),
+            ))
         })
         .collect();
     let mut clients: Vec<_> = (0..QUOTAS[1] * 4).map(|_| connect(&relays, 1)).collect();
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,14 +1,14 @@
-//! A short soak: fixed seeds of drawn clusters, loads and faults. `crates/test-cluster/examples/soak.rs` runs
-//! any number of them.
+//! A short soak test: clusters, loads and faults that are drawn at random from fixed seeds.
+//! `crates/test-cluster/examples/soak.rs` runs any number of seeds.
 
 use std::path::Path;
 
 use sandgw_test_cluster::soak::{SoakScenario, run};
 
-/// How long the faults of one run go on.
+/// How long faults are injected in one run.
 const DURATION_MS: f64 = 10_000.0;
 
-async fn keep_rules(seeds: std::ops::Range<u64>) {
+async fn assert_invariants(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let scenario = SoakScenario::draw(seed, DURATION_MS);
         let report = run(&scenario, Path::new(env!("CARGO_BIN_EXE_sandgw"))).await.unwrap();
@@ -18,8 +18,9 @@
     }
 }
 
-/// Guards against broken rules and relays that end, through restarts, kills, crowds and outages together.
+/// Guards against violated invariants and relays that exit, under restarts, kills, bursts of clients and
+/// outages together.
 #[tokio::test]
-async fn drawn_clusters_keep_the_rules_through_drawn_faults() {
-    keep_rules(101..104).await;
+async fn random_clusters_keep_the_invariants_through_random_faults() {
+    assert_invariants(101..104).await;
 }
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -1,4 +1,4 @@
-//! The durable store of clients and groups, through the real program.
+//! Tests of the durable store of clients and groups, with the real program.
 
 mod common;
 
@@ -9,10 +9,10 @@
 
 use common::*;
 
-const UPS: [&str; 4] = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"];
+const REPLIES: [&str; 4] = ["UP 0\r\n", "UP 1\r\n", "UP 2\r\n", "UP 3\r\n"];
 
-fn fleet(discovery: &Discovery) -> Vec<Endpoint> {
-    let endpoints: Vec<_> = UPS.into_iter().map(Endpoint::lines).collect();
+fn start_endpoints(discovery: &Discovery) -> Vec<Endpoint> {
+    let endpoints: Vec<_> = REPLIES.into_iter().map(Endpoint::lines).collect();
     for (i, s) in endpoints.iter().enumerate() {
         discovery.set(&format!("s-{i}"), &s.address, "Ready", 0);
     }
@@ -31,12 +31,13 @@
     (client.line(), client)
 }
 
-/// Places clients of which nothing is known, and gives the store time to write them. Returns their replies.
+/// Places clients that the relay does not know yet, and waits until the store has written them. Returns the
+/// replies.
 fn place(relay: &Relay) -> Vec<String> {
     let held: Vec<_> = (0..40).map(|key| connect(relay, key, ",again=1")).collect();
     thread::sleep(Duration::from_secs(1));
     let at: Vec<_> = held.into_iter().map(|(up, _)| up).collect();
-    assert!(at.iter().any(|up| *up != at[0]), "all are at one streamer: {at:?}");
+    assert!(at.iter().any(|up| *up != at[0]), "all clients were placed at the same endpoint: {at:?}");
     at
 }
 
@@ -45,11 +46,11 @@
     command.env_remove("PROXY_CONFIG").args(arguments).output().unwrap()
 }
 
-/// A relay without others is killed and starts again: connections that arrive mid-flow find their endpoint.
+/// A relay without peers is killed and restarted: connections that arrive mid-flow reach their endpoint.
 #[test]
 fn a_relay_that_is_killed_knows_its_clients_from_the_folder() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let (_endpoints, host) = (fleet(&discovery), host());
+    let (_endpoints, host) = (start_endpoints(&discovery), host());
     let relay = start(&discovery, &host, folder.path());
     let at = place(&relay);
     drop(relay);
@@ -59,12 +60,12 @@
     assert!(relay.log().contains("state.folder: 41 entries taken"), "{}", relay.log());
 }
 
-/// While the relay is down one endpoint leaves and one starts again: what the folder says of them draws
-/// nothing.
+/// While the relay is down one endpoint leaves and another restarts: stored entries attract no connections to
+/// either.
 #[test]
-fn entries_of_streamers_that_left_meanwhile_draw_no_flow() {
+fn stored_entries_of_endpoints_that_left_attract_no_connections() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let (endpoints, host) = (fleet(&discovery), host());
+    let (endpoints, host) = (start_endpoints(&discovery), host());
     let relay = start(&discovery, &host, folder.path());
     let at = place(&relay);
     drop(relay);
@@ -75,17 +76,17 @@
     let held: Vec<_> = (0..40).map(|key| connect(&relay, key, ",mid=1")).collect();
     for ((again, _), at) in held.iter().zip(&at) {
         assert_ne!(again, "UP 0");
-        // The others keep theirs; s-1 is another process by now and is no better than any.
+        // Other clients keep their endpoint; s-1 has restarted and is no sticky endpoint any more.
         assert!(again == at || at == "UP 0" || at == "UP 1", "{again} after {at}");
     }
     let opens = endpoints[0].seen()[before..].iter().filter(|l| l.starts_with("OPEN")).count();
-    assert_eq!(opens, 0, "the streamer that leaves got new flows");
+    assert_eq!(opens, 0, "the endpoint that leaves got new requests");
 }
 
 #[test]
-fn a_folder_in_use_or_none_is_refused_and_a_damaged_file_is_set_aside() {
+fn an_unusable_folder_is_refused_and_a_damaged_file_is_set_aside() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let _endpoints = fleet(&discovery);
+    let _endpoints = start_endpoints(&discovery);
     let host_of_first = host();
     let relay = start(&discovery, &host_of_first, folder.path());
     let assert_refused = |state: &Path, reason: &str| {
@@ -95,8 +96,11 @@
         let text = format!("{text}\n[state]\nfolder = {:?}\n", state.display().to_string());
         std::fs::write(&file, text).unwrap();
         let output = sandgw(&["run", file.to_str().unwrap()]);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && said.contains("state.folder") && said.contains(reason), "{said}");
+        let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(
+            !output.status.success() && output_text.contains("state.folder") && output_text.contains(reason),
+            "{output_text}"
+        );
     };
     assert_refused(folder.path(), "another process has the store open");
     let file = folder.path().join("file");
@@ -104,35 +108,36 @@
     assert_refused(&file, "the folder can't be used");
     assert_refused(&folder.path().join("no/parent"), "the folder can't be used");
     drop(relay);
-    let kept = folder.path().join("affinity.redb");
-    std::fs::write(&kept, "something else").unwrap();
+    let store_file = folder.path().join("affinity.redb");
+    std::fs::write(&store_file, "something else").unwrap();
     let relay = start(&discovery, &host_of_first, folder.path());
     assert_eq!(connect(&relay, 1, "").0.split(' ').next(), Some("UP"));
     assert!(relay.log().contains("affinity.damaged-1, and an empty one is begun"), "{}", relay.log());
     assert_eq!(std::fs::read_to_string(folder.path().join("affinity.damaged-1")).unwrap(), "something else");
 }
 
-/// A file at its size limit ended the relay by a signal: neither the folder nor the log may do that.
+/// Guards against a relay that is ended by a signal because the store's file or the log has reached the limit
+/// on file sizes.
 #[test]
-fn a_file_at_its_size_limit_ends_no_relay() {
+fn a_file_at_its_size_limit_does_not_end_the_relay() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let _endpoints = fleet(&discovery);
+    let _endpoints = start_endpoints(&discovery);
     let more =
         format!("[state]\nfolder = {:?}\nflush_ms = 100\n", folder.path().join("kept").display().to_string());
     let relay = Relay::start_limited(&discovery, "ulimit -f 8", 1024, &[host()], 0, &more);
     assert!(relay.log().contains("state.folder: "), "{}", relay.log());
     for key in 0..200 {
         assert_eq!(connect(&relay, key, "").0.split(' ').next(), Some("UP"));
-        // It warns of each, until its log is full as well.
+        // The relay logs a warning for each faulty reload, until its log is full as well.
         relay.reload(None);
     }
     assert_eq!(connect(&relay, 200, "").0.split(' ').next(), Some("UP"));
 }
 
 #[test]
-fn the_tool_shows_checks_and_carries_a_folder_over() {
+fn the_state_command_shows_verifies_exports_and_imports_a_folder() {
     let (discovery, folder) = (Discovery::start(), tempfile::tempdir().unwrap());
-    let _endpoints = fleet(&discovery);
+    let _endpoints = start_endpoints(&discovery);
     let relay = start(&discovery, &host(), folder.path());
     place(&relay);
     let path = folder.path().to_str().unwrap();
@@ -141,24 +146,27 @@
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         (output.status.success(), text(&output.stdout) + &text(&output.stderr))
     };
-    let (fine, said) = run(&["verify", path]);
-    assert!(!fine && said.contains("another process"), "{said}");
+    let (succeeded, output_text) = run(&["verify", path]);
+    assert!(!succeeded && output_text.contains("another process"), "{output_text}");
     drop(relay);
     assert_eq!(run(&["verify", path]), (true, "41 records, 0 damaged\n".into()));
-    let (fine, json) = run(&["show", path, "--json"]);
+    let (succeeded, json) = run(&["show", path, "--json"]);
     let summary: serde_json::Value = serde_json::from_str(&json).unwrap();
-    assert!(fine && summary["clients"] == 40 && summary["groups"] == 1, "{json}");
-    let (_, said) = run(&["show", path]);
-    assert!(said.contains("40 clients, 1 groups") && said.contains("s-1 "), "{said}");
+    assert!(succeeded && summary["clients"] == 40 && summary["groups"] == 1, "{json}");
+    let (_, output_text) = run(&["show", path]);
+    assert!(output_text.contains("40 clients, 1 groups") && output_text.contains("s-1 "), "{output_text}");
     let (file, other) = (folder.path().join("export"), folder.path().join("other"));
     let (file, other) = (file.to_str().unwrap(), other.to_str().unwrap());
     assert!(run(&["export", path, "--to", file]).0);
-    let (fine, said) = run(&["export", path, "--to", file]);
-    assert!(!fine && said.contains(file), "an export was overwritten: {said}");
-    let (fine, said) = run(&["import", other, "--from", file, "--json"]);
-    assert!(fine && said.contains("45"), "{said}");
+    let (succeeded, output_text) = run(&["export", path, "--to", file]);
+    assert!(!succeeded && output_text.contains(file), "an export was overwritten: {output_text}");
+    let (succeeded, output_text) = run(&["import", other, "--from", file, "--json"]);
+    assert!(succeeded && output_text.contains("45"), "{output_text}");
     assert_eq!(run(&["verify", other, "--json"]).1, "{\"damaged\":0,\"records\":41}\n");
     assert!(run(&["compact", other]).0);
-    let (fine, said) = run(&["show", "/nowhere"]);
-    assert!(!fine && said.contains("/nowhere: state.folder: the folder can't be used"), "{said}");
+    let (succeeded, output_text) = run(&["show", "/nowhere"]);
+    assert!(
+        !succeeded && output_text.contains("/nowhere: state.folder: the folder can't be used"),
+        "{output_text}"
+    );
 }
