--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -1,7 +1,7 @@
-//! Over how many endpoints groups are spread when relays restart: with the affinity table lost, restored
-//! from the folder, or restored from the other relays. Simulates four relays' cores in virtual time with 14
-//! endpoints, group sizes by Zipf and packet passthrough: a stopped relay's connections arrive at the
-//! others. Prints one row a scenario. `cargo bench --bench spread`
+//! Measures over how many endpoints groups are spread when relays restart and the affinity table is lost,
+//! restored from the folder, or restored from the other relays. Simulates the core of four relays in virtual
+//! time, with 14 endpoints, group sizes from a Zipf distribution, and packet passthrough: a stopped relay's
+//! connections arrive at the others. Prints one row per scenario. Run it with `cargo bench --bench spread`.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -33,10 +33,10 @@
 /// How long a relay is down.
 const DOWNTIME_MS: Millis = 1_000.0;
 
-/// From where a restarted relay restores its affinity table. The names are printed.
+/// The source from which a restarted relay restores its affinity table. The names are printed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum TableSource {
-    /// No relay restarts: the spread's change over time alone.
+    /// No relay restarts, which shows how the spread changes over time alone.
     Calm,
     /// The table is lost.
     Nothing,
@@ -92,8 +92,8 @@
     /// Requests without an established connection, by relay and request.
     pending: HashMap<(usize, RequestId), PendingRequest>,
     connections: u64,
-    /// Connections placed since the first restart, and those that brought their group to an endpoint
-    /// without it.
+    /// Connections placed since the first restart, and `copies`: those that brought their group to an
+    /// endpoint without it.
     placed: u64,
     copies: u64,
     rejected: u64,
@@ -165,7 +165,7 @@
 
     fn schedule(&mut self, delay: Millis, event: Event) {
         self.last_event += 1;
-        // Microseconds, and a number that keeps the order of equal times.
+        // The time in microseconds, and a number that keeps the order of events with equal times.
         self.queue.push(Reverse((((self.now + delay - START_MS) * 1000.0) as u64, self.last_event)));
         self.events.insert(self.last_event, event);
     }
@@ -191,8 +191,9 @@
     /// Stops a relay. Its connections' packets arrive at the other relays.
     fn kill(&mut self, at: usize) {
         self.relays[at] = None;
-        let orphans: Vec<u64> = self.active.iter().filter(|(_, h)| h.relay == at).map(|(c, _)| *c).collect();
-        for connection in orphans {
+        let connections: Vec<u64> =
+            self.active.iter().filter(|(_, h)| h.relay == at).map(|(c, _)| *c).collect();
+        for connection in connections {
             if let Some(h) = self.active.remove(&connection) {
                 self.send_request(h.client, h.group, true, connection);
             }
@@ -313,7 +314,7 @@
         let now = self.now;
         let Some(relay) = &mut self.relays[at] else { return };
         relay.connection_established(now, request, 20.0);
-        // The relay's writer does the same, with a delay.
+        // The real relay's state writer stores the changes in the same way, with a delay.
         let changes = relay.take_affinity_changes(now, usize::MAX);
         let store = &mut self.stores[at];
         changes.removed.iter().for_each(|key| drop(store.remove(key)));
@@ -330,7 +331,7 @@
         }
     }
 
-    /// Endpoints a group, weighted by the group's connections.
+    /// The mean number of endpoints per group, weighted by the group's connections.
     fn spread(&self) -> f64 {
         let mut groups: HashMap<u64, (f64, HashSet<&EndpointId>)> = HashMap::new();
         for h in self.active.values() {
@@ -347,11 +348,11 @@
 struct Figures {
     /// Spread before the first restart.
     spread_before: f64,
-    /// Spread 5 s after the last start, as a multiple of the one before.
+    /// Spread 5 s after the last start, as a multiple of the spread before.
     spread_after_5_s: f64,
-    /// Spread 30 s after the last start, as a multiple of the one before.
+    /// Spread 30 s after the last start, as a multiple of the spread before.
     spread_after_30_s: f64,
-    /// Connections that brought their group to another endpoint, for 100 connections placed.
+    /// Connections that brought their group to another endpoint, per 100 connections placed.
     copies_per_100: f64,
     /// Rejected connections.
     rejected: f64,
@@ -365,7 +366,7 @@
     simulation.counting = true;
     let mut last = 0.0;
     if source != TableSource::Calm {
-        // One relay, or all of them two seconds after each other.
+        // One relay restarts, or all of them at intervals of two seconds.
         for at in 0..if rolling { RELAYS as usize } else { 1 } {
             let kill = 2.0 * DOWNTIME_MS * at as f64;
             simulation.schedule(kill, Event::Kill(at));
@@ -391,11 +392,11 @@
 fn main() {
     const SEEDS: u64 = 9;
     println!(
-        "{RELAYS} relays, {ENDPOINTS} streamers, {GROUPS} groups by Zipf 0.9, {ARRIVALS_PER_S}/s, median of {SEEDS} seeds (least to most)"
+        "{RELAYS} relays, {ENDPOINTS} endpoints, {GROUPS} groups by Zipf 0.9, {ARRIVALS_PER_S}/s, median of {SEEDS} seeds (least to most)"
     );
     println!(
         "{:<34}{:>20}{:>24}{:>24}{:>20}{:>9}",
-        "", "spread before", "5 s after / before", "30 s after / before", "copies per 100", "refused"
+        "", "spread before", "5 s after / before", "30 s after / before", "copies per 100", "rejected"
     );
     for (name, rolling) in [("one relay", false), ("all, one after another", true)] {
         for source in [TableSource::Calm, TableSource::Nothing, TableSource::Folder, TableSource::Peers] {
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,4 +1,4 @@
-//! A service to try the relay with: a discovery service that lists two endpoints, and these endpoints,
+//! A server for trying out the relay: a discovery service that lists two endpoints, and the two endpoints,
 //! which accept every connection and echo each line. Run it with `cargo run --example toy_server`.
 
 use std::io::{self, BufRead, BufReader, Write};
@@ -16,7 +16,7 @@
 
 /// Answers one request for the list of endpoints. The list never changes, so a request for changes waits for
 /// [`LONG_POLL`].
-fn discovery(mut stream: TcpStream) -> io::Result<()> {
+fn answer_poll(mut stream: TcpStream) -> io::Result<()> {
     let mut request_line = String::new();
     BufReader::new(&stream).read_line(&mut request_line)?;
     let members = ENDPOINTS.map(|address| {
@@ -34,7 +34,7 @@
 }
 
 /// Serves one connection of the line protocol.
-fn endpoint(name: &str, mut stream: TcpStream) -> io::Result<()> {
+fn serve_endpoint(name: &str, mut stream: TcpStream) -> io::Result<()> {
     for line in BufReader::new(stream.try_clone()?).lines() {
         let line = line?;
         println!("{name}: {line}");
@@ -58,8 +58,8 @@
 
 fn main() -> io::Result<()> {
     for address in ENDPOINTS {
-        thread::spawn(move || serve(address, endpoint));
+        thread::spawn(move || serve(address, serve_endpoint));
     }
-    println!("discovery on {DISCOVERY}, streamers on {ENDPOINTS:?}");
-    serve(DISCOVERY, |_, stream| discovery(stream))
+    println!("discovery on {DISCOVERY}, endpoints on {ENDPOINTS:?}");
+    serve(DISCOVERY, |_, stream| answer_poll(stream))
 }
