--- a/crates/quota/src/tenants.rs
+++ b/crates/quota/src/tenants.rs
@@ -35,13 +35,13 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TenantsError {
     /// Two tenants have the same name.
-    #[error("member {0:?} is named twice")]
+    #[error("tenant {0:?} is named twice")]
     DuplicateName(String),
     /// There are more than [`MAX_TENANTS`] tenants.
-    #[error("{0} members are named, and shares are counted for {MAX_TENANTS} at the most")]
+    #[error("{0} tenants are named, but quotas are supported for at most {MAX_TENANTS}")]
     TooMany(usize),
     /// The tenant at this index has no name.
-    #[error("member {0} has no name")]
+    #[error("tenant {0} has no name")]
     MissingName(usize),
 }
 
--- a/crates/schema-version/src/error.rs
+++ b/crates/schema-version/src/error.rs
@@ -46,7 +46,7 @@
         part: &'static str,
     },
     /// The cluster is finalized at a version that this process does not support.
-    #[error("the tier is finalized at form {finalized}, and this process reads form {supported}")]
+    #[error("the cluster is finalized at form {finalized}, and this process reads form {supported}")]
     Finalized {
         /// The finalized version: no process writes an older version any more.
         finalized: SchemaVersion,
--- a/src/bin/sandgw-adapter.rs
+++ b/src/bin/sandgw-adapter.rs
@@ -27,7 +27,7 @@
         match self {
             AdapterError::Wire(e) => e.fault.help(),
             AdapterError::Read(_) | AdapterError::Write(_) => {
-                "look at the simulator, which holds the other end"
+                "check the simulator, which is at the other end of the pipe"
             }
         }
     }
--- a/src/config/errors.rs
+++ b/src/config/errors.rs
@@ -116,7 +116,7 @@
     #[error("is not possible with [state] yet: the folder admits one process")]
     HandoverWithStore,
     /// Quotas are to be enforced, but the settings define no quotas.
-    #[error("is true, and the settings state no share")]
+    #[error("is true, and the settings define no quota")]
     NoQuota,
     /// The number is not a supported schema version of shared state.
     #[error("of forms: {0}")]
@@ -131,7 +131,7 @@
     #[error("must be numbers of relays, from 0 and below {0}, each once")]
     InvalidVoters(u32),
     /// The application's name is not a portable file name.
-    #[error("the name must be of small letters, digits and '-'")]
+    #[error("the name may contain only lower-case letters, digits and '-'")]
     InvalidName,
     /// The relay could not start, although its configuration is valid.
     #[error("{0}")]
@@ -156,7 +156,7 @@
     Missing: "is missing" => "add the key; `sandgw config new` shows each with a value",
     NoListener: "is missing, and there is no [rtmp] listener" => "name an address for clients, or add [rtmp]",
     MissingOnReload: "is missing, and the running relay has it" => "put the key back, or restart with the file as it is",
-    Truncated: "ends within a line" => "write the file anew, whole, and send SIGHUP again",
+    Truncated: "ends within a line" => "write the complete file again, then send SIGHUP",
     UnknownKey: "is unknown" => "correct the spelling, or take the key out",
     Empty: "must not be empty" => "give it a text, or take the table out",
     NotTable: "must be a table" => "write it as [NAME] with its keys below",
@@ -164,21 +164,24 @@
     NotText: "is no text" => "put the value in quotes",
     InvalidText: "is not" => "write numbers, no host name: 127.0.0.1:8443 with a port, 127.0.0.1 without",
     OutOfRange: "is no number from" => "choose a number in that range, without quotes",
-    InvalidSeed: "must be a hexadecimal number" => "take it out: the time will do",
+    InvalidSeed: "must be a hexadecimal number" =>
+        "remove the key: the relay then takes its seed from the current time",
     NoClasses: "must name at least one class" => "add a class to settings.lanes; the platform's file has them",
     UnknownClass: "is no class of settings.lanes" => "name one of settings.lanes, or leave it out for the first",
     NotLoopback: "must be a loopback address" => "let the agent listen at 127.0.0.1",
-    HandoverWithStore: "is not possible with [state]" => "take out one of the two",
-    NoQuota: "the settings state no share" => "give realms a quotaPerS or domain a tenantQuotaConnections, or leave \
-        [shares] out",
+    HandoverWithStore: "is not possible with [state]" => "remove either handover or [state]",
+    NoQuota: "the settings define no quota" =>
+        "set quotaPerS in an entry of realms, or tenantQuotaConnections in domain, or remove [shares]",
     SchemaVersion: "of forms:" => "set forms.most to a form that this program knows",
-    NoPeerMessages: "needs peer_listen" => "relays agree on windows by messages: name the address, or take [maintenance] out",
-    ClockBoundTooLarge: "must be at most a quarter of lease_s" => "it is subtracted from every grant: lengthen the lease, or keep \
-        clocks closer",
-    InvalidVoters: "must be numbers of relays" => "name relays of this tier by their numbers, or leave it out",
-    InvalidName: "the name must be of small letters" => "choose such a name",
-    Start: "relay: start:" => "an address must be free and this machine's, a folder there and this relay's; of \
-        the hand-over see on-call.md",
+    NoPeerMessages: "needs peer_listen" =>
+        "relays agree on maintenance windows by messages: set both keys, or remove [maintenance]",
+    ClockBoundTooLarge: "must be at most a quarter of lease_s" =>
+        "the clock bound shortens every grant: increase lease_s, or keep the relays' clocks closer together",
+    InvalidVoters: "must be numbers of relays" =>
+        "list relays of this cluster by their numbers, or remove the key",
+    InvalidName: "the name may contain only lower-case letters" => "choose a name like live-2",
+    Start: "relay: start:" => "each address must be free and belong to this machine, and each folder must \
+        exist and belong to this relay; for hand-overs see on-call.md",
     StateFolder: "state.folder:" => "no relay may run on the folder meanwhile, and files are never overwritten; see state.md",
 } of CachedList, Setting);
 
--- a/src/discovery/errors.rs
+++ b/src/discovery/errors.rs
@@ -20,7 +20,7 @@
         wanted: &'static str,
     },
     /// The answer has changes to a list, but this relay has no list that they could apply to.
-    #[error("complete: the whole list was asked for")]
+    #[error("complete: got changes where the full list was requested")]
     UnexpectedChanges,
     /// The revision of the answer is lower than that of the list that this relay has.
     #[error("revision: went back to {to} from {from}")]
@@ -31,7 +31,7 @@
         from: u64,
     },
     /// The answer is to a request that was sent to another discovery service.
-    #[error("discovery has moved since it was asked")]
+    #[error("the discovery address changed after the request was sent")]
     ServiceReplaced,
     /// An entry of the endpoint list has no `id`, or an `id` that is not a text.
     #[error("members: id: must be a text")]
@@ -66,19 +66,22 @@
 }
 
 help!(ListError {
-    NotJson: "not JSON" => "see that what answers there is the list service, and nothing cuts its answers short",
-    InvalidField: "must be" => "the list service speaks another form: look at its version",
-    UnexpectedChanges: "the whole list was asked for" =>
-        "nothing where it stays at one; else look at the list service",
-    RevisionWentBack: "went back to" =>
-        "nothing, the whole list is asked for next; if it repeats, services with lists of \
-        their own share one address",
-    ServiceReplaced: "has moved since it was asked" => "nothing: the new one is asked at once",
-    MissingId: "members: id" => "look at how streamers are registered: one has no name",
+    NotJson: "not JSON" =>
+        "check that the service at that address is discovery, and that nothing truncates its answers",
+    InvalidField: "must be" => "discovery uses another format of the endpoint list: check its version",
+    UnexpectedChanges: "got changes where the full list was requested" =>
+        "no action is needed if it occurs once; otherwise check discovery",
+    RevisionWentBack: "went back to" => "no action is needed, the relay requests the full list next; if it \
+        repeats, services with different endpoint lists share one address",
+    ServiceReplaced: "the discovery address changed after the request was sent" =>
+        "no action is needed: the relay polls the new address at once",
+    MissingId: "members: id" => "check how endpoints are registered: one has no id, or its id is not a text",
     UnknownPhase: "unknown phase" =>
-        "the streamer's phase must be Ready, Terminating or Gone: look at how it is registered",
-    InvalidAddress: "host_port" => "register the streamer with an IP address and a port, no host name",
-    InvalidNumber: "is no number from 0 to" => "register the streamer with a figure in that range, or without one",
+        "the endpoint's phase must be Ready, Terminating or Gone: check how it is registered",
+    InvalidAddress: "host_port" =>
+        "register the endpoint with an IP address and a port, not with a host name",
+    InvalidNumber: "is no number from 0 to" =>
+        "register the endpoint with a number in that range, or without one",
 });
 
 /// Why a poll of discovery has failed. The list that this relay has stays in force.
@@ -97,7 +100,7 @@
     #[error("status {0}")]
     Status(u16),
     /// The connection ended within this part of the answer.
-    #[error("the answer ended in its {0}")]
+    #[error("the answer was cut off within its {0}")]
     Truncated(&'static str),
     /// The answer is longer than [`MAX_ANSWER_BYTES`](super::MAX_ANSWER_BYTES).
     #[error("the answer is too long")]
@@ -108,10 +111,15 @@
 }
 
 help!(CallError {
-    Io: "os error" => "see that the list service runs and listens at that address",
-    TimedOut: "no answer in time" => "nothing at a start; later look at the load of the list service and the way there",
-    NotHttp: "not HTTP" => "see that what listens at that address is the list service, with nothing that alters it",
-    Status: "status" => "nothing where it comes once or twice at a start; else look at the list service and its load",
-    Truncated: "the answer ended in its" => "look at what ends its connections: the list service or something before it",
-    TooLong: "the answer is too long" => "a list may have 4 MiB: see that what answers there is the list service",
+    Io: "os error" => "check that discovery runs and listens at that address",
+    TimedOut: "no answer in time" =>
+        "no action is needed after a start; later check the load of discovery and the network path to it",
+    NotHttp: "not HTTP" =>
+        "check that the service at that address is discovery, and that nothing alters its answers",
+    Status: "status" => "no action is needed if it occurs once or twice after a start; otherwise check \
+        discovery and its load",
+    Truncated: "the answer was cut off within its" =>
+        "check what closes the connections: discovery, or a proxy in front of it",
+    TooLong: "the answer is too long" =>
+        "an endpoint list may have 4 MiB: check that the service at that address is discovery",
 } of List);
--- a/src/main.rs
+++ b/src/main.rs
@@ -27,8 +27,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a relay; what an application's file says goes over the platform's configuration. The default,
-    /// without a file.
+    /// Run a relay (the default command). An application's file takes precedence over the platform's
+    /// configuration.
     Run {
         /// The application's file.
         file: Option<PathBuf>,
@@ -38,7 +38,8 @@
         #[command(subcommand)]
         command: ConfigCommand,
     },
-    /// Look into the folder that keeps clients and groups, check it or carry it over. No relay may run on it.
+    /// Inspect, verify, export or import the folder that stores clients and groups. No relay may be running on
+    /// it.
     State {
         #[command(subcommand)]
         command: StateCommand,
--- a/src/net/affinity_store.rs
+++ b/src/net/affinity_store.rs
@@ -92,7 +92,7 @@
 fn log_loaded(loaded: Result<Loaded, StoreError>) {
     match loaded {
         Ok(loaded) if loaded.damaged > 0 => {
-            warn!("state.folder: {} damaged entries are passed over", loaded.damaged);
+            warn!("state.folder: {} damaged entries are skipped", loaded.damaged);
         }
         Ok(_) => {}
         Err(e) => error!("state.folder: {e}; starting with the entries that could be read"),
@@ -107,7 +107,7 @@
     if restored.in_future > 0 {
         let ahead = restored.in_future;
         warn!(
-            "state.folder: {ahead} entries were set later than now, and count as set now: was the clock stepped back?"
+            "state.folder: {ahead} entries have a time in the future, and count as set now: was the clock stepped back?"
         );
     }
 }
--- a/src/net/schema_version.rs
+++ b/src/net/schema_version.rs
@@ -200,10 +200,10 @@
     let AppliedVersion { version, finalized, is_settled } = current;
     let supported = channel.borrow().negotiator.supported();
     if version == supported.newest() {
-        info!("forms: the tier writes form {version}; finalized is {finalized}");
+        info!("forms: the cluster writes form {version}; finalized is {finalized}");
     } else {
         info!(
-            "forms: the tier writes form {version}, this process reads {supported}; finalized is {finalized}"
+            "forms: the cluster writes form {version}, this process reads {supported}; finalized is {finalized}"
         );
     }
     if let Some(writer) = shared.store_writer.as_ref().filter(|_| is_settled)
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -82,7 +82,7 @@
     apply_settings(shared);
     info!("SIGHUP: configuration taken; discovery is at {discovery}");
     if !needs_restart.is_empty() {
-        warn!("SIGHUP: changed, but taken at the next start only: {}", needs_restart.join(", "));
+        warn!("SIGHUP: changed, but takes effect only at the next start: {}", needs_restart.join(", "));
     }
     if old_discovery != discovery {
         shared.endpoint_list.borrow_mut().service_replaced();
--- a/src/net/takeover/predecessor.rs
+++ b/src/net/takeover/predecessor.rs
@@ -38,7 +38,7 @@
             Ok(listener) => listener,
             Err(e) => {
                 // The relay serves without hand-overs: a new version of the program then needs a restart.
-                return error!("hand-over: {}: {e}; it is off", path.display());
+                return error!("hand-over: {}: {e}; hand-overs are off", path.display());
             }
         };
         serve_successors(&shared, &listener, &path).await;
@@ -72,7 +72,7 @@
             warn!("hand-over: {e}");
         }
         if state.resumes_accepting(shared.is_terminated.get()) {
-            warn!("hand-over: it has failed, this process goes on");
+            warn!("hand-over: failed; this process continues to serve");
             shared.relay.borrow_mut().resume_serving();
             shared.accepting.send_replace(true);
         }
--- a/src/net/takeover/successor.rs
+++ b/src/net/takeover/successor.rs
@@ -129,7 +129,7 @@
             }
         }
     }
-    Err(io::Error::other("hand-over: the running process breaks off again and again"))
+    Err(io::Error::other("hand-over: the running process breaks the link repeatedly"))
 }
 
 async fn receive_snapshot(
--- a/src/relay/list_lease.rs
+++ b/src/relay/list_lease.rs
@@ -97,7 +97,7 @@
         self.list_lease.is_end_logged = has_ended;
         if has_ended {
             let age = now - (end - LIST_LEASE_MS);
-            warn!("discovery: no answer for {age:.0} ms: connections wait for one before they are placed");
+            warn!("discovery: no answer for {age:.0} ms: new connections wait until discovery answers");
         } else {
             info!("discovery: the list is confirmed again");
         }
--- a/src/relay/quota_accounting.rs
+++ b/src/relay/quota_accounting.rs
@@ -242,7 +242,7 @@
         if rejected > 0 {
             warn!(
                 "quota: capacity is short, and {rejected} connections of tenants over their quota were rejected: \
-                 {} over the quota, {} over this relay's part of it, {} since no grant came in time",
+                 {} over the quota, {} over this relay's part of it, {} because no grant came in time",
                 total.over_quota.saturating_sub(logged.over_quota),
                 total.over_local_part.saturating_sub(logged.over_local_part),
                 total.not_granted.saturating_sub(logged.not_granted),
--- a/src/simulator/errors.rs
+++ b/src/simulator/errors.rs
@@ -84,13 +84,18 @@
 
 help!(WireFault {
     NotJson: "not a JSON line" => "see that nothing but the simulator writes to standard input",
-    NotMessage: "a message must" => "look at the version of the simulator: each line is an array behind a name",
-    Order: "ROUND" => "look at the simulator: a batch opens with ROUND and closes with GO",
-    Ended: "the input ends inside the round" => "look at why the simulator ended; what it had sent was not answered",
-    Settings: "START:" => "mend the settings that are named, as in a configuration",
-    NotStarted: "which has not started" => "look at the simulator: an instance begins with START, once more after SHUTDOWN",
-    Unknown: "unknown event" => "the simulator is of a later version: take the adapter that goes with it",
-    TooFew: "has too few values" => "the simulator is of another version: take the adapter that goes with it",
-    Value: "must be" => "look at that value of the line in the simulator; figures of another version may differ",
-    Entry: "an entry must be an array" => "look at the simulator's list of streamers",
+    NotMessage: "a message must" =>
+        "check the simulator's version: each line must be an array that begins with the name of the message",
+    Order: "ROUND" => "check the simulator: each batch starts with ROUND and ends with GO",
+    Ended: "the input ends inside the round" =>
+        "check why the simulator ended; the messages of that round were not answered",
+    Settings: "START:" => "correct the settings that are named, as in a configuration",
+    NotStarted: "which has not started" =>
+        "check the simulator: each instance must begin with START, also after SHUTDOWN",
+    Unknown: "unknown event" =>
+        "the simulator is newer than the adapter: use the adapter of the same version",
+    TooFew: "has too few values" =>
+        "the simulator is of another version: use the adapter of the same version",
+    Value: "must be" => "check that value in the line of the simulator; other versions may use other values",
+    Entry: "an entry must be an array" => "check the endpoint list that the simulator sends",
 });
--- a/src/simulator/settings_errors.rs
+++ b/src/simulator/settings_errors.rs
@@ -22,7 +22,7 @@
     #[error("must be an object")]
     NotObject,
     /// The value must be a list, but is not.
-    #[error("{0} is no list")]
+    #[error("{0} is not a list")]
     NotList(Value),
     /// The value is not a number, or is outside the range that the load balancer can work with.
     #[error("{value} is no number from {min} to {max}")]
@@ -35,7 +35,7 @@
         max: f64,
     },
     /// The number must be an integer, but is not.
-    #[error("{0} is no whole number")]
+    #[error("{0} is not a whole number")]
     NotInteger(f64),
     /// A limit that is not a non-negative number. Used as it is, it would silently break a rule.
     #[error("must be a number from 0 up")]
@@ -44,7 +44,7 @@
     #[error("{0} is neither true nor false")]
     NotBoolean(Value),
     /// The value is not one of the allowed words.
-    #[error("{value} is none of {words}")]
+    #[error("{value} is not one of {words}")]
     UnknownKeyword {
         /// The value.
         value: Value,
@@ -55,19 +55,21 @@
     #[error("is missing, and the class is keyed")]
     MissingWindow,
     /// The tenants' names are not valid as a set, for example because two tenants share a name.
-    #[error("members: {0}")]
+    #[error("tenants: {0}")]
     Tenants(sandgw_quota::tenants::TenantsError),
 }
 
 help!(SettingFault {
     NotObject: "must be an object" => "write it as a table of keys",
-    NotList: "is no list" => "put the values in [ ]",
+    NotList: "is not a list" => "put the values in [ ]",
     Number: "is no number from" => "choose a number in that range, without quotes",
-    NotInteger: "is no whole number" => "choose a whole number",
-    NotNonNegative: "must be a number from 0 up" => "choose such a number; without the key the limit is 0, without \
-        rules.resendSpanMs there is none",
+    NotInteger: "is not a whole number" => "choose a whole number",
+    NotNonNegative: "must be a number from 0 up" => "choose a number from 0 up; without the key the limit is 0, \
+        and without rules.resendSpanMs there is no limit",
     NotBoolean: "is neither true nor false" => "write true or false, without quotes",
-    UnknownKeyword: "is none of" => "choose one of these words, in quotes",
-    Tenants: "members:" => "give each member one entry with a name of its own; shares are counted for 200 at the most",
-    MissingWindow: "is missing, and the class is keyed" => "say for how long repeats are dropped, or make the class unsafe",
+    UnknownKeyword: "is not one of" => "choose one of these words, in quotes",
+    Tenants: "tenants:" => "give each tenant one entry under realms, with a name of its own; quotas are \
+        supported for at most 200 tenants",
+    MissingWindow: "is missing, and the class is keyed" =>
+        "set for how long repeated requests are dropped, or make the class unsafe",
 });
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -232,17 +232,17 @@
     assert_eq!(check("true", one_quota), "");
     let cases = [
         ("1", one_quota, "shares.enforce: 1 is neither"),
-        ("true", "realms = [{ name = \"x\" }]", "shares.enforce: is true, and the settings state no share"),
+        ("true", "realms = [{ name = \"x\" }]", "shares.enforce: is true, and the settings define no quota"),
         ("false", "realms = [{ name = \"x\", quotaPerS = -1.0 }]", "realms[0].quotaPerS: -1.0 is no number"),
         (
             "false",
             "realms = [{ name = \"x\" }, { name = \"x\" }]",
-            "realms: members: member \"x\" is named twice; give each member one entry",
+            "realms: tenants: tenant \"x\" is named twice; give each tenant one entry",
         ),
         (
             "false",
             "realms = [{ name = \"x\" }]\ndomain = { tenantQuotaConnections = 5 }",
-            "domain.tenantQuotaConnections: 5 is no list; put the values in [ ]",
+            "domain.tenantQuotaConnections: 5 is not a list; put the values in [ ]",
         ),
     ];
     for (enforce, settings, fault) in cases {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -333,7 +333,7 @@
     let new = cluster.relay.beside();
     until("the new process gives up", || new.has_ended());
     closer.join().unwrap();
-    assert!(new.log().contains("breaks off"), "{}", new.log());
+    assert!(new.log().contains("breaks the link repeatedly"), "{}", new.log());
     // A file that is no socket is left alone, and the relay serves.
     std::fs::remove_file(&path).unwrap();
     std::fs::write(&path, "mine").unwrap();
