--- a/tests/forms.rs
+++ b/tests/forms.rs
@@ -196,7 +196,10 @@
     drop(relays.pop());
     assert_eq!(cluster.stored_version(3), "form 2, finalized 2\n");
     assert_refused(3, true);
-    assert!(state_version(&cluster.folders[3].path().join("kept"), &["--to", "1"]).contains("no way back"));
+    assert!(
+        state_version(&cluster.folders[3].path().join("kept"), &["--to", "1"])
+            .contains("the file can't be migrated back")
+    );
     // The cluster stays at the finalized version when an older process comes back.
     let old = UdpSocket::bind(&address).unwrap();
     (0..25).for_each(|_| {
